--- /dev/null
+++ b/tests/request_router/decision_equality_test.cpp
@@ -0,0 +1,99 @@
+// Compares the decisions of this build with the committed fingerprints (tests/data/decision_fingerprints.txt:
+// seed, events, actions, hash in hexadecimal). Besides the options of GoogleTest:
+//   --write-fingerprints   writes the file anew; only for a change that is meant to change decisions
+//   --print-actions SEED   prints the hashed text of one seed, to compare two builds by diff
+#include <gtest/gtest.h>
+
+#include <algorithm>
+#include <cstdlib>
+#include <fstream>
+#include <iostream>
+#include <sstream>
+#include <string>
+
+#include "decision_fingerprint.h"
+
+namespace badgercourse::test {
+namespace {
+
+constexpr std::uint64_t kSeeds = 200;
+constexpr std::uint64_t kShortSeeds = 10;
+constexpr const char* kFile = BADGERCOURSE_TEST_DATA "/decision_fingerprints.txt";
+
+std::string file_line(const DecisionFingerprint& taken) {
+  std::ostringstream line;
+  line << taken.seed << ' ' << taken.events << ' ' << taken.actions << ' ' << std::hex << taken.hash;
+  return line.str();
+}
+
+template <typename Counts>
+void print(const char* title, const Counts& counts) {
+  std::cout << title;
+  for (auto count : counts) std::cout << ' ' << count;
+  std::cout << '\n';
+}
+
+// Seeds 0 to `seeds` - 1, each against its line of the file; adds up what came up on the way.
+DecisionCounts compare(std::uint64_t seeds) {
+  DecisionCounts total;
+  std::ifstream file(kFile);
+  EXPECT_TRUE(file.is_open()) << kFile;
+  for (std::uint64_t seed = 0; seed < seeds; ++seed) {
+    std::string expected;
+    std::getline(file, expected);
+    auto taken = decision_fingerprint(seed);
+    EXPECT_GE(taken.events, kLeastEvents) << "seed " << seed;
+    EXPECT_EQ(file_line(taken), expected) << "seed " << seed;
+    total.add(taken.counts);
+  }
+  return total;
+}
+
+TEST(DecisionEquality, SeedsGiveTheCommittedFingerprints) {
+  auto total = compare(kSeeds);
+  std::cout << "events " << total.all_events() << ", actions " << total.all_actions() << '\n';
+  print("events (list, request, outcome, probe result, stream, timer, peer, client gone, plan):",
+        total.events);
+  print("actions (send, cancel, refuse, fail, probe, timer, subscribe, log):", total.actions);
+  print("statuses (success, failure, overloaded, timed out, unreachable, broken, withdrawn, void, absent):",
+        total.statuses);
+  print("levels (write, fresh, session, bounded, any):", total.levels);
+  print("lists (delta, full, cached, failed):", total.lists);
+  EXPECT_GE(total.all_events(), 1'000'000u);
+  auto came_up = [](auto& counts) {
+    return std::all_of(counts.begin(), counts.end(), [](auto n) { return n > 0; });
+  };
+  EXPECT_TRUE(came_up(total.events));
+  EXPECT_TRUE(came_up(total.statuses));
+  EXPECT_TRUE(came_up(total.levels));
+  EXPECT_TRUE(came_up(total.lists));
+  for (std::size_t kind = 0; kind < total.actions.size(); ++kind) {
+    if (kind == Action(Log{}).index())
+      EXPECT_EQ(total.actions[kind], 0u) << "the router logs nothing";
+    else
+      EXPECT_GT(total.actions[kind], 0u) << "action kind " << kind;
+  }
+}
+
+TEST(DecisionEqualityShort, SeedsGiveTheCommittedFingerprints) { compare(kShortSeeds); }
+
+int write_fingerprints() {
+  std::ofstream file(kFile);
+  for (std::uint64_t seed = 0; seed < kSeeds; ++seed) file << file_line(decision_fingerprint(seed)) << '\n';
+  return file.flush() ? 0 : 1;
+}
+
+}  // namespace
+}  // namespace badgercourse::test
+
+int main(int argc, char** argv) {
+  using namespace badgercourse::test;
+  testing::InitGoogleTest(&argc, argv);
+  std::string option = argc > 1 ? argv[1] : "";
+  if (option == "--write-fingerprints") return write_fingerprints();
+  if (option == "--print-actions" && argc > 2) {
+    decision_fingerprint(std::strtoull(argv[2], nullptr, 10), &std::cout);
+    return 0;
+  }
+  return RUN_ALL_TESTS();
+}
