--- /dev/null
+++ b/tests/formats/peer_connection.h
@@ -0,0 +1,114 @@
+// The other end of a node's links, played by a test: a plain blocking socket that writes and reads frames. A
+// read that waits longer than ten seconds throws.
+#pragma once
+
+#include <arpa/inet.h>
+#include <gtest/gtest.h>
+#include <sys/socket.h>
+#include <unistd.h>
+
+#include <functional>
+#include <stdexcept>
+#include <string>
+#include <utility>
+
+#include "net/fd.h"
+#include "peers/codec.h"
+
+namespace linenwinch::test {
+
+using nlohmann::json;
+
+class PeerConnection {
+ public:
+  explicit PeerConnection(net::Fd socket) : socket_(std::move(socket)) {
+    timeval patience{10, 0};
+    setsockopt(socket_.get(), SOL_SOCKET, SO_RCVTIMEO, &patience, sizeof patience);
+  }
+  static PeerConnection dial(int port) {
+    net::Fd socket(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
+    sockaddr_in address{};
+    address.sin_family = AF_INET;
+    address.sin_port = htons(static_cast<std::uint16_t>(port));
+    address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
+    if (connect(socket.get(), reinterpret_cast<sockaddr*>(&address), sizeof address) != 0)
+      throw std::runtime_error("the node cannot be dialed");
+    return PeerConnection(std::move(socket));
+  }
+
+  void send(const json& message) {
+    auto bytes = peers::frame(message);
+    if (::send(socket_.get(), bytes.data(), bytes.size(), MSG_NOSIGNAL) != static_cast<ssize_t>(bytes.size()))
+      throw std::runtime_error("the connection broke");
+  }
+  // The next message of this type that `wanted` takes; those before it are passed over.
+  json next(const std::string& type, const std::function<bool(const json&)>& wanted = nullptr) {
+    while (true) {
+      auto message = next_message();
+      if (message.at("t") == type && (!wanted || wanted(message))) return message;
+    }
+  }
+  json greet(const json& hello) {
+    send(hello);
+    return next_message();
+  }
+  json ask_tool(json request) {
+    request["t"] = "tool";
+    send(request);
+    return next("answer");
+  }
+
+ private:
+  json next_message() {
+    while (true) {
+      json message;
+      std::size_t size = 0;
+      auto parse = peers::parse_frame(received_, &message, &size);
+      if (parse == peers::FrameParse::kBad) throw std::runtime_error("the node sent no message");
+      if (parse == peers::FrameParse::kOk) {
+        // What the node wrote has no other form than the codec's: keys in order, shortest numbers.
+        EXPECT_EQ(received_.substr(0, size), peers::frame(message));
+        received_.erase(0, size);
+        if (message.at("t") == "ping") send({{"t", "pong"}});
+        return message;
+      }
+      char chunk[16384];
+      auto count = recv(socket_.get(), chunk, sizeof chunk, 0);
+      if (count <= 0) throw std::runtime_error("the node said nothing more");
+      received_.append(chunk, static_cast<std::size_t>(count));
+    }
+  }
+
+  net::Fd socket_;
+  std::string received_;
+};
+
+// Where a node dials the test.
+class PeerListener {
+ public:
+  PeerListener() : socket_(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
+    sockaddr_in address{};
+    address.sin_family = AF_INET;
+    address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
+    socklen_t length = sizeof address;
+    if (bind(socket_.get(), reinterpret_cast<sockaddr*>(&address), length) != 0 ||
+        listen(socket_.get(), 8) != 0 ||
+        getsockname(socket_.get(), reinterpret_cast<sockaddr*>(&address), &length) != 0)
+      throw std::runtime_error("no port to listen on");
+    port_ = ntohs(address.sin_port);
+  }
+  std::string address() const { return "127.0.0.1:" + std::to_string(port_); }
+  PeerConnection accept_peer() {
+    timeval patience{10, 0};
+    setsockopt(socket_.get(), SOL_SOCKET, SO_RCVTIMEO, &patience, sizeof patience);
+    net::Fd accepted(accept4(socket_.get(), nullptr, nullptr, SOCK_CLOEXEC));
+    if (!accepted) throw std::runtime_error("the node did not dial");
+    return PeerConnection(std::move(accepted));
+  }
+
+ private:
+  net::Fd socket_;
+  int port_ = 0;
+};
+
+}  // namespace linenwinch::test
--- /dev/null
+++ b/tests/formats/simulation_fingerprint_test.cpp
@@ -0,0 +1,66 @@
+// What `linenwinch_lab simulate group` and `simulate zones` play for a few seeds, compared with
+// tests/data/simulation_fingerprints.txt: a seed gives the same run each time, so a change of any decision in
+// consensus, ownership or placement shows here. One `name value` a line.
+// The file is rewritten by `LINENWINCH_REWRITE_GOLDEN=1 stored_and_wire_format_tests
+// --gtest_filter='SimulationFingerprint.*'`; only a deliberate change of a decision may do so.
+#include <fmt/format.h>
+#include <gtest/gtest.h>
+
+#include <string>
+#include <vector>
+
+#include "formats/golden_file.h"
+#include "lab/simulate/placement.h"
+#include "lab/simulate/world.h"
+
+namespace linenwinch::test {
+namespace {
+
+namespace simulate = lab::simulate;
+
+constexpr const char* kFile = "simulation_fingerprints.txt";
+constexpr std::uint64_t kSeeds[] = {1, 2, 3, 7, 42, 1000};
+
+// FNV-1a, so that the value is the same with every standard library.
+std::uint64_t hash_of(const std::vector<std::string>& lines) {
+  std::uint64_t hash = 14695981039346656037ull;
+  auto add = [&](unsigned char byte) { hash = (hash ^ byte) * 1099511628211ull; };
+  for (auto& line : lines) {
+    for (char byte : line) add(static_cast<unsigned char>(byte));
+    add('\n');
+  }
+  return hash;
+}
+
+std::string fingerprint_of(const simulate::WorldResult& r) {
+  return fmt::format(
+      "broken='{}' events={} committed={} acknowledged={} reads={} elections={} grants={} effects={} "
+      "stale_attempted={} stale_accepted={} faults={} history_lines={} history={:016x}",
+      r.broken, r.events, r.committed, r.acknowledged, r.reads, r.elections, r.grants, r.effects,
+      r.stale_attempted, r.stale_accepted, r.faults_done, r.history.size(), hash_of(r.history));
+}
+
+std::string fingerprint_of(const simulate::PlacementResult& r) {
+  return fmt::format(
+      "broken='{}' plans={} changes={} faults={} moved_ms_most={} served={:.9f} served_worst_10s={:.9f} "
+      "far_calm={:.9f} history_lines={} history={:016x}",
+      r.broken, r.plans, r.changes, r.faults, r.moved_ms_most, r.served, r.served_worst_10s, r.far_calm,
+      r.history.size(), hash_of(r.history));
+}
+
+}  // namespace
+
+TEST(SimulationFingerprint, GroupsAndZonesPlayAsTheyDid) {
+  NamedLines lines;
+  for (auto seed : kSeeds) {
+    simulate::WorldOptions options;
+    options.seed = seed;
+    lines[fmt::format("group.{}", seed)] = fingerprint_of(simulate::run_world(options));
+    lines[fmt::format("zones.{}", seed)] =
+        fingerprint_of(simulate::run_placement(seed, simulate::PlanMutant::kNone));
+  }
+  expect_golden(kFile, "Fingerprints of simulated runs. See tests/formats/simulation_fingerprint_test.cpp.",
+                lines);
+}
+
+}  // namespace linenwinch::test
--- /dev/null
+++ b/tests/formats/test_node.h
@@ -0,0 +1,120 @@
+// A node of the group in this process, with what it tells kept for a look: the real one, as a daemon runs it.
+#pragma once
+
+#include <stdlib.h>
+
+#include <filesystem>
+#include <memory>
+#include <mutex>
+#include <stdexcept>
+#include <string>
+#include <vector>
+
+#include "formats/peer_connection.h"
+#include "group/node.h"
+
+namespace linenwinch::test {
+
+class TemporaryDirectory {
+ public:
+  TemporaryDirectory() {
+    std::string pattern = (std::filesystem::temp_directory_path() / "linenwinch-XXXXXX").string();
+    if (!mkdtemp(pattern.data())) throw std::runtime_error("no temporary directory");
+    path_ = pattern;
+  }
+  ~TemporaryDirectory() { std::filesystem::remove_all(path_); }
+  TemporaryDirectory(const TemporaryDirectory&) = delete;
+  TemporaryDirectory& operator=(const TemporaryDirectory&) = delete;
+  std::string path() const { return path_.string(); }
+
+ private:
+  std::filesystem::path path_;
+};
+
+// Answers each probe at once, with the same report.
+class InstantProber : public group::Prober {
+ public:
+  explicit InstantProber(group::Probed probed) : probed_(std::move(probed)) {}
+  void servers(const discovery::MemberUpdate&) override {}
+  void probe(const std::string& server) override { due_.push_back(server); }
+  void sweep() override {
+    for (auto& server : std::exchange(due_, {})) probed_(server, true, group::Micros(1500), "x2=3");
+  }
+
+ private:
+  group::Probed probed_;
+  std::vector<std::string> due_;
+};
+
+inline group::Options node_options(const std::string& name, std::vector<group::NodeAddress> nodes) {
+  group::Options options;
+  options.installation = "golden";
+  options.name = name;
+  options.nodes = std::move(nodes);
+  options.seed = 7;
+  options.probe_every = group::Micros(200'000);
+  if (options.voter()) options.listen = "127.0.0.1:0";
+  return options;
+}
+
+// Quick to elect itself, where it is the only voter.
+inline group::Options lone_voter_options(const std::string& directory) {
+  auto options = node_options("a", {{"a", "127.0.0.1:1"}});
+  options.directory = directory;
+  options.heartbeat = group::Micros(25'000);
+  options.election_min = group::Micros(100'000);
+  options.election_max = group::Micros(150'000);
+  options.lease = group::Micros(400'000);
+  group::PlacementOptions placement;
+  placement.regions = {{"z1", "r1"}, {"z2", "r1"}};
+  placement.per_weight = 100;
+  options.placement = placement;
+  return options;
+}
+
+class TestNode {
+ public:
+  explicit TestNode(group::Options options) {
+    group::Hooks hooks;
+    hooks.list = [](discovery::MemberUpdate, bool) {};
+    hooks.facts = [](std::vector<group::Fact>) {};
+    hooks.alone = [](bool, bool) {};
+    hooks.plan = [](std::optional<placement::Plan>) {};
+    hooks.prober = [](net::Loop&, group::Probed probed) {
+      return std::make_unique<InstantProber>(std::move(probed));
+    };
+    node_ = std::make_unique<group::Node>(std::move(options), "127.0.0.1:1", discovery::CallSchedule(),
+                                          discovery::MemberUpdate(), std::move(hooks),
+                                          [this](net::Level, const std::string& line) {
+                                            std::lock_guard lock(mutex_);
+                                            lines_.push_back(line);
+                                          });
+  }
+  ~TestNode() { node_->stop(); }
+  group::Node& node() { return *node_; }
+  int port() const { return node_->port(); }
+  std::vector<std::string> lines() {
+    std::lock_guard lock(mutex_);
+    return lines_;
+  }
+
+ private:
+  std::mutex mutex_;
+  std::vector<std::string> lines_;
+  std::unique_ptr<group::Node> node_;
+};
+
+inline json hello_of(const std::string& name, const std::string& kind, std::uint64_t id = 0,
+                     const std::string& installation = "golden") {
+  return {{"t", "hello"}, {"v", 1},   {"least", 1},  {"installation", installation},
+          {"name", name}, {"id", id}, {"kind", kind}};
+}
+
+inline PeerConnection dial_as(int port, const std::string& name, const std::string& kind,
+                              std::uint64_t id = 0) {
+  auto peer = PeerConnection::dial(port);
+  peer.greet(hello_of(name, kind, id));
+  return peer;
+}
+
+}  // namespace linenwinch::test
