--- a/src/lab/faults/rig.cpp
+++ b/src/testbench/fault_injection/rig.cpp
@@ -1,4 +1,4 @@
-#include "lab/faults/rig.h"
+#include "testbench/fault_injection/rig.h"
 
 #include <fmt/format.h>
 
@@ -9,11 +9,11 @@
 #include <stdexcept>
 #include <thread>
 
-namespace linenwinch::lab::faults {
+namespace database_proxy::testbench::faults {
 namespace {
 
 namespace fs = std::filesystem;
-constexpr const char* kSlowSync = "liblinenwinch_slow_sync.so";
+constexpr const char* kSlowSync = "libslow_sync.so";
 
 }  // namespace
 
@@ -34,7 +34,7 @@
       return a == b ? Micros(0) : region_of(a) == region_of(b) ? options_.near_lag : options_.far_lag;
     };
   }
-  stand_in_ = std::make_unique<StandIn>(options_.stand_in);
+  stand_in_ = std::make_unique<FakeServers>(options_.stand_in);
   std::vector<std::string> names;
   for (int i = 1; i <= options_.voters; ++i) voters_.push_back(fmt::format("n{}", i));
   names = voters_;
@@ -94,7 +94,7 @@
     if (voter && fs::exists(slow)) {
       std::ofstream(folder(name) + "/slow") << "0";
       d.environment = {{"LD_PRELOAD", slow.string()},
-                       {"LINENWINCH_SLOW_SYNC", folder(name) + "/slow"},
+                       {"DATABASE_PROXY_SLOW_SYNC", folder(name) + "/slow"},
                        {"ASAN_OPTIONS", "verify_asan_link_order=0"}};
     }
   }
@@ -144,7 +144,7 @@
   }
   p.paused = false;
   history_.add("start", {{"node", name}});
-  p.daemon = std::make_unique<Daemon>(p.options);
+  p.daemon = std::make_unique<ProcessUnderTest>(p.options);
 }
 
 void Rig::launch(const std::vector<std::string>& names, const json& known) {
@@ -157,7 +157,7 @@
     options.waits = false;
     options.known = known;
     history_.add("launch", {{"node", name}});
-    p.daemon = std::make_unique<Daemon>(options);
+    p.daemon = std::make_unique<ProcessUnderTest>(options);
   }
 }
 
@@ -391,4 +391,4 @@
   }
 }
 
-}  // namespace linenwinch::lab::faults
+}  // namespace database_proxy::testbench::faults
--- a/src/lab/faults/rig.h
+++ b/src/testbench/fault_injection/rig.h
@@ -11,12 +11,12 @@
 #include <vector>
 
 #include "app/fleet.h"
-#include "lab/daemon.h"
-#include "lab/faults/history.h"
-#include "lab/faults/links.h"
-#include "lab/stand_in.h"
+#include "testbench/fake_servers.h"
+#include "testbench/fault_injection/history.h"
+#include "testbench/fault_injection/links.h"
+#include "testbench/process_under_test.h"
 
-namespace linenwinch::lab::faults {
+namespace database_proxy::testbench::faults {
 
 using nlohmann::json;
 
@@ -31,7 +31,7 @@
   bool start = true;            // all processes, when the rig is made
   bool initialise = true;       // the group begins, and a leader is there when the rig is ready
   json group = json::object();  // merged over the section of each process
-  StandInOptions stand_in;
+  FakeServersOptions stand_in;
   json settings = json::object();
   std::uint64_t seed = 1;
   // Processes, voters first, are dealt out over these in turn, and so are data servers; every connection from
@@ -52,10 +52,10 @@
   const std::vector<std::string>& voters() const { return voters_; }
   std::vector<std::string> followers() const;
   std::vector<std::string> all() const;  // voters first
-  StandIn& stand_in() { return *stand_in_; }
+  FakeServers& stand_in() { return *stand_in_; }
   History& history() { return history_; }
   int port(const std::string& name) const { return processes_.at(name).client_port; }
-  Daemon* daemon(const std::string& name) { return processes_.at(name).daemon.get(); }
+  ProcessUnderTest* daemon(const std::string& name) { return processes_.at(name).daemon.get(); }
   std::string folder(const std::string& name) const;
   std::string log(const std::string& name) const;  // of all its lives
   std::string address(const std::string& name) const { return processes_.at(name).address; }
@@ -107,9 +107,9 @@
  private:
   struct Process {
     std::string address, zone;
-    DaemonOptions options;
+    ProcessUnderTestOptions options;
     int client_port = 0;
-    std::unique_ptr<Daemon> daemon;
+    std::unique_ptr<ProcessUnderTest> daemon;
     std::string earlier_log;
     bool paused = false;
   };
@@ -120,9 +120,9 @@
   History history_;
   std::vector<std::string> voters_;
   std::unique_ptr<Links> links_;
-  std::unique_ptr<StandIn> stand_in_;
+  std::unique_ptr<FakeServers> stand_in_;
   std::vector<std::pair<std::string, std::string>> linked_;
   std::map<std::string, Process> processes_;
 };
 
-}  // namespace linenwinch::lab::faults
+}  // namespace database_proxy::testbench::faults
--- a/src/lab/faults/script.cpp
+++ b/src/testbench/fault_injection/script.cpp
@@ -1,4 +1,4 @@
-#include "lab/faults/script.h"
+#include "testbench/fault_injection/script.h"
 
 #include <fmt/format.h>
 
@@ -9,9 +9,9 @@
 #include <stdexcept>
 #include <thread>
 
-#include "lab/faults/rig.h"
+#include "testbench/fault_injection/rig.h"
 
-namespace linenwinch::lab::faults {
+namespace database_proxy::testbench::faults {
 namespace {
 
 // What a step needs beside `do`: n a node, t the other end, m milliseconds, b bytes, s words for the
@@ -145,4 +145,4 @@
   return words;
 }
 
-}  // namespace linenwinch::lab::faults
+}  // namespace database_proxy::testbench::faults
--- a/src/lab/faults/script.h
+++ b/src/testbench/fault_injection/script.h
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-namespace linenwinch::lab::faults {
+namespace database_proxy::testbench::faults {
 
 class Rig;
 
@@ -29,4 +29,4 @@
 // std::runtime_error where a step names what is not there at that moment, after undoing nothing.
 std::string play(Rig& rig, const Fault& fault, std::string* victim);
 
-}  // namespace linenwinch::lab::faults
+}  // namespace database_proxy::testbench::faults
--- a/src/lab/faults/zones.cpp
+++ b/src/testbench/fault_injection/zones.cpp
@@ -7,11 +7,11 @@
 #include <mutex>
 #include <thread>
 
-#include "lab/faults/experiments.h"
-#include "lab/faults/rig.h"
-#include "lab/load.h"
+#include "testbench/fault_injection/experiments.h"
+#include "testbench/fault_injection/rig.h"
+#include "testbench/load.h"
 
-namespace linenwinch::lab::faults {
+namespace database_proxy::testbench::faults {
 namespace {
 
 using namespace std::chrono_literals;
@@ -313,4 +313,4 @@
   return rows;
 }
 
-}  // namespace linenwinch::lab::faults
+}  // namespace database_proxy::testbench::faults
--- a/src/lab/thread.cpp
+++ b/src/testbench/loop_thread.cpp
@@ -1,10 +1,10 @@
-#include "lab/thread.h"
+#include "testbench/loop_thread.h"
 
 #include <pthread.h>
 #include <sched.h>
 #include <time.h>
 
-namespace linenwinch::lab {
+namespace database_proxy::testbench {
 
 bool pin_to(int cpu) {
   cpu_set_t set;
@@ -54,4 +54,4 @@
   done.get_future().wait();
 }
 
-}  // namespace linenwinch::lab
+}  // namespace database_proxy::testbench
--- a/src/lab/thread.h
+++ b/src/testbench/loop_thread.h
@@ -5,9 +5,9 @@
 #include <memory>
 #include <thread>
 
-#include "net/mailbox.h"
+#include "net/task_queue.h"
 
-namespace linenwinch::lab {
+namespace database_proxy::testbench {
 
 // Pins the calling thread; false where the system does not let it.
 bool pin_to(int cpu);
@@ -28,11 +28,11 @@
 
  private:
   net::Loop loop_;
-  net::Mailbox mailbox_;
+  net::TaskQueue mailbox_;
   std::function<void()> end_of_turn_;
   int cpu_;
   std::thread thread_;
   std::thread::id id_;
 };
 
-}  // namespace linenwinch::lab
+}  // namespace database_proxy::testbench
--- a/src/lab/model.h
+++ b/src/testbench/model.h
@@ -11,12 +11,12 @@
 
 #include "net/loop.h"
 
-namespace linenwinch::lab {
+namespace database_proxy::testbench {
 
 using net::Micros;
 
 enum class Kind { kBounded, kOwn, kWrite, kProbe };  // a read within an age, of a session's own writes, ...
-enum class Verdict { kRun, kTurnedAway, kNotPrimary, kTooOld, kNever, kFailed };  // kNever: it stays silent
+enum class Verdict { kRun, kRejected, kNotPrimary, kTooOld, kNever, kFailed };  // kNever: it stays silent
 enum class Life { kUp, kDraining, kDown, kSilent };
 
 struct ModelOptions {
@@ -95,4 +95,4 @@
   std::unordered_map<std::uint64_t, Micros> recent_, older_;  // two generations bound what is kept
 };
 
-}  // namespace linenwinch::lab
+}  // namespace database_proxy::testbench
--- a/src/lab/report.cpp
+++ b/src/testbench/report.cpp
@@ -1,4 +1,4 @@
-#include "lab/report.h"
+#include "testbench/report.h"
 
 #include <fmt/chrono.h>
 #include <fmt/format.h>
@@ -13,7 +13,7 @@
 #include <stdexcept>
 #include <thread>
 
-namespace linenwinch::lab {
+namespace database_proxy::testbench {
 
 using nlohmann::json;
 
@@ -124,4 +124,4 @@
   std::filesystem::rename(path + ".new", path);
 }
 
-}  // namespace linenwinch::lab
+}  // namespace database_proxy::testbench
--- a/src/lab/report.h
+++ b/src/testbench/report.h
@@ -5,7 +5,7 @@
 #include <string>
 #include <vector>
 
-namespace linenwinch::lab {
+namespace database_proxy::testbench {
 
 struct Run {
   std::string command;  // as it can be given again
@@ -44,4 +44,4 @@
 // Writes beside and renames, so that no half file is ever seen. Throws std::runtime_error.
 void write_whole(const std::string& path, const std::string& text);
 
-}  // namespace linenwinch::lab
+}  // namespace database_proxy::testbench
--- a/src/lab/rules.cpp
+++ b/src/testbench/rules.cpp
@@ -1,10 +1,10 @@
-#include "lab/rules.h"
+#include "testbench/rules.h"
 
 #include <fmt/format.h>
 
 #include <algorithm>
 
-namespace linenwinch::lab {
+namespace database_proxy::testbench {
 namespace {
 
 // A request that has ended is forgotten after one to two of these; no request lasts so long.
@@ -148,4 +148,4 @@
   return result;
 }
 
-}  // namespace linenwinch::lab
+}  // namespace database_proxy::testbench
--- a/src/lab/rules.h
+++ b/src/testbench/rules.h
@@ -15,7 +15,7 @@
 
 #include "net/loop.h"
 
-namespace linenwinch::lab {
+namespace database_proxy::testbench {
 
 using net::Micros;
 
@@ -86,4 +86,4 @@
   std::atomic<bool> drains_{false}, colds_{false};  // nothing of the kind is watched yet
 };
 
-}  // namespace linenwinch::lab
+}  // namespace database_proxy::testbench
--- a/src/lab/simulate/commands.cpp
+++ b/src/testbench/simulation/commands.cpp
@@ -1,4 +1,4 @@
-#include "lab/simulate/commands.h"
+#include "testbench/simulation/commands.h"
 
 #include <fmt/format.h>
 
@@ -11,11 +11,11 @@
 #include <nlohmann/json.hpp>
 #include <stdexcept>
 
-#include "lab/simulate/model.h"
-#include "lab/simulate/placement.h"
-#include "lab/simulate/world.h"
+#include "testbench/simulation/model.h"
+#include "testbench/simulation/placement.h"
+#include "testbench/simulation/world.h"
 
-namespace linenwinch::lab::simulate {
+namespace database_proxy::testbench::simulation {
 namespace {
 
 namespace po = boost::program_options;
@@ -204,7 +204,7 @@
   }
   auto what = given["what"].as<std::string>();
   if (given.count("help") || what.empty()) {
-    std::cout << "linenwinch_lab simulate group|model|zones|plan-cost [options]\n" << o;
+    std::cout << "proxy-testbench simulate group|model|zones|plan-cost [options]\n" << o;
     return 0;
   }
   if (what == "plan-cost") {
@@ -233,4 +233,4 @@
   throw std::runtime_error("simulate knows group, model, zones and plan-cost, not '" + what + "'");
 }
 
-}  // namespace linenwinch::lab::simulate
+}  // namespace database_proxy::testbench::simulation
--- a/src/lab/simulate/model.h
+++ b/src/testbench/simulation/model.h
@@ -6,9 +6,9 @@
 #include <string>
 #include <vector>
 
-#include "lab/simulate/world.h"
+#include "testbench/simulation/world.h"
 
-namespace linenwinch::lab::simulate {
+namespace database_proxy::testbench::simulation {
 
 struct ScopeOptions {
   int nodes = 3, elections = 3, proposals = 1, crashes = 1, breaks = 0;
@@ -29,4 +29,4 @@
 };
 ScopeResult explore_leases(const LeaseScope& options);
 
-}  // namespace linenwinch::lab::simulate
+}  // namespace database_proxy::testbench::simulation
--- a/src/lab/simulate/placement.cpp
+++ b/src/testbench/simulation/placement.cpp
@@ -1,4 +1,4 @@
-#include "lab/simulate/placement.h"
+#include "testbench/simulation/placement.h"
 
 #include <fmt/format.h>
 
@@ -9,9 +9,9 @@
 #include <random>
 #include <set>
 
-#include "placement/wire.h"
+#include "placement/placement_codec.h"
 
-namespace linenwinch::lab::simulate {
+namespace database_proxy::testbench::simulation {
 namespace {
 
 namespace pl = placement;
@@ -58,7 +58,7 @@
   PlacementResult result_;
   Millis now_ = 0;
   std::vector<Zone> zones_;
-  pl::Places places_;
+  pl::ZoneTopology places_;
   pl::Options options_;
   int sets_ = 1;
   std::map<std::pair<pl::SetId, Zone>, double> capacity_, demand_;
@@ -427,7 +427,7 @@
     return std::chrono::duration<double, std::micro>(Clock::now() - from).count();
   };
   PlanCost cost;
-  pl::Places places;
+  pl::ZoneTopology places;
   std::vector<Zone> names;
   for (int z = 0; z < zones; ++z) {
     names.push_back(fmt::format("zone-{}", z));
@@ -476,4 +476,4 @@
 
 PlacementResult run_placement(std::uint64_t seed, PlanMutant mutant) { return World(seed, mutant).run(); }
 
-}  // namespace linenwinch::lab::simulate
+}  // namespace database_proxy::testbench::simulation
--- a/src/lab/simulate/placement.h
+++ b/src/testbench/simulation/placement.h
@@ -10,7 +10,7 @@
 
 #include "placement/plan.h"
 
-namespace linenwinch::lab::simulate {
+namespace database_proxy::testbench::simulation {
 
 enum class PlanMutant { kNone, kOneVoice, kNoRoom, kNoDwell, kNoBudget, kNoOverlap, kOpenAtOnce };
 const std::vector<std::pair<PlanMutant, std::string>>& plan_mutants();
@@ -33,4 +33,4 @@
 
 PlacementResult run_placement(std::uint64_t seed, PlanMutant mutant);
 
-}  // namespace linenwinch::lab::simulate
+}  // namespace database_proxy::testbench::simulation
--- a/src/lab/simulate/world.h
+++ b/src/testbench/simulation/world.h
@@ -12,7 +12,7 @@
 #include "consensus/raft.h"
 #include "ownership/lease.h"
 
-namespace linenwinch::lab::simulate {
+namespace database_proxy::testbench::simulation {
 
 using consensus::Micros;
 
@@ -67,4 +67,4 @@
 // Leaves faults out while it still breaks in the same way: the shortest script found.
 WorldResult shrink(const WorldOptions& options, const WorldResult& broken);
 
-}  // namespace linenwinch::lab::simulate
+}  // namespace database_proxy::testbench::simulation
--- a/src/lab/scratch.h
+++ b/src/testbench/temporary_directory.h
@@ -6,21 +6,21 @@
 #include <stdexcept>
 #include <string>
 
-namespace linenwinch::lab {
+namespace database_proxy::testbench {
 
-class ScratchFolder {
+class TemporaryDirectory {
  public:
-  ScratchFolder() {
-    auto pattern = (std::filesystem::temp_directory_path() / "linenwinch-XXXXXX").string();
+  TemporaryDirectory() {
+    auto pattern = (std::filesystem::temp_directory_path() / "database-proxy-XXXXXX").string();
     if (!mkdtemp(pattern.data())) throw std::runtime_error("cannot make a folder for the daemon's files");
     path_ = pattern;
   }
-  ~ScratchFolder() {
+  ~TemporaryDirectory() {
     std::error_code none;
     std::filesystem::remove_all(path_, none);
   }
-  ScratchFolder(const ScratchFolder&) = delete;
-  ScratchFolder& operator=(const ScratchFolder&) = delete;
+  TemporaryDirectory(const TemporaryDirectory&) = delete;
+  TemporaryDirectory& operator=(const TemporaryDirectory&) = delete;
   const std::string& path() const { return path_; }
 
  private:
@@ -31,7 +31,7 @@
 inline std::string daemon_beside() {
   std::error_code none;
   auto own = std::filesystem::read_symlink("/proc/self/exe", none);
-  return (own.parent_path() / "linenwinch").string();
+  return (own.parent_path() / "database-proxy").string();
 }
 
-}  // namespace linenwinch::lab
+}  // namespace database_proxy::testbench
--- a/src/workers/deal.cpp
+++ b/src/workers/connection_balancer.cpp
@@ -1,8 +1,8 @@
-#include "workers/deal.h"
+#include "workers/connection_balancer.h"
 
-namespace linenwinch::workers {
+namespace database_proxy::workers {
 
-std::optional<std::size_t> deal(const std::vector<Seat>& seats, std::size_t last) {
+std::optional<std::size_t> deal(const std::vector<WorkerSlot>& seats, std::size_t last) {
   std::optional<std::size_t> best;
   for (std::size_t i = 1; i <= seats.size(); ++i) {
     auto at = (last + i) % seats.size();
@@ -13,7 +13,7 @@
   return best;
 }
 
-std::optional<std::size_t> give_room(const std::vector<Seat>& seats, std::optional<std::size_t> asker) {
+std::optional<std::size_t> give_room(const std::vector<WorkerSlot>& seats, std::optional<std::size_t> asker) {
   std::optional<std::size_t> most;
   for (std::size_t i = 0; i < seats.size(); ++i) {
     if (i == asker || !seats[i].running || seats[i].clients == 0) continue;
@@ -22,4 +22,4 @@
   return most;
 }
 
-}  // namespace linenwinch::workers
+}  // namespace database_proxy::workers
--- a/src/workers/deal.h
+++ b/src/workers/connection_balancer.h
@@ -5,9 +5,9 @@
 #include <optional>
 #include <vector>
 
-namespace linenwinch::workers {
+namespace database_proxy::workers {
 
-struct Seat {
+struct WorkerSlot {
   std::size_t clients = 0;  // that it serves
   std::size_t dealt = 0;    // that were dealt to it and that it has not taken yet
   bool running = true;
@@ -19,10 +19,10 @@
 
 // The worker with the fewest clients; of equal ones, the first after `last`. None: all that run are behind,
 // so leave the client in the backlog of the kernel and look again.
-std::optional<std::size_t> deal(const std::vector<Seat>& seats, std::size_t last);
+std::optional<std::size_t> deal(const std::vector<WorkerSlot>& seats, std::size_t last);
 
 // The worker with the most clients, `asker` excepted; it most likely has one that is easy to miss. None where
 // no other worker has any.
-std::optional<std::size_t> give_room(const std::vector<Seat>& seats, std::optional<std::size_t> asker);
+std::optional<std::size_t> give_room(const std::vector<WorkerSlot>& seats, std::optional<std::size_t> asker);
 
-}  // namespace linenwinch::workers
+}  // namespace database_proxy::workers
--- a/src/workers/fence.cpp
+++ b/src/workers/decision_staleness_check.cpp
@@ -1,6 +1,6 @@
-#include "workers/fence.h"
+#include "workers/decision_staleness_check.h"
 
-namespace linenwinch::workers {
+namespace database_proxy::workers {
 namespace {
 
 // Decisions made before a change are too old for kStalest anyway after this; the change is forgotten then.
@@ -8,7 +8,7 @@
 
 }  // namespace
 
-void Fence::listed(Micros now, const discovery::MemberUpdate& update) {
+void DecisionStalenessCheck::listed(Micros now, const discovery::EndpointListUpdate& update) {
   ++version_;
   prune(now);
   std::unordered_map<std::string, bool> before;
@@ -34,11 +34,12 @@
       if (!takes_.count(id)) closed_[id] = {version_, now};
 }
 
-void Fence::prune(Micros now) {
+void DecisionStalenessCheck::prune(Micros now) {
   std::erase_if(closed_, [&](auto& entry) { return now - entry.second.at > kKeep; });
 }
 
-Fence::Verdict Fence::judge(Micros now, const routing::Decision& decision) const {
+DecisionStalenessCheck::Verdict DecisionStalenessCheck::judge(Micros now,
+                                                              const routing::Decision& decision) const {
   if (decision.list > version_) return Verdict::kAhead;
   if (decision.what != routing::Decision::What::kSend) return Verdict::kGood;
   if (now - decision.made > kStalest || now >= decision.made + decision.wait) return Verdict::kOld;
@@ -47,4 +48,4 @@
   return Verdict::kGood;
 }
 
-}  // namespace linenwinch::workers
+}  // namespace database_proxy::workers
--- a/src/workers/fence.h
+++ b/src/workers/decision_staleness_check.h
@@ -10,9 +10,9 @@
 #include <string>
 #include <unordered_map>
 
-#include "routing/facade.h"
+#include "routing/decision_facade.h"
 
-namespace linenwinch::workers {
+namespace database_proxy::workers {
 
 using routing::Micros;
 
@@ -21,10 +21,10 @@
 // ring takes.
 constexpr Micros kStalest{20'000};
 
-class Fence {
+class DecisionStalenessCheck {
  public:
   // The list as this worker has it has changed. Both threads count the changes alike, from 1.
-  void listed(Micros now, const discovery::MemberUpdate& update);
+  void listed(Micros now, const discovery::EndpointListUpdate& update);
   std::uint64_t version() const { return version_; }
 
   enum class Verdict {
@@ -48,4 +48,4 @@
   std::unordered_map<std::string, Closed> closed_;
 };
 
-}  // namespace linenwinch::workers
+}  // namespace database_proxy::workers
--- a/src/workers/decision_thread.cpp
+++ b/src/workers/decision_thread.cpp
@@ -4,7 +4,7 @@
 
 #include "workers/thread_name.h"
 
-namespace linenwinch::workers {
+namespace database_proxy::workers {
 namespace {
 
 using What = routing::Decision::What;
@@ -16,8 +16,9 @@
 
 }  // namespace
 
-DecisionThread::DecisionThread(std::unique_ptr<routing::Facade> facade, std::size_t workers, std::size_t ring,
-                               proxy::PoolLimits limits, net::Log log, std::function<void(std::size_t)> wake)
+DecisionThread::DecisionThread(std::unique_ptr<routing::DecisionFacade> facade, std::size_t workers,
+                               std::size_t ring, proxy::PoolLimits limits, net::Log log,
+                               std::function<void(std::size_t)> wake)
     : mailbox_(loop_,
                [this] {
                  return std::any_of(lines_.begin(), lines_.end(), [](auto& l) { return l->told.waiting(); });
@@ -44,7 +45,7 @@
   thread_.join();
 }
 
-void DecisionThread::list(discovery::MemberUpdate update, bool cached) {
+void DecisionThread::list(discovery::EndpointListUpdate update, bool cached) {
   post([this, update = std::move(update), cached] {
     ++list_;
     pool_.update(update);
@@ -67,8 +68,8 @@
         break;
       case Told::Kind::kGone:
         // It may have come in this same turn: then the decisions never hear of it.
-        if (std::erase_if(asked_, [&](auto& r) { return r.id == told->gone; }) == 0)
-          facade_->gone(now, told->gone);
+        if (std::erase_if(asked_, [&](auto& r) { return r.id == told->on_client_disconnected; }) == 0)
+          facade_->on_client_disconnected(now, told->on_client_disconnected);
         break;
       case Told::Kind::kRequest:
         asked_.push_back(told->request);
@@ -119,4 +120,4 @@
   }
 }
 
-}  // namespace linenwinch::workers
+}  // namespace database_proxy::workers
--- a/src/workers/decision_thread.h
+++ b/src/workers/decision_thread.h
@@ -6,30 +6,30 @@
 #include <thread>
 #include <vector>
 
-#include "net/mailbox.h"
+#include "net/task_queue.h"
 #include "proxy/server_pool.h"
-#include "routing/facade.h"
+#include "routing/decision_facade.h"
 #include "workers/remote_decider.h"
 
-namespace linenwinch::workers {
+namespace database_proxy::workers {
 
 class DecisionThread : private proxy::ServerEvents {
  public:
   // `wake(w)` tells worker `w` that decisions wait for it. Request ids say whose they are: (id - 1) modulo
   // workers.
-  DecisionThread(std::unique_ptr<routing::Facade> facade, std::size_t workers, std::size_t ring,
+  DecisionThread(std::unique_ptr<routing::DecisionFacade> facade, std::size_t workers, std::size_t ring,
                  proxy::PoolLimits limits, net::Log log, std::function<void(std::size_t)> wake);
   ~DecisionThread();
 
   Line& line(std::size_t worker) { return *lines_[worker]; }
-  const routing::Facade& facade() const { return *facade_; }  // only what never changes: its classes
-  void start(int cpu);                                        // -1: not pinned
+  const routing::DecisionFacade& facade() const { return *facade_; }  // only what never changes: its classes
+  void start(int cpu);                                                // -1: not pinned
   void stop();
 
   // From any thread.
   void wake() { mailbox_.notify(); }
-  void post(net::Mailbox::Call call) { mailbox_.post(std::move(call)); }
-  void list(discovery::MemberUpdate update, bool cached);
+  void post(net::TaskQueue::Call call) { mailbox_.post(std::move(call)); }
+  void list(discovery::EndpointListUpdate update, bool cached);
   void set_limits(proxy::PoolLimits limits);
   std::uint64_t probes() const { return probes_made_.load(std::memory_order_relaxed); }
   std::size_t descriptors() const { return descriptors_.load(std::memory_order_relaxed); }
@@ -44,8 +44,8 @@
   proxy::ClientPort* client_of(routing::RequestId) override { return nullptr; }
 
   net::Loop loop_;
-  net::Mailbox mailbox_;
-  std::unique_ptr<routing::Facade> facade_;
+  net::TaskQueue mailbox_;
+  std::unique_ptr<routing::DecisionFacade> facade_;
   proxy::ServerPool pool_;
   std::function<void(std::size_t)> wake_;
   std::vector<std::unique_ptr<Line>> lines_;
@@ -60,4 +60,4 @@
   std::thread thread_;
 };
 
-}  // namespace linenwinch::workers
+}  // namespace database_proxy::workers
--- a/src/workers/remote_decider.cpp
+++ b/src/workers/remote_decider.cpp
@@ -1,6 +1,6 @@
 #include "workers/remote_decider.h"
 
-namespace linenwinch::workers {
+namespace database_proxy::workers {
 namespace {
 
 // While the ring is full: how soon the rest is tried again. The other side is busy and needs no wake-up.
@@ -13,8 +13,8 @@
   return it == classes_.end() ? nullptr : &it->second;
 }
 
-void RemoteDecider::update(Micros now, const discovery::MemberUpdate& list, bool) {
-  fence_.listed(now, list);
+void RemoteDecider::update(Micros now, const discovery::EndpointListUpdate& list, bool) {
+  staleness_check_.listed(now, list);
 }
 
 void RemoteDecider::report(Micros, routing::Result result) {
@@ -25,9 +25,9 @@
   told_ = true;
 }
 
-void RemoteDecider::gone(Micros, routing::RequestId request) {
+void RemoteDecider::on_client_disconnected(Micros, routing::RequestId request) {
   Told told;
-  told.gone = request;
+  told.on_client_disconnected = request;
   line_.told.send(std::move(told));
   told_ = true;
 }
@@ -41,15 +41,16 @@
   return told_ = true;
 }
 
-routing::Ticked RemoteDecider::collect(Micros now) {
-  routing::Ticked ticked;
+routing::TickResult RemoteDecider::collect(Micros now) {
+  routing::TickResult ticked;
   bool left = line_.told.flush();
   if (std::exchange(told_, false) || left) wake_();
   if (left) ticked.next_due = now + kTryAgain;
   while (auto* decision = line_.made.front()) {
-    auto verdict = fence_.judge(now, *decision);
-    if (verdict == Fence::Verdict::kAhead) break;  // its list is in the mailbox, which ends the next sleep
-    decision->stale = verdict != Fence::Verdict::kGood;
+    auto verdict = staleness_check_.judge(now, *decision);
+    if (verdict == DecisionStalenessCheck::Verdict::kAhead)
+      break;  // its list is in the mailbox, which ends the next sleep
+    decision->stale = verdict != DecisionStalenessCheck::Verdict::kGood;
     returned_ += decision->stale;
     if (decision->what == routing::Decision::What::kSend) {
       decision->wait -= now - decision->made;
@@ -61,4 +62,4 @@
   return ticked;
 }
 
-}  // namespace linenwinch::workers
+}  // namespace database_proxy::workers
--- a/src/workers/remote_decider.h
+++ b/src/workers/remote_decider.h
@@ -3,18 +3,18 @@
 
 #include <unordered_map>
 
-#include "net/mailbox.h"
+#include "net/task_queue.h"
 #include "routing/decider.h"
-#include "workers/channel.h"
-#include "workers/fence.h"
+#include "workers/decision_staleness_check.h"
+#include "workers/spsc_queue.h"
 
-namespace linenwinch::workers {
+namespace database_proxy::workers {
 
 // What a worker tells: one of three, told apart by `kind`. No variant: its members are small, and what goes
 // through the ring is copied into it anyway.
 struct Told {
   enum class Kind { kRequest, kResult, kGone } kind = Kind::kGone;
-  routing::RequestId gone = 0;
+  routing::RequestId on_client_disconnected = 0;
   routing::Request request{};
   routing::Result result{};
 };
@@ -22,9 +22,9 @@
 // Both ways between one worker and the decision thread.
 struct Line {
   explicit Line(std::size_t ring) : told(ring), made(ring) {}
-  Channel<Told> told;               // worker to decisions
-  Channel<routing::Decision> made;  // decisions to worker
-  std::atomic<bool> ready{false};   // the decisions know of a server that is up
+  SpscQueue<Told> told;               // worker to decisions
+  SpscQueue<routing::Decision> made;  // decisions to worker
+  std::atomic<bool> ready{false};     // the decisions know of a server that is up
 };
 
 class RemoteDecider : public routing::Decider {
@@ -38,12 +38,12 @@
   const routing::ClassInfo* find_class(std::string_view name) const override;
   bool ready() const override { return line_.ready.load(std::memory_order_acquire); }
   // Lists reach the decision thread by another way; here they only raise the fence.
-  void update(Micros now, const discovery::MemberUpdate& list, bool cached) override;
+  void update(Micros now, const discovery::EndpointListUpdate& list, bool cached) override;
   void report(Micros now, routing::Result result) override;
   void report(Micros, routing::ProbeResult) override {}  // the decision thread probes by itself
-  void gone(Micros now, routing::RequestId request) override;
+  void on_client_disconnected(Micros now, routing::RequestId request) override;
   bool ask(Micros now, const routing::Request& request) override;
-  routing::Ticked collect(Micros now) override;
+  routing::TickResult collect(Micros now) override;
 
   bool waiting() const { return line_.made.waiting(); }  // decisions wait to be collected
   std::uint64_t returned() const { return returned_; }   // decisions that went back as too old
@@ -53,9 +53,9 @@
   const std::unordered_map<std::string, routing::ClassInfo>& classes_;
   std::size_t most_waiting_;
   std::function<void()> wake_;
-  Fence fence_;
+  DecisionStalenessCheck staleness_check_;
   bool told_ = false;
   std::uint64_t returned_ = 0;
 };
 
-}  // namespace linenwinch::workers
+}  // namespace database_proxy::workers
--- a/src/workers/ledger.cpp
+++ b/src/workers/shared_request_registry.cpp
@@ -1,8 +1,8 @@
-#include "workers/ledger.h"
+#include "workers/shared_request_registry.h"
 
-namespace linenwinch::workers {
+namespace database_proxy::workers {
 
-void Holdings::publish(std::size_t worker, const proxy::Held& held) {
+void Holdings::publish(std::size_t worker, const proxy::ResourceUsage& held) {
   auto& line = lines_[worker];
   line.descriptors.store(held.descriptors, std::memory_order_relaxed);
   line.clients.store(held.clients, std::memory_order_relaxed);
@@ -10,14 +10,14 @@
   line.buffered.store(held.buffered, std::memory_order_relaxed);
 }
 
-proxy::Held Holdings::of(std::size_t worker) const {
+proxy::ResourceUsage Holdings::of(std::size_t worker) const {
   auto& line = lines_[worker];
   return {line.descriptors.load(std::memory_order_relaxed), line.clients.load(std::memory_order_relaxed),
           line.asked.load(std::memory_order_relaxed), line.buffered.load(std::memory_order_relaxed)};
 }
 
-proxy::Held Holdings::others(std::size_t worker) const {
-  proxy::Held sum;
+proxy::ResourceUsage Holdings::others(std::size_t worker) const {
+  proxy::ResourceUsage sum;
   for (std::size_t i = 0; i < lines_.size(); ++i) {
     if (i == worker) continue;
     auto one = of(i);
@@ -43,4 +43,4 @@
   return counters_.size();
 }
 
-}  // namespace linenwinch::workers
+}  // namespace database_proxy::workers
--- a/src/workers/ledger.h
+++ b/src/workers/shared_request_registry.h
@@ -11,9 +11,9 @@
 #include <unordered_set>
 #include <vector>
 
-#include "proxy/neighbours.h"
+#include "proxy/sibling_workers.h"
 
-namespace linenwinch::workers {
+namespace database_proxy::workers {
 
 // Names of the requests that are open at any worker.
 class OpenNames {
@@ -56,9 +56,10 @@
 class Holdings {
  public:
   explicit Holdings(std::size_t workers) : lines_(workers) {}
-  void publish(std::size_t worker, const proxy::Held& held);
-  proxy::Held of(std::size_t worker) const;
-  proxy::Held others(std::size_t worker) const;  // the sum without it; all: any number beyond the last
+  void publish(std::size_t worker, const proxy::ResourceUsage& held);
+  proxy::ResourceUsage of(std::size_t worker) const;
+  proxy::ResourceUsage others(
+      std::size_t worker) const;  // the sum without it; all: any number beyond the last
 
  private:
   struct alignas(64) Line {
@@ -80,4 +81,4 @@
   std::unordered_map<std::string, std::weak_ptr<std::atomic<int>>> counters_;
 };
 
-}  // namespace linenwinch::workers
+}  // namespace database_proxy::workers
--- a/src/workers/channel.h
+++ b/src/workers/spsc_queue.h
@@ -8,12 +8,12 @@
 #include <deque>
 #include <utility>
 
-namespace linenwinch::workers {
+namespace database_proxy::workers {
 
 template <typename T>
-class Channel {
+class SpscQueue {
  public:
-  explicit Channel(std::size_t capacity) : ring_(capacity) {}
+  explicit SpscQueue(std::size_t capacity) : ring_(capacity) {}
 
   // By the sender. Never loses anything; the sender bounds what it sends by what it sends for.
   void send(T item) {
@@ -41,4 +41,4 @@
   std::uint64_t delayed_ = 0;
 };
 
-}  // namespace linenwinch::workers
+}  // namespace database_proxy::workers
--- a/src/workers/thread_name.h
+++ b/src/workers/thread_name.h
@@ -6,7 +6,7 @@
 
 #include <string>
 
-namespace linenwinch::workers {
+namespace database_proxy::workers {
 
 // `cpu` -1: any core. One that the process may not use is passed over: pinning is a wish, not a need.
 inline void name_and_pin(const std::string& name, int cpu) {
@@ -18,4 +18,4 @@
   pthread_setaffinity_np(pthread_self(), sizeof set, &set);
 }
 
-}  // namespace linenwinch::workers
+}  // namespace database_proxy::workers
--- a/src/workers/group.cpp
+++ b/src/workers/worker_pool.cpp
@@ -1,4 +1,4 @@
-#include "workers/group.h"
+#include "workers/worker_pool.h"
 
 #include <fmt/format.h>
 
@@ -9,7 +9,7 @@
 #include "workers/remote_decider.h"
 #include "workers/thread_name.h"
 
-namespace linenwinch::workers {
+namespace database_proxy::workers {
 namespace {
 
 using namespace std::chrono_literals;
@@ -27,8 +27,8 @@
 
 }  // namespace
 
-badgercourse::Settings settings_of_worker(badgercourse::Settings settings, std::size_t worker,
-                                          std::size_t count) {
+request_router::Settings settings_of_worker(request_router::Settings settings, std::size_t worker,
+                                            std::size_t count) {
   auto n = static_cast<int>(count);
   settings.ordinal = std::max(0, settings.ordinal) * n + static_cast<int>(worker);
   settings.routers = std::max(1, settings.routers) * n;
@@ -42,9 +42,9 @@
 // ---- one worker
 // -------------------------------------------------------------------------------------------
 
-class Group::Worker : public proxy::Neighbours {
+class WorkerPool::Worker : public proxy::SiblingWorkers {
  public:
-  Worker(Group& group, std::size_t number)
+  Worker(WorkerPool& group, std::size_t number)
       : group_(group),
         number_(number),
         log_(group.make_log_(fmt::format("w{}", number))),
@@ -56,7 +56,7 @@
                                                 [&group] { group.decisions_->wake(); });
       decider_ = remote_.get();
     } else {
-      facade_ = std::make_unique<routing::Facade>(
+      facade_ = std::make_unique<routing::DecisionFacade>(
           settings_of_worker(c.settings, number, c.options.count), seed_of_worker(c.seed, number),
           routing::UnixClock::measured(),
           [this](const std::string& text) { log_(net::Level::kInfo, "decisions: " + text); });
@@ -100,13 +100,13 @@
       proxy_->adopt(std::move(*held));
     });
   }
-  Seat seat() const { return {group_.holdings_.of(number_).clients, dealt_.load(), running_.load()}; }
+  WorkerSlot seat() const { return {group_.holdings_.of(number_).clients, dealt_.load(), running_.load()}; }
   proxy::Proxy& proxy() { return *proxy_; }
   std::uint64_t returned() const { return remote_ ? remote_->returned() : 0; }
 
-  // Neighbours, in the worker's own thread.
-  void publish(const proxy::Held& held) override { group_.holdings_.publish(number_, held); }
-  proxy::Held others() const override {
+  // SiblingWorkers, in the worker's own thread.
+  void publish(const proxy::ResourceUsage& held) override { group_.holdings_.publish(number_, held); }
+  proxy::ResourceUsage others() const override {
     auto sum = group_.holdings_.others(number_);
     if (group_.decisions_) sum.descriptors += group_.decisions_->descriptors();
     return sum;
@@ -148,13 +148,13 @@
     return kept.get();
   }
 
-  Group& group_;
+  WorkerPool& group_;
   std::size_t number_;
   net::Log log_;
   net::Loop loop_;
-  net::Mailbox mailbox_;
+  net::TaskQueue mailbox_;
   std::unique_ptr<RemoteDecider> remote_;
-  std::unique_ptr<routing::Facade> facade_;
+  std::unique_ptr<routing::DecisionFacade> facade_;
   std::unique_ptr<routing::LocalDecider> local_;
   routing::Decider* decider_ = nullptr;
   std::unordered_map<std::string, ServerConnections::Count> counters_;
@@ -168,9 +168,9 @@
 // ---- dealing clients out
 // ----------------------------------------------------------------------------------
 
-class Group::Acceptor : public net::Handler {
+class WorkerPool::Acceptor : public net::Handler {
  public:
-  explicit Acceptor(Group& group) : group_(group) {
+  explicit Acceptor(WorkerPool& group) : group_(group) {
     auto address = net::parse_address(group.config_.proxy.listen);
     std::string error;
     if (address) listener_ = net::listen_on(*address, &error);
@@ -221,7 +221,7 @@
     group_.control_.cancel(&again_);
     again_ = group_.control_.at(group_.control_.now() + kLookAgain, [this] { on_ready(EPOLLIN); });
   }
-  Group& group_;
+  WorkerPool& group_;
   net::Fd listener_;
   std::size_t last_ = 0;
   std::uint64_t without_descriptor_ = 0;
@@ -231,7 +231,8 @@
 // ---- the whole
 // ----------------------------------------------------------------------------------------------
 
-Group::Group(net::Loop& control, GroupConfig config, std::function<net::Log(const std::string&)> log)
+WorkerPool::WorkerPool(net::Loop& control, WorkerPoolConfig config,
+                       std::function<net::Log(const std::string&)> log)
     : control_(control),
       config_(std::move(config)),
       make_log_(std::move(log)),
@@ -243,7 +244,7 @@
   auto& o = config_.options;
   if (o.decisions == Decisions::kShared) {
     auto decisions_log = make_log_("decisions");
-    auto facade = std::make_unique<routing::Facade>(
+    auto facade = std::make_unique<routing::DecisionFacade>(
         config_.settings, config_.seed, routing::UnixClock::measured(),
         [decisions_log](const std::string& text) { decisions_log(net::Level::kInfo, "decisions: " + text); });
     decisions_ = std::make_unique<DecisionThread>(std::move(facade), o.count, o.ring, config_.proxy.pool,
@@ -264,26 +265,26 @@
   if (decisions_) decisions_->list(known, true);  // the workers have it from their options
   discovery_.emplace(
       control_, config_.proxy.discovery, known.generation, config_.proxy.schedule,
-      [this](discovery::MemberUpdate update) { told(std::move(update), false); }, log_);
+      [this](discovery::EndpointListUpdate update) { told(std::move(update), false); }, log_);
 }
 
-Group::~Group() {
+WorkerPool::~WorkerPool() {
   if (decisions_) decisions_->stop();
 }
 
-void Group::stop_now() {
+void WorkerPool::stop_now() {
   for (auto& worker : workers_) worker->post([&p = worker->proxy()] { p.stop_now(); });
 }
 
 // Workers first: a decision that knows of this list must not reach one that does not, and where it does all
 // the same, it waits there.
-void Group::told(discovery::MemberUpdate update, bool cached) {
+void WorkerPool::told(discovery::EndpointListUpdate update, bool cached) {
   for (auto& worker : workers_)
     worker->post([update, cached, &p = worker->proxy()] { p.list(update, cached); });
   if (decisions_) decisions_->list(std::move(update), cached);
 }
 
-void Group::run() {
+void WorkerPool::run() {
   if (decisions_) {
     auto& cpus = config_.options.cpus;
     decisions_->start(cpus.empty() ? -1 : cpus[config_.options.count % cpus.size()]);
@@ -299,11 +300,11 @@
   log_(net::Level::kInfo, counters_.stopped());
 }
 
-void Group::ended() {
+void WorkerPool::ended() {
   if (--running_ == 0) control_.stop();
 }
 
-void Group::shut_down() {
+void WorkerPool::shut_down() {
   if (std::exchange(stopping_, true)) return;
   std::size_t clients = 0;
   for (auto& s : seats()) clients += s.clients;
@@ -311,7 +312,7 @@
   for (auto& worker : workers_) worker->post([&p = worker->proxy()] { p.shut_down(); });
 }
 
-void Group::reconfigure(const proxy::ProxyOptions& options, int connections_per_server) {
+void WorkerPool::reconfigure(const proxy::ProxyOptions& options, int connections_per_server) {
   descriptors_ = options.descriptors;
   connections_per_server_ = connections_per_server;
   for (auto& worker : workers_) worker->post([options, &p = worker->proxy()] { p.reconfigure(options); });
@@ -319,36 +320,36 @@
   discovery_->move_to(options.discovery);
 }
 
-int Group::port() const { return acceptor_ ? acceptor_->port() : workers_[0]->proxy().port(); }
+int WorkerPool::port() const { return acceptor_ ? acceptor_->port() : workers_[0]->proxy().port(); }
 
-std::vector<Seat> Group::seats() const {
-  std::vector<Seat> all;
+std::vector<WorkerSlot> WorkerPool::seats() const {
+  std::vector<WorkerSlot> all;
   for (auto& worker : workers_) all.push_back(worker->seat());
   return all;
 }
 
-void Group::ask_for_room(std::optional<std::size_t> asker) {
+void WorkerPool::ask_for_room(std::optional<std::size_t> asker) {
   if (auto giver = give_room(seats(), asker))
     workers_[*giver]->post([&p = workers_[*giver]->proxy()] { p.give_room(); });
 }
 
-void Group::cancel(std::uint32_t number, std::uint32_t secret) {
+void WorkerPool::cancel(std::uint32_t number, std::uint32_t secret) {
   auto& worker = *workers_[number % workers_.size()];
   worker.post([number, secret, &p = worker.proxy()] { p.cancel(number, secret); });
 }
 
-void Group::post(std::size_t worker, std::function<void(proxy::Proxy&)> call) {
+void WorkerPool::post(std::size_t worker, std::function<void(proxy::Proxy&)> call) {
   workers_[worker]->post([call = std::move(call), &p = workers_[worker]->proxy()] { call(p); });
 }
 
-void Group::post_decisions(std::function<void()> call) {
+void WorkerPool::post_decisions(std::function<void()> call) {
   if (decisions_) decisions_->post(std::move(call));
 }
 
-std::uint64_t Group::returned() const {
+std::uint64_t WorkerPool::returned() const {
   std::uint64_t sum = 0;
   for (auto& worker : workers_) sum += worker->returned();
   return sum;
 }
 
-}  // namespace linenwinch::workers
+}  // namespace database_proxy::workers
--- a/src/workers/group.h
+++ b/src/workers/worker_pool.h
@@ -7,19 +7,19 @@
 #include <string>
 #include <vector>
 
-#include "badgercourse/router.h"
-#include "discovery/keeper.h"
+#include "discovery/endpoint_list_subscription.h"
 #include "proxy/proxy.h"
-#include "workers/deal.h"
+#include "request_router/router.h"
+#include "workers/connection_balancer.h"
 #include "workers/decision_thread.h"
-#include "workers/ledger.h"
+#include "workers/shared_request_registry.h"
 
-namespace linenwinch::workers {
+namespace database_proxy::workers {
 
 enum class Decisions { kShared, kSplit };  // one module for all; a module for each worker
 enum class Accept { kDeal, kReusePort };   // one thread accepts and deals out; the kernel does
 
-struct GroupOptions {
+struct WorkerPoolOptions {
   std::size_t count = 1;
   Decisions decisions = Decisions::kShared;
   Accept accept = Accept::kDeal;
@@ -34,25 +34,25 @@
       cpus;  // workers in turn, and the decision thread behind the last, run on these; empty: anywhere
 };
 
-struct GroupConfig {
-  badgercourse::Settings settings;
+struct WorkerPoolConfig {
+  request_router::Settings settings;
   std::uint64_t seed = 0;
   proxy::ProxyOptions proxy;  // descriptors, memory and pool are those of all workers together
-  GroupOptions options;
+  WorkerPoolOptions options;
 };
 
 // A module's settings for one of `count` workers of this router: it must know itself as one of more routers,
 // or cold servers would get `count` times their share.
-badgercourse::Settings settings_of_worker(badgercourse::Settings settings, std::size_t worker,
-                                          std::size_t count);
+request_router::Settings settings_of_worker(request_router::Settings settings, std::size_t worker,
+                                            std::size_t count);
 std::uint64_t seed_of_worker(std::uint64_t seed, std::size_t worker);
 
-class Group {
+class WorkerPool {
  public:
   // `log(tag)` gives the sink of one thread; the tag is empty for what concerns all. `control` is the loop of
   // the thread that calls run(). Throws std::runtime_error when it cannot listen.
-  Group(net::Loop& control, GroupConfig config, std::function<net::Log(const std::string&)> log);
-  ~Group();
+  WorkerPool(net::Loop& control, WorkerPoolConfig config, std::function<net::Log(const std::string&)> log);
+  ~WorkerPool();
 
   void run();        // until all workers have stopped
   void shut_down();  // each finishes what was taken; run() returns after that
@@ -72,14 +72,14 @@
   class Worker;
   class Acceptor;
   friend class Worker;
-  void told(discovery::MemberUpdate update, bool cached);
+  void told(discovery::EndpointListUpdate update, bool cached);
   void ask_for_room(std::optional<std::size_t> asker);
   void cancel(std::uint32_t number, std::uint32_t secret);
-  std::vector<Seat> seats() const;
+  std::vector<WorkerSlot> seats() const;
   void ended();  // a worker has stopped
 
   net::Loop& control_;
-  GroupConfig config_;
+  WorkerPoolConfig config_;
   std::function<net::Log(const std::string&)> make_log_;
   net::Log log_;
   Holdings holdings_;
@@ -90,12 +90,12 @@
   std::unique_ptr<DecisionThread> decisions_;
   std::vector<std::unique_ptr<Worker>> workers_;
   std::unique_ptr<Acceptor> acceptor_;
-  std::optional<discovery::Keeper> discovery_;
-  net::Mailbox mailbox_;
+  std::optional<discovery::EndpointListSubscription> discovery_;
+  net::TaskQueue mailbox_;
   std::atomic<bool> told_ready_{false};
   bool stopping_ = false;
   std::size_t running_ = 0;
   proxy::Counters counters_;
 };
 
-}  // namespace linenwinch::workers
+}  // namespace database_proxy::workers
