--- a/src/request_router/router.cpp
+++ b/src/request_router/router.cpp
@@ -620,6 +620,7 @@
   Member* probe_for_primary(Group& g, PendingRequest& o) {
     if (request_class(o).level == ReadLevel::kFresh && set.checks == Checks::kOff) return nullptr;
     if (static_cast<int>(o.attempts.size()) >= set.max_attempts - 2) return nullptr;
+    if (g.members.empty()) return nullptr;  // all have gone and are forgotten
     Member* best = nullptr;
     // Known replicas are tried ever more seldom, so that the attempts last as long as an election may take.
     Micros again = o.attempts.size() < g.members.size()
--- a/tests/request_router/router_test.cpp
+++ b/tests/request_router/router_test.cpp
@@ -744,5 +744,20 @@
   EXPECT_EQ(router.room(99), 0);
 }
 
+TEST(PrimaryDiscovery, AWriteToAGroupWhoseMembersAreAllForgottenWaitsForOne) {
+  Router router(settings(), 1);
+  router.handle(1s, {list(ListKind::kFull, {entry(1), entry(2)})});
+  router.handle(2s, {list(ListKind::kFull, {})});
+  router.handle(60s, {list(ListKind::kFull, {})});
+  ASSERT_EQ(router.members(), 0u);
+  for (auto request_class : {kWrite, kKeyedWrite, kFresh}) {
+    auto actions = router.handle(60s, {request(1 + request_class, request_class, 62s)});
+    EXPECT_TRUE(only<Send>(actions).empty());
+  }
+  auto sends = only<Send>(router.handle(60s + 10ms, {list(ListKind::kFull, {entry(3, true)})}));
+  ASSERT_FALSE(sends.empty());
+  EXPECT_EQ(sends[0].member, 3u);
+}
+
 }  // namespace
 }  // namespace request_router::test
