--- a/src/app/fleet_placement.cpp
+++ b/src/app/fleet_placement.cpp
@@ -34,7 +34,7 @@
                                  owner.empty() ? "nobody" : owner);
   for (auto& [zone, s] : plan.zones)
     text += fmt::format("zone {:<16} {:<10} {:3.0f} %{}{}\n", named(zone), pl::text_of(s.phase), s.part * 100,
-                        s.reason == pl::Reason::kNone ? "" : fmt::format("  {}", pl::text_of(s.reason)),
+                        s.reason == pl::PhaseReason::kNone ? "" : fmt::format("  {}", pl::text_of(s.reason)),
                         s.forced ? " (forced)" : "");
   for (auto& [key, s] : plan.links)
     if (s.phase == pl::Phase::kClosed)
@@ -46,9 +46,9 @@
     text += number == 0 ? fmt::format("{} proxies follow none\n", proxies)
                         : fmt::format("{} proxies follow plan {}\n", proxies, number);
   for (auto& [key, v] : seen.votes())
-    if (v.ill + v.late > 0)
+    if (v.unhealthy + v.late > 0)
       text += fmt::format("of {} proxies in {} {} find {} ill and {} find it late\n", v.all(),
-                          named(key.first), v.ill, named(key.second), v.late);
+                          named(key.first), v.unhealthy, named(key.second), v.late);
   return text;
 }
 
@@ -63,7 +63,7 @@
     text += fmt::format(
         "zone {:<16} bears {:7.0f} reads a second, may be given {:.0f}{}\n", named(key.second), most,
         most * part,
-        it == plan.zones.end() || it->second.reason == pl::Reason::kNone
+        it == plan.zones.end() || it->second.reason == pl::PhaseReason::kNone
             ? ""
             : fmt::format("  ({}: {})", pl::text_of(it->second.phase), pl::text_of(it->second.reason)));
   }
@@ -73,7 +73,7 @@
     any = true;
     text += fmt::format("clients of {:<11} ask for {:.0f}:", named(key.second), asked[{set, key.second}]);
     for (auto& [zone, share] : shares) text += fmt::format(" {} {:.1f} %", named(zone), share * 100);
-    if (auto it = plan.spares.find(key); it != plan.spares.end()) {
+    if (auto it = plan.surplus_capacity.find(key); it != plan.surplus_capacity.end()) {
       text += "; spare:";
       for (auto& [zone, share] : it->second) text += fmt::format(" {} {:.1f} %", named(zone), share * 100);
     }
--- a/src/app/group_runner.cpp
+++ b/src/app/group_runner.cpp
@@ -49,7 +49,7 @@
     if (key.second != zone) continue;
     std::map<std::string, request_router::ZoneShare> by_zone;
     for (auto& [to, share] : shares) by_zone[to] = {to, share, 0};
-    if (auto it = plan.spares.find(key); it != plan.spares.end())
+    if (auto it = plan.surplus_capacity.find(key); it != plan.surplus_capacity.end())
       for (auto& [to, spare] : it->second) {
         by_zone[to].zone = to;
         by_zone[to].spare = spare;
@@ -93,14 +93,14 @@
   }
   void ended(const routing::Result& r) override {
     using routing::AttemptOutcome;
-    auto how = placement::Ended::kNothing;
+    auto how = placement::RequestOutcome::kNothing;
     if (r.ending == AttemptOutcome::kServed || r.ending == AttemptOutcome::kDeclined)
-      how = placement::Ended::kServed;
-    if (r.ending == AttemptOutcome::kNoConnection) how = placement::Ended::kRefused;
-    if (r.ending == AttemptOutcome::kRejected) how = placement::Ended::kFull;
-    if (r.ending == AttemptOutcome::kTimedOut) how = placement::Ended::kTimedOut;
+      how = placement::RequestOutcome::kServed;
+    if (r.ending == AttemptOutcome::kNoConnection) how = placement::RequestOutcome::kRefused;
+    if (r.ending == AttemptOutcome::kRejected) how = placement::RequestOutcome::kFull;
+    if (r.ending == AttemptOutcome::kTimedOut) how = placement::RequestOutcome::kTimedOut;
     if (r.ending == AttemptOutcome::kError || r.ending == AttemptOutcome::kReset)
-      how = placement::Ended::kFailed;
+      how = placement::RequestOutcome::kFailed;
     if (r.role == routing::ServerRole::kPrimary) watcher_.leads(r.server);
     watcher_.ended(r.request, r.attempt, r.server, how, r.taken);
   }
@@ -135,7 +135,7 @@
   }
   if (options.placement) {
     options.placement->warm_up = settings.warm_up;
-    options.placement->cold_share = settings.initial_capacity_share;
+    options.placement->initial_capacity_share = settings.initial_capacity_share;
     std::set<std::string> zones;
     for (auto& [zone, region] : options.placement->regions) zones.insert(zone);
     auto each = std::max(1.0, static_cast<double>(settings.routers) / static_cast<double>(zones.size()));
--- a/src/app/operator_file.cpp
+++ b/src/app/operator_file.cpp
@@ -96,12 +96,12 @@
           if (!places.regions.emplace(zone.get<std::string>(), region).second)
             throw ConfigError(
                 fmt::format("group.placement.regions: zone '{}' is in two regions", zone.get<std::string>()));
-      places.per_weight = p.value("requests_per_weight", 0.0);
+      places.requests_per_weight = p.value("requests_per_weight", 0.0);
       auto span = [&](const char* key, group::Micros* to) {
         if (p.contains(key)) *to = group::Micros(p.at(key).get<std::int64_t>() * 1000);
       };
       span("keep_ms", &places.keep);
-      span("dwell_ms", &places.dwell);
+      span("dwell_ms", &places.minimum_phase_duration);
       span("open_after_ms", &places.open_after);
       span("step_ms", &places.step);
     }
--- a/src/consensus/raft.cpp
+++ b/src/consensus/raft.cpp
@@ -41,42 +41,42 @@
   return "?";
 }
 
-const char* text_of(Reason reason) {
+const char* text_of(RoleChangeReason reason) {
   switch (reason) {
-    case Reason::kStarted:
+    case RoleChangeReason::kStarted:
       return "started";
-    case Reason::kSilence:
+    case RoleChangeReason::kSilence:
       return "no leader was heard of";
-    case Reason::kElected:
+    case RoleChangeReason::kElected:
       return "elected by a majority";
-    case Reason::kHeard:
+    case RoleChangeReason::kHeard:
       return "heard of the leader of this term";
-    case Reason::kHigherTerm:
+    case RoleChangeReason::kHigherTerm:
       return "somebody has a higher term";
-    case Reason::kLostQuorum:
+    case RoleChangeReason::kLostQuorum:
       return "no majority answered for an election timeout";
-    case Reason::kHandedOver:
+    case RoleChangeReason::kHandedOver:
       return "asked by the leader";
-    case Reason::kRemoved:
+    case RoleChangeReason::kRemoved:
       return "no longer a member";
-    case Reason::kDiskFailed:
+    case RoleChangeReason::kDiskFailed:
       return "its disk failed";
   }
   return "?";
 }
 
-bool Members::votes(NodeId id) const { return holds(voters, id); }
-bool Members::has(NodeId id) const { return holds(voters, id) || holds(learners, id); }
+bool Membership::votes(NodeId id) const { return holds(voters, id); }
+bool Membership::has(NodeId id) const { return holds(voters, id) || holds(learners, id); }
 
-std::string Members::encode() const {
+std::string Membership::encode() const {
   std::string text;
   for (auto id : voters) text += "v" + std::to_string(id) + " ";
   for (auto id : learners) text += "l" + std::to_string(id) + " ";
   return text;
 }
 
-std::optional<Members> Members::decode(const std::string& text) {
-  Members members;
+std::optional<Membership> Membership::decode(const std::string& text) {
+  Membership members;
   for (std::size_t at = 0; at < text.size();) {
     auto end = text.find(' ', at);
     if (end == std::string::npos || end < at + 2) return std::nullopt;
@@ -107,7 +107,7 @@
     base_term_ = snapshot_->term;
     configs_.emplace_back(snapshot_->index, snapshot_->members);
   } else {
-    configs_.emplace_back(0, Members{});
+    configs_.emplace_back(0, Membership{});
   }
   auto& entries = stored.entries;
   std::size_t first = 0;
@@ -121,8 +121,8 @@
     auto& entry = entries[i];
     demand(entry.index == last_index() + 1, "a gap in the log");
     demand(entry.term >= term_at(last_index()) && entry.term <= hard_.term, "terms of the log out of order");
-    if (entry.kind == Kind::kMembers && (!snapshot_ || entry.index > snapshot_->index)) {
-      auto members = Members::decode(entry.data);
+    if (entry.type == EntryType::kMembers && (!snapshot_ || entry.index > snapshot_->index)) {
+      auto members = Membership::decode(entry.data);
       demand(members.has_value(), "an entry of members that cannot be read");
       configs_.emplace_back(entry.index, *members);
     }
@@ -158,7 +158,7 @@
 
 Micros Raft::due() const {
   if (role_ == Role::kHalted) return Micros::max();
-  if (leads()) return heartbeat_at_;
+  if (is_leader()) return heartbeat_at_;
   return may_campaign() ? election_at_ : Micros::max();
 }
 
@@ -169,7 +169,7 @@
     std::visit([this](auto& i) { on(i); }, input);
     write_open_ = false;
   }
-  if (leads() && std::exchange(want_round_, false)) broadcast(true);
+  if (is_leader() && std::exchange(want_round_, false)) broadcast(true);
   return std::move(out_);
 }
 
@@ -193,8 +193,8 @@
 }
 
 void Raft::append_entry(Entry entry) {
-  if (entry.kind == Kind::kMembers)
-    if (auto members = Members::decode(entry.data)) configs_.emplace_back(entry.index, *members);
+  if (entry.type == EntryType::kMembers)
+    if (auto members = Membership::decode(entry.data)) configs_.emplace_back(entry.index, *members);
   auto& w = write();
   w.append.push_back(entry);
   log_.push_back(std::move(entry));
@@ -216,9 +216,11 @@
   out_.messages.push_back({std::move(m), hard_write_ > durable_writes_ ? hard_write_ : 0});
 }
 
-void Raft::turn(Reason reason) { out_.turns.push_back({role_, reason, hard_.term, leader_}); }
+void Raft::record_role_change(RoleChangeReason reason) {
+  out_.role_changes.push_back({role_, reason, hard_.term, leader_});
+}
 
-void Raft::on(Written w) {
+void Raft::on(WriteCompleted w) {
   if (role_ == Role::kHalted) return;
   durable_writes_ = std::max(durable_writes_, w.number);
   auto before = durable_;
@@ -232,7 +234,7 @@
     count_votes();
   }
   if (durable_ == before) return;
-  if (leads())
+  if (is_leader())
     advance();
   else if (leader_ != kNobody)
     accept_reply();
@@ -244,10 +246,10 @@
   role_ = Role::kHalted;
   leader_ = kNobody;
   peers_.clear();
-  turn(Reason::kDiskFailed);
+  record_role_change(RoleChangeReason::kDiskFailed);
 }
 
-void Raft::on(Snapshotted& s) {
+void Raft::on(SnapshotTaken& s) {
   if (s.index <= snapshot_index() || s.index > applied_) return;
   auto snapshot = std::make_shared<Snapshot>();
   snapshot->index = s.index;
@@ -273,14 +275,14 @@
 // ---- elections
 // ---------------------------------------------------------------------------------------------
 
-void Raft::follow(Term term, NodeId leader, Reason reason) {
+void Raft::follow(Term term, NodeId leader, RoleChangeReason reason) {
   bool changed = term != hard_.term || role_ != Role::kFollower || leader_ != leader;
   if (term > hard_.term) {
     hard_ = {term, kNobody};
     verified_ = 0;
     save_hard();
   }
-  if (leads()) {
+  if (is_leader()) {
     fail_reads();
     transferring_ = false;
     peers_.clear();
@@ -289,7 +291,7 @@
   role_ = Role::kFollower;
   leader_ = leader;
   votes_.clear();
-  if (changed) turn(reason);
+  if (changed) record_role_change(reason);
 }
 
 // Also one whose own removal is not committed yet: the others may need its log to go on (section 4.2.2).
@@ -300,18 +302,18 @@
 }
 
 void Raft::pre_campaign() {
-  if (!options_.pre_vote) return campaign(false, Reason::kSilence);
+  if (!options_.pre_vote) return campaign(false, RoleChangeReason::kSilence);
   role_ = Role::kPreCandidate;
   leader_ = kNobody;
   reset_election();
   votes_.clear();
   votes_[options_.self] = true;
-  turn(Reason::kSilence);
-  ask_votes(true, false);
+  record_role_change(RoleChangeReason::kSilence);
+  request_votes(true, false);
   count_votes();
 }
 
-void Raft::campaign(bool forced, Reason reason) {
+void Raft::campaign(bool forced, RoleChangeReason reason) {
   role_ = Role::kCandidate;
   leader_ = kNobody;
   hard_ = {hard_.term + 1, options_.self};
@@ -319,16 +321,16 @@
   save_hard();
   reset_election();
   votes_.clear();
-  turn(reason);
-  ask_votes(false, forced);
+  record_role_change(reason);
+  request_votes(false, forced);
   count_votes();
 }
 
-void Raft::ask_votes(bool pre, bool forced) {
+void Raft::request_votes(bool pre, bool forced) {
   for (auto id : members().voters) {
     if (id == options_.self) continue;
     Message m;
-    m.type = pre ? Type::kPreVote : Type::kVote;
+    m.type = pre ? Type::kRequestPreVote : Type::kRequestVote;
     m.to = id;
     m.term = pre ? hard_.term + 1 : hard_.term;
     m.index = last_index();
@@ -343,20 +345,20 @@
   return m.log_term > own || (m.log_term == own && m.index >= last_index());
 }
 
-void Raft::vote_asked(const Message& m) {
-  bool pre = m.type == Type::kPreVote;
+void Raft::on_request_vote(const Message& m) {
+  bool pre = m.type == Type::kRequestPreVote;
   // Whoever hears a leader lets nobody disturb it: neither one that was cut off nor one that was removed.
-  bool led = leads() || (leader_ != kNobody && now_ - heard_ < options_.election_min);
+  bool led = is_leader() || (leader_ != kNobody && now_ - heard_ < options_.election_min);
   if (options_.sticky && led && !m.forced && m.term >= hard_.term) return;
   Message reply;
-  reply.type = pre ? Type::kPreVoteReply : Type::kVoteReply;
+  reply.type = pre ? Type::kRequestPreVoteResponse : Type::kRequestVoteResponse;
   reply.to = m.from;
   if (pre) {
     reply.reject = m.term <= hard_.term || !caught_up_with(m);
     reply.term = reply.reject ? hard_.term : m.term;
     return send(std::move(reply));
   }
-  if (m.term > hard_.term) follow(m.term, kNobody, Reason::kHigherTerm);
+  if (m.term > hard_.term) follow(m.term, kNobody, RoleChangeReason::kHigherTerm);
   reply.reject = m.term < hard_.term || (hard_.vote != kNobody && hard_.vote != m.from) || !caught_up_with(m);
   if (!reply.reject) {
     if (hard_.vote != m.from) {
@@ -369,9 +371,10 @@
   send(std::move(reply));
 }
 
-void Raft::vote_told(const Message& m) {
-  bool pre = m.type == Type::kPreVoteReply;
-  if (m.term > hard_.term && !(pre && !m.reject)) return follow(m.term, kNobody, Reason::kHigherTerm);
+void Raft::on_request_vote_response(const Message& m) {
+  bool pre = m.type == Type::kRequestPreVoteResponse;
+  if (m.term > hard_.term && !(pre && !m.reject))
+    return follow(m.term, kNobody, RoleChangeReason::kHigherTerm);
   if (pre ? role_ != Role::kPreCandidate || (!m.reject && m.term != hard_.term + 1)
           : role_ != Role::kCandidate || m.term != hard_.term)
     return;
@@ -384,13 +387,14 @@
   for (auto& [id, yes] : votes_) granted += yes && members().votes(id);
   if (granted < majority() || members().voters.empty()) return;
   if (role_ == Role::kPreCandidate)
-    campaign(false, Reason::kSilence);
+    campaign(false, RoleChangeReason::kSilence);
   else if (role_ == Role::kCandidate)
     lead();
 }
 
 void Raft::timeout_now(const Message& m) {
-  if (m.term == hard_.term && role_ == Role::kFollower && may_campaign()) campaign(true, Reason::kHandedOver);
+  if (m.term == hard_.term && role_ == Role::kFollower && may_campaign())
+    campaign(true, RoleChangeReason::kHandedOver);
 }
 
 void Raft::lead() {
@@ -401,8 +405,8 @@
   refresh_peers();
   round_ = 0;
   transferring_ = false;
-  turn(Reason::kElected);
-  own_first_ = propose_entry(Kind::kNothing, "");
+  record_role_change(RoleChangeReason::kElected);
+  own_first_ = propose_entry(EntryType::kNoOp, "");
   broadcast(true);
 }
 
@@ -427,8 +431,9 @@
 
 void Raft::on(Tick) {
   if (role_ == Role::kHalted) return;
-  if (leads()) {
-    if (options_.check_quorum && !quorum_heard()) return follow(hard_.term, kNobody, Reason::kLostQuorum);
+  if (is_leader()) {
+    if (options_.check_quorum && !quorum_heard())
+      return follow(hard_.term, kNobody, RoleChangeReason::kLostQuorum);
     if (transferring_ && now_ >= transfer_until_) transferring_ = false;
     if (now_ >= heartbeat_at_) broadcast(true);
   } else if (now_ >= election_at_ && may_campaign()) {
@@ -439,8 +444,8 @@
 // ---- the log
 // -----------------------------------------------------------------------------------------------
 
-Index Raft::propose_entry(Kind kind, std::string data) {
-  append_entry({hard_.term, last_index() + 1, kind, std::move(data)});
+Index Raft::propose_entry(EntryType type, std::string data) {
+  append_entry({hard_.term, last_index() + 1, type, std::move(data)});
   return last_index();
 }
 
@@ -465,7 +470,7 @@
   m.commit = commit_;
   m.round = round_;
   if (peer.next <= base_index_ && !peer.snapshotting && snapshot_) {
-    m.type = Type::kSnapshot;
+    m.type = Type::kInstallSnapshot;
     m.snapshot = snapshot_;
     peer.snapshotting = true;
     peer.snapshot = snapshot_->index;
@@ -495,7 +500,7 @@
 // To the leader: how far this node's log is the leader's, and durable.
 void Raft::accept_reply() {
   Message reply;
-  reply.type = Type::kAppendReply;
+  reply.type = Type::kAppendEntriesResponse;
   reply.to = leader_;
   reply.index = std::min(verified_, durable_);
   send(std::move(reply));
@@ -503,7 +508,7 @@
 
 void Raft::append(Message& m) {
   Message reply;
-  reply.type = Type::kAppendReply;
+  reply.type = Type::kAppendEntriesResponse;
   reply.to = m.from;
   reply.round = m.round;
   if (m.term < hard_.term) {
@@ -512,7 +517,7 @@
     reply.index = last_index();
     return send(std::move(reply));
   }
-  follow(m.term, m.from, Reason::kHeard);
+  follow(m.term, m.from, RoleChangeReason::kHeard);
   heard_ = now_;
   reset_election();
   // What is committed is the leader's as well, whatever it begins with.
@@ -550,10 +555,10 @@
   send(std::move(reply));
 }
 
-void Raft::append_told(const Message& m) {
-  if (m.term > hard_.term) return follow(m.term, kNobody, Reason::kHigherTerm);
+void Raft::on_append_entries_response(const Message& m) {
+  if (m.term > hard_.term) return follow(m.term, kNobody, RoleChangeReason::kHigherTerm);
   auto it = peers_.find(m.from);
-  if (!leads() || m.term != hard_.term || it == peers_.end()) return;
+  if (!is_leader() || m.term != hard_.term || it == peers_.end()) return;
   auto& peer = it->second;
   peer.heard = now_;
   peer.round = std::max(peer.round, m.round);
@@ -574,7 +579,7 @@
   if (peer.snapshotting && peer.match >= std::min(peer.snapshot, base_index_)) peer.snapshotting = false;
   advance();
   settle_reads();
-  if (leads() && it->second.next <= last_index()) send_to(m.from, it->second, false);
+  if (is_leader() && it->second.next <= last_index()) send_to(m.from, it->second, false);
   check_transfer();
 }
 
@@ -596,7 +601,7 @@
   commit_to(at);
   broadcast(true);  // followers hear of it at once
   if (!members().has(options_.self) && configs_.back().first <= commit_)
-    follow(hard_.term, kNobody, Reason::kRemoved);
+    follow(hard_.term, kNobody, RoleChangeReason::kRemoved);
 }
 
 void Raft::commit_to(Index index) {
@@ -608,7 +613,7 @@
 
 void Raft::restore(const Message& m) {
   if (m.term < hard_.term || !m.snapshot) return;
-  follow(m.term, m.from, Reason::kHeard);
+  follow(m.term, m.from, RoleChangeReason::kHeard);
   heard_ = now_;
   reset_election();
   auto& s = *m.snapshot;
@@ -643,49 +648,49 @@
 // ---- what the driver asks
 // ----------------------------------------------------------------------------------
 
-void Raft::on(Propose& p) {
-  Proposed answer{p.ticket, 0, 0, ""};
-  if (!leads())
+void Raft::on(Proposal& p) {
+  ProposalResult answer{p.ticket, 0, 0, ""};
+  if (!is_leader())
     answer.why = "this node does not lead";
   else if (transferring_)
     answer.why = "leadership is being handed over";
   else if (last_index() - commit_ >= options_.uncommitted)
     answer.why = "too much is not committed yet";
   if (*answer.why == 0) {
-    answer.index = propose_entry(Kind::kCommand, std::move(p.data));
+    answer.index = propose_entry(EntryType::kCommand, std::move(p.data));
     answer.term = hard_.term;
     broadcast(false);
   }
   out_.proposed.push_back(answer);
 }
 
-void Raft::on(Change& c) {
-  Proposed answer{c.ticket, 0, 0, ""};
+void Raft::on(MembershipChange& c) {
+  ProposalResult answer{c.ticket, 0, 0, ""};
   auto next = members();
   bool votes = next.votes(c.node), has = next.has(c.node);
   auto peer = peers_.find(c.node);
-  if (!leads())
+  if (!is_leader())
     answer.why = "this node does not lead";
   else if (transferring_)
     answer.why = "leadership is being handed over";
-  else if (configs_.back().first > commit_ || !committed_own())
+  else if (configs_.back().first > commit_ || !has_committed_in_current_term())
     answer.why = "another change of members is under way";
-  else if (c.node == kNobody || (c.what == Change::What::kAddLearner && has))
+  else if (c.node == kNobody || (c.what == MembershipChange::What::kAddLearner && has))
     answer.why = "it is a member already";
-  else if (c.what != Change::What::kAddLearner && !has)
+  else if (c.what != MembershipChange::What::kAddLearner && !has)
     answer.why = "it is no member";
-  else if (c.what == Change::What::kPromote && votes)
+  else if (c.what == MembershipChange::What::kPromote && votes)
     answer.why = "it votes already";
-  else if (c.what == Change::What::kPromote &&
+  else if (c.what == MembershipChange::What::kPromote &&
            (peer == peers_.end() || peer->second.match + options_.caught_up < commit_))
     answer.why = "it has not caught up yet";
-  else if (c.what == Change::What::kRemove && votes && next.voters.size() == 1)
+  else if (c.what == MembershipChange::What::kRemove && votes && next.voters.size() == 1)
     answer.why = "it is the last voter";
   if (*answer.why == 0) {
     std::erase(next.voters, c.node);
     std::erase(next.learners, c.node);
-    if (c.what == Change::What::kAddLearner) insert(&next.learners, c.node);
-    if (c.what == Change::What::kPromote) insert(&next.voters, c.node);
+    if (c.what == MembershipChange::What::kAddLearner) insert(&next.learners, c.node);
+    if (c.what == MembershipChange::What::kPromote) insert(&next.voters, c.node);
     // A majority of those that are left must be there, or this change would be the last one ever.
     std::size_t there = next.votes(options_.self);
     for (auto& [id, p] : peers_)
@@ -694,7 +699,7 @@
       answer.why = "too few of the voters that would be left are heard of";
   }
   if (*answer.why == 0) {
-    answer.index = propose_entry(Kind::kMembers, next.encode());
+    answer.index = propose_entry(EntryType::kMembers, next.encode());
     answer.term = hard_.term;
     refresh_peers();
     broadcast(false);
@@ -702,14 +707,14 @@
   out_.proposed.push_back(answer);
 }
 
-void Raft::on(Read r) {
-  if (!committed_own()) return out_.reads.push_back({r.ticket, false});
+void Raft::on(ReadRequest r) {
+  if (!has_committed_in_current_term()) return out_.reads.push_back({r.ticket, false});
   readings_.push_back({r.ticket, round_ + 1});  // a round that begins after this
   want_round_ = true;
 }
 
 void Raft::settle_reads() {
-  if (readings_.empty() || !leads()) return;
+  if (readings_.empty() || !is_leader()) return;
   std::vector<std::uint64_t> rounds;
   for (auto id : members().voters) {
     auto it = peers_.find(id);
@@ -730,8 +735,8 @@
   want_round_ = false;
 }
 
-void Raft::on(Transfer t) {
-  if (!leads() || transferring_) return;
+void Raft::on(LeadershipTransfer t) {
+  if (!is_leader() || transferring_) return;
   NodeId to = t.to;
   Index best = 0;
   if (to == kNobody)
@@ -747,7 +752,7 @@
 }
 
 void Raft::check_transfer() {
-  if (!leads() || !transferring_ || transfer_sent_) return;
+  if (!is_leader() || !transferring_ || transfer_sent_) return;
   auto it = peers_.find(transfer_to_);
   if (it == peers_.end() || it->second.match < last_index()) return;
   Message m;
@@ -757,21 +762,21 @@
   transfer_sent_ = true;
 }
 
-void Raft::on(Received& r) {
+void Raft::on(MessageReceived& r) {
   auto& m = r.message;
   if (role_ == Role::kHalted || m.to != options_.self || m.from == options_.self) return;
   switch (m.type) {
-    case Type::kPreVote:
-    case Type::kVote:
-      return vote_asked(m);
-    case Type::kPreVoteReply:
-    case Type::kVoteReply:
-      return vote_told(m);
-    case Type::kAppend:
+    case Type::kRequestPreVote:
+    case Type::kRequestVote:
+      return on_request_vote(m);
+    case Type::kRequestPreVoteResponse:
+    case Type::kRequestVoteResponse:
+      return on_request_vote_response(m);
+    case Type::kAppendEntries:
       return append(m);
-    case Type::kAppendReply:
-      return append_told(m);
-    case Type::kSnapshot:
+    case Type::kAppendEntriesResponse:
+      return on_append_entries_response(m);
+    case Type::kInstallSnapshot:
       return restore(m);
     case Type::kTimeoutNow:
       return timeout_now(m);
@@ -791,7 +796,7 @@
   add(commit_);
   add(verified_);
   add(base_index_);
-  for (auto& e : log_) add(e.term), add(static_cast<std::uint64_t>(e.kind)), f += e.data;
+  for (auto& e : log_) add(e.term), add(static_cast<std::uint64_t>(e.type)), f += e.data;
   for (auto& [id, yes] : votes_) add(id), add(yes);
   for (auto& [id, p] : peers_) add(id), add(p.match), add(p.next), add(p.outstanding), add(p.snapshotting);
   return f;
--- a/src/consensus/raft.h
+++ b/src/consensus/raft.h
@@ -32,22 +32,22 @@
 using NodeId = std::uint64_t;
 constexpr NodeId kNobody = 0;
 
-enum class Kind : std::uint8_t { kNothing, kMembers, kCommand };
+enum class EntryType : std::uint8_t { kNoOp, kMembers, kCommand };
 struct Entry {
   Term term = 0;
   Index index = 0;
-  Kind kind = Kind::kNothing;
+  EntryType type = EntryType::kNoOp;
   std::string data;
   bool operator==(const Entry&) const = default;
 };
 
-struct Members {
+struct Membership {
   std::vector<NodeId> voters, learners;  // sorted, disjoint
   bool votes(NodeId id) const;
   bool has(NodeId id) const;
   std::string encode() const;
-  static std::optional<Members> decode(const std::string& text);
-  bool operator==(const Members&) const = default;
+  static std::optional<Membership> decode(const std::string& text);
+  bool operator==(const Membership&) const = default;
 };
 
 struct HardState {
@@ -58,7 +58,7 @@
 struct Snapshot {
   Index index = 0;  // 0: none
   Term term = 0;
-  Members members;
+  Membership members;
   std::string data;
 };
 using SnapshotPtr = std::shared_ptr<const Snapshot>;
@@ -73,16 +73,16 @@
 
 struct Message {
   enum class Type : std::uint8_t {
-    kPreVote,
-    kPreVoteReply,
-    kVote,
-    kVoteReply,
-    kAppend,
-    kAppendReply,
-    kSnapshot,
+    kRequestPreVote,
+    kRequestPreVoteResponse,
+    kRequestVote,
+    kRequestVoteResponse,
+    kAppendEntries,
+    kAppendEntriesResponse,
+    kInstallSnapshot,
     kTimeoutNow
   };
-  Type type = Type::kAppend;
+  Type type = Type::kAppendEntries;
   NodeId from = kNobody, to = kNobody;
   Term term = 0;
   Index index =
@@ -107,7 +107,7 @@
 };
 
 enum class Role : std::uint8_t { kFollower, kPreCandidate, kCandidate, kLeader, kHalted };
-enum class Reason : std::uint8_t {
+enum class RoleChangeReason : std::uint8_t {
   kStarted,
   kSilence,     // no leader was heard of for an election timeout
   kElected,     // by a majority
@@ -119,57 +119,57 @@
   kDiskFailed,  // it can promise nothing any more
 };
 const char* text_of(Role role);
-const char* text_of(Reason reason);
+const char* text_of(RoleChangeReason reason);
 
 // inputs
 struct Tick {};
-struct Received {
+struct MessageReceived {
   Message message;
 };
-struct Written {
+struct WriteCompleted {
   std::uint64_t number = 0;  // all writes up to this one are durable
 };
 struct WriteFailed {};  // the disk is full or broken: from now on this node promises nothing
-struct Propose {
+struct Proposal {
   std::uint64_t ticket = 0;
   std::string data;
 };
-struct Change {
+struct MembershipChange {
   enum class What : std::uint8_t { kAddLearner, kPromote, kRemove };
   std::uint64_t ticket = 0;
   What what = What::kAddLearner;
   NodeId node = kNobody;
 };
-struct Read {
+struct ReadRequest {
   std::uint64_t ticket = 0;
 };
-struct Transfer {
+struct LeadershipTransfer {
   NodeId to = kNobody;  // kNobody: whoever is furthest on
 };
-struct Snapshotted {
+struct SnapshotTaken {
   Index index = 0;  // applied, and after the last snapshot
   std::string data;
 };
-using Input =
-    std::variant<Tick, Received, Written, WriteFailed, Propose, Change, Read, Transfer, Snapshotted>;
+using Input = std::variant<Tick, MessageReceived, WriteCompleted, WriteFailed, Proposal, MembershipChange,
+                           ReadRequest, LeadershipTransfer, SnapshotTaken>;
 
 struct Outgoing {
   Message message;
   std::uint64_t after = 0;  // a write's number; 0: nothing
 };
-struct Proposed {
+struct ProposalResult {
   std::uint64_t ticket = 0;
   Index index = 0;       // 0: not taken, nothing happened
   Term term = 0;         // it is in force once the entry of this term is committed at `index`
   const char* why = "";  // not taken: a sentence for the operator
 };
-struct ReadReady {
+struct ReadResult {
   std::uint64_t ticket = 0;
   bool confirmed = false;  // false: this node does not lead, or leads no longer
 };
-struct Turn {
+struct RoleChange {
   Role role = Role::kFollower;
-  Reason reason = Reason::kStarted;
+  RoleChangeReason reason = RoleChangeReason::kStarted;
   Term term = 0;
   NodeId leader = kNobody;
 };
@@ -179,9 +179,9 @@
   std::vector<Outgoing> messages;
   SnapshotPtr restored;  // the state is this one now; before `committed`
   std::vector<Entry> committed;
-  std::vector<Proposed> proposed;
-  std::vector<ReadReady> reads;
-  std::vector<Turn> turns;  // changes of role, term or leader
+  std::vector<ProposalResult> proposed;
+  std::vector<ReadResult> reads;
+  std::vector<RoleChange> role_changes;  // changes of role, term or leader
 };
 
 struct Options {
@@ -217,13 +217,13 @@
   Index durable() const { return durable_; }
   Term term_at(Index index) const;  // 0: unknown
   const Entry* entry(Index index) const;
-  const Members& members() const { return configs_.back().second; }
+  const Membership& members() const { return configs_.back().second; }
   Index snapshot_index() const { return snapshot_ ? snapshot_->index : 0; }
-  bool leads() const { return role_ == Role::kLeader; }
-  bool committed_own() const {
-    return leads() && commit_ >= own_first_;
+  bool is_leader() const { return role_ == Role::kLeader; }
+  bool has_committed_in_current_term() const {
+    return is_leader() && commit_ >= own_first_;
   }  // as a leader must before it answers
-  Micros led_since() const { return led_since_; }
+  Micros leader_since() const { return led_since_; }
   struct Peer {
     Index match = 0, next = 1;
     bool outstanding = false, snapshotting = false;
@@ -245,27 +245,27 @@
   };
 
   void on(Tick);
-  void on(Received& r);
-  void on(Written w);
+  void on(MessageReceived& r);
+  void on(WriteCompleted w);
   void on(WriteFailed);
-  void on(Propose& p);
-  void on(Change& c);
-  void on(Read r);
-  void on(Transfer t);
-  void on(Snapshotted& s);
+  void on(Proposal& p);
+  void on(MembershipChange& c);
+  void on(ReadRequest r);
+  void on(LeadershipTransfer t);
+  void on(SnapshotTaken& s);
 
-  void vote_asked(const Message& m);
-  void vote_told(const Message& m);
+  void on_request_vote(const Message& m);
+  void on_request_vote_response(const Message& m);
   void append(Message& m);
-  void append_told(const Message& m);
+  void on_append_entries_response(const Message& m);
   void restore(const Message& m);
   void timeout_now(const Message& m);
 
-  void follow(Term term, NodeId leader, Reason reason);
-  void campaign(bool forced, Reason reason);
+  void follow(Term term, NodeId leader, RoleChangeReason reason);
+  void campaign(bool forced, RoleChangeReason reason);
   bool may_campaign() const;
   void pre_campaign();
-  void ask_votes(bool pre, bool forced);
+  void request_votes(bool pre, bool forced);
   void count_votes();
   void lead();
   void send_to(NodeId id, Peer& peer, bool heartbeat);
@@ -279,13 +279,13 @@
   bool caught_up_with(const Message& m) const;
   bool quorum_heard() const;
   std::size_t majority() const { return members().voters.size() / 2 + 1; }
-  Index propose_entry(Kind kind, std::string data);
+  Index propose_entry(EntryType type, std::string data);
   void append_entry(Entry entry);
   void truncate(Index from);
   void send(Message m);
   Write& write();
   void save_hard();
-  void turn(Reason reason);
+  void record_role_change(RoleChangeReason reason);
   void reset_election();
   void accept_reply();
   std::uint64_t random();
@@ -301,7 +301,7 @@
   Index base_index_ = 0;  // entries up to here are not in memory
   Term base_term_ = 0;
   std::deque<Entry> log_;
-  std::vector<std::pair<Index, Members>> configs_;  // the last is in force, committed or not
+  std::vector<std::pair<Index, Membership>> configs_;  // the last is in force, committed or not
 
   Role role_ = Role::kFollower;
   NodeId leader_ = kNobody;
--- a/src/group/node.cpp
+++ b/src/group/node.cpp
@@ -121,7 +121,7 @@
   demand(!places || o.voter(), "group.jobs: placement is a voter's");
   if (o.placement) {
     demand(!o.placement->regions.empty(), "group.placement.regions names no zone");
-    demand(o.placement->per_weight > 0, "group.placement.requests_per_weight is missing");
+    demand(o.placement->requests_per_weight > 0, "group.placement.requests_per_weight is missing");
     demand(o.placement->keep > o.election_max, "group.placement.keep_ms must be longer than an election");
   }
 }
@@ -141,8 +141,8 @@
         lease.idle = std::max<Micros>(10s, options_.lease * 4);  // the list service may keep a call for 6 s
         return lease;
       }()),
-      steward_(lease_),
-      holder_(options_.name, lease_),
+      lease_manager_(lease_),
+      lease_client_(options_.name, lease_),
       known_(std::move(known)),
       lists_(options_.installation) {
   for (unsigned char c : options_.name) random_ = (random_ ^ c) * 1099511628211ull;
@@ -189,7 +189,7 @@
 // ---- the directory ---------------------------------------------------------------------------------------
 
 void Node::open_directory() {
-  std::unique_ptr<state::Store> store;
+  std::unique_ptr<state::DurableStore> store;
   std::optional<std::string> identity;
   rc::PersistentState stored;
   auto read = [&] {
@@ -199,7 +199,7 @@
     auto who = json::from_cbor(*identity);
     auto installation = who.at("installation").get<std::string>();
     if (installation != options_.installation)
-      throw state::StoreError(state::Fault::kForeign,
+      throw state::StoreError(state::StoreErrorCode::kForeign,
                               fmt::format("group.directory {} belongs to the installation '{}', not '{}'",
                                           options_.directory, installation, options_.installation));
     id_ = who.at("id").get<rc::NodeId>();
@@ -208,7 +208,8 @@
       stored.hard = {j.at(0).get<rc::Term>(), j.at(1).get<rc::NodeId>()};
     }
     auto torn = [&](const char* what) {
-      throw state::StoreError(state::Fault::kTorn, fmt::format("{}: {}", options_.directory, what));
+      throw state::StoreError(state::StoreErrorCode::kCorrupt,
+                              fmt::format("{}: {}", options_.directory, what));
     };
     if (auto text = store->read(kSnapshotKey)) {
       stored.snapshot = peers::decode_snapshot(*text);
@@ -225,18 +226,18 @@
       read();
       if (identity) make_raft(stored);  // what it keeps is its own copy
     } catch (const json::exception& e) {
-      throw state::StoreError(state::Fault::kTorn, e.what());
+      throw state::StoreError(state::StoreErrorCode::kCorrupt, e.what());
     } catch (const std::invalid_argument& e) {
-      throw state::StoreError(state::Fault::kTorn, e.what());
+      throw state::StoreError(state::StoreErrorCode::kCorrupt, e.what());
     }
   } catch (const state::StoreError& e) {
-    if (e.fault != state::Fault::kTorn) throw;
+    if (e.code != state::StoreErrorCode::kCorrupt) throw;
     // Half of a memory is none: this node begins anew, as another one, and votes for nothing until the
     // operator takes it in again.
     store.reset();
     stored = {};
     identity.reset();
-    auto to = state::set_aside(options_.directory, kStoreName);
+    auto to = state::quarantine_corrupt_file(options_.directory, kStoreName);
     say(Level::kError,
         fmt::format("its directory is torn ({}) and was set aside as {}; this node begins anew", e.what(),
                     to));
@@ -256,7 +257,7 @@
   }
   recall(stored.entries);
   names_[id_] = options_.name;
-  writer_ = std::make_unique<state::Writer>(
+  writer_ = std::make_unique<state::StoreWriter>(
       std::move(store), [this](std::uint64_t number, const std::string& error) {
         mailbox_.post([this, number, error] { written(number, error); });
       });
@@ -491,7 +492,7 @@
   if (t == "raft") {
     if (!raft_ || link.kind != "voter") return;
     if (auto message = peers::raft_from_json(m); message && message->from == link.id)
-      feed(rc::Received{std::move(*message)});
+      feed(rc::MessageReceived{std::move(*message)});
   } else if (t == "ask" || t == "propose" || t == "forward") {
     auto on = m;
     if (link.kind != "voter") {  // from below: it comes by this node
@@ -584,7 +585,7 @@
     auto it = dialed_.find(upstream_);
     return it != dialed_.end() && it->second.link && it->second.link->send(message);
   }
-  if (raft_->leads()) {
+  if (raft_->is_leader()) {
     at_leader(message);
     return true;
   }
@@ -636,7 +637,7 @@
     return feed(rc::WriteFailed{});
   }
   durable_ = std::max(durable_, number);
-  if (number > write_base_) feed(rc::Written{number - write_base_});
+  if (number > write_base_) feed(rc::WriteCompleted{number - write_base_});
   std::erase_if(unsent_, [&](auto& u) {
     if (u.first > durable_) return false;
     send_raft(u.second);
@@ -664,7 +665,7 @@
 }
 
 void Node::carry_out(rc::Output out) {
-  for (auto& t : out.turns) {
+  for (auto& t : out.role_changes) {
     // Without a majority it tries again every second: told once.
     bool again = t.role == rc::Role::kPreCandidate && std::exchange(tried_in_, t.term) == t.term;
     if (t.leader != rc::kNobody) tried_in_ = 0;
@@ -688,9 +689,9 @@
     snapshotted_ = out.restored->index;
   }
   for (auto& e : out.committed) {
-    if (e.kind == rc::Kind::kCommand) apply(e.index, e.data);
-    if (e.kind == rc::Kind::kMembers)
-      if (auto members = rc::Members::decode(e.data)) {
+    if (e.type == rc::EntryType::kCommand) apply(e.index, e.data);
+    if (e.type == rc::EntryType::kMembers)
+      if (auto members = rc::Membership::decode(e.data)) {
         std::string line;
         for (auto id : members->voters)
           line += fmt::format(" {}", name_of(id).empty() ? std::to_string(id) : name_of(id));
@@ -705,12 +706,12 @@
   }
   if (applied_ >= snapshotted_ + kSnapshotEvery) {
     snapshotted_ = applied_;
-    feed(rc::Snapshotted{applied_, ledger_.encode()});
+    feed(rc::SnapshotTaken{applied_, lease_registry_.encode()});
   }
   bool led = role_ == rc::Role::kLeader;
   role_ = raft_->role();
-  if (raft_->leads() && !led) steward_.lead(net::monotonic_now());
-  if (!raft_->leads() && led) lost_leadership();
+  if (raft_->is_leader() && !led) lease_manager_.on_elected(net::monotonic_now());
+  if (!raft_->is_leader() && led) lost_leadership();
   for (auto& p : out.proposed) {
     auto it = tickets_.find(p.ticket);
     if (it == tickets_.end()) continue;
@@ -731,7 +732,7 @@
 }
 
 void Node::lost_leadership() {
-  steward_.stop();
+  lease_manager_.on_leadership_lost();
   for (auto& [where, done] : std::exchange(proposals_, {})) done(false, "unknown: leadership was lost", 0);
 }
 
@@ -739,13 +740,13 @@
   if (tickets_.size() + proposals_.size() >= kMostProposals) return done(false, "too much is under way", 0);
   auto ticket = ++next_ticket_;
   tickets_[ticket] = std::move(done);
-  feed(rc::Propose{ticket, data});
+  feed(rc::Proposal{ticket, data});
 }
 
 void Node::adopt(own::LeaseRegistry ledger, rc::Index index) {
-  ledger_ = std::move(ledger);
+  lease_registry_ = std::move(ledger);
   applied_ = index;
-  for (auto& [name, job] : ledger_.jobs()) fence_.admit(name, job.token);
+  for (auto& [name, job] : lease_registry_.jobs()) fencing_token_guard_.admit(name, job.token);
   published_list();
   published_plan();
 }
@@ -755,15 +756,15 @@
   auto command = own::decode(data);
   if (!command) return;
   own::Token granted = 0;
-  auto stale = ledger_.stale();
-  ledger_.apply(index, *command, &granted);
-  if (ledger_.stale() > stale)
+  auto stale = lease_registry_.stale();
+  lease_registry_.apply(index, *command, &granted);
+  if (lease_registry_.stale() > stale)
     say(Level::kWarning,
         fmt::format("turned down an effect of {} with an old token", std::get<own::Publish>(*command).job));
   if (auto* grant = std::get_if<own::Grant>(&*command)) {
-    steward_.settled(grant->job);
+    lease_manager_.on_proposal_finished(grant->job);
     if (granted) {
-      fence_.admit(grant->job, granted);
+      fencing_token_guard_.admit(grant->job, granted);
       say(Level::kInfo,
           fmt::format("job {} is granted to {} with token {}", grant->job, grant->owner, granted));
     }
@@ -792,7 +793,7 @@
       if (text.empty()) {
         auto entries = json::array();
         for (auto i = d.sent + 1; i <= applied_; ++i)
-          if (auto* e = raft_->entry(i); e && e->kind == rc::Kind::kCommand)
+          if (auto* e = raft_->entry(i); e && e->type == rc::EntryType::kCommand)
             entries.push_back(json::array({i, peers::bytes_of(e->data)}));
         text = peers::frame({{"t", "apply"}, {"from", d.sent}, {"index", applied_}, {"entries", entries}});
       }
@@ -800,7 +801,7 @@
     } else {
       if (whole.empty())
         whole = peers::frame(
-            {{"t", "state"}, {"index", applied_}, {"ledger", peers::bytes_of(ledger_.encode())}});
+            {{"t", "state"}, {"index", applied_}, {"ledger", peers::bytes_of(lease_registry_.encode())}});
       if (d.link->send_frame(whole)) d.sent = applied_;
     }
   }
@@ -808,7 +809,7 @@
 
 // ---- ownership: the owner's side -------------------------------------------------------------------------
 
-std::vector<std::string> Node::willing() const {
+std::vector<std::string> Node::eligible_jobs() const {
   std::vector<std::string> all;
   if (leaving_) return all;
   for (auto& job : options_.jobs) {
@@ -823,31 +824,31 @@
 
 void Node::ask() {
   ask_timer_ = loop_.at(loop_.now() + options_.lease / 8, [this] { ask(); });
-  auto question = holder_.ask(net::monotonic_now(), willing());
+  auto question = lease_client_.make_renewal_request(net::monotonic_now(), eligible_jobs());
   json holds = json::array();
   for (auto& h : question.holds) holds.push_back(json::array({h.job, h.token, h.progress}));
   to_leader({{"t", "ask"},
              {"node", options_.name},
              {"via", options_.name},
              {"n", question.number},
-             {"willing", question.willing},
+             {"willing", question.eligible_jobs},
              {"holds", holds}});
 }
 
 void Node::asked(const json& m) {
-  if (!steward_.leading() || !raft_->committed_own()) return;
+  if (!lease_manager_.leading() || !raft_->has_committed_in_current_term()) return;
   own::LeaseRenewalRequest question;
   question.node = m.at("node").get<std::string>();
   question.number = m.at("n").get<std::uint64_t>();
-  question.willing = m.at("willing").get<std::vector<std::string>>();
+  question.eligible_jobs = m.at("willing").get<std::vector<std::string>>();
   for (auto& h : m.at("holds"))
     question.holds.push_back(
         {h.at(0).get<std::string>(), h.at(1).get<own::Token>(), h.at(2).get<std::uint64_t>()});
-  steward_.asked(net::monotonic_now(), question, ledger_);
+  lease_manager_.on_renewal_request(net::monotonic_now(), question, lease_registry_);
   auto ticket = ++next_ticket_;
   reads_[ticket] = [this, node = question.node, number = question.number, via = m.at("via")](bool confirmed) {
-    if (!confirmed || !steward_.leading()) return;
-    auto told = steward_.answer(node, number, ledger_);
+    if (!confirmed || !lease_manager_.leading()) return;
+    auto told = lease_manager_.renewal_response(node, number, lease_registry_);
     json granted = json::array();
     for (auto& g : told.granted) granted.push_back(json::array({g.job, g.token}));
     deliver({{"t", "told"},
@@ -858,24 +859,24 @@
              {"granted", granted},
              {"give_up", told.give_up}});
   };
-  feed(rc::Read{ticket});
+  feed(rc::ReadRequest{ticket});
 }
 
 void Node::told(const json& m) {
-  own::Told told;
+  own::LeaseRenewalResponse told;
   told.number = m.at("n").get<std::uint64_t>();
   told.length = Micros(m.at("length").get<std::int64_t>());
   for (auto& g : m.at("granted"))
     told.granted.push_back({g.at(0).get<std::string>(), g.at(1).get<own::Token>(), 0});
   told.give_up = m.at("give_up").get<std::vector<std::string>>();
-  holder_.told(net::monotonic_now(), told);
-  for (auto& job : std::set<std::string>(holder_.to_give_up())) give_up(job);
+  lease_client_.on_renewal_response(net::monotonic_now(), told);
+  for (auto& job : std::set<std::string>(lease_client_.to_give_up())) give_up(job);
   if (leaving_)
-    for (auto& job : holder_.jobs()) give_up(job);
+    for (auto& job : lease_client_.jobs()) give_up(job);
 }
 
 void Node::give_up(const std::string& job) {
-  auto token = holder_.give_up(job);
+  auto token = lease_client_.give_up(job);
   if (token == 0) return;
   say(Level::kInfo, fmt::format("gives up job {} (token {})", job, token));
   if (job == "list") watch_.reset();
@@ -886,17 +887,17 @@
              {"cmd", peers::bytes_of(own::encode(own::Release{job, token}))}});
 }
 
-void Node::run_steward() {
-  if (!raft_ || !steward_.leading() || !raft_->committed_own()) return;
-  if (net::monotonic_now() >= steward_.due())
-    for (auto& command : steward_.propose(net::monotonic_now(), ledger_)) {
+void Node::run_lease_manager() {
+  if (!raft_ || !lease_manager_.leading() || !raft_->has_committed_in_current_term()) return;
+  if (net::monotonic_now() >= lease_manager_.due())
+    for (auto& command : lease_manager_.propose(net::monotonic_now(), lease_registry_)) {
       auto job = std::get<own::Grant>(command).job;
       propose(own::encode(command), [this, job](bool ok, const std::string&, rc::Index) {
-        if (!ok) steward_.settled(job);
+        if (!ok) lease_manager_.on_proposal_finished(job);
       });
     }
-  for (auto& line : steward_.take_reasons()) say(Level::kInfo, line);
-  set_timer(&steward_timer_, std::max(steward_.due(), loop_.now() + 1ms), [] {});
+  for (auto& line : lease_manager_.take_reasons()) say(Level::kInfo, line);
+  set_timer(&lease_manager_timer_, std::max(lease_manager_.due(), loop_.now() + 1ms), [] {});
 }
 
 void Node::leave() {
@@ -904,10 +905,10 @@
     leaving_ = true;
     loop_.cancel(&ask_timer_);
     if (!options_.jobs.empty()) ask();  // willing to do nothing: no job comes back
-    for (auto& job : holder_.jobs()) give_up(job);
-    if (raft_ && raft_->leads()) {
+    for (auto& job : lease_client_.jobs()) give_up(job);
+    if (raft_ && raft_->is_leader()) {
       say(Level::kInfo, "hands leadership over: told to stop");
-      feed(rc::Transfer{});
+      feed(rc::LeadershipTransfer{});
     }
   });
 }
@@ -917,11 +918,11 @@
 void Node::work() {
   work_timer_ = loop_.at(loop_.now() + kWorkEvery, [this] { work(); });
   auto now = net::monotonic_now();
-  for (auto& job : holder_.expire(now)) {
+  for (auto& job : lease_client_.expire(now)) {
     say(Level::kWarning, fmt::format("lets job {} go: its lease has run out", job));
     if (job == "list") watch_.reset();
   }
-  if (holder_.holds("list", now)) {
+  if (lease_client_.holds("list", now)) {
     if (!watch_) {
       auto address = net::parse_address(discovery_);
       // It goes on from what is published, whoever did.
@@ -948,29 +949,30 @@
       list_alive_sent_ = now;
       json m = {{"t", "facts"},
                 {"job", "list"},
-                {"token", holder_.token("list")},
+                {"token", lease_client_.token("list")},
                 {"generation", list_generation_},
                 {"at", unix_ms()}};
-      if (holder_.holds("list", net::monotonic_now())) facts(m, nullptr);
+      if (lease_client_.holds("list", net::monotonic_now())) facts(m, nullptr);
     }
   }
-  for (auto& job : holder_.jobs())
-    if (auto set = set_of(job); set && holder_.holds(job, now)) {
+  for (auto& job : lease_client_.jobs())
+    if (auto set = set_of(job); set && lease_client_.holds(job, now)) {
       if (wanted(*set))
         probe_set(*set);
       else
-        holder_.worked(job);  // nobody wishes to know: it is ready, which is all there is to do
+        lease_client_.record_progress(
+            job);  // nobody wishes to know: it is ready, which is all there is to do
     }
   for (auto& [set, seen] : to_tell_) {
     if (seen.empty()) continue;
     auto job = fmt::format("probe {}", set);
     json m = {{"t", "facts"},
               {"job", job},
-              {"token", holder_.token(job)},
+              {"token", lease_client_.token(job)},
               {"at", unix_ms()},
               {"facts", std::exchange(seen, {})}};
-    if (!holder_.holds(job, net::monotonic_now())) continue;
-    holder_.worked(job);
+    if (!lease_client_.holds(job, net::monotonic_now())) continue;
+    lease_client_.record_progress(job);
     facts(m, nullptr);
   }
 }
@@ -987,7 +989,7 @@
   bool changed = update.reset || !update.members.empty() || update.generation != list_generation_;
   list_generation_ = update.generation;
   list_answered_ = net::monotonic_now();
-  holder_.worked("list");
+  lease_client_.record_progress("list");
   if (!changed || !list_whole_) return;
   discovery::EndpointListUpdate whole;
   whole.generation = update.generation;
@@ -1003,8 +1005,8 @@
 void Node::publish() {
   auto now = net::monotonic_now();
   if (!to_publish_ || now - published_at_ < kPublishAgain) return;
-  auto token = holder_.token("list");
-  auto* job = ledger_.job("list");
+  auto token = lease_client_.token("list");
+  auto* job = lease_registry_.job("list");
   if (job && job->published_by == token && job->data == publish_data_) {
     to_publish_ = false;
     return;
@@ -1012,14 +1014,14 @@
   published_at_ = now;
   auto command = peers::bytes_of(
       own::encode(own::Publish{"list", token, static_cast<std::uint64_t>(publish_version_), publish_data_}));
-  if (!holder_.holds("list", net::monotonic_now())) return;  // right before it goes
+  if (!lease_client_.holds("list", net::monotonic_now())) return;  // right before it goes
   to_leader(
       {{"t", "propose"}, {"node", options_.name}, {"via", options_.name}, {"ticket", 0}, {"cmd", command}});
 }
 
 // The ledger's list is in force here: it was committed, so nothing older comes after it.
 void Node::published_list() {
-  auto* job = ledger_.job("list");
+  auto* job = lease_registry_.job("list");
   if (!job || job->data.empty()) return;
   try {
     auto update = discovery::parse_endpoint_list(job->data);
@@ -1041,7 +1043,7 @@
   auto now = net::monotonic_now();
   auto job = fmt::format("probe {}", set);
   auto probe = [&](const std::string& server) {
-    if (!holder_.holds(job, net::monotonic_now()) || !probing_.emplace(server, now).second) return;
+    if (!lease_client_.holds(job, net::monotonic_now()) || !probing_.emplace(server, now).second) return;
     prober_->probe(server);
   };
   std::erase_if(probing_, [&](auto& p) { return now - p.second > kProbeLost; });
@@ -1097,7 +1099,7 @@
   if (!from || from->kind != "voter")
     for (auto& [name, d] : dialed_)
       if (d.link && d.link->greeted) d.link->send(message);
-  auto* job = ledger_.job(fmt::format("probe {}", set));
+  auto* job = lease_registry_.job(fmt::format("probe {}", set));
   if (!job) return;
   if (auto below = downstream_.find(job->owner); below != downstream_.end() && below->second.link != from)
     below->second.link->send(message);
@@ -1122,7 +1124,7 @@
   auto job = m.at("job").get<std::string>();
   auto token = m.at("token").get<own::Token>();
   if (token == 0) return;
-  if (!fence_.admit(job, token)) {
+  if (!fencing_token_guard_.admit(job, token)) {
     if (++stale_effects_ == 1 || stale_effects_ % 1000 == 0)
       say(Level::kWarning, fmt::format("turned down facts of {} with the old token {} ({} so far)", job,
                                        token, stale_effects_));
@@ -1197,7 +1199,7 @@
             {"alone", alone_},
             {"list_generation", known_published_ ? known_.generation : -1},
             {"list_from", endpoint_list::text_of(lists_.source())},
-            {"stale_effects", stale_effects_ + ledger_.stale()},
+            {"stale_effects", stale_effects_ + lease_registry_.stale()},
             {"whole_lists", whole_lists_},
             {"plan", following_.load()},
             {"state_age_ms", raft_ ? 0 : (net::monotonic_now() - state_heard_).count() / 1000},
@@ -1205,9 +1207,9 @@
             {"followers", std::count_if(downstream_.begin(), downstream_.end(),
                                         [](auto& d) { return d.second.follows; })}};
   j["holds"] = json::array();
-  for (auto& job : holder_.jobs())
-    if (holder_.holds(job, net::monotonic_now()))
-      j["holds"].push_back(json::array({job, holder_.token(job)}));
+  for (auto& job : lease_client_.jobs())
+    if (lease_client_.holds(job, net::monotonic_now()))
+      j["holds"].push_back(json::array({job, lease_client_.token(job)}));
   j["clock_us"] = net::monotonic_now().count();
   if (raft_) {
     j["role"] = rc::text_of(raft_->role());
@@ -1250,14 +1252,14 @@
     answer["members"] = list;
   } else if (what == "owners") {
     auto list = json::array();
-    for (auto& [name, job] : ledger_.jobs())
+    for (auto& [name, job] : lease_registry_.jobs())
       list.push_back({{"job", name},
                       {"owner", job.owner},
                       {"token", job.token},
                       {"version", job.version},
                       {"published_by", job.published_by}});
     answer["owners"] = list;
-    answer["stale_effects"] = ledger_.stale() + stale_effects_;
+    answer["stale_effects"] = lease_registry_.stale() + stale_effects_;
   } else if (what == "bootstrap") {
     auto why = bootstrap(m);
     if (!why.empty()) return no(why);
@@ -1297,16 +1299,16 @@
     }
     say(Level::kInfo, fmt::format("hands leadership over{}: asked by the operator",
                                   to == rc::kNobody ? "" : " to " + name_of(to)));
-    feed(rc::Transfer{to});
+    feed(rc::LeadershipTransfer{to});
     return done(true, "", 0);
   }
   if (what == "add" || what == "promote" || what == "remove") {
     auto name = m.value("name", "");
-    rc::Change change;
+    rc::MembershipChange change;
     change.ticket = ++next_ticket_;
-    change.what = what == "add"       ? rc::Change::What::kAddLearner
-                  : what == "promote" ? rc::Change::What::kPromote
-                                      : rc::Change::What::kRemove;
+    change.what = what == "add"       ? rc::MembershipChange::What::kAddLearner
+                  : what == "promote" ? rc::MembershipChange::What::kPromote
+                                      : rc::MembershipChange::What::kRemove;
     change.node = m.value("id", rc::kNobody);
     if (change.node == rc::kNobody)
       for (auto& [id, n] : names_)
@@ -1322,16 +1324,16 @@
     return propose(own::encode(own::SetConfigurationEntry{key, value}), done);
   }
   if (what == "get") {
-    if (!raft_->committed_own()) return done(false, "the leader has just been elected", 0);
+    if (!raft_->has_committed_in_current_term()) return done(false, "the leader has just been elected", 0);
     auto ticket = ++next_ticket_;
     reads_[ticket] = [this, m](bool confirmed) {
       json answer = {{"ok", confirmed}};
       if (!confirmed) answer["why"] = "leadership was lost";
-      auto it = ledger_.settings().find(m.value("key", ""));
-      if (confirmed) answer["value"] = it == ledger_.settings().end() ? "" : it->second;
+      auto it = lease_registry_.settings().find(m.value("key", ""));
+      if (confirmed) answer["value"] = it == lease_registry_.settings().end() ? "" : it->second;
       answer_tool(m, answer);
     };
-    return feed(rc::Read{ticket});
+    return feed(rc::ReadRequest{ticket});
   }
   done(false, fmt::format("'{}' is not known", what), 0);
 }
@@ -1339,7 +1341,7 @@
 // The first members, told to each of them alike; telling it again does no harm.
 std::string Node::bootstrap(const json& m) {
   if (!raft_) return "it is none of group.nodes";
-  rc::Members members;
+  rc::Membership members;
   members.voters = m.at("voters").get<std::vector<rc::NodeId>>();
   std::sort(members.voters.begin(), members.voters.end());
   if (!members.votes(id_)) return "it is not among the members";
@@ -1375,9 +1377,9 @@
     return "recovery demands the consequence, spelled out: what only the lost nodes knew is gone";
   if (raft_->leader() != rc::kNobody) return "a leader is heard of: the majority is not lost";
   if (raft_->members().voters.empty()) return "it belongs to no group";
-  auto ledger = ledger_;
+  auto ledger = lease_registry_;
   for (auto i = applied_ + 1; i <= raft_->last_index(); ++i)
-    if (auto* e = raft_->entry(i); e && e->kind == rc::Kind::kCommand)
+    if (auto* e = raft_->entry(i); e && e->type == rc::EntryType::kCommand)
       if (auto command = own::decode(e->data)) ledger.apply(i, *command);
   auto snapshot = std::make_shared<rc::Snapshot>();
   // Far ahead, so that no token of the lost ones is given again.
@@ -1406,7 +1408,7 @@
   mailbox_.drain();
   for (int round = 0; round < kMostRounds; ++round) {
     step();
-    run_steward();
+    run_lease_manager();
     if (inputs_.empty()) break;
   }
   feed_followers();
--- a/src/group/node.h
+++ b/src/group/node.h
@@ -141,9 +141,9 @@
   void ask();
   void asked(const json& message);
   void told(const json& message);
-  void run_steward();
+  void run_lease_manager();
   void work();
-  std::vector<std::string> willing() const;
+  std::vector<std::string> eligible_jobs() const;
   void give_up(const std::string& job);
   void list_changed(const discovery::EndpointListUpdate& update);
   void publish();
@@ -204,7 +204,7 @@
   std::size_t next_upstream_ = 0;
 
   consensus::NodeId id_ = consensus::kNobody;
-  std::unique_ptr<state::Writer> writer_;
+  std::unique_ptr<state::StoreWriter> writer_;
   std::unique_ptr<consensus::Raft> raft_;
   std::vector<consensus::Input> inputs_;
   std::vector<std::pair<std::uint64_t, consensus::Message>> unsent_;  // each waits for a write
@@ -219,13 +219,13 @@
   std::uint64_t next_ticket_ = 0;
   net::Loop::TimerId raft_timer_ = net::Loop::kNoTimer, ask_timer_ = net::Loop::kNoTimer,
                      work_timer_ = net::Loop::kNoTimer, alive_timer_ = net::Loop::kNoTimer,
-                     steward_timer_ = net::Loop::kNoTimer;
+                     lease_manager_timer_ = net::Loop::kNoTimer;
 
-  ownership::LeaseRegistry ledger_;
+  ownership::LeaseRegistry lease_registry_;
   ownership::LeaseOptions lease_;
-  ownership::LeaseManager steward_;
-  ownership::LeaseClient holder_;
-  ownership::FencingTokenGuard fence_;
+  ownership::LeaseManager lease_manager_;
+  ownership::LeaseClient lease_client_;
+  ownership::FencingTokenGuard fencing_token_guard_;
   std::uint64_t stale_effects_ = 0;
   bool leaving_ = false;
   std::string leader_heard_;  // a follower's knowledge
--- a/src/group/node_lists.cpp
+++ b/src/group/node_lists.cpp
@@ -28,7 +28,7 @@
 // the list service all the same, so it is as good as any copy: what can be served with it is served.
 void Node::recall(const std::vector<consensus::Entry>& entries) {
   for (auto e = entries.rbegin(); e != entries.rend(); ++e) {
-    if (e->kind != consensus::Kind::kCommand) continue;
+    if (e->type != consensus::EntryType::kCommand) continue;
     auto command = ownership::decode(e->data);
     auto* publish = command ? std::get_if<ownership::Publish>(&*command) : nullptr;
     if (!publish || publish->job != "list" || publish->data.empty()) continue;
--- a/src/group/node_placement.cpp
+++ b/src/group/node_placement.cpp
@@ -55,8 +55,8 @@
   place_timer_ = loop_.at(loop_.now() + kObserveEvery, [this] { place(); });
   auto now = net::monotonic_now();
   auto sum = placement_->sum(now);
-  auto* job = ledger_.job(kJob);
-  if (!holder_.holds(kJob, now)) {
+  auto* job = lease_registry_.job(kJob);
+  if (!lease_client_.holds(kJob, now)) {
     placement_->owns_no_more();
     to_plan_.reset();
     for (auto& asked : std::exchange(plan_asked_, {}))
@@ -68,7 +68,7 @@
     return;
   }
   placement_->collected(options_.name, std::move(sum), now);
-  holder_.worked(kJob);
+  lease_client_.record_progress(kJob);
   publish_plan();
   if (!to_plan_)
     if (auto next = placement_->next(plan_, known_, now, unix_ms())) {
@@ -81,10 +81,10 @@
           fmt::format("zone '{}' of data servers is in no region: it counts as far from all", zone));
   json alive = {{"t", "facts"},
                 {"job", kJob},
-                {"token", holder_.token(kJob)},
+                {"token", lease_client_.token(kJob)},
                 {"number", plan_.number},
                 {"at", unix_ms()}};
-  if (holder_.holds(kJob, net::monotonic_now())) facts(alive, nullptr);
+  if (lease_client_.holds(kJob, net::monotonic_now())) facts(alive, nullptr);
 }
 
 void Node::publish_plan() {
@@ -95,8 +95,8 @@
     return placement_asked(asked);
   }
   auto now = net::monotonic_now();
-  auto token = holder_.token(kJob);
-  auto* job = ledger_.job(kJob);
+  auto token = lease_client_.token(kJob);
+  auto* job = lease_registry_.job(kJob);
   if (plan_.number >= to_plan_->number) {  // it is committed, or overtaken by another owner's
     to_plan_.reset();
     return publish_plan();
@@ -105,14 +105,14 @@
   planned_at_ = now;
   auto command = peers::bytes_of(
       ownership::encode(ownership::Publish{kJob, token, to_plan_->number, pl::to_json(*to_plan_).dump()}));
-  if (!job || !holder_.holds(kJob, net::monotonic_now())) return;  // right before it goes
+  if (!job || !lease_client_.holds(kJob, net::monotonic_now())) return;  // right before it goes
   to_leader(
       {{"t", "propose"}, {"node", options_.name}, {"via", options_.name}, {"ticket", 0}, {"cmd", command}});
 }
 
 // The ledger's plan is committed; only now does anybody act on it.
 void Node::published_plan() {
-  auto* job = ledger_.job(kJob);
+  auto* job = lease_registry_.job(kJob);
   if (!options_.placement || !job || job->data.empty()) return;
   try {
     auto plan = pl::plan_from_json(json::parse(job->data));
@@ -121,10 +121,10 @@
       auto before = plan_.zones.find(zone);
       auto phase = before == plan_.zones.end() ? pl::Phase::kOpen : before->second.phase;
       if (phase != state.phase)
-        say(Level::kInfo,
-            fmt::format(
-                "plan {}: zone {} is {}{}", plan.number, zone, pl::text_of(state.phase),
-                state.reason == pl::Reason::kNone ? "" : fmt::format(" ({})", pl::text_of(state.reason))));
+        say(Level::kInfo, fmt::format("plan {}: zone {} is {}{}", plan.number, zone, pl::text_of(state.phase),
+                                      state.reason == pl::PhaseReason::kNone
+                                          ? ""
+                                          : fmt::format(" ({})", pl::text_of(state.reason))));
     }
     for (auto& [key, state] : plan.links)
       if (state.phase == pl::Phase::kClosed && !plan_.links.count(key))
@@ -171,7 +171,7 @@
 // What any voter can tell: the committed plan.
 json Node::plan_shown(const json& m) const {
   json answer = {{"t", "answer"}, {"ok", true}, {"plan", pl::to_json(plan_)}};
-  auto* job = ledger_.job(kJob);
+  auto* job = lease_registry_.job(kJob);
   answer["owner"] = job ? job->owner : "";
   answer["set"] = m.value("set", json());
   return answer;
@@ -184,7 +184,7 @@
     no["why"] = "there is no section group.placement at this node";
     return no;
   }
-  auto* job = ledger_.job(kJob);
+  auto* job = lease_registry_.job(kJob);
   if (!job || job->owner.empty()) {
     if (what == "show" && plan_.number > 0) return plan_shown(m);
     no["why"] = "nobody owns the job placement now";
@@ -202,7 +202,7 @@
 void Node::placement_asked(const json& m) {
   auto what = m.value("what", "");
   auto no = [&](const std::string& why) { answer_tool(m, {{"ok", false}, {"why", why}}); };
-  if (!placement_ || !holder_.holds(kJob, net::monotonic_now()))
+  if (!placement_ || !lease_client_.holds(kJob, net::monotonic_now()))
     return no("this node owns the job placement no more");
   if (what == "show" || what == "explain") {
     auto answer = plan_shown(m);
--- a/src/group/options.h
+++ b/src/group/options.h
@@ -27,15 +27,15 @@
 struct PlacementOptions {
   std::map<std::string, std::string> regions;  // by zone
   // Requests a second that a warm data server of weight 1 bears; what the plan sends to a zone stays below.
-  double per_weight = 0;
+  double requests_per_weight = 0;
   // As placement::Options has them: in a phase before the opposite one, seen well before it is opened,
   // between two steps.
-  Micros dwell{10'000'000}, open_after{5'000'000}, step{2'000'000};
+  Micros minimum_phase_duration{10'000'000}, open_after{5'000'000}, step{2'000'000};
   // Without word of the group for so long, a proxy leaves the plan and goes on alone.
   Micros keep{10'000'000};
   // Of the platform's settings.
   Micros warm_up{0};
-  double cold_share = 1;
+  double initial_capacity_share = 1;
   bool operator==(const PlacementOptions&) const = default;
 };
 
--- a/src/group/placement_job.cpp
+++ b/src/group/placement_job.cpp
@@ -23,7 +23,7 @@
 
 pl::Options planning(const PlacementOptions& o) {
   pl::Options options;
-  options.dwell = o.dwell / Micros(1000);
+  options.minimum_phase_duration = o.minimum_phase_duration / Micros(1000);
   options.open_after = o.open_after / Micros(1000);
   options.step_every = o.step / Micros(1000);
   return options;
@@ -65,7 +65,7 @@
   in.seconds = static_cast<double>(kObserveEvery.count()) / 1e6;
   for (auto& [name, told] : sums_)
     in.seen.add(now - told.taken <= kHealthFor ? told.seen : told.seen.demand_only());
-  demand_.heed(in.seen, in.seconds);
+  demand_.debounce(in.seen, in.seconds);
   in.asked = demand_.rates();
   std::map<std::pair<pl::SetId, pl::Zone>, std::pair<double, int>> weights;
   std::set<std::pair<pl::SetId, pl::Zone>> cold;
@@ -75,7 +75,9 @@
     if (m.started_at_ms > 0 && options_.warm_up.count() > 0) {
       double age = static_cast<double>(unix_ms - m.started_at_ms) * 1000 /
                    static_cast<double>(options_.warm_up.count());
-      warm = age >= 1 ? 1 : options_.cold_share + (1 - options_.cold_share) * std::max(0.0, age);
+      warm = age >= 1 ? 1
+                      : options_.initial_capacity_share +
+                            (1 - options_.initial_capacity_share) * std::max(0.0, age);
     }
     auto& [weight, servers] = weights[{m.cell, m.zone}];
     weight += m.weight * warm;
@@ -89,7 +91,8 @@
   for (auto& [set, where] : primaries)
     if (auto it = weights.find({set, where.second}); it != weights.end())
       it->second.first *= 1 - 1.0 / it->second.second;
-  for (auto& [key, w] : weights) in.supply[key] = {w.first * options_.per_weight, cold.count(key) > 0};
+  for (auto& [key, w] : weights)
+    in.supply[key] = {w.first * options_.requests_per_weight, cold.count(key) > 0};
   return in;
 }
 
@@ -108,7 +111,8 @@
   if (!all_follow && now - changed_ < kWaitForFollowers) return std::nullopt;
   // The wall clock may have been set back meanwhile: what lies ahead of it began now.
   for (auto& [zone, s] : working_->zones)
-    for (auto* at : {&s.since, &s.stepped, &s.ill_since, &s.well_since}) *at = std::min(*at, unix_ms);
+    for (auto* at : {&s.since, &s.stepped, &s.unhealthy_since, &s.healthy_since})
+      *at = std::min(*at, unix_ms);
   auto plan = planner_.next(*working_, input_);
   if (plan.number == known.number) {
     working_ = std::move(plan);
--- a/src/group/placement_job.h
+++ b/src/group/placement_job.h
@@ -32,7 +32,7 @@
                                           bool force, std::string* why);
   std::optional<placement::Plan> restore(const placement::Plan& known, const placement::Zone& zone,
                                          std::string* why);
-  placement::Millis takes(bool opening) const { return planner_.takes(opening); }
+  placement::Millis takes(bool opening) const { return planner_.expected_duration(opening); }
   void owns_no_more();  // what it remembers beside the plan is its successor's to find out
   const placement::Input& input() const { return input_; }
   const placement::ZoneTopology& places() const { return places_; }
--- a/src/ownership/lease.cpp
+++ b/src/ownership/lease.cpp
@@ -17,22 +17,23 @@
 
 }  // namespace
 
-void LeaseManager::lead(Micros now) {
+void LeaseManager::on_elected(Micros now) {
   leading_ = true;
   since_ = moved_ = now;
   due_ = now;
   nodes_.clear();
   watches_.clear();
   proposed_.clear();
-  barred_.clear();
+  excluded_until_.clear();
 }
 
-void LeaseManager::asked(Micros now, const LeaseRenewalRequest& ask, const LeaseRegistry& ledger) {
+void LeaseManager::on_renewal_request(Micros now, const LeaseRenewalRequest& ask,
+                                      const LeaseRegistry& ledger) {
   if (!leading_) return;
   auto& node = nodes_[ask.node];
   node.heard = now;
-  node.willing.clear();
-  node.willing.insert(ask.willing.begin(), ask.willing.end());
+  node.eligible_jobs.clear();
+  node.eligible_jobs.insert(ask.eligible_jobs.begin(), ask.eligible_jobs.end());
   due_ = std::min(due_, now);
   for (auto& [name, job] : ledger.jobs()) {
     // A grant to another that is on its way may come into force at any moment: nobody is renewed meanwhile.
@@ -48,29 +49,30 @@
         w.progressed = now;
       }
     }
-    bool willing = node.willing.count(name) > 0;
-    if (willing && now - w.progressed < options_.idle) continue;
+    bool is_eligible = node.eligible_jobs.count(name) > 0;
+    if (is_eligible && now - w.progressed < options_.idle) continue;
     w.revoked = true;  // it is told no more that it holds it, and its lease runs out
-    barred_[{name, ask.node}] = now + options_.barred;
+    excluded_until_[{name, ask.node}] = now + options_.excluded_for;
     reasons_.push_back("job " + name + ": " + ask.node +
-                       (willing ? " holds the lease but does no work" : " is no longer willing"));
+                       (is_eligible ? " holds the lease but does no work" : " is no longer willing"));
   }
 }
 
-Told LeaseManager::answer(const std::string& node, std::uint64_t number, const LeaseRegistry& ledger) const {
-  Told told;
-  told.number = number;
-  told.length = options_.length;
+LeaseRenewalResponse LeaseManager::renewal_response(const std::string& node, std::uint64_t number,
+                                                    const LeaseRegistry& ledger) const {
+  LeaseRenewalResponse response;
+  response.number = number;
+  response.length = options_.length;
   for (auto& [name, job] : ledger.jobs()) {
     if (job.owner != node || proposed_.count(name)) continue;
     auto it = watches_.find(name);
     if (it != watches_.end() && it->second.token == job.token) {
       if (it->second.revoked) continue;
-      if (it->second.moving) told.give_up.push_back(name);
+      if (it->second.moving) response.give_up.push_back(name);
     }
-    told.granted.push_back({name, job.token, 0});
+    response.granted.push_back({name, job.token, 0});
   }
-  return told;
+  return response;
 }
 
 std::map<std::string, int> LeaseManager::loads(Micros now, const LeaseRegistry& ledger) const {
@@ -92,9 +94,9 @@
   std::string best;
   bool best_last = true;
   for (auto& [name, count] : counts) {
-    if (!nodes_.at(name).willing.count(job)) continue;
-    auto barred = barred_.find({job, name});
-    bool last = name == but || (barred != barred_.end() && now < barred->second);
+    if (!nodes_.at(name).eligible_jobs.count(job)) continue;
+    auto excluded_for = excluded_until_.find({job, name});
+    bool last = name == but || (excluded_for != excluded_until_.end() && now < excluded_for->second);
     auto rank = [&](const std::string& n, bool l) { return std::tuple(l, counts[n], hash_of(job, n)); };
     if (best.empty() || rank(name, last) < rank(best, best_last)) best = name, best_last = last;
   }
@@ -106,9 +108,10 @@
   if (!leading_) return commands;
   due_ = now + options_.length / 4;
   std::set<std::string> wanted;
-  for (auto& [name, node] : nodes_) wanted.insert(node.willing.begin(), node.willing.end());
-  std::erase_if(nodes_, [&](auto& n) { return now - n.second.heard > options_.over() * 4; });
-  std::erase_if(barred_, [&](auto& b) { return now >= b.second; });
+  for (auto& [name, node] : nodes_) wanted.insert(node.eligible_jobs.begin(), node.eligible_jobs.end());
+  std::erase_if(nodes_,
+                [&](auto& n) { return now - n.second.heard > options_.safe_reassignment_delay() * 4; });
+  std::erase_if(excluded_until_, [&](auto& b) { return now >= b.second; });
   for (auto& name : wanted) {
     if (proposed_.count(name)) continue;
     auto* job = ledger.job(name);
@@ -117,9 +120,9 @@
       auto& w = watches_[name];
       // First seen now, it may have been answered up to now: by this leader or by those before it.
       if (w.token != job->token) w = {now, job->token, 0, now, false, false};
-      auto over = w.renewed + options_.over();
-      if (now < over) {
-        due_ = std::min(due_, over);
+      auto safe_reassignment_delay = w.renewed + options_.safe_reassignment_delay();
+      if (now < safe_reassignment_delay) {
+        due_ = std::min(due_, safe_reassignment_delay);
         continue;
       }
       but = job->owner;
@@ -143,13 +146,15 @@
 void LeaseManager::balance(Micros now, const LeaseRegistry& ledger) {
   if (now < moved_ + options_.move_every || !proposed_.empty()) return;
   for (auto& [name, w] : watches_)
-    if (w.moving && now < moved_ + options_.over()) return;  // the last one is still under way
+    if (w.moving && now < moved_ + options_.safe_reassignment_delay())
+      return;  // the last one is still under way
   auto counts = loads(now, ledger);
   for (auto& [name, job] : ledger.jobs()) {
     auto from = counts.find(job.owner);
     if (from == counts.end()) continue;
     for (auto& [to, count] : counts) {
-      if (count + 2 > from->second || !nodes_.at(to).willing.count(name) || barred_.count({name, to}))
+      if (count + 2 > from->second || !nodes_.at(to).eligible_jobs.count(name) ||
+          excluded_until_.count({name, to}))
         continue;
       auto w = watches_.find(name);
       if (w == watches_.end() || w->second.token != job.token || w->second.revoked) continue;
@@ -171,25 +176,26 @@
   return f;
 }
 
-LeaseRenewalRequest LeaseClient::ask(Micros now, const std::vector<std::string>& willing) {
+LeaseRenewalRequest LeaseClient::make_renewal_request(Micros now,
+                                                      const std::vector<std::string>& eligible_jobs) {
   LeaseRenewalRequest ask;
   ask.node = node_;
   ask.number = ++numbers_;
-  ask.willing = willing;
+  ask.eligible_jobs = eligible_jobs;
   for (auto& [job, lease] : leases_) ask.holds.push_back({job, lease.token, lease.progress});
   sent_[ask.number] = now;
   while (sent_.size() > kMostOpenAsks) sent_.erase(sent_.begin());
   return ask;
 }
 
-void LeaseClient::told(Micros now, const Told& told) {
-  auto it = sent_.find(told.number);
+void LeaseClient::on_renewal_response(Micros now, const LeaseRenewalResponse& response) {
+  auto it = sent_.find(response.number);
   if (it == sent_.end()) return;
-  auto until = it->second + std::min(told.length, options_.length);
+  auto until = it->second + std::min(response.length, options_.length);
   sent_.erase(sent_.begin(), std::next(it));
   give_up_.clear();
-  give_up_.insert(told.give_up.begin(), told.give_up.end());
-  for (auto& g : told.granted) {
+  give_up_.insert(response.give_up.begin(), response.give_up.end());
+  for (auto& g : response.granted) {
     auto given = given_up_.find(g.job);
     if (given != given_up_.end() && g.token <= given->second) continue;
     auto& lease = leases_[g.job];
@@ -215,7 +221,7 @@
   return it == leases_.end() ? Micros(0) : it->second.until;
 }
 
-void LeaseClient::worked(const std::string& job) {
+void LeaseClient::record_progress(const std::string& job) {
   if (auto it = leases_.find(job); it != leases_.end()) ++it->second.progress;
 }
 
--- a/src/ownership/lease.h
+++ b/src/ownership/lease.h
@@ -34,14 +34,14 @@
   // From a check to the effect that it allows: a scheduler's pause on a busy machine, not SIGSTOP, against
   // which no margin helps and the token does.
   Micros margin{250'000};
-  Micros idle{6'000'000};        // an owner that does nothing for so long is relieved
-  Micros barred{30'000'000};     // and is not asked again for so long while another is willing
-  Micros move_every{1'000'000};  // at most one job moves for balance in so long
+  Micros idle{6'000'000};           // an owner that does nothing for so long is relieved
+  Micros excluded_for{30'000'000};  // and is not asked again for so long while another is willing
+  Micros move_every{1'000'000};     // at most one job moves for balance in so long
   // Guards taken away, for the simulator's mutants only.
   bool flaw_no_margin = false, flaw_no_check = false;
 
   // After the last question that may have been answered: from then on nobody holds it.
-  Micros over() const {
+  Micros safe_reassignment_delay() const {
     if (flaw_no_margin) return length;
     return length + margin + Micros(static_cast<std::int64_t>(static_cast<double>(length.count()) * rate));
   }
@@ -55,11 +55,11 @@
 };
 struct LeaseRenewalRequest {
   std::string node;
-  std::uint64_t number = 0;          // given back with the answer
-  std::vector<std::string> willing;  // jobs that this node would do
+  std::uint64_t number = 0;                // given back with the answer
+  std::vector<std::string> eligible_jobs;  // jobs that this node would do
   std::vector<HeldLease> holds;
 };
-struct Told {
+struct LeaseRenewalResponse {
   std::uint64_t number = 0;
   Micros length{0};
   std::vector<HeldLease> granted;    // progress is 0
@@ -70,17 +70,18 @@
  public:
   explicit LeaseManager(LeaseOptions options) : options_(options) {}
   // This node leads since `now`; jobs are all that may be granted.
-  void lead(Micros now);
-  void stop() { leading_ = false; }
+  void on_elected(Micros now);
+  void on_leadership_lost() { leading_ = false; }
   bool leading() const { return leading_; }
 
   // A question came. Its answer() may go out once leadership is confirmed by a round that began after this.
-  void asked(Micros now, const LeaseRenewalRequest& ask, const LeaseRegistry& ledger);
-  Told answer(const std::string& node, std::uint64_t number, const LeaseRegistry& ledger) const;
+  void on_renewal_request(Micros now, const LeaseRenewalRequest& ask, const LeaseRegistry& ledger);
+  LeaseRenewalResponse renewal_response(const std::string& node, std::uint64_t number,
+                                        const LeaseRegistry& ledger) const;
   // What is to be proposed now. Call it after each change of the ledger, each question, and at due().
   std::vector<Command> propose(Micros now, const LeaseRegistry& ledger);
   // The proposal for this job came to nothing, or was applied.
-  void settled(const std::string& job) { proposed_.erase(job); }
+  void on_proposal_finished(const std::string& job) { proposed_.erase(job); }
   Micros due() const { return due_; }
   std::string fingerprint() const;                                                 // for the model check
   std::vector<std::string> take_reasons() { return std::exchange(reasons_, {}); }  // lines for the log
@@ -88,7 +89,7 @@
  private:
   struct Node {
     Micros heard{0};
-    std::set<std::string> willing;
+    std::set<std::string> eligible_jobs;
   };
   struct Watch {
     Micros renewed{0};  // of the last question that may have been answered with this job
@@ -107,20 +108,20 @@
   Micros since_{0}, due_{0}, moved_{0};
   std::map<std::string, Node> nodes_;
   std::map<std::string, Watch> watches_;
-  std::map<std::string, std::string> proposed_;                   // to whom
-  std::map<std::pair<std::string, std::string>, Micros> barred_;  // job, node: until
+  std::map<std::string, std::string> proposed_;                           // to whom
+  std::map<std::pair<std::string, std::string>, Micros> excluded_until_;  // job, node: until
   std::vector<std::string> reasons_;
 };
 
 class LeaseClient {
  public:
   LeaseClient(std::string node, LeaseOptions options) : node_(std::move(node)), options_(options) {}
-  LeaseRenewalRequest ask(Micros now, const std::vector<std::string>& willing);
-  void told(Micros now, const Told& told);
+  LeaseRenewalRequest make_renewal_request(Micros now, const std::vector<std::string>& eligible_jobs);
+  void on_renewal_response(Micros now, const LeaseRenewalResponse& response);
   // Right before each effect, with the clock read right then.
   bool holds(const std::string& job, Micros now) const;
   Token token(const std::string& job) const;
-  void worked(const std::string& job);
+  void record_progress(const std::string& job);
   // Jobs whose lease has run out by now are forgotten; returns them.
   std::vector<std::string> expire(Micros now);
   std::vector<std::string> jobs() const;
--- a/src/ownership/lease_registry.cpp
+++ b/src/ownership/lease_registry.cpp
@@ -60,42 +60,42 @@
   return std::nullopt;
 }
 
-LeaseRegistry::Applied LeaseRegistry::apply(std::uint64_t index, const Command& command, Token* granted) {
+LeaseRegistry::ApplyResult LeaseRegistry::apply(std::uint64_t index, const Command& command, Token* granted) {
   if (auto* put = std::get_if<SetConfigurationEntry>(&command)) {
     if (put->value.empty())
       settings_.erase(put->key);
     else
       settings_[put->key] = put->value;
-    return Applied::kDone;
+    return ApplyResult::kDone;
   }
   if (auto* grant = std::get_if<Grant>(&command)) {
     auto& job = jobs_[grant->job];
-    if (job.token != grant->after) return Applied::kVoid;
+    if (job.token != grant->after) return ApplyResult::kVoid;
     job.owner = grant->owner;
     job.token = index;
     if (granted) *granted = index;
-    return Applied::kDone;
+    return ApplyResult::kDone;
   }
   if (auto* release = std::get_if<Release>(&command)) {
     auto it = jobs_.find(release->job);
-    if (it == jobs_.end() || it->second.token != release->token) return Applied::kVoid;
+    if (it == jobs_.end() || it->second.token != release->token) return ApplyResult::kVoid;
     it->second.owner.clear();
-    return Applied::kDone;
+    return ApplyResult::kDone;
   }
   auto& publish = std::get<Publish>(command);
   auto& job = jobs_[publish.job];
   if (publish.token < job.token && !flaw_token_not_compared) {
     ++stale_;
-    return Applied::kStale;
+    return ApplyResult::kStale;
   }
-  if (publish.token > job.token) return Applied::kVoid;  // nobody was granted that
+  if (publish.token > job.token) return ApplyResult::kVoid;  // nobody was granted that
   job.published_by = publish.token;
   job.version = publish.version;
   job.data = publish.data;
-  return Applied::kDone;
+  return ApplyResult::kDone;
 }
 
-const Holding* LeaseRegistry::job(const std::string& name) const {
+const JobState* LeaseRegistry::job(const std::string& name) const {
   auto it = jobs_.find(name);
   return it == jobs_.end() ? nullptr : &it->second;
 }
--- a/src/ownership/lease_registry.h
+++ b/src/ownership/lease_registry.h
@@ -39,7 +39,7 @@
 // nullopt: from a newer version, or spoilt. It is skipped alike at every node.
 std::optional<Command> decode(const std::string& text);
 
-struct Holding {
+struct JobState {
   std::string owner;       // empty: nobody
   Token token = 0;         // of the newest grant, also where it was given back
   Token published_by = 0;  // whose `data` this is
@@ -49,10 +49,10 @@
 
 class LeaseRegistry {
  public:
-  enum class Applied { kDone, kStale, kVoid };  // kStale: an old token; kVoid: overtaken, no effect
-  Applied apply(std::uint64_t index, const Command& command, Token* granted = nullptr);
-  const std::map<std::string, Holding>& jobs() const { return jobs_; }
-  const Holding* job(const std::string& name) const;
+  enum class ApplyResult { kDone, kStale, kVoid };  // kStale: an old token; kVoid: overtaken, no effect
+  ApplyResult apply(std::uint64_t index, const Command& command, Token* granted = nullptr);
+  const std::map<std::string, JobState>& jobs() const { return jobs_; }
+  const JobState* job(const std::string& name) const;
   const std::map<std::string, std::string>& settings() const { return settings_; }
   std::uint64_t stale() const { return stale_; }  // effects turned down for their old token
   std::string encode() const;
@@ -62,7 +62,7 @@
   bool flaw_token_not_compared = false;
 
  private:
-  std::map<std::string, Holding> jobs_;
+  std::map<std::string, JobState> jobs_;
   std::map<std::string, std::string> settings_;
   std::uint64_t stale_ = 0;
 };
--- a/src/peers/codec.cpp
+++ b/src/peers/codec.cpp
@@ -9,15 +9,16 @@
 namespace rc = consensus;
 
 json entry_json(const rc::Entry& e) {
-  return json::array({e.term, e.index, static_cast<int>(e.kind), bytes_of(e.data)});
+  return json::array({e.term, e.index, static_cast<int>(e.type), bytes_of(e.data)});
 }
 rc::Entry entry_of(const json& j) {
   rc::Entry e;
   e.term = j.at(0).get<rc::Term>();
   e.index = j.at(1).get<rc::Index>();
   int kind = j.at(2).get<int>();
-  if (kind < 0 || kind > static_cast<int>(rc::Kind::kCommand)) kind = 0;  // of a newer version: does nothing
-  e.kind = static_cast<rc::Kind>(kind);
+  if (kind < 0 || kind > static_cast<int>(rc::EntryType::kCommand))
+    kind = 0;  // of a newer version: does nothing
+  e.type = static_cast<rc::EntryType>(kind);
   e.data = text_of_bytes(j.at(3));
   return e;
 }
@@ -28,7 +29,7 @@
   auto s = std::make_shared<rc::Snapshot>();
   s->index = j.at(0).get<rc::Index>();
   s->term = j.at(1).get<rc::Term>();
-  auto members = rc::Members::decode(j.at(2).get<std::string>());
+  auto members = rc::Membership::decode(j.at(2).get<std::string>());
   if (!members) return nullptr;
   s->members = *members;
   s->data = text_of_bytes(j.at(3));
--- a/src/placement/placement_codec.cpp
+++ b/src/placement/placement_codec.cpp
@@ -11,7 +11,8 @@
   for (auto& [key, s] : o.seen())
     j["seen"].push_back({std::get<0>(key), std::get<1>(key), std::get<2>(key), s.attempts, s.refused,
                          s.timed_out, s.failed, s.latency_us, s.postponed, s.cold, s.room, s.full});
-  for (auto& [key, v] : o.votes()) j["votes"].push_back({key.first, key.second, v.well, v.ill, v.late});
+  for (auto& [key, v] : o.votes())
+    j["votes"].push_back({key.first, key.second, v.healthy, v.unhealthy, v.late});
   for (auto& [key, n] : o.demand()) j["asked"].push_back({key.first, key.second, n});
   for (auto& [key, n] : o.primaries()) j["leads"].push_back({key.first, key.second, n});
   for (auto& [plan, n] : o.followers()) j["follow"].push_back({plan, n});
@@ -22,11 +23,11 @@
   Observation o;
   auto rows = [&](const char* key) { return j.value(key, json::array()); };
   for (auto& r : rows("seen")) {
-    Seen s;
+    ZoneSample s;
     auto n = [&](std::size_t i) { return r.at(i).get<std::uint64_t>(); };
     s.attempts = n(3), s.refused = n(4), s.timed_out = n(5), s.failed = n(6), s.latency_us = n(7);
     s.postponed = n(8), s.cold = n(9), s.room = r.at(10).get<double>(), s.full = n(11);
-    o.saw(r.at(0).get<Zone>(), r.at(1).get<SetId>(), r.at(2).get<Zone>(), s);
+    o.record(r.at(0).get<Zone>(), r.at(1).get<SetId>(), r.at(2).get<Zone>(), s);
   }
   for (auto& r : rows("votes"))
     o.voted(r.at(0).get<Zone>(), r.at(1).get<Zone>(),
@@ -42,10 +43,14 @@
 namespace {
 
 json state_json(const ZoneState& s) {
-  return {{"phase", text_of(s.phase)},  {"reason", static_cast<int>(s.reason)},
-          {"why", text_of(s.reason)},   {"since", s.since},
-          {"stepped", s.stepped},       {"ill_since", s.ill_since},
-          {"well_since", s.well_since}, {"part", s.part},
+  return {{"phase", text_of(s.phase)},
+          {"reason", static_cast<int>(s.reason)},
+          {"why", text_of(s.reason)},
+          {"since", s.since},
+          {"stepped", s.stepped},
+          {"ill_since", s.unhealthy_since},
+          {"well_since", s.healthy_since},
+          {"part", s.part},
           {"forced", s.forced}};
 }
 
@@ -54,12 +59,12 @@
   auto phase = j.value("phase", "open");
   for (auto p : {Phase::kOpen, Phase::kClosed, Phase::kOpening, Phase::kEvacuating, Phase::kEvacuated})
     if (phase == text_of(p)) s.phase = p;
-  s.reason =
-      static_cast<Reason>(std::clamp(j.value("reason", 0), 0, static_cast<int>(Reason::kChangesSpent)));
+  s.reason = static_cast<PhaseReason>(
+      std::clamp(j.value("reason", 0), 0, static_cast<int>(PhaseReason::kChangeBudgetSpent)));
   s.since = j.value("since", Millis{0});
   s.stepped = j.value("stepped", Millis{0});
-  s.ill_since = j.value("ill_since", Millis{0});
-  s.well_since = j.value("well_since", Millis{0});
+  s.unhealthy_since = j.value("ill_since", Millis{0});
+  s.healthy_since = j.value("well_since", Millis{0});
   s.part = std::clamp(j.value("part", 1.0), 0.0, 1.0);
   s.forced = j.value("forced", false);
   return s;
@@ -88,7 +93,7 @@
           {"zones", zones},
           {"links", links},
           {"shares", shares_json(p.shares)},
-          {"spares", shares_json(p.spares)},
+          {"spares", shares_json(p.surplus_capacity)},
           {"changes", changes},
           {"frozen", p.frozen}};
 }
@@ -100,7 +105,7 @@
   for (auto& r : j.value("links", json::array()))
     p.links[{r.at(0).get<Zone>(), r.at(1).get<Zone>()}] = state_of(r.at(2));
   p.shares = shares_of(j.at("shares"));
-  p.spares = shares_of(j.value("spares", json::array()));
+  p.surplus_capacity = shares_of(j.value("spares", json::array()));
   for (auto& r : j.value("changes", json::array()))
     p.changes.emplace_back(r.at(0).get<Zone>(), r.at(1).get<Millis>());
   p.frozen = j.value("frozen", false);
--- a/src/placement/plan.cpp
+++ b/src/placement/plan.cpp
@@ -31,7 +31,7 @@
   return kTexts[static_cast<std::size_t>(phase)];
 }
 
-const char* text_of(Reason reason) {
+const char* text_of(PhaseReason reason) {
   constexpr const char* kTexts[] = {"",
                                     "seen ill by a majority of proxies in several zones",
                                     "seen well again for long enough",
@@ -72,8 +72,8 @@
     return all;
   };
   auto own = closed(*this), others = closed(o);
-  return same(zones, o.zones) && same(own, others) && shares == o.shares && spares == o.spares &&
-         frozen == o.frozen;
+  return same(zones, o.zones) && same(own, others) && shares == o.shares &&
+         surplus_capacity == o.surplus_capacity && frozen == o.frozen;
 }
 
 std::vector<Zone> Planner::unknown(const Input& input) const {
@@ -100,11 +100,12 @@
   auto all = v.all();
   if (all < (options_.flaw_one_voice ? 1 : options_.least_voices)) return Agreed::kNothing;
   // One that is late and does what it can bear has too much to do: closing it would help nobody.
-  auto ill = v.ill + (works(to, input) || !finds_any_well(from, input) ? 0 : v.late);
-  if (static_cast<double>(ill) >= options_.ill * static_cast<double>(all)) return Agreed::kIll;
+  auto unhealthy = v.unhealthy + (works(to, input) || !finds_any_healthy(from, input) ? 0 : v.late);
+  if (static_cast<double>(unhealthy) >= options_.unhealthy * static_cast<double>(all))
+    return Agreed::kUnhealthy;
   // One that sees all as dead keeps nothing closed either.
-  if (ill == 1 && v.late <= 1 && all >= 3) return Agreed::kWell;
-  if (static_cast<double>(v.well) >= options_.well * static_cast<double>(all)) return Agreed::kWell;
+  if (unhealthy == 1 && v.late <= 1 && all >= 3) return Agreed::kHealthy;
+  if (static_cast<double>(v.healthy) >= options_.healthy * static_cast<double>(all)) return Agreed::kHealthy;
   return Agreed::kNothing;
 }
 
@@ -112,45 +113,45 @@
 // is.
 Planner::Agreed Planner::zone_health(const Zone& zone, const Input& input) const {
   // Where those who stand in it are served well by it, only the ways there fail.
-  if (!options_.flaw_one_voice && link_health(zone, zone, input) == Agreed::kWell) return Agreed::kWell;
-  int ill = 0, well = 0, voices = 0;
+  if (!options_.flaw_one_voice && link_health(zone, zone, input) == Agreed::kHealthy) return Agreed::kHealthy;
+  int unhealthy = 0, healthy = 0, voices = 0;
   for (auto& [key, votes] : input.seen.votes()) {
     if (key.second != zone) continue;
     auto agreed = link_health(key.first, zone, input);
     if (agreed == Agreed::kNothing && votes.all() < options_.least_voices) continue;
     ++voices;
-    ill += agreed == Agreed::kIll;
-    well += agreed == Agreed::kWell;
+    unhealthy += agreed == Agreed::kUnhealthy;
+    healthy += agreed == Agreed::kHealthy;
   }
-  if (options_.flaw_one_voice && ill > 0) return Agreed::kIll;
+  if (options_.flaw_one_voice && unhealthy > 0) return Agreed::kUnhealthy;
   // Where all proxies stand in one zone there is nobody else to ask.
   std::set<Zone> observers;
   for (auto& [key, votes] : input.seen.votes())
     if (votes.all() >= options_.least_voices) observers.insert(key.first);
   int needed = std::min(options_.least_zones, std::max(1, static_cast<int>(observers.size())));
-  if (ill >= needed && ill * 2 > voices) return Agreed::kIll;
-  return voices > 0 && well * 2 > voices ? Agreed::kWell : Agreed::kNothing;
+  if (unhealthy >= needed && unhealthy * 2 > voices) return Agreed::kUnhealthy;
+  return voices > 0 && healthy * 2 > voices ? Agreed::kHealthy : Agreed::kNothing;
 }
 
 // Those to whom all zones are late are slow themselves.
-bool Planner::finds_any_well(const Zone& from, const Input& input) const {
+bool Planner::finds_any_healthy(const Zone& from, const Input& input) const {
   return std::any_of(input.seen.votes().begin(), input.seen.votes().end(), [&](auto& entry) {
     auto& v = entry.second;
     return entry.first.first == from && v.all() > 0 &&
-           static_cast<double>(v.well) >= options_.well * static_cast<double>(v.all());
+           static_cast<double>(v.healthy) >= options_.healthy * static_cast<double>(v.all());
   });
 }
 
 // It answers half of what it bears, or more: what is late there is late for its load.
 bool Planner::works(const Zone& zone, const Input& input) const {
-  double served = 0, bears = 0;
+  double served = 0, capacity = 0;
   for (auto& [key, s] : input.seen.seen())
     if (std::get<2>(key) == zone)
       served +=
           static_cast<double>(s.attempts - std::min(s.attempts, s.refused + s.timed_out + s.failed + s.full));
   for (auto& [key, supply] : input.supply)
-    if (key.second == zone) bears += supply.warm;
-  return bears > 0 && served / input.seconds >= kWorks * bears;
+    if (key.second == zone) capacity += supply.warm;
+  return capacity > 0 && served / input.seconds >= kWorks * capacity;
 }
 
 // It serves nobody, by those of every zone that tried: also one that is cut from all others may serve its
@@ -169,8 +170,8 @@
 }
 
 // Every set that the zone serves: the others, as far as they may be used, bear all that is asked.
-bool Planner::rest_carries(const Plan& plan, const Zone& but, const Input& input) const {
-  if (options_.flaw_no_room) return true;
+bool Planner::others_have_capacity(const Plan& plan, const Zone& but, const Input& input) const {
+  if (options_.flaw_no_capacity_check) return true;
   std::map<SetId, double> asked, borne;
   for (auto& [key, rate] : Planner::asked(input)) asked[key.second] += rate * kBurst;
   std::set<SetId> sets;
@@ -193,16 +194,16 @@
   return true;
 }
 
-void Planner::heed(ZoneState* s, Agreed agreed, Millis now) const {
+void Planner::debounce(ZoneState* s, Agreed agreed, Millis now) const {
   auto keep = [&](Millis* since, bool so) { *since = so ? (*since ? *since : now) : 0; };
-  keep(&s->ill_since, agreed == Agreed::kIll);
-  keep(&s->well_since, agreed == Agreed::kWell);
+  keep(&s->unhealthy_since, agreed == Agreed::kUnhealthy);
+  keep(&s->healthy_since, agreed == Agreed::kHealthy);
 }
 
 void Planner::move_zone(Plan* plan, const Zone& zone, ZoneState* s, const Input& input) const {
   auto now = input.now;
-  bool ill = s->ill_since && now - s->ill_since >= options_.close_after;
-  auto enter = [&](Phase phase, Reason reason, double part) {
+  bool unhealthy = s->unhealthy_since && now - s->unhealthy_since >= options_.close_after;
+  auto enter = [&](Phase phase, PhaseReason reason, double part) {
     s->phase = phase;
     s->reason = reason;
     s->part = part;
@@ -210,35 +211,37 @@
   };
   switch (s->phase) {
     case Phase::kOpen:
-      if (!ill) {
-        if (s->reason == Reason::kNoRoom || s->reason == Reason::kChangesSpent) s->reason = Reason::kNone;
+      if (!unhealthy) {
+        if (s->reason == PhaseReason::kInsufficientCapacity || s->reason == PhaseReason::kChangeBudgetSpent)
+          s->reason = PhaseReason::kNone;
         return;
       }
-      if (!dead(zone, input) && !rest_carries(*plan, zone, input))
-        s->reason = Reason::kNoRoom;
+      if (!dead(zone, input) && !others_have_capacity(*plan, zone, input))
+        s->reason = PhaseReason::kInsufficientCapacity;
       else if (!spend(plan, zone, now))
-        s->reason = Reason::kChangesSpent;
+        s->reason = PhaseReason::kChangeBudgetSpent;
       else
-        enter(Phase::kClosed, Reason::kSeenIll, 0);
+        enter(Phase::kClosed, PhaseReason::kUnhealthy, 0);
       return;
     case Phase::kClosed: {
-      bool long_enough =
-          s->well_since && now - s->well_since >= options_.open_after && now - s->since >= options_.dwell;
-      if (options_.flaw_no_dwell) long_enough = s->well_since != 0;
+      bool long_enough = s->healthy_since && now - s->healthy_since >= options_.open_after &&
+                         now - s->since >= options_.minimum_phase_duration;
+      if (options_.flaw_no_minimum_duration) long_enough = s->healthy_since != 0;
       // It may be ill again at once, and must then be closed.
       if (!long_enough || !spend(plan, zone, now, 1)) return;
-      return enter(Phase::kOpening, Reason::kSeenWell, options_.flaw_open_at_once ? 1 : options_.first_part);
+      return enter(Phase::kOpening, PhaseReason::kHealthy,
+                   options_.flaw_open_at_once ? 1 : options_.first_part);
     }
     case Phase::kOpening:
-      if (ill) {
+      if (unhealthy) {
         plan->changes.emplace_back(zone, now);
-        return enter(Phase::kClosed, Reason::kIllAgain, 0);
+        return enter(Phase::kClosed, PhaseReason::kUnhealthyAgain, 0);
       }
-      if (!s->well_since || now - s->stepped < options_.step_every) return;
+      if (!s->healthy_since || now - s->stepped < options_.step_every) return;
       s->part = std::min(1.0, s->part * 2);
       s->stepped = now;
-      s->reason = Reason::kStep;
-      if (s->part >= 1) enter(Phase::kOpen, Reason::kNone, 1);
+      s->reason = PhaseReason::kStep;
+      if (s->part >= 1) enter(Phase::kOpen, PhaseReason::kNone, 1);
       return;
     case Phase::kEvacuating: {
       if (now - s->stepped < options_.step_every) return;
@@ -255,13 +258,13 @@
         room = std::all_of(asked.begin(), asked.end(), [&](auto& a) { return a.second <= borne[a.first]; });
       }
       if (!room) {
-        s->reason = Reason::kNoRoom;
+        s->reason = PhaseReason::kInsufficientCapacity;
         return;
       }
       s->part = kept;
       s->stepped = now;
-      s->reason = Reason::kStep;
-      if (kept <= 0) enter(Phase::kEvacuated, Reason::kOperator, 0);
+      s->reason = PhaseReason::kStep;
+      if (kept <= 0) enter(Phase::kEvacuated, PhaseReason::kOperator, 0);
       return;
     }
     case Phase::kEvacuated:
@@ -274,29 +277,30 @@
     auto agreed = link_health(key.first, key.second, input);
     auto it = plan->links.find(key);
     if (it == plan->links.end()) {
-      if (agreed != Agreed::kIll) continue;
+      if (agreed != Agreed::kUnhealthy) continue;
       it = plan->links.emplace(key, ZoneState{}).first;
     }
     auto& s = it->second;
-    heed(&s, agreed, input.now);
+    debounce(&s, agreed, input.now);
     auto zone = plan->zones.find(key.second);
     bool zone_open = zone == plan->zones.end() || zone->second.phase == Phase::kOpen;
     auto name = key.first + ">" + key.second;
-    if (s.phase == Phase::kOpen && s.ill_since && input.now - s.ill_since >= options_.link_close_after &&
-        zone_open) {
+    if (s.phase == Phase::kOpen && s.unhealthy_since &&
+        input.now - s.unhealthy_since >= options_.link_close_after && zone_open) {
       // The zone's own case comes first: it is closed in the same round where others agree.
-      if (zone_health(key.second, input) == Agreed::kIll || !spend(plan, name, input.now)) continue;
+      if (zone_health(key.second, input) == Agreed::kUnhealthy || !spend(plan, name, input.now)) continue;
       s.phase = Phase::kClosed;
-      s.reason = Reason::kSeenIll;
+      s.reason = PhaseReason::kUnhealthy;
       s.part = 0;
       s.since = input.now;
-    } else if (s.phase == Phase::kClosed && s.well_since && input.now - s.well_since >= options_.open_after &&
-               input.now - s.since >= options_.dwell && spend(plan, name, input.now)) {
+    } else if (s.phase == Phase::kClosed && s.healthy_since &&
+               input.now - s.healthy_since >= options_.open_after &&
+               input.now - s.since >= options_.minimum_phase_duration && spend(plan, name, input.now)) {
       s = ZoneState{};
     }
   }
   std::erase_if(plan->links,
-                [&](auto& l) { return l.second.phase == Phase::kOpen && l.second.ill_since == 0; });
+                [&](auto& l) { return l.second.phase == Phase::kOpen && l.second.unhealthy_since == 0; });
 }
 
 void Planner::move_phases(Plan* plan, const Input& input) const {
@@ -309,7 +313,7 @@
     for (auto& zone : zones) {
       if (dead(zone, input) != first) continue;
       auto& s = plan->zones[zone];
-      heed(&s, zone_health(zone, input), input.now);
+      debounce(&s, zone_health(zone, input), input.now);
       move_zone(plan, zone, &s, input);
     }
   move_links(plan, input);
@@ -320,26 +324,26 @@
 void Planner::share_out(Plan* plan, const Plan& last, const Input& input) const {
   std::map<SetId, std::map<Zone, double>> demand;
   for (auto& [key, rate] : asked(input)) demand[key.second][key.first] = rate;
-  std::map<SetId, std::map<Zone, double>> bears;  // of a set, by zone: what may be sent there
+  std::map<SetId, std::map<Zone, double>> capacity;  // of a set, by zone: what may be sent there
   for (auto& [key, supply] : input.supply) {
     auto it = plan->zones.find(key.second);
-    bears[key.first][key.second] = supply.warm * (it == plan->zones.end() ? 1 : it->second.part);
+    capacity[key.first][key.second] = supply.warm * (it == plan->zones.end() ? 1 : it->second.part);
   }
   plan->shares.clear();
-  plan->spares.clear();
+  plan->surplus_capacity.clear();
   // Whoever has proxies may ask at any moment: each has its place in the plan, for every set.
   std::set<Zone> froms;
   for (auto& [key, votes] : input.seen.votes()) froms.insert(key.first);
-  for (auto& [set, zones] : bears)
+  for (auto& [set, zones] : capacity)
     for (auto& from : froms) demand[set].try_emplace(from, 0);
   auto usable = [&](const Zone& from, const Zone& to) { return this->usable(*plan, from, to); };
   for (auto& [set, clients] : demand) {
-    auto& zones = bears[set];
+    auto& zones = capacity[set];
     // Near first, each zone to its fill; then near first to the brim; in this order nobody's own zone is
     // taken by those from afar.
     std::map<std::pair<Zone, Zone>, double> want;
     std::map<Zone, double> taken, left = clients;
-    for (double level : {options_.fill, options_.brim})
+    for (double level : {options_.target_utilization, options_.hard_utilization_limit})
       for (int distance = 0; distance <= 2; ++distance)
         for (auto& [from, rest] : left) {
           double room = 0;
@@ -426,7 +430,7 @@
     std::set<Zone> cold;
     for (auto& [key, supply] : input.supply)
       if (key.first == set && supply.cold) cold.insert(key.second);
-    spread_spare(plan, last, set, clients, zones, cold);
+    distribute_surplus(plan, last, set, clients, zones, cold);
   }
 }
 
@@ -437,8 +441,9 @@
 
 // What each zone has left beside this plan and the last one, for the loss of any one other zone: so much of
 // what that one serves may come here. A zone that is cold or being opened has nothing to spare.
-void Planner::spread_spare(Plan* plan, const Plan& last, SetId set, const std::map<Zone, double>& clients,
-                           const std::map<Zone, double>& bears, const std::set<Zone>& cold) const {
+void Planner::distribute_surplus(Plan* plan, const Plan& last, SetId set,
+                                 const std::map<Zone, double>& clients,
+                                 const std::map<Zone, double>& capacity, const std::set<Zone>& cold) const {
   auto of = [&](auto& shares, const Zone& from, const Zone& to) {
     auto it = shares.find({set, from});
     if (it == shares.end()) return 0.0;
@@ -446,15 +451,15 @@
     return share == it->second.end() ? 0.0 : share->second;
   };
   std::map<Zone, double> serves;  // by this plan or the last one, whichever is more
-  for (auto& [to, most] : bears)
+  for (auto& [to, most] : capacity)
     for (auto& [from, asked] : clients)
       serves[to] += asked * std::max(of(plan->shares, from, to),
                                      options_.flaw_no_overlap ? 0.0 : of(last.shares, from, to));
   std::map<Zone, double> spare, fits;  // dealt anew; and what may stay as it was dealt
-  for (auto& [to, most] : bears) {
+  for (auto& [to, most] : capacity) {
     auto state = plan->zones.find(to);
     bool whole = state == plan->zones.end() || state->second.part >= 1;
-    double room = most * options_.brim - serves[to], largest = 0;
+    double room = most * options_.hard_utilization_limit - serves[to], largest = 0;
     for (auto& [other, load] : serves)
       if (other != to) largest = std::max(largest, load);
     if (!whole || cold.count(to) || room <= 0 || largest <= kNothing) continue;
@@ -464,22 +469,22 @@
   for (auto& [from, asked] : clients) {
     std::map<Zone, double> mine;
     double left = 1;
-    auto old = last.spares.find({set, from});
+    auto old = last.surplus_capacity.find({set, from});
     bool same = true;
     for (int distance = 0; distance <= 2; ++distance)
-      for (auto& [to, most] : bears) {
+      for (auto& [to, most] : capacity) {
         if (places_.distance(from, to) != distance) continue;
         bool open = usable(*plan, from, to) && of(plan->shares, from, to) < 1 && spare.count(to);
         double given = open ? std::floor(std::min(left, spare[to]) * 1e3) / 1e3 : 0;
-        double was = of(last.spares, from, to);
+        double was = of(last.surplus_capacity, from, to);
         if (given > kLeastSpare) mine[to] = given;
         left -= given;
         same =
             same && was <= (open ? fits[to] : 0) && was >= (given > kLeastSpare * 2 ? given * kStaySpare : 0);
       }
-    auto& all = plan->spares[{set, from}];
-    all = !same ? mine : old != last.spares.end() ? old->second : std::map<Zone, double>{};
-    if (all.empty()) plan->spares.erase({set, from});
+    auto& all = plan->surplus_capacity[{set, from}];
+    all = !same ? mine : old != last.surplus_capacity.end() ? old->second : std::map<Zone, double>{};
+    if (all.empty()) plan->surplus_capacity.erase({set, from});
   }
 }
 
@@ -499,10 +504,10 @@
   if (it == plan->zones.end()) return fmt::format("no server stands in zone '{}'", zone);
   auto& s = it->second;
   if (s.phase == Phase::kEvacuating || s.phase == Phase::kEvacuated) return "it is evacuated already";
-  if (!force && !rest_carries(*plan, zone, input))
+  if (!force && !others_have_capacity(*plan, zone, input))
     return fmt::format("the other zones cannot carry what zone '{}' serves; force refuses the rest", zone);
   s.phase = s.part > 0 ? Phase::kEvacuating : Phase::kEvacuated;
-  s.reason = Reason::kOperator;
+  s.reason = PhaseReason::kOperator;
   s.forced = force;
   s.since = input.now;
   s.stepped = input.now - options_.step_every;  // the first step at once
@@ -516,7 +521,7 @@
   auto& s = it->second;
   if (s.phase != Phase::kEvacuating && s.phase != Phase::kEvacuated) return "it was not evacuated";
   s.phase = Phase::kOpening;
-  s.reason = Reason::kOperator;
+  s.reason = PhaseReason::kOperator;
   s.part = std::max(s.part, options_.first_part);
   s.forced = false;
   s.since = s.stepped = input.now;
@@ -524,7 +529,7 @@
   return "";
 }
 
-Millis Planner::takes(bool opening) const {
+Millis Planner::expected_duration(bool opening) const {
   if (!opening) return options_.step_every * static_cast<Millis>(1 / kEvacuateStep - 1);
   return options_.step_every * static_cast<Millis>(std::ceil(std::log2(1 / options_.first_part)));
 }
--- a/src/placement/zone_health_observer.cpp
+++ b/src/placement/zone_health_observer.cpp
@@ -22,13 +22,13 @@
   return it == places_.end() ? nullptr : &it->second;
 }
 
-void ZoneHealthObserver::count(Seen* s, Ended how) const {
-  if (how == Ended::kNothing) return;
+void ZoneHealthObserver::count(ZoneSample* s, RequestOutcome how) const {
+  if (how == RequestOutcome::kNothing) return;
   ++s->attempts;
-  s->refused += how == Ended::kRefused;
-  s->timed_out += how == Ended::kTimedOut;
-  s->failed += how == Ended::kFailed;
-  s->full += how == Ended::kFull;
+  s->refused += how == RequestOutcome::kRefused;
+  s->timed_out += how == RequestOutcome::kTimedOut;
+  s->failed += how == RequestOutcome::kFailed;
+  s->full += how == RequestOutcome::kFull;
 }
 
 void ZoneHealthObserver::sent(std::uint64_t request, int attempt, const std::string& server, Micros now,
@@ -37,8 +37,8 @@
   if (auto* p = place(server); p && waited) ++zones_[p->zone].seen.postponed;
 }
 
-void ZoneHealthObserver::ended(std::uint64_t request, int attempt, const std::string& server, Ended how,
-                               Micros took) {
+void ZoneHealthObserver::ended(std::uint64_t request, int attempt, const std::string& server,
+                               RequestOutcome how, Micros took) {
   auto it = out_.find({request, attempt});
   bool counted = it != out_.end() && it->second.counted;
   if (it != out_.end()) out_.erase(it);
@@ -46,7 +46,7 @@
   if (!p || counted) return;
   auto& seen = zones_[p->zone].seen;
   count(&seen, how);
-  if (how == Ended::kServed)
+  if (how == RequestOutcome::kServed)
     seen.latency_us += static_cast<std::uint64_t>(std::max<std::int64_t>(0, took.count()));
 }
 
@@ -58,7 +58,7 @@
   auto* p = place(server);
   if (!p) return;
   auto& z = zones_[p->zone];
-  count(&z.seen, ok ? Ended::kServed : Ended::kTimedOut);
+  count(&z.seen, ok ? RequestOutcome::kServed : RequestOutcome::kTimedOut);
   ++z.probes;
   if (!ok) z.doubted = true;
   // A probe is no request: it says that the server lives, and nothing of how slow it is.
@@ -74,7 +74,7 @@
     auto most = std::max(kOverdueLeast, Micros(static_cast<std::int64_t>(z.usual_us * kOverdueTimes)));
     if (now - o.at <= most) continue;
     o.counted = true;
-    count(&z.seen, Ended::kTimedOut);
+    count(&z.seen, RequestOutcome::kTimedOut);
   }
   for (auto& [server, p] : places_) {
     auto& seen = zones_[p.zone].seen;
@@ -93,14 +93,15 @@
     // Where few go, several spans make one opinion: as few as will do.
     auto sum = s;
     for (auto it = z.before.begin(); sum.attempts < kProbes && it != z.before.end(); ++it) sum.add(*it);
-    auto opinion = judge(sum, static_cast<std::uint64_t>(z.usual_us));
-    z.doubted = z.doubted || opinion == Opinion::kIll || opinion == Opinion::kLate;
-    if (opinion == Opinion::kWell && s.attempts >= kProbes) z.doubted = false;
+    auto opinion = assess(sum, static_cast<std::uint64_t>(z.usual_us));
+    z.doubted = z.doubted || opinion == Opinion::kUnhealthy || opinion == Opinion::kLate;
+    if (opinion == Opinion::kHealthy && s.attempts >= kProbes) z.doubted = false;
     if (opinion != Opinion::kNone)
-      o.voted(own_, zone, {opinion == Opinion::kWell, opinion == Opinion::kIll, opinion == Opinion::kLate});
-    o.saw(own_, 0, zone, s);
+      o.voted(own_, zone,
+              {opinion == Opinion::kHealthy, opinion == Opinion::kUnhealthy, opinion == Opinion::kLate});
+    o.record(own_, 0, zone, s);
     auto answered = s.attempts - s.refused - s.timed_out - s.failed - s.full;
-    if (opinion == Opinion::kWell && answered > z.probes) {
+    if (opinion == Opinion::kHealthy && answered > z.probes) {
       double mean = static_cast<double>(s.latency_us) / static_cast<double>(answered);
       z.usual_us = z.usual_us > 0 ? z.usual_us + kUsualStep * (mean - z.usual_us) : mean;
     }
--- a/src/placement/zone_health_observer.h
+++ b/src/placement/zone_health_observer.h
@@ -18,7 +18,7 @@
 using Micros = std::chrono::microseconds;
 
 // kFull: turned away untouched, for its load; kNothing: it says nothing of the server.
-enum class Ended {
+enum class RequestOutcome {
   kServed,
   kRefused,
   kFull,
@@ -40,7 +40,7 @@
   void servers(std::map<std::string, Place> places) { places_ = std::move(places); }  // those that are up
   void asked(SetId set) { ++asked_[set]; }                                            // a read came
   void sent(std::uint64_t request, int attempt, const std::string& server, Micros now, bool waited);
-  void ended(std::uint64_t request, int attempt, const std::string& server, Ended how, Micros took);
+  void ended(std::uint64_t request, int attempt, const std::string& server, RequestOutcome how, Micros took);
   void leads(const std::string& server);  // it is the primary of its set
   void probed(const std::string& server, bool ok);
 
@@ -57,15 +57,15 @@
     bool counted = false;
   };
   struct Health {
-    Seen seen;                // of this span
-    std::deque<Seen> before;  // of those before, the newest first
+    ZoneSample seen;                // of this span
+    std::deque<ZoneSample> before;  // of those before, the newest first
     std::uint64_t probes = 0, requests_before = 0;
     bool doubted = false;  // a probe failed, or the last opinion was not well: look closer
     unsigned spans = 0;    // since it was looked at
     double usual_us = 0;
   };
   const Place* place(const std::string& server) const;
-  void count(Seen* seen, Ended how) const;
+  void count(ZoneSample* seen, RequestOutcome how) const;
 
   Zone own_;
   bool watches_;
--- a/src/placement/zone_observation.cpp
+++ b/src/placement/zone_observation.cpp
@@ -19,7 +19,7 @@
 
 }  // namespace
 
-void Seen::add(const Seen& o) {
+void ZoneSample::add(const ZoneSample& o) {
   attempts += o.attempts;
   refused += o.refused;
   timed_out += o.timed_out;
@@ -31,13 +31,13 @@
   room += o.room;
 }
 
-void Observation::saw(const Zone& from, SetId set, const Zone& zone, const Seen& seen) {
+void Observation::record(const Zone& from, SetId set, const Zone& zone, const ZoneSample& seen) {
   std::tuple key(from, set, zone);
   if (!fits(seen_, key, kMostZones * kMostSets)) key = {"", 0, ""};
   seen_[key].add(seen);
 }
 
-void Observation::voted(const Zone& from, const Zone& zone, const Votes& votes) {
+void Observation::voted(const Zone& from, const Zone& zone, const HealthVotes& votes) {
   std::pair key(from, zone);
   if (fits(votes_, key, kMostZones * kMostZones)) votes_[key].add(votes);
 }
@@ -70,12 +70,12 @@
 void Observation::add(const Observation& o) {
   for (auto& [key, n] : o.primaries_) leads(key.first, key.second, n);
   for (auto& [plan, n] : o.followers_) follows(plan, n);
-  for (auto& [key, seen] : o.seen_) saw(std::get<0>(key), std::get<1>(key), std::get<2>(key), seen);
+  for (auto& [key, seen] : o.seen_) record(std::get<0>(key), std::get<1>(key), std::get<2>(key), seen);
   for (auto& [key, votes] : o.votes_) voted(key.first, key.second, votes);
   for (auto& [key, requests] : o.demand_) asked(key.first, key.second, requests);
 }
 
-void Demand::heed(const Observation& seen, double seconds) {
+void Demand::debounce(const Observation& seen, double seconds) {
   std::erase_if(rates_, [&](auto& r) { return r.second < kForgotten && !seen.demand().count(r.first); });
   for (auto& [key, rate] : rates_)
     if (!seen.demand().count(key)) rate -= kSmooth * rate;
@@ -89,14 +89,14 @@
   }
 }
 
-Opinion judge(const Seen& s, std::uint64_t usual) {
+Opinion assess(const ZoneSample& s, std::uint64_t usual) {
   if (s.attempts < kLeastAttempts) return Opinion::kNone;
-  if ((s.refused + s.failed) * 2 >= s.attempts) return Opinion::kIll;
+  if ((s.refused + s.failed) * 2 >= s.attempts) return Opinion::kUnhealthy;
   auto lost = s.refused + s.timed_out + s.failed + s.full;
   if (lost * 2 >= s.attempts) return Opinion::kLate;
   auto answered = s.attempts - lost;
   bool slow = usual > 0 && s.latency_us > usual * kSlowTimes * answered;
-  return slow ? Opinion::kLate : Opinion::kWell;
+  return slow ? Opinion::kLate : Opinion::kHealthy;
 }
 
 }  // namespace database_proxy::placement
--- a/src/state/durable_store.cpp
+++ b/src/state/durable_store.cpp
@@ -23,7 +23,7 @@
   return crc.checksum();
 }
 
-class Sqlite : public Store {
+class Sqlite : public DurableStore {
  public:
   Sqlite(const std::string& path, int version) : path_(path) {
     int opened = sqlite3_open_v2(path.c_str(), &db_, SQLITE_OPEN_READWRITE | SQLITE_OPEN_CREATE, nullptr);
@@ -35,9 +35,9 @@
     auto application = number("PRAGMA application_id"), made = number("PRAGMA user_version");
     bool fresh = application == 0 && number("SELECT count(*) FROM sqlite_master") == 0;
     if (!fresh && application != kApplication)
-      throw StoreError(Fault::kForeign, fmt::format("{} was made by another program", path));
+      throw StoreError(StoreErrorCode::kForeign, fmt::format("{} was made by another program", path));
     if (made > version)
-      throw StoreError(Fault::kNewer,
+      throw StoreError(StoreErrorCode::kNewer,
                        fmt::format("{} has version {}, this program knows {}", path, made, version));
     run("PRAGMA journal_mode=WAL");
     run("PRAGMA synchronous=FULL");
@@ -50,7 +50,7 @@
     run("COMMIT");
     Statement check(*this, "PRAGMA quick_check(1)");
     if (!check.row() || check.text(0) != "ok")
-      throw StoreError(Fault::kTorn, fmt::format("{} is damaged", path));
+      throw StoreError(StoreErrorCode::kCorrupt, fmt::format("{} is damaged", path));
   }
   void commit(const Batch& batch) override {
     run("BEGIN");
@@ -128,7 +128,7 @@
   std::pair<std::string, std::string> checked(Statement& s) {
     auto key = s.text(0), value = s.text(1);
     if (sum_of(key, value) != s.number(2))
-      throw StoreError(Fault::kTorn, fmt::format("{}: a checksum does not fit", path_));
+      throw StoreError(StoreErrorCode::kCorrupt, fmt::format("{}: a checksum does not fit", path_));
     return {std::move(key), std::move(value)};
   }
   void run(const char* sql) {
@@ -144,12 +144,12 @@
     switch (code) {
       case SQLITE_BUSY:
       case SQLITE_LOCKED:
-        throw StoreError(Fault::kLocked, fmt::format("{} is in use by another process", path_));
+        throw StoreError(StoreErrorCode::kLocked, fmt::format("{} is in use by another process", path_));
       case SQLITE_NOTADB:
       case SQLITE_CORRUPT:
-        throw StoreError(Fault::kTorn, why);
+        throw StoreError(StoreErrorCode::kCorrupt, why);
       default:
-        throw StoreError(Fault::kDisk, why);
+        throw StoreError(StoreErrorCode::kDisk, why);
     }
   }
 
@@ -161,7 +161,7 @@
   std::unique_ptr<sqlite3, Close> closes_;
 };
 
-class Memory : public Store {
+class Memory : public DurableStore {
  public:
   void commit(const Batch& batch) override {
     for (auto& [from, to] : batch.removals) kept_.erase(kept_.lower_bound(from), kept_.lower_bound(to));
@@ -194,14 +194,14 @@
   for (auto& change : next.changes) changes.push_back(std::move(change));
 }
 
-std::unique_ptr<Store> open_store(const std::string& directory, const std::string& name, int version) {
+std::unique_ptr<DurableStore> open_store(const std::string& directory, const std::string& name, int version) {
   std::error_code failed;
   std::filesystem::create_directories(directory, failed);
-  if (failed) throw StoreError(Fault::kDisk, fmt::format("{}: {}", directory, failed.message()));
+  if (failed) throw StoreError(StoreErrorCode::kDisk, fmt::format("{}: {}", directory, failed.message()));
   return std::make_unique<Sqlite>((std::filesystem::path(directory) / (name + ".db")).string(), version);
 }
 
-std::string set_aside(const std::string& directory, const std::string& name) {
+std::string quarantine_corrupt_file(const std::string& directory, const std::string& name) {
   namespace fs = std::filesystem;
   auto now = std::chrono::system_clock::now().time_since_epoch() / std::chrono::milliseconds(1);
   auto to = fs::path(directory) / fmt::format("set-aside-{}", now);
@@ -213,6 +213,6 @@
   return to.string();
 }
 
-std::unique_ptr<Store> memory_store() { return std::make_unique<Memory>(); }
+std::unique_ptr<DurableStore> memory_store() { return std::make_unique<Memory>(); }
 
 }  // namespace database_proxy::state
--- a/src/state/durable_store.h
+++ b/src/state/durable_store.h
@@ -13,16 +13,16 @@
 
 namespace database_proxy::state {
 
-enum class Fault {
+enum class StoreErrorCode {
   kLocked,   // another process has this directory
-  kTorn,     // a checksum does not fit, or the file is no whole database
+  kCorrupt,  // a checksum does not fit, or the file is no whole database
   kForeign,  // made by another program, or for another installation
   kNewer,    // made by a newer version
   kDisk,     // full, read-only or broken
 };
 struct StoreError : std::runtime_error {
-  StoreError(Fault f, const std::string& what) : std::runtime_error(what), fault(f) {}
-  Fault fault;
+  StoreError(StoreErrorCode f, const std::string& what) : std::runtime_error(what), code(f) {}
+  StoreErrorCode code;
 };
 
 struct Batch {
@@ -32,9 +32,9 @@
   void add(Batch next);  // carried out after what is here
 };
 
-class Store {
+class DurableStore {
  public:
-  virtual ~Store() = default;
+  virtual ~DurableStore() = default;
   virtual void commit(const Batch& batch) = 0;                          // throws StoreError
   virtual std::optional<std::string> read(const std::string& key) = 0;  // throws StoreError, kTorn too
   // All keys from `from` on and before `to`, in order.
@@ -43,9 +43,9 @@
 };
 
 // Opens `directory`/NAME.db, which is made where it is not there; `version` of what is kept in it.
-std::unique_ptr<Store> open_store(const std::string& directory, const std::string& name, int version);
+std::unique_ptr<DurableStore> open_store(const std::string& directory, const std::string& name, int version);
 // Moves a torn file out of the way, so that an empty one can take its place; where it went.
-std::string set_aside(const std::string& directory, const std::string& name);
-std::unique_ptr<Store> memory_store();  // for tests: it forgets all
+std::string quarantine_corrupt_file(const std::string& directory, const std::string& name);
+std::unique_ptr<DurableStore> memory_store();  // for tests: it forgets all
 
 }  // namespace database_proxy::state
--- a/src/state/store_writer.cpp
+++ b/src/state/store_writer.cpp
@@ -6,12 +6,12 @@
 
 namespace database_proxy::state {
 
-Writer::Writer(std::unique_ptr<Store> store, Told told)
+StoreWriter::StoreWriter(std::unique_ptr<DurableStore> store, CompletionCallback told)
     : store_(std::move(store)), told_(std::move(told)), thread_([this] { run(); }) {
   pthread_setname_np(thread_.native_handle(), "state");
 }
 
-Writer::~Writer() {
+StoreWriter::~StoreWriter() {
   {
     std::lock_guard lock(mutex_);
     stopped_ = true;
@@ -20,7 +20,7 @@
   thread_.join();
 }
 
-void Writer::write(std::uint64_t number, Batch batch) {
+void StoreWriter::write(std::uint64_t number, Batch batch) {
   {
     std::lock_guard lock(mutex_);
     queue_.emplace_back(number, std::move(batch));
@@ -28,7 +28,7 @@
   more_.notify_one();
 }
 
-void Writer::run() {
+void StoreWriter::run() {
   std::string failed;
   while (true) {
     std::vector<std::pair<std::uint64_t, Batch>> taken;
--- a/src/state/store_writer.h
+++ b/src/state/store_writer.h
@@ -15,15 +15,15 @@
 
 namespace database_proxy::state {
 
-class Writer {
+class StoreWriter {
  public:
   // Told in the writer's thread: all up to this number are durable; or `error` is not empty, and none will be
   // any more.
-  using Told = std::function<void(std::uint64_t number, const std::string& error)>;
-  Writer(std::unique_ptr<Store> store, Told told);
-  ~Writer();  // after what was given to it is written
-  Writer(const Writer&) = delete;
-  Writer& operator=(const Writer&) = delete;
+  using CompletionCallback = std::function<void(std::uint64_t number, const std::string& error)>;
+  StoreWriter(std::unique_ptr<DurableStore> store, CompletionCallback told);
+  ~StoreWriter();  // after what was given to it is written
+  StoreWriter(const StoreWriter&) = delete;
+  StoreWriter& operator=(const StoreWriter&) = delete;
 
   // Never blocks for the disk. What waits is bounded by what the caller lets be unwritten.
   void write(std::uint64_t number, Batch batch);
@@ -31,8 +31,8 @@
  private:
   void run();
 
-  std::unique_ptr<Store> store_;
-  Told told_;
+  std::unique_ptr<DurableStore> store_;
+  CompletionCallback told_;
   std::mutex mutex_;
   std::condition_variable more_;
   std::vector<std::pair<std::uint64_t, Batch>> queue_;
--- a/src/testbench/simulation/model.cpp
+++ b/src/testbench/simulation/model.cpp
@@ -93,7 +93,7 @@
   explicit Explorer(ScopeOptions options) : options_(options) { walk_.most = options.most_states; }
   ScopeResult run() {
     State s;
-    rc::Members members;
+    rc::Membership members;
     for (int i = 1; i <= options_.nodes; ++i) members.voters.push_back(static_cast<rc::NodeId>(i));
     auto first = std::make_shared<rc::Snapshot>();
     first->index = 1;
@@ -146,7 +146,7 @@
     for (int round = 0; !inputs.empty(); ++round) {
       auto out = node.step(now, std::move(inputs));
       inputs.clear();
-      for (auto& turn : out.turns)
+      for (auto& turn : out.role_changes)
         if (turn.role == rc::Role::kLeader) {
           auto [it, fresh] = s.leaders.emplace(turn.term, node_options(i).self);
           if (!fresh && it->second != node_options(i).self)
@@ -179,7 +179,7 @@
         if (w.truncate_from) std::erase_if(d.entries, [&](auto& e) { return e.index >= w.truncate_from; });
         d.entries.insert(d.entries.end(), w.append.begin(), w.append.end());
         inputs.clear();
-        inputs.push_back(rc::Written{w.number});
+        inputs.push_back(rc::WriteCompleted{w.number});
       }
     }
     // What is of an older term than its receiver brings nothing any more.
@@ -204,20 +204,20 @@
   bool expand(const State& s) {
     for (int i = 0; i < options_.nodes; ++i) {
       auto& node = s.nodes[static_cast<std::size_t>(i)];
-      if (s.elections > 0 && !node.leads())
+      if (s.elections > 0 && !node.is_leader())
         if (!go(s, fmt::format("{} campaigns", i + 1), [&](State& n) {
               --n.elections;
               return step(n, i, rc::Tick{});
             }))
           return false;
-      if (s.proposals > 0 && node.leads())
+      if (s.proposals > 0 && node.is_leader())
         for (bool torn : {false, true}) {
           if (torn && s.crashes == 0) continue;
           if (!go(s, fmt::format("{} proposes{}", i + 1, torn ? " and dies before it is durable" : ""),
                   [&](State& n) {
                     --n.proposals;
                     n.crashes -= torn;
-                    return step(n, i, rc::Propose{1, "x"}, torn);
+                    return step(n, i, rc::Proposal{1, "x"}, torn);
                   }))
             return false;
         }
@@ -235,7 +235,7 @@
       if (!go(s, print(queue.front()), [&, key = link](State& n) {
             auto message = n.links[key].front();
             n.links[key].erase(n.links[key].begin());
-            return step(n, static_cast<int>(message.to) - 1, rc::Received{message});
+            return step(n, static_cast<int>(message.to) - 1, rc::MessageReceived{message});
           }))
         return false;
       if (s.breaks > 0 &&
@@ -262,8 +262,8 @@
   own::LeaseRegistry ledger;
   own::LeaseManager stewards[2]{own::LeaseManager({}), own::LeaseManager({})};
   std::vector<own::LeaseClient> holders;
-  std::vector<std::pair<int, own::LeaseRenewalRequest>> asks;  // on their way; to whichever leads
-  std::vector<std::pair<int, own::Told>> tolds;                // on their way to an owner
+  std::vector<std::pair<int, own::LeaseRenewalRequest>> asks;        // on their way; to whichever leads
+  std::vector<std::pair<int, own::LeaseRenewalResponse>> responses;  // on their way to an owner
   std::optional<std::pair<int, own::Command>> grant;
   int leader = 0, time = 0, asked[2]{-1, -1}, asks_left[2]{2, 2};
   std::uint64_t index = 10;
@@ -283,7 +283,7 @@
     for (auto& steward : s.stewards) steward = own::LeaseManager(lease_);
     s.holders.emplace_back("a", lease_);
     s.holders.emplace_back("b", lease_);
-    s.stewards[0].lead(at(0, 1));
+    s.stewards[0].on_elected(at(0, 1));
     s.ledger.apply(5, own::Grant{"j", "a", 0});
     walk_.begin(std::move(s), fingerprint(s));
     while (walk_.next() && expand(walk_.state)) {
@@ -307,7 +307,7 @@
       f += fmt::format("{} {} ", s.holders[static_cast<std::size_t>(o)].token("j"),
                        s.holders[static_cast<std::size_t>(o)].until("j").count());
     for (auto& [o, a] : s.asks) f += fmt::format("q{}.{} ", o, a.number);
-    for (auto& [o, t] : s.tolds) f += fmt::format("t{}.{}.{} ", o, t.number, t.granted.size());
+    for (auto& [o, t] : s.responses) f += fmt::format("t{}.{}.{} ", o, t.number, t.granted.size());
     if (auto* job = s.ledger.job("j")) f += fmt::format("{}:{} ", job->owner, job->token);
     for (auto& steward : s.stewards) f += steward.fingerprint();
     if (s.grant) f += "g" + std::to_string(s.grant->first) + own::encode(s.grant->second);
@@ -338,12 +338,13 @@
       return false;
     for (int o = 0; o < 2; ++o) {
       bool waits = std::any_of(s.asks.begin(), s.asks.end(), [&](auto& a) { return a.first == o; }) ||
-                   std::any_of(s.tolds.begin(), s.tolds.end(), [&](auto& t) { return t.first == o; });
+                   std::any_of(s.responses.begin(), s.responses.end(), [&](auto& t) { return t.first == o; });
       if (!waits && s.asked[o] < s.time && s.asks_left[o] > 0 &&
           !go(s, fmt::format("{} asks", o), [&](LeaseState& n) {
             n.asked[o] = n.time;
             --n.asks_left[o];
-            n.asks.emplace_back(o, n.holders[static_cast<std::size_t>(o)].ask(of_owner(n, o), {"j"}));
+            n.asks.emplace_back(
+                o, n.holders[static_cast<std::size_t>(o)].make_renewal_request(of_owner(n, o), {"j"}));
           }))
         return false;
     }
@@ -352,15 +353,15 @@
             auto [o, ask] = n.asks[i];
             n.asks.erase(n.asks.begin() + static_cast<std::ptrdiff_t>(i));
             auto& steward = n.stewards[n.leader];
-            steward.asked(of_leader(n), ask, n.ledger);
-            n.tolds.emplace_back(o, steward.answer(o == 0 ? "a" : "b", ask.number, n.ledger));
+            steward.on_renewal_request(of_leader(n), ask, n.ledger);
+            n.responses.emplace_back(o, steward.renewal_response(o == 0 ? "a" : "b", ask.number, n.ledger));
           }))
         return false;
-    for (std::size_t i = 0; i < s.tolds.size(); ++i)
+    for (std::size_t i = 0; i < s.responses.size(); ++i)
       if (!go(s, "an answer comes", [&](LeaseState& n) {
-            auto [o, told] = n.tolds[i];
-            n.tolds.erase(n.tolds.begin() + static_cast<std::ptrdiff_t>(i));
-            n.holders[static_cast<std::size_t>(o)].told(of_owner(n, o), told);
+            auto [o, told] = n.responses[i];
+            n.responses.erase(n.responses.begin() + static_cast<std::ptrdiff_t>(i));
+            n.holders[static_cast<std::size_t>(o)].on_renewal_response(of_owner(n, o), told);
           }))
         return false;
     if (!s.grant && !go(s, "the leader judges", [&](LeaseState& n) {
@@ -370,7 +371,7 @@
       return false;
     if (s.grant && !go(s, "a grant is committed", [&](LeaseState& n) {
           n.ledger.apply(++n.index, n.grant->second);
-          if (n.grant->first == n.leader) n.stewards[n.leader].settled("j");
+          if (n.grant->first == n.leader) n.stewards[n.leader].on_proposal_finished("j");
           n.grant.reset();
         }))
       return false;
@@ -382,8 +383,8 @@
               if (kept) n.ledger.apply(++n.index, n.grant->second);
               n.grant.reset();
               n.leader = 1;
-              n.stewards[0].stop();
-              n.stewards[1].lead(of_leader(n));
+              n.stewards[0].on_leadership_lost();
+              n.stewards[1].on_elected(of_leader(n));
             }))
           return false;
       }
--- a/src/testbench/simulation/placement.cpp
+++ b/src/testbench/simulation/placement.cpp
@@ -45,7 +45,7 @@
   }
   void build();
   bool faulty(Fault::What what, const Zone& zone, const Zone& other = "") const;
-  bool ill(const Zone& zone) const;
+  bool unhealthy(const Zone& zone) const;
   bool cut(const Zone& a, const Zone& b) const { return a != b && faulty(Fault::What::kCut, a, b); }
   double warm(const Zone& zone) const;
   pl::Input observe();
@@ -102,8 +102,8 @@
     faults_.push_back(f);
   }
   options_.flaw_one_voice = mutant_ == PlanMutant::kOneVoice;
-  options_.flaw_no_room = mutant_ == PlanMutant::kNoRoom;
-  options_.flaw_no_dwell = mutant_ == PlanMutant::kNoDwell;
+  options_.flaw_no_capacity_check = mutant_ == PlanMutant::kInsufficientCapacity;
+  options_.flaw_no_minimum_duration = mutant_ == PlanMutant::kNoMinimumDuration;
   options_.flaw_no_budget = mutant_ == PlanMutant::kNoBudget;
   options_.flaw_no_overlap = mutant_ == PlanMutant::kNoOverlap;
   options_.flaw_open_at_once = mutant_ == PlanMutant::kOpenAtOnce;
@@ -118,7 +118,7 @@
   });
 }
 
-bool World::ill(const Zone& zone) const {
+bool World::unhealthy(const Zone& zone) const {
   if (faulty(Fault::What::kDead, zone) || faulty(Fault::What::kGrey, zone)) return true;
   return faulty(Fault::What::kFlap, zone) && now_ / flap_every_ % 2 == 0;
 }
@@ -137,12 +137,12 @@
     pl::Observation here;
     for (int o = 0; o < observers_[from]; ++o)
       for (auto& to : zones_) {
-        bool bad = (from == bad_card_ && o == 0) || ill(to) || cut(from, to) || draw(50) == 0;
+        bool bad = (from == bad_card_ && o == 0) || unhealthy(to) || cut(from, to) || draw(50) == 0;
         here.vote(from, to, !bad);
-        pl::Seen s;
+        pl::ZoneSample s;
         s.attempts = kProbes;
         s.timed_out = bad ? (faulty(Fault::What::kGrey, to) ? kProbes / 2 : kProbes) : 0;
-        here.saw(from, 1, to, s);
+        here.record(from, 1, to, s);
       }
     for (int set = 1; set <= sets_; ++set) {
       double asked = demand_[{set, from}] * between(0.97, 1.03) * (faulty(Fault::What::kBurst, "") ? 2 : 1);
@@ -152,8 +152,8 @@
       pl::Observation old;
       for (auto& [key, votes] : seen_.front().votes())
         if (key.first == from)
-          for (std::uint64_t i = 0; i < votes.well + votes.ill; ++i)
-            old.vote(from, key.second, i < votes.well);
+          for (std::uint64_t i = 0; i < votes.healthy + votes.unhealthy; ++i)
+            old.vote(from, key.second, i < votes.healthy);
       for (auto& [key, requests] : seen_.front().demand())
         if (key.first == from) old.asked(from, key.second, requests);
       here = old;
@@ -165,7 +165,7 @@
   pl::Input input;
   input.now = now_ + 1'000'000;
   input.seen = seen;
-  asked_smoothly_.heed(seen, 1);
+  asked_smoothly_.debounce(seen, 1);
   input.asked = asked_smoothly_.rates();
   for (auto& [key, most] : capacity_) input.supply[key] = {most * warm(key.second), warm(key.second) < 1};
   return input;
@@ -195,21 +195,21 @@
       alone += d * b;
     }
     auto& state = plan.zones.at(to);
-    double bears = supply.warm * state.part;
-    if (mixed > std::max(before, bears) * 1.001 + 1)
+    double capacity = supply.warm * state.part;
+    if (mixed > std::max(before, capacity) * 1.001 + 1)
       throw fmt::format(
           "set {} of {}: {:.0f} by half of the proxies on plan {} and half on {}, it bears {:.0f}", set, to,
-          mixed, last.number, plan.number, bears);
-    if (plan.number > last.number && alone > bears * 1.03 + 2 + bears * 0.03)
+          mixed, last.number, plan.number, capacity);
+    if (plan.number > last.number && alone > capacity * 1.03 + 2 + capacity * 0.03)
       throw fmt::format("set {} of {}: {:.0f} by plan {}, it bears {:.0f}", set, to, alone, plan.number,
-                        bears);
+                        capacity);
   }
   // The loss of any one zone, with half of the proxies on each plan: its clients may all use what is spare.
   for (auto& [key, supply] : input.supply) {
     auto& [set, to] = key;
     if (plan.zones.at(to).phase != pl::Phase::kOpen || supply.cold) {
       for (auto& from : zones_)
-        if (one(plan.spares, set, from, to) > 0)
+        if (one(plan.surplus_capacity, set, from, to) > 0)
           throw fmt::format("set {} of {}: it is not whole, and spare by plan {}", set, to, plan.number);
       continue;
     }
@@ -219,8 +219,8 @@
       for (auto& from : zones_) {
         double d = demand(set, from);
         before += d * share(last, set, from, to);
-        alone +=
-            d * (share(plan, set, from, to) + share(plan, set, from, lost) * one(plan.spares, set, from, to));
+        alone += d * (share(plan, set, from, to) +
+                      share(plan, set, from, lost) * one(plan.surplus_capacity, set, from, to));
       }
       if (alone > std::max(before, supply.warm) * 1.03 + 2)
         throw fmt::format("set {} of {}: without {} {:.0f} by plan {}, it bears {:.0f}", set, to, lost, alone,
@@ -241,7 +241,7 @@
                     pl::text_of(plan.zones.at(zone).reason)));
     ++result_.changes;
     // By hand, and the ends of what was begun, are no flapping.
-    bool by_hand = plan.zones.at(zone).reason == pl::Reason::kOperator;
+    bool by_hand = plan.zones.at(zone).reason == pl::PhaseReason::kOperator;
     if (!by_hand && (phase == pl::Phase::kClosed || phase == pl::Phase::kOpening))
       changes_[zone].push_back(now_);
     auto& list = changes_[zone];
@@ -251,7 +251,7 @@
       int see_ill = 0;
       for (auto& from : zones_)
         if (auto v = input.seen.votes().find({from, zone}); v != input.seen.votes().end())
-          see_ill += v->second.ill >= 2;
+          see_ill += v->second.unhealthy >= 2;
       if (see_ill < 2) throw fmt::format("{} is closed, and only {} zones see it ill", zone, see_ill);
       if (!faulty(Fault::What::kDead, zone) && !(faulty(Fault::What::kFlap, zone)) &&
           faulty(Fault::What::kGrey, zone)) {
@@ -287,11 +287,11 @@
       asked += d / 2;
       auto it = p->shares.find(key);
       if (it == p->shares.end()) continue;
-      auto spare = p->spares.find(key);
+      auto spare = p->surplus_capacity.find(key);
       for (auto& [to, share] : it->second) {
         // By its own eyes a proxy leaves a zone that serves nobody, as far as there is spare room elsewhere.
         bool gone = cut(key.second, to) || faulty(Fault::What::kDead, to);
-        if (gone && spare != p->spares.end())
+        if (gone && spare != p->surplus_capacity.end())
           for (auto& [other, part] : spare->second) {
             if (other == to) continue;
             sent[{key.first, key.second, other}] += d / 2 * share * part;
@@ -306,11 +306,12 @@
     auto& [set, from, to] = key;
     if (from != to) far += rate;
     double good =
-        cut(from, to) || faulty(Fault::What::kDead, to) || (faulty(Fault::What::kFlap, to) && ill(to)) ? 0
-        : faulty(Fault::What::kGrey, to)                                                               ? 0.5
-                                                                                                       : 1;
-    double bears = capacity_[{set, to}] * warm(to);
-    served += rate * good * std::min(1.0, bears / std::max(1.0, load[{set, to}]));
+        cut(from, to) || faulty(Fault::What::kDead, to) || (faulty(Fault::What::kFlap, to) && unhealthy(to))
+            ? 0
+        : faulty(Fault::What::kGrey, to) ? 0.5
+                                         : 1;
+    double capacity = capacity_[{set, to}] * warm(to);
+    served += rate * good * std::min(1.0, capacity / std::max(1.0, load[{set, to}]));
   }
   asked_ += asked;
   served_ += served;
@@ -413,8 +414,8 @@
 const std::vector<std::pair<PlanMutant, std::string>>& plan_mutants() {
   static const std::vector<std::pair<PlanMutant, std::string>> all{
       {PlanMutant::kOneVoice, "one proxy's word closes a zone"},
-      {PlanMutant::kNoRoom, "closed though the rest cannot carry it"},
-      {PlanMutant::kNoDwell, "opened without dwelling"},
+      {PlanMutant::kInsufficientCapacity, "closed though the rest cannot carry it"},
+      {PlanMutant::kNoMinimumDuration, "opened without dwelling"},
       {PlanMutant::kNoBudget, "no budget of changes"},
       {PlanMutant::kNoOverlap, "the last plan's followers forgotten"},
       {PlanMutant::kOpenAtOnce, "opened at once"}};
@@ -438,9 +439,9 @@
     auto& o = all[static_cast<std::size_t>(i)];
     auto& from = names[static_cast<std::size_t>(i % zones)];
     for (auto& to : names) {
-      pl::Seen s;
+      pl::ZoneSample s;
       s.attempts = 40, s.latency_us = 123456, s.room = 77.5;
-      o.saw(from, 0, to, s);
+      o.record(from, 0, to, s);
       o.vote(from, to, true);
     }
     for (int set = 1; set <= sets; ++set) o.asked(from, set, 5), o.leads(set, names[0]);
@@ -459,7 +460,7 @@
   input.now = 1'000'000;
   input.seconds = 0.5;
   pl::Demand demand;
-  demand.heed(input.seen, 0.5);
+  demand.debounce(input.seen, 0.5);
   input.asked = demand.rates();
   double each = 300.0 * servers / sets / zones;
   for (auto& zone : names)
--- a/src/testbench/simulation/placement.h
+++ b/src/testbench/simulation/placement.h
@@ -12,7 +12,15 @@
 
 namespace database_proxy::testbench::simulation {
 
-enum class PlanMutant { kNone, kOneVoice, kNoRoom, kNoDwell, kNoBudget, kNoOverlap, kOpenAtOnce };
+enum class PlanMutant {
+  kNone,
+  kOneVoice,
+  kInsufficientCapacity,
+  kNoMinimumDuration,
+  kNoBudget,
+  kNoOverlap,
+  kOpenAtOnce
+};
 const std::vector<std::pair<PlanMutant, std::string>>& plan_mutants();
 
 struct PlacementResult {
--- a/src/testbench/simulation/world.cpp
+++ b/src/testbench/simulation/world.cpp
@@ -55,7 +55,7 @@
     std::unique_ptr<own::LeaseClient> holder;
     std::map<std::uint64_t, std::function<void(bool)>> reads;  // by ticket
     std::map<std::pair<Index, rc::Term>, std::function<void(bool)>> proposals;
-    std::map<std::uint64_t, std::function<void(rc::Proposed)>> tickets;
+    std::map<std::uint64_t, std::function<void(rc::ProposalResult)>> tickets;
     Micros ticking{-1};
     std::vector<std::pair<std::uint64_t, rc::Message>> unsent;  // wait for a write
     std::uint64_t durable_write = 0;
@@ -232,9 +232,9 @@
     ready.push_back(std::move(u.second));
     return true;
   });
-  for (auto& m : ready) deliver(n, m.to, [this, m](int to) { step(to, {rc::Received{m}}); });
+  for (auto& m : ready) deliver(n, m.to, [this, m](int to) { step(to, {rc::MessageReceived{m}}); });
   // The process may be paused while its disk goes on.
-  at_node(n, now_, [this, n, number] { step(n, {rc::Written{number}}); });
+  at_node(n, now_, [this, n, number] { step(n, {rc::WriteCompleted{number}}); });
 }
 
 void World::deliver(int from, NodeId to_id, std::function<void(int)> call) {
@@ -257,7 +257,7 @@
   ++result_.events;
   auto before = node.raft->role();
   auto out = node.raft->step(local(node), std::move(inputs));
-  for (auto& turn : out.turns) {
+  for (auto& turn : out.role_changes) {
     if (turn.role == rc::Role::kLeader) {
       ++result_.elections;
       say(fmt::format("{} leads in term {}", node.name, turn.term));
@@ -288,7 +288,8 @@
     if (m.after > node.durable_write)
       node.unsent.emplace_back(m.after, std::move(m.message));
     else
-      deliver(n, m.message.to, [this, m = std::move(m.message)](int to) { step(to, {rc::Received{m}}); });
+      deliver(n, m.message.to,
+              [this, m = std::move(m.message)](int to) { step(to, {rc::MessageReceived{m}}); });
   }
   if (out.restored) {
     auto ledger = own::LeaseRegistry::decode(out.restored->data);
@@ -314,9 +315,9 @@
     node.reads.erase(it);
     call(r.confirmed);
   }
-  if (node.raft->leads() && before != rc::Role::kLeader) node.steward.lead(local(node));
-  if (!node.raft->leads() && before == rc::Role::kLeader) {
-    node.steward.stop();
+  if (node.raft->is_leader() && before != rc::Role::kLeader) node.steward.on_elected(local(node));
+  if (!node.raft->is_leader() && before == rc::Role::kLeader) {
+    node.steward.on_leadership_lost();
     for (auto& [where, call] : std::exchange(node.proposals, {})) call(false);
   }
   steward(n);
@@ -331,7 +332,7 @@
     ++result_.committed;
     committed_in_[entry.index] = node.raft->term();
   }
-  if (entry.kind == rc::Kind::kCommand) {
+  if (entry.type == rc::EntryType::kCommand) {
     auto command = own::decode(entry.data);
     demand(command.has_value(), "a command that cannot be read");
     own::Token granted = 0;
@@ -340,14 +341,14 @@
     bool stale = holding && publish->token < holding->token;
     auto applied = node.ledger.apply(entry.index, *command, &granted);
     if (first && stale) ++result_.stale_attempted;
-    demand(!(stale && applied == own::LeaseRegistry::Applied::kDone),
+    demand(!(stale && applied == own::LeaseRegistry::ApplyResult::kDone),
            "the ledger takes an effect with an old token");
     if (first && granted) {
       ++result_.grants;
       auto& g = std::get<own::Grant>(*command);
       say(fmt::format("job {} granted to {} with token {}", g.job, g.owner, granted));
     }
-    if (auto* g = std::get_if<own::Grant>(&*command)) node.steward.settled(g->job);
+    if (auto* g = std::get_if<own::Grant>(&*command)) node.steward.on_proposal_finished(g->job);
     if (auto* put = std::get_if<own::SetConfigurationEntry>(&*command); put && put->key == "x")
       puts_[entry.index] = std::stoull(put->value);
   }
@@ -362,30 +363,32 @@
     auto [known, fresh] = states_.emplace(entry.index, state);
     demand(fresh || known->second == state,
            fmt::format("{} has another state at {}", node.name, entry.index));
-    at_node(n, now_, [this, n, index = entry.index, state] { step(n, {rc::Snapshotted{index, state}}); });
+    at_node(n, now_, [this, n, index = entry.index, state] { step(n, {rc::SnapshotTaken{index, state}}); });
   }
 }
 
 void World::propose(int n, const own::Command& command, std::function<void(bool)> done) {
   auto& node = nodes_[n];
   auto ticket = ++tickets_;
-  node.tickets[ticket] = [this, n, done = std::move(done)](rc::Proposed p) {
+  node.tickets[ticket] = [this, n, done = std::move(done)](rc::ProposalResult p) {
     if (p.index == 0)
       done(false);
     else
       nodes_[n].proposals[{p.index, p.term}] = done;
   };
-  step(n, {rc::Propose{ticket, own::encode(command)}});
+  step(n, {rc::Proposal{ticket, own::encode(command)}});
 }
 
 void World::steward(int n) {
   auto& node = nodes_[n];
-  if (!node.steward.leading() || !node.raft->committed_own() || local(node) < node.steward.due()) return;
+  if (!node.steward.leading() || !node.raft->has_committed_in_current_term() ||
+      local(node) < node.steward.due())
+    return;
   for (auto& command : node.steward.propose(local(node), node.ledger)) {
     auto job = std::get<own::Grant>(command).job;
     at_node(n, now_, [this, n, command, job] {
       propose(n, command, [this, n, job](bool good) {
-        if (!good) nodes_[n].steward.settled(job);
+        if (!good) nodes_[n].steward.on_proposal_finished(job);
       });
     });
   }
@@ -400,18 +403,18 @@
     say(fmt::format("{} lets {} go: its lease has run out", node.name, job));
   auto leader = node.raft->leader();
   if (leader == rc::kNobody) return;
-  auto question = node.holder->ask(local(node), kJobs);
+  auto question = node.holder->make_renewal_request(local(node), kJobs);
   auto answer = [this, from = n](int at, const own::LeaseRenewalRequest& q) {
     auto& lead = nodes_[at];
-    if (!lead.steward.leading() || !lead.raft->committed_own()) return;
-    lead.steward.asked(local(lead), q, lead.ledger);
+    if (!lead.steward.leading() || !lead.raft->has_committed_in_current_term()) return;
+    lead.steward.on_renewal_request(local(lead), q, lead.ledger);
     auto ticket = ++tickets_;
     lead.reads[ticket] = [this, from, at, q](bool confirmed) {
       if (!confirmed) return;
-      auto told = nodes_[at].steward.answer(q.node, q.number, nodes_[at].ledger);
+      auto told = nodes_[at].steward.renewal_response(q.node, q.number, nodes_[at].ledger);
       auto hear = [this, from, at, told](int to) {
         auto& node = nodes_[to];
-        node.holder->told(local(node), told);
+        node.holder->on_renewal_response(local(node), told);
         for (auto& job : std::set<std::string>(node.holder->to_give_up())) {
           auto token = node.holder->give_up(job);
           if (token == 0) continue;
@@ -428,7 +431,7 @@
       else
         deliver(at, nodes_[from].id, hear);
     };
-    step(at, {rc::Read{ticket}});
+    step(at, {rc::ReadRequest{ticket}});
   };
   if (leader == node.id)
     answer(n, question);
@@ -450,7 +453,7 @@
              fmt::format("{} and {} both pass their check for {}", node.name, o.name, job));
     }
     auto token = node.holder->token(job);
-    node.holder->worked(job);
+    node.holder->record_progress(job);
     ++result_.effects;
     // It stops between the check and the effect, now and then for long.
     if (draw(200) == 0 && now_ < options_.faults_until) node.paused_until = now_ + span(100ms, 4s);
@@ -478,7 +481,7 @@
   at(now_ + span(kClientEvery / 2, kClientEvery * 3 / 2), [this] { client(); });
   int n = static_cast<int>(draw(nodes_.size()));
   auto& node = nodes_[n];
-  if (!node.up || node.paused_until > now_ || !node.raft->leads()) return;
+  if (!node.up || node.paused_until > now_ || !node.raft->is_leader()) return;
   if (draw(2)) {
     auto value = ++values_;
     propose(n, own::SetConfigurationEntry{"x", std::to_string(value)}, [this, value](bool good) {
@@ -503,7 +506,7 @@
                                         nodes_[n].name, seen, least));
       read_seen_ = std::max(read_seen_, seen);
     };
-    step(n, {rc::Read{ticket}});
+    step(n, {rc::ReadRequest{ticket}});
   }
 }
 
@@ -512,16 +515,18 @@
   at(now_ + 150ms, [this] { operate(); });
   for (std::size_t i = 0; i < nodes_.size(); ++i) {
     auto& lead = nodes_[i];
-    if (!lead.up || lead.paused_until > now_ || !lead.raft->leads()) continue;
+    if (!lead.up || lead.paused_until > now_ || !lead.raft->is_leader()) continue;
     auto& members = lead.raft->members();
-    std::optional<rc::Change> change;
+    std::optional<rc::MembershipChange> change;
     for (auto id : members.voters)
-      if (wiped_.count(id)) change = rc::Change{0, rc::Change::What::kRemove, id};
+      if (wiped_.count(id)) change = rc::MembershipChange{0, rc::MembershipChange::What::kRemove, id};
     if (!change)
       for (auto& node : nodes_) {
         if (!node.up || members.votes(node.id)) continue;
-        change = rc::Change{
-            0, members.has(node.id) ? rc::Change::What::kPromote : rc::Change::What::kAddLearner, node.id};
+        change = rc::MembershipChange{0,
+                                      members.has(node.id) ? rc::MembershipChange::What::kPromote
+                                                           : rc::MembershipChange::What::kAddLearner,
+                                      node.id};
         break;
       }
     if (change)
@@ -613,8 +618,9 @@
       return;
     case Fault::What::kTransfer:
       for (std::size_t i = 0; i < nodes_.size(); ++i)
-        if (nodes_[i].up && nodes_[i].paused_until <= now_ && nodes_[i].raft->leads())
-          at_node(static_cast<int>(i), now_, [this, i] { step(static_cast<int>(i), {rc::Transfer{}}); });
+        if (nodes_[i].up && nodes_[i].paused_until <= now_ && nodes_[i].raft->is_leader())
+          at_node(static_cast<int>(i), now_,
+                  [this, i] { step(static_cast<int>(i), {rc::LeadershipTransfer{}}); });
       return;
     case Fault::What::kLoss:
       loss_ = 0.1;
@@ -627,9 +633,9 @@
           for (auto id : o.raft->members().voters)
             if (wiped_.count(id)) return;
       for (std::size_t i = 0; i < nodes_.size(); ++i)
-        if (nodes_[i].up && nodes_[i].paused_until <= now_ && nodes_[i].raft->leads())
+        if (nodes_[i].up && nodes_[i].paused_until <= now_ && nodes_[i].raft->is_leader())
           at_node(static_cast<int>(i), now_, [this, i, id = node.id] {
-            step(static_cast<int>(i), {rc::Change{0, rc::Change::What::kRemove, id}});
+            step(static_cast<int>(i), {rc::MembershipChange{0, rc::MembershipChange::What::kRemove, id}});
           });
       return;
   }
@@ -657,7 +663,7 @@
   Index commit = 0;
   for (auto& node : nodes_) {
     demand(node.up, "a node is down at the end");
-    leading += node.raft->leads();
+    leading += node.raft->is_leader();
     commit = std::max(commit, node.raft->commit());
   }
   demand(leading == 1, fmt::format("{} leaders at the end, with all faults over", leading));
@@ -679,7 +685,7 @@
 WorldResult World::run() {
   auto count = draw(3) == 0 ? 5 : 3;
   nodes_.resize(static_cast<std::size_t>(count));
-  rc::Members members;
+  rc::Membership members;
   for (int i = 0; i < count; ++i) {
     auto& node = nodes_[static_cast<std::size_t>(i)];
     node.name = fmt::format("n{}", i + 1);
--- a/tests/consensus/consensus_test.cpp
+++ b/tests/consensus/consensus_test.cpp
@@ -49,41 +49,44 @@
   auto n = node(1);
   *now = n.due();
   n.step(*now, {consensus::Tick{}});
-  auto vote = n.step(*now, {consensus::Received{from(2, Message::Type::kPreVoteReply, 2)}});
-  n.step(*now, {consensus::Written{vote.writes.back().number}});
-  auto led = n.step(*now, {consensus::Received{from(3, Message::Type::kVoteReply, 2)}});
+  auto vote = n.step(*now, {consensus::MessageReceived{from(2, Message::Type::kRequestPreVoteResponse, 2)}});
+  n.step(*now, {consensus::WriteCompleted{vote.writes.back().number}});
+  auto led = n.step(*now, {consensus::MessageReceived{from(3, Message::Type::kRequestVoteResponse, 2)}});
   EXPECT_EQ(n.role(), Role::kLeader);
-  n.step(*now, {consensus::Written{led.writes.back().number}});
+  n.step(*now, {consensus::WriteCompleted{led.writes.back().number}});
   return n;
 }
 
 Message reply(consensus::NodeId id, consensus::Index match, std::uint64_t round = 0) {
-  auto m = from(id, Message::Type::kAppendReply, 2, match);
+  auto m = from(id, Message::Type::kAppendEntriesResponse, 2, match);
   m.round = round;
   return m;
 }
 
 TEST(Votes, GoOutOnlyOnceTheyAreDurable) {
   auto n = node(1);
-  auto out = n.step(1s, {consensus::Received{from(2, Message::Type::kVote, 2)}});
+  auto out = n.step(1s, {consensus::MessageReceived{from(2, Message::Type::kRequestVote, 2)}});
   ASSERT_EQ(out.messages.size(), 1u);
   EXPECT_FALSE(out.messages[0].message.reject);
   ASSERT_EQ(out.writes.size(), 1u);
   EXPECT_EQ(out.writes[0].hard, (consensus::HardState{2, 2}));
   EXPECT_EQ(out.messages[0].after, out.writes[0].number);
-  EXPECT_TRUE(n.step(1s, {consensus::Received{from(3, Message::Type::kVote, 2)}}).messages[0].message.reject);
+  EXPECT_TRUE(n.step(1s, {consensus::MessageReceived{from(3, Message::Type::kRequestVote, 2)}})
+                  .messages[0]
+                  .message.reject);
 }
 
 TEST(Votes, NobodyDisturbsALeaderThatIsHeard) {
   auto n = node(1);
-  n.step(1s, {consensus::Received{from(2, Message::Type::kAppend, 2)}});
-  EXPECT_TRUE(n.step(1s + 100ms, {consensus::Received{from(3, Message::Type::kVote, 9)}}).messages.empty());
-  EXPECT_TRUE(
-      n.step(1s + 100ms, {consensus::Received{from(3, Message::Type::kPreVote, 9)}}).messages.empty());
+  n.step(1s, {consensus::MessageReceived{from(2, Message::Type::kAppendEntries, 2)}});
+  EXPECT_TRUE(n.step(1s + 100ms, {consensus::MessageReceived{from(3, Message::Type::kRequestVote, 9)}})
+                  .messages.empty());
+  EXPECT_TRUE(n.step(1s + 100ms, {consensus::MessageReceived{from(3, Message::Type::kRequestPreVote, 9)}})
+                  .messages.empty());
   EXPECT_EQ(n.term(), 2u);
-  auto asked = from(3, Message::Type::kVote, 9);
+  auto asked = from(3, Message::Type::kRequestVote, 9);
   asked.forced = true;  // the leader itself has asked for it
-  EXPECT_EQ(n.step(1s + 100ms, {consensus::Received{asked}}).messages.size(), 1u);
+  EXPECT_EQ(n.step(1s + 100ms, {consensus::MessageReceived{asked}}).messages.size(), 1u);
   EXPECT_EQ(n.term(), 9u);
 }
 
@@ -95,16 +98,16 @@
   auto n = node(1, stored);
   auto out = n.step(n.due(), {consensus::Tick{}});
   EXPECT_EQ(n.role(), Role::kCandidate);
-  n.step(2s, {consensus::Written{out.writes.back().number}});
+  n.step(2s, {consensus::WriteCompleted{out.writes.back().number}});
   EXPECT_EQ(n.role(), Role::kLeader);
 }
 
 TEST(Leader, ThatHearsNoMajorityStepsDownAndConfirmsNothing) {
   Micros now;
   auto n = leader(&now);
-  n.step(now, {consensus::Received{reply(2, 2)}});
-  EXPECT_TRUE(n.committed_own());
-  auto out = n.step(now, {consensus::Read{7}});
+  n.step(now, {consensus::MessageReceived{reply(2, 2)}});
+  EXPECT_TRUE(n.has_committed_in_current_term());
+  auto out = n.step(now, {consensus::ReadRequest{7}});
   EXPECT_TRUE(out.reads.empty());
   out = n.step(now + 20s, {consensus::Tick{}});  // as after SIGSTOP
   EXPECT_EQ(n.role(), Role::kFollower);
@@ -115,12 +118,12 @@
 TEST(Leader, AReadIsConfirmedByARoundThatBeganAfterIt) {
   Micros now;
   auto n = leader(&now);
-  n.step(now, {consensus::Received{reply(2, 2, 1)}});
-  auto out = n.step(now, {consensus::Read{7}});
+  n.step(now, {consensus::MessageReceived{reply(2, 2, 1)}});
+  auto out = n.step(now, {consensus::ReadRequest{7}});
   std::uint64_t round = 0;
   for (auto& m : out.messages) round = std::max(round, m.message.round);
-  EXPECT_TRUE(n.step(now, {consensus::Received{reply(2, 2, round - 1)}}).reads.empty());
-  out = n.step(now, {consensus::Received{reply(2, 2, round)}});
+  EXPECT_TRUE(n.step(now, {consensus::MessageReceived{reply(2, 2, round - 1)}}).reads.empty());
+  out = n.step(now, {consensus::MessageReceived{reply(2, 2, round)}});
   ASSERT_EQ(out.reads.size(), 1u);
   EXPECT_TRUE(out.reads[0].confirmed);
 }
@@ -128,11 +131,12 @@
 TEST(Leader, WithASlowDiskCommitsByTheOthers) {
   Micros now;
   auto n = leader(&now);
-  n.step(now, {consensus::Received{reply(2, 2)}});
-  auto out = n.step(now, {consensus::Propose{1, "x"}});
+  n.step(now, {consensus::MessageReceived{reply(2, 2)}});
+  auto out = n.step(now, {consensus::Proposal{1, "x"}});
   ASSERT_EQ(out.proposed[0].index, 3u);
-  EXPECT_TRUE(n.step(now, {consensus::Received{reply(2, 3)}}).committed.empty());  // its own is not durable
-  EXPECT_EQ(n.step(now, {consensus::Received{reply(3, 3)}}).committed.size(), 1u);
+  EXPECT_TRUE(
+      n.step(now, {consensus::MessageReceived{reply(2, 3)}}).committed.empty());  // its own is not durable
+  EXPECT_EQ(n.step(now, {consensus::MessageReceived{reply(3, 3)}}).committed.size(), 1u);
 }
 
 TEST(Leader, WhoseDiskFailsPromisesNothingMore) {
@@ -140,49 +144,50 @@
   auto n = leader(&now);
   auto out = n.step(now, {consensus::WriteFailed{}});
   EXPECT_EQ(n.role(), Role::kHalted);
-  EXPECT_EQ(out.turns.back().reason, consensus::Reason::kDiskFailed);
-  EXPECT_TRUE(n.step(now, {consensus::Received{from(2, Message::Type::kVote, 9)}}).messages.empty());
+  EXPECT_EQ(out.role_changes.back().reason, consensus::RoleChangeReason::kDiskFailed);
+  EXPECT_TRUE(
+      n.step(now, {consensus::MessageReceived{from(2, Message::Type::kRequestVote, 9)}}).messages.empty());
 }
 
 // Found by seed 189: the removed one alone had the entry that the others needed, and would not campaign.
-TEST(Members, OneWhoseRemovalIsNotCommittedMayStillLead) {
+TEST(Membership, OneWhoseRemovalIsNotCommittedMayStillLead) {
   auto stored = three(2);
-  consensus::Members rest;
+  consensus::Membership rest;
   rest.voters = {2, 3};
-  stored.entries.push_back({2, 2, consensus::Kind::kMembers, rest.encode()});
+  stored.entries.push_back({2, 2, consensus::EntryType::kMembers, rest.encode()});
   auto n = node(1, stored);
   EXPECT_NE(n.due(), Micros::max());
   n.step(n.due(), {consensus::Tick{}});
   EXPECT_EQ(n.role(), Role::kPreCandidate);
 }
 
-TEST(Members, NobodyIsTakenOutWhereTooFewWouldBeLeft) {
+TEST(Membership, NobodyIsTakenOutWhereTooFewWouldBeLeft) {
   Micros now;
   auto n = leader(&now);
-  n.step(now, {consensus::Received{reply(2, 2, 1)}});  // 3 was never heard of in this term
-  auto out = n.step(now, {consensus::Change{1, consensus::Change::What::kRemove, 2}});
+  n.step(now, {consensus::MessageReceived{reply(2, 2, 1)}});  // 3 was never heard of in this term
+  auto out = n.step(now, {consensus::MembershipChange{1, consensus::MembershipChange::What::kRemove, 2}});
   EXPECT_EQ(out.proposed[0].index, 0u);
   EXPECT_STREQ(out.proposed[0].why, "too few of the voters that would be left are heard of");
-  out = n.step(now, {consensus::Change{2, consensus::Change::What::kRemove, 3}});
+  out = n.step(now, {consensus::MembershipChange{2, consensus::MembershipChange::What::kRemove, 3}});
   EXPECT_NE(out.proposed[0].index, 0u);
-  out = n.step(now, {consensus::Change{3, consensus::Change::What::kAddLearner, 9}});
+  out = n.step(now, {consensus::MembershipChange{3, consensus::MembershipChange::What::kAddLearner, 9}});
   EXPECT_STREQ(out.proposed[0].why, "another change of members is under way");
 }
 
 // A late snapshot must not take away what was promised behind it.
 TEST(Snapshots, AnOldOneKeepsTheEntriesBehindIt) {
   auto n = node(1);
-  auto m = from(2, Message::Type::kAppend, 2);
-  m.entries = {{2, 2, consensus::Kind::kCommand, "a"}, {2, 3, consensus::Kind::kCommand, "b"}};
-  auto out = n.step(1s, {consensus::Received{m}});
-  n.step(1s, {consensus::Written{out.writes.back().number}});
+  auto m = from(2, Message::Type::kAppendEntries, 2);
+  m.entries = {{2, 2, consensus::EntryType::kCommand, "a"}, {2, 3, consensus::EntryType::kCommand, "b"}};
+  auto out = n.step(1s, {consensus::MessageReceived{m}});
+  n.step(1s, {consensus::WriteCompleted{out.writes.back().number}});
   auto old = std::make_shared<consensus::Snapshot>();
   old->index = 2;
   old->term = 2;
   old->members.voters = {1, 2, 3};
-  auto late = from(2, Message::Type::kSnapshot, 2);
+  auto late = from(2, Message::Type::kInstallSnapshot, 2);
   late.snapshot = old;
-  out = n.step(1s, {consensus::Received{late}});
+  out = n.step(1s, {consensus::MessageReceived{late}});
   EXPECT_EQ(n.last_index(), 3u);
   EXPECT_EQ(n.commit(), 2u);
   EXPECT_FALSE(out.restored);
@@ -198,47 +203,48 @@
   Raft n(o, three(), 0us);
   now = n.due();
   n.step(now, {consensus::Tick{}});
-  auto vote = n.step(now, {consensus::Received{from(2, Message::Type::kPreVoteReply, 2)}});
-  n.step(now, {consensus::Written{vote.writes.back().number}});
-  n.step(now, {consensus::Received{from(3, Message::Type::kVoteReply, 2)}});
-  ASSERT_TRUE(n.leads());
+  auto vote = n.step(now, {consensus::MessageReceived{from(2, Message::Type::kRequestPreVoteResponse, 2)}});
+  n.step(now, {consensus::WriteCompleted{vote.writes.back().number}});
+  n.step(now, {consensus::MessageReceived{from(3, Message::Type::kRequestVoteResponse, 2)}});
+  ASSERT_TRUE(n.is_leader());
   std::uint64_t writes = 0;
   auto grow = [&](int count) {  // by the other follower's durable replies
     for (int i = 0; i < count; ++i) {
-      auto out = n.step(now, {consensus::Propose{1, "x"}});
+      auto out = n.step(now, {consensus::Proposal{1, "x"}});
       for (auto& w : out.writes) writes = std::max(writes, w.number);
-      n.step(now, {consensus::Received{reply(2, n.last_index())}, consensus::Written{writes}});
+      n.step(now, {consensus::MessageReceived{reply(2, n.last_index())}, consensus::WriteCompleted{writes}});
     }
-    n.step(now, {consensus::Snapshotted{n.commit(), "state"}});
+    n.step(now, {consensus::SnapshotTaken{n.commit(), "state"}});
   };
   grow(10);
-  auto refused = from(3, Message::Type::kAppendReply, 2, 1);
+  auto refused = from(3, Message::Type::kAppendEntriesResponse, 2, 1);
   refused.reject = true;
   refused.refused = n.first_index();
-  auto out = n.step(now, {consensus::Received{refused}});
+  auto out = n.step(now, {consensus::MessageReceived{refused}});
   auto snapshots = [](const consensus::Output& o) {
     consensus::Index index = 0;
     for (auto& m : o.messages)
-      if (m.message.type == Message::Type::kSnapshot && m.message.to == 3) index = m.message.snapshot->index;
+      if (m.message.type == Message::Type::kInstallSnapshot && m.message.to == 3)
+        index = m.message.snapshot->index;
     return index;
   };
   auto first = snapshots(out);
   ASSERT_GT(first, 0u);
   grow(10);
   ASSERT_GT(n.first_index(), first + 1);
-  EXPECT_EQ(snapshots(n.step(now, {consensus::Received{reply(3, first)}})), n.snapshot_index());
+  EXPECT_EQ(snapshots(n.step(now, {consensus::MessageReceived{reply(3, first)}})), n.snapshot_index());
 }
 
 TEST(PersistentState, WhatCannotBeIsToldAtTheStart) {
   auto gap = three(2);
-  gap.entries = {{2, 2, consensus::Kind::kCommand, ""}, {2, 4, consensus::Kind::kCommand, ""}};
+  gap.entries = {{2, 2, consensus::EntryType::kCommand, ""}, {2, 4, consensus::EntryType::kCommand, ""}};
   EXPECT_THROW(node(1, gap), std::invalid_argument);
   auto future = three(1);
-  future.entries = {{5, 2, consensus::Kind::kCommand, ""}};
+  future.entries = {{5, 2, consensus::EntryType::kCommand, ""}};
   EXPECT_THROW(node(1, future), std::invalid_argument);
-  EXPECT_FALSE(consensus::Members::decode("v1 v1 "));
-  EXPECT_FALSE(consensus::Members::decode("v1"));
-  EXPECT_FALSE(consensus::Members::decode("x1 "));
+  EXPECT_FALSE(consensus::Membership::decode("v1 v1 "));
+  EXPECT_FALSE(consensus::Membership::decode("v1"));
+  EXPECT_FALSE(consensus::Membership::decode("x1 "));
 }
 
 // ---- ownership
@@ -254,13 +260,13 @@
   ownership::LeaseManager steward(o);
   ownership::LeaseRegistry ledger;
   ledger.apply(5, ownership::Grant{"j", "a", 0});
-  steward.lead(10s);
-  steward.asked(10s, asks("b", 1), ledger);
-  steward.asked(11s, asks("a", 1), ledger);
-  EXPECT_EQ(steward.answer("a", 1, ledger).granted.size(), 1u);
-  steward.asked(11s + o.over() - 1us, asks("b", 2), ledger);
-  EXPECT_TRUE(steward.propose(11s + o.over() - 1us, ledger).empty());
-  auto commands = steward.propose(11s + o.over(), ledger);
+  steward.on_elected(10s);
+  steward.on_renewal_request(10s, asks("b", 1), ledger);
+  steward.on_renewal_request(11s, asks("a", 1), ledger);
+  EXPECT_EQ(steward.renewal_response("a", 1, ledger).granted.size(), 1u);
+  steward.on_renewal_request(11s + o.safe_reassignment_delay() - 1us, asks("b", 2), ledger);
+  EXPECT_TRUE(steward.propose(11s + o.safe_reassignment_delay() - 1us, ledger).empty());
+  auto commands = steward.propose(11s + o.safe_reassignment_delay(), ledger);
   ASSERT_EQ(commands.size(), 1u);
   EXPECT_EQ(std::get<ownership::Grant>(commands[0]).owner, "b");
 }
@@ -271,27 +277,27 @@
   ownership::LeaseManager steward(o);
   ownership::LeaseRegistry ledger;
   ledger.apply(5, ownership::Grant{"j", "a", 0});
-  steward.lead(10s);
-  steward.asked(10s, asks("b", 1), ledger);
+  steward.on_elected(10s);
+  steward.on_renewal_request(10s, asks("b", 1), ledger);
   steward.propose(10s, ledger);
-  steward.asked(10s + o.over(), asks("b", 1), ledger);
-  ASSERT_EQ(steward.propose(10s + o.over(), ledger).size(), 1u);
-  steward.asked(10s + o.over() + 1ms, asks("a", 2), ledger);
-  EXPECT_TRUE(steward.answer("a", 2, ledger).granted.empty());
-  steward.settled("j");  // it came to nothing
-  steward.asked(10s + o.over() + 2ms, asks("a", 3), ledger);
-  EXPECT_EQ(steward.answer("a", 3, ledger).granted.size(), 1u);
+  steward.on_renewal_request(10s + o.safe_reassignment_delay(), asks("b", 1), ledger);
+  ASSERT_EQ(steward.propose(10s + o.safe_reassignment_delay(), ledger).size(), 1u);
+  steward.on_renewal_request(10s + o.safe_reassignment_delay() + 1ms, asks("a", 2), ledger);
+  EXPECT_TRUE(steward.renewal_response("a", 2, ledger).granted.empty());
+  steward.on_proposal_finished("j");  // it came to nothing
+  steward.on_renewal_request(10s + o.safe_reassignment_delay() + 2ms, asks("a", 3), ledger);
+  EXPECT_EQ(steward.renewal_response("a", 3, ledger).granted.size(), 1u);
 }
 
 TEST(Leases, CountFromWhenTheQuestionWasSent) {
   ownership::LeaseOptions o;
   ownership::LeaseClient holder("a", o);
-  auto question = holder.ask(10s, {"j"});
-  ownership::Told told{question.number, o.length, {{"j", 7, 0}}, {}};
-  holder.told(10s + o.length - 1ms, told);
+  auto question = holder.make_renewal_request(10s, {"j"});
+  ownership::LeaseRenewalResponse told{question.number, o.length, {{"j", 7, 0}}, {}};
+  holder.on_renewal_response(10s + o.length - 1ms, told);
   EXPECT_TRUE(holder.holds("j", 10s + o.length - 1us));
   EXPECT_FALSE(holder.holds("j", 10s + o.length));
-  holder.told(10s + 1ms, told);  // the same answer again
+  holder.on_renewal_response(10s + 1ms, told);  // the same answer again
   EXPECT_EQ(holder.until("j"), 10s + o.length);
   EXPECT_EQ(holder.expire(10s + o.length), std::vector<std::string>{"j"});
 }
@@ -301,16 +307,16 @@
   ownership::LeaseManager steward(o);
   ownership::LeaseRegistry ledger;
   ledger.apply(5, ownership::Grant{"j", "a", 0});
-  steward.lead(10s);
+  steward.on_elected(10s);
   std::string got;
   Micros now = 10s;
   for (int i = 0; i < 200 && got.empty(); ++i, now += 200ms) {
-    steward.asked(now, asks("a", static_cast<std::uint64_t>(i), {{"j", 5, 3}}), ledger);
-    steward.asked(now, asks("b", static_cast<std::uint64_t>(i)), ledger);
+    steward.on_renewal_request(now, asks("a", static_cast<std::uint64_t>(i), {{"j", 5, 3}}), ledger);
+    steward.on_renewal_request(now, asks("b", static_cast<std::uint64_t>(i)), ledger);
     for (auto& c : steward.propose(now, ledger)) got = std::get<ownership::Grant>(c).owner;
   }
   EXPECT_EQ(got, "b");
-  EXPECT_GE(now, 10s + o.idle + o.over());
+  EXPECT_GE(now, 10s + o.idle + o.safe_reassignment_delay());
 }
 
 TEST(Leases, JobsSpreadEvenlyAndMoveOneByOne) {
@@ -320,7 +326,7 @@
   std::vector<std::string> jobs{"1", "2", "3", "4", "5", "6"};
   std::uint64_t index = 0;
   for (auto& job : jobs) ledger.apply(++index, ownership::Grant{job, "a", 0});
-  steward.lead(0s);
+  steward.on_elected(0s);
   std::map<std::string, int> counts;
   int moves = 0;
   for (Micros now = 0s; now < 20s; now += 100ms) {
@@ -329,15 +335,15 @@
       for (auto& [name, job] : ledger.jobs())
         if (job.owner == node)
           ask.holds.push_back({name, job.token, static_cast<std::uint64_t>(now.count())});
-      steward.asked(now, ask, ledger);
-      for (auto& job : steward.answer(node, 1, ledger).give_up) {
+      steward.on_renewal_request(now, ask, ledger);
+      for (auto& job : steward.renewal_response(node, 1, ledger).give_up) {
         ledger.apply(++index, ownership::Release{job, ledger.job(job)->token});
         ++moves;
       }
     }
     for (auto& c : steward.propose(now, ledger)) {
       ledger.apply(++index, c);
-      steward.settled(std::get<ownership::Grant>(c).job);
+      steward.on_proposal_finished(std::get<ownership::Grant>(c).job);
     }
   }
   for (auto& [name, job] : ledger.jobs()) ++counts[job.owner];
@@ -351,13 +357,15 @@
   ledger.apply(5, ownership::Grant{"j", "a", 0}, &token);
   EXPECT_EQ(token, 5u);
   EXPECT_EQ(ledger.apply(6, ownership::Grant{"j", "b", 0}),
-            ownership::LeaseRegistry::Applied::kVoid);  // overtaken
+            ownership::LeaseRegistry::ApplyResult::kVoid);  // overtaken
   ledger.apply(7, ownership::Grant{"j", "b", 5});
-  EXPECT_EQ(ledger.apply(8, ownership::Publish{"j", 5, 1, "old"}), ownership::LeaseRegistry::Applied::kStale);
+  EXPECT_EQ(ledger.apply(8, ownership::Publish{"j", 5, 1, "old"}),
+            ownership::LeaseRegistry::ApplyResult::kStale);
   EXPECT_EQ(ledger.apply(9, ownership::Publish{"j", 9, 1, "never granted"}),
-            ownership::LeaseRegistry::Applied::kVoid);
-  EXPECT_EQ(ledger.apply(10, ownership::Publish{"j", 7, 2, "new"}), ownership::LeaseRegistry::Applied::kDone);
-  EXPECT_EQ(ledger.apply(11, ownership::Release{"j", 5}), ownership::LeaseRegistry::Applied::kVoid);
+            ownership::LeaseRegistry::ApplyResult::kVoid);
+  EXPECT_EQ(ledger.apply(10, ownership::Publish{"j", 7, 2, "new"}),
+            ownership::LeaseRegistry::ApplyResult::kDone);
+  EXPECT_EQ(ledger.apply(11, ownership::Release{"j", 5}), ownership::LeaseRegistry::ApplyResult::kVoid);
   EXPECT_EQ(ledger.stale(), 1u);
   auto copy = ownership::LeaseRegistry::decode(ledger.encode());
   ASSERT_TRUE(copy);
--- a/tests/formats/peer_messages_test.cpp
+++ b/tests/formats/peer_messages_test.cpp
@@ -81,7 +81,7 @@
 
 placement::Observation observation() {
   placement::Observation observation;
-  observation.saw("z1", 7, "z2", {11, 2, 3, 4, 5, 6000, 7, 8, 9.5});
+  observation.record("z1", 7, "z2", {11, 2, 3, 4, 5, 6000, 7, 8, 9.5});
   observation.asked("z1", 7, 120);
   return observation;
 }
@@ -199,7 +199,7 @@
 
 json append_of(std::vector<consensus::Entry> entries, std::uint64_t index, std::uint64_t log_term) {
   consensus::Message append;
-  append.type = consensus::Message::Type::kAppend;
+  append.type = consensus::Message::Type::kAppendEntries;
   append.from = 2;
   append.to = kOwnId;
   append.term = 50;
@@ -252,8 +252,8 @@
   auto leader = dial_as(node.port(), "b", "voter", 2);
   auto tool = dial_as(node.port(), "fleet", "tool");
   ASSERT_TRUE(tool.ask_tool({{"do", "bootstrap"}, {"voters", {kOwnId, 2, 3}}}).at("ok"));
-  consensus::Entry nothing{50, 2, consensus::Kind::kNothing, ""};
-  consensus::Entry grant{50, 3, consensus::Kind::kCommand,
+  consensus::Entry nothing{50, 2, consensus::EntryType::kNoOp, ""};
+  consensus::Entry grant{50, 3, consensus::EntryType::kCommand,
                          ownership::encode(ownership::Grant{"placement", "b", 0})};
   leader.send(append_of({nothing, grant}, 1, 1));
   // Told once what was sent is durable.
--- a/tests/formats/stored_format_test.cpp
+++ b/tests/formats/stored_format_test.cpp
@@ -30,10 +30,11 @@
 placement::Plan stored_plan() {
   placement::Plan plan;
   plan.number = 12;
-  plan.zones["z1"] = {placement::Phase::kOpen, placement::Reason::kSeenWell, 1000, 2000, 0, 4000, 1, false};
-  plan.zones["z2"] = {placement::Phase::kEvacuated, placement::Reason::kOperator, 5, 6, 0, 0, 0, true};
+  plan.zones["z1"] = {
+      placement::Phase::kOpen, placement::PhaseReason::kHealthy, 1000, 2000, 0, 4000, 1, false};
+  plan.zones["z2"] = {placement::Phase::kEvacuated, placement::PhaseReason::kOperator, 5, 6, 0, 0, 0, true};
   plan.shares[{7, "z1"}] = {{"z1", 0.75}};
-  plan.spares[{7, "z1"}] = {{"z2", 0.5}};
+  plan.surplus_capacity[{7, "z1"}] = {{"z2", 0.5}};
   plan.changes = {{"z2", 5}};
   return plan;
 }
@@ -92,7 +93,7 @@
     auto entry = peers::decode_entry(value);
     EXPECT_TRUE(entry);
     lines[fmt::format("entry.{:05}", entry->index)] =
-        fmt::format("key={} term={} kind={} data={}", to_hex(key), entry->term, static_cast<int>(entry->kind),
+        fmt::format("key={} term={} kind={} data={}", to_hex(key), entry->term, static_cast<int>(entry->type),
                     to_hex(entry->data));
   }
   auto ledger = ownership::LeaseRegistry::decode(snapshot->data);
@@ -112,7 +113,7 @@
   auto ledger = ownership::LeaseRegistry::decode(snapshot->data).value();
   for (auto& [key, value] : store->scan("raft/log/", "raft/log0")) {
     auto entry = peers::decode_entry(value).value();
-    if (entry.index > snapshot->index && entry.kind == consensus::Kind::kCommand)
+    if (entry.index > snapshot->index && entry.type == consensus::EntryType::kCommand)
       ledger.apply(entry.index, ownership::decode(entry.data).value());
   }
   return ledger;
@@ -248,7 +249,7 @@
     TestNode voter(options);
     FAIL() << "it was opened";
   } catch (const state::StoreError& e) {
-    EXPECT_EQ(e.fault, state::Fault::kForeign);
+    EXPECT_EQ(e.code, state::StoreErrorCode::kForeign);
     EXPECT_EQ(e.what(), fmt::format("group.directory {} belongs to the installation 'golden', not 'other'",
                                     directory()));
   }
@@ -260,7 +261,7 @@
     TestNode voter(lone_voter_options(directory()));
     FAIL() << "it was opened";
   } catch (const state::StoreError& e) {
-    EXPECT_EQ(e.fault, state::Fault::kNewer);
+    EXPECT_EQ(e.code, state::StoreErrorCode::kNewer);
     EXPECT_EQ(e.what(), fmt::format("{}/group.db has version 2, this program knows 1", directory()));
   }
 }
--- a/tests/formats/test_node.h
+++ b/tests/formats/test_node.h
@@ -69,7 +69,7 @@
   options.lease = group::Micros(400'000);
   group::PlacementOptions placement;
   placement.regions = {{"z1", "r1"}, {"z2", "r1"}};
-  placement.per_weight = 100;
+  placement.requests_per_weight = 100;
   options.placement = placement;
   return options;
 }
--- a/tests/formats/wire_format_test.cpp
+++ b/tests/formats/wire_format_test.cpp
@@ -22,22 +22,22 @@
     "Bytes on the wires and in the log: name, hex. See tests/formats/wire_format_test.cpp.";
 
 using consensus::Entry;
-using consensus::Kind;
+using consensus::EntryType;
 using consensus::Message;
 
 // Bytes that no text has must pass too.
 std::string binary_text() { return std::string("\0\xff\x80 text", 8); }
 
-consensus::Members members() { return {{3, 70'000, 5'000'000'000}, {9}}; }
+consensus::Membership members() { return {{3, 70'000, 5'000'000'000}, {9}}; }
 
 consensus::SnapshotPtr snapshot() {
   return std::make_shared<consensus::Snapshot>(consensus::Snapshot{1030, 4, members(), binary_text()});
 }
 
 std::vector<Entry> entries() {
-  return {{4, 1031, Kind::kNothing, ""},
-          {5, 1032, Kind::kMembers, members().encode()},
-          {5, 70'000, Kind::kCommand, binary_text()}};
+  return {{4, 1031, EntryType::kNoOp, ""},
+          {5, 1032, EntryType::kMembers, members().encode()},
+          {5, 70'000, EntryType::kCommand, binary_text()}};
 }
 
 // Every field has a value of its own, though no such message goes out.
@@ -91,7 +91,7 @@
 
 placement::Observation observation() {
   placement::Observation observation;
-  observation.saw("z1", 7, "z2", {11, 2, 3, 4, 5, 6000, 7, 8, 9.5});
+  observation.record("z1", 7, "z2", {11, 2, 3, 4, 5, 6000, 7, 8, 9.5});
   observation.voted("z1", "z2", {1, 2, 3});
   observation.asked("z1", 7, 120);
   observation.leads(7, "z2", 4);
@@ -100,7 +100,7 @@
 }
 
 placement::ZoneState zone_state(placement::Phase phase) {
-  return {phase, placement::Reason::kSeenIll, 1000, 2000, 3000, 4000, 0.25, true};
+  return {phase, placement::PhaseReason::kUnhealthy, 1000, 2000, 3000, 4000, 0.25, true};
 }
 
 placement::Plan plan() {
@@ -111,7 +111,7 @@
     plan.zones[std::string("zone-") + placement::text_of(phase)] = zone_state(phase);
   plan.links[{"z1", "z2"}] = zone_state(Phase::kClosed);
   plan.shares[{7, "z1"}] = {{"z1", 0.75}, {"z2", 0.125}};
-  plan.spares[{7, "z1"}] = {{"z2", 0.5}};
+  plan.surplus_capacity[{7, "z1"}] = {{"z2", 0.5}};
   plan.changes = {{"z1", 5000}, {"z2", 6000}};
   plan.frozen = true;
   return plan;
@@ -214,7 +214,7 @@
   EXPECT_EQ(read->term, 4u);
   EXPECT_EQ(read->members, members());
   EXPECT_EQ(read->data, binary_text());
-  EXPECT_EQ(consensus::Members::decode(golden_bytes("members")), members());
+  EXPECT_EQ(consensus::Membership::decode(golden_bytes("members")), members());
 }
 
 TEST(WireFormat, GoldenCommandsAreReadAsTheyWereMeant) {
@@ -269,7 +269,7 @@
   EXPECT_EQ(read.zones, plan().zones);
   EXPECT_EQ(read.links, plan().links);
   EXPECT_EQ(read.shares, plan().shares);
-  EXPECT_EQ(read.spares, plan().spares);
+  EXPECT_EQ(read.surplus_capacity, plan().surplus_capacity);
   EXPECT_EQ(read.changes, plan().changes);
   EXPECT_TRUE(read.frozen);
 }
--- a/tests/group/parts_test.cpp
+++ b/tests/group/parts_test.cpp
@@ -31,15 +31,15 @@
   return b;
 }
 
-state::Fault fault_of(const std::function<void()>& call) {
+state::StoreErrorCode fault_of(const std::function<void()>& call) {
   try {
     call();
   } catch (const state::StoreError& e) {
     EXPECT_NE(std::string(e.what()), "");
-    return e.fault;
+    return e.code;
   }
   ADD_FAILURE() << "nothing was thrown";
-  return state::Fault::kDisk;
+  return state::StoreErrorCode::kDisk;
 }
 
 TEST(Store, KeepsWhatWasCommittedAndNothingElse) {
@@ -92,7 +92,7 @@
 TEST(Store, OneProcessADirectory) {
   TemporaryDirectory folder;
   auto first = state::open_store(folder.path(), "t", 1);
-  EXPECT_EQ(fault_of([&] { state::open_store(folder.path(), "t", 1); }), state::Fault::kLocked);
+  EXPECT_EQ(fault_of([&] { state::open_store(folder.path(), "t", 1); }), state::StoreErrorCode::kLocked);
   first.reset();
   EXPECT_NO_THROW(state::open_store(folder.path(), "t", 1));
 }
@@ -101,17 +101,18 @@
   TemporaryDirectory folder;
   auto path = folder.path() + "/t.db";
   state::open_store(folder.path(), "t", 2)->commit(put("a", std::string(20000, 'x')));
-  EXPECT_EQ(fault_of([&] { state::open_store(folder.path(), "t", 1); }), state::Fault::kNewer);
+  EXPECT_EQ(fault_of([&] { state::open_store(folder.path(), "t", 1); }), state::StoreErrorCode::kNewer);
   auto whole = std::filesystem::file_size(path);
   std::filesystem::resize_file(path, whole / 2);
-  EXPECT_EQ(fault_of([&] { state::open_store(folder.path(), "t", 2)->read("a"); }), state::Fault::kTorn);
-  auto aside = state::set_aside(folder.path(), "t");
+  EXPECT_EQ(fault_of([&] { state::open_store(folder.path(), "t", 2)->read("a"); }),
+            state::StoreErrorCode::kCorrupt);
+  auto aside = state::quarantine_corrupt_file(folder.path(), "t");
   EXPECT_TRUE(std::filesystem::exists(aside + "/t.db"));
   EXPECT_FALSE(state::open_store(folder.path(), "t", 2)->read("a"));
   std::ofstream(folder.path() + "/noise.db")
       << "this was never a database, and it is long enough to be read as one";
-  EXPECT_EQ(fault_of([&] { state::open_store(folder.path(), "noise", 1); }), state::Fault::kTorn);
-  EXPECT_EQ(fault_of([&] { state::open_store("/proc/nowhere", "t", 1); }), state::Fault::kDisk);
+  EXPECT_EQ(fault_of([&] { state::open_store(folder.path(), "noise", 1); }), state::StoreErrorCode::kCorrupt);
+  EXPECT_EQ(fault_of([&] { state::open_store("/proc/nowhere", "t", 1); }), state::StoreErrorCode::kDisk);
 }
 
 TEST(Store, AFlippedBitInAValueIsFoundByItsSum) {
@@ -127,14 +128,15 @@
   ASSERT_NE(at, std::string::npos);
   text[at + 100] ^= 4;
   std::ofstream(path, std::ios::binary) << text;
-  EXPECT_EQ(fault_of([&] { state::open_store(folder.path(), "t", 1)->read("key"); }), state::Fault::kTorn);
+  EXPECT_EQ(fault_of([&] { state::open_store(folder.path(), "t", 1)->read("key"); }),
+            state::StoreErrorCode::kCorrupt);
 }
 
 TEST(Writer, TellsInOrderAndAfterAFailureNothingIsDurable) {
-  struct Failing : state::Store {
+  struct Failing : state::DurableStore {
     void commit(const state::Batch& b) override {
       for (auto& [key, value] : b.changes) {
-        if (key == "bad") throw state::StoreError(state::Fault::kDisk, "no space");
+        if (key == "bad") throw state::StoreError(state::StoreErrorCode::kDisk, "no space");
         kept.push_back(key);
       }
     }
@@ -150,11 +152,12 @@
   {
     std::mutex mutex;
     std::condition_variable more;
-    state::Writer writer(std::make_unique<Failing>(kept), [&](std::uint64_t n, const std::string& error) {
-      std::lock_guard lock(mutex);
-      told.emplace_back(n, error);
-      more.notify_one();
-    });
+    state::StoreWriter writer(std::make_unique<Failing>(kept),
+                              [&](std::uint64_t n, const std::string& error) {
+                                std::lock_guard lock(mutex);
+                                told.emplace_back(n, error);
+                                more.notify_one();
+                              });
     for (std::uint64_t i = 1; i <= 3; ++i) writer.write(i, put("k" + std::to_string(i), ""));
     {
       std::unique_lock lock(mutex);
@@ -172,7 +175,7 @@
 
 TEST(Codec, MessagesComeBackAsTheyWereAndNewKeysArePassedOver) {
   consensus::Message m;
-  m.type = consensus::Message::Type::kAppend;
+  m.type = consensus::Message::Type::kAppendEntries;
   m.from = 1ull << 51;
   m.to = 3;
   m.term = 9;
@@ -181,7 +184,7 @@
   m.commit = 70;
   m.round = 5;
   m.reject = m.forced = true;
-  m.entries = {{9, 78, consensus::Kind::kCommand, std::string("\0\xff x", 4)}};
+  m.entries = {{9, 78, consensus::EntryType::kCommand, std::string("\0\xff x", 4)}};
   auto snapshot = std::make_shared<consensus::Snapshot>();
   snapshot->index = 4;
   snapshot->members.voters = {1, 2, 3};
--- a/tests/group/zones_test.cpp
+++ b/tests/group/zones_test.cpp
@@ -235,7 +235,7 @@
         std::uint64_t doubts = 0;
         auto o = seen();
         for (auto& [key, v] : o.votes())
-          if (key.first == "a") doubts += v.ill + v.late > 0;
+          if (key.first == "a") doubts += v.unhealthy + v.late > 0;
         return doubts >= 2;
       },
       kPatience));
--- a/tests/placement/placement_test.cpp
+++ b/tests/placement/placement_test.cpp
@@ -22,12 +22,12 @@
 }
 
 // Each zone bears `bears` of set 1 and is asked for `asked`; all see all as well.
-Input calm(double asked, double bears, Millis now = 1'000'000) {
+Input calm(double asked, double capacity, Millis now = 1'000'000) {
   Input in;
   in.now = now;
   for (Zone from : {"a", "b", "c"}) {
     in.seen.asked(from, 1, static_cast<std::uint64_t>(asked));
-    in.supply[{1, from}] = {bears};
+    in.supply[{1, from}] = {capacity};
     for (Zone to : {"a", "b", "c"})
       for (int i = 0; i < 4; ++i) in.seen.vote(from, to, true);
   }
@@ -35,16 +35,16 @@
 }
 
 // `ill`: as so many of the four observers of each zone in `by` see it.
-Input seen_ill(Input in, const Zone& zone, const std::vector<Zone>& by, int ill = 4) {
+Input seen_ill(Input in, const Zone& zone, const std::vector<Zone>& by, int unhealthy = 4) {
   Observation o;
   for (auto& [key, votes] : in.seen.votes()) {
-    int bad = key.second == zone && std::count(by.begin(), by.end(), key.first) ? ill : 0;
+    int bad = key.second == zone && std::count(by.begin(), by.end(), key.first) ? unhealthy : 0;
     for (int i = 0; i < 4; ++i) o.vote(key.first, key.second, i >= bad);
   }
   for (auto& [key, n] : in.seen.demand()) o.asked(key.first, key.second, n);
-  Seen lost;
+  ZoneSample lost;
   lost.attempts = lost.timed_out = 100;
-  if (ill == 4) o.saw(by[0], 1, zone, lost);
+  if (unhealthy == 4) o.record(by[0], 1, zone, lost);
   in.seen = o;
   return in;
 }
@@ -59,11 +59,11 @@
   a.vote("a", "b", true);
   b.vote("a", "b", false);
   c.asked("a", 1, 7);
-  Seen s;
+  ZoneSample s;
   s.attempts = 5;
   s.room = 0.5;
-  b.saw("a", 1, "b", s);
-  c.saw("a", 1, "b", s);
+  b.record("a", 1, "b", s);
+  c.record("a", 1, "b", s);
   Observation left, right, ab, bc;
   ab.add(a), ab.add(b), left.add(ab), left.add(c);
   bc.add(c), bc.add(b), right.add(bc), right.add(a);
@@ -72,36 +72,36 @@
   Observation flood;
   for (int i = 0; i < 20'000; ++i) {
     flood.vote("z" + std::to_string(i), "b", true);
-    flood.saw("z" + std::to_string(i), i, "b", s);
+    flood.record("z" + std::to_string(i), i, "b", s);
   }
   EXPECT_LE(flood.votes().size(), kMostZones * kMostZones);
   EXPECT_LE(flood.seen().size(), kMostZones * kMostSets + 1);
 }
 
 TEST(Observation, AFewThatFailedAreNoVoiceAgainstAZone) {
-  Seen s;
-  EXPECT_EQ(judge(s, 1000), Opinion::kNone);
+  ZoneSample s;
+  EXPECT_EQ(assess(s, 1000), Opinion::kNone);
   s.attempts = 10;
   s.latency_us = 10'000;
-  EXPECT_EQ(judge(s, 1000), Opinion::kWell);
+  EXPECT_EQ(assess(s, 1000), Opinion::kHealthy);
   s.failed = 4;
-  EXPECT_EQ(judge(s, 1000), Opinion::kWell);
+  EXPECT_EQ(assess(s, 1000), Opinion::kHealthy);
   s.failed = 5;
-  EXPECT_EQ(judge(s, 1000), Opinion::kIll);
+  EXPECT_EQ(assess(s, 1000), Opinion::kUnhealthy);
   s.failed = 0;
   s.latency_us = 100'000;  // ten times slower: ill, or too much to do
-  EXPECT_EQ(judge(s, 1000), Opinion::kLate);
+  EXPECT_EQ(assess(s, 1000), Opinion::kLate);
   s.latency_us = 10'000;
   s.full = 3, s.timed_out = 2;
-  EXPECT_EQ(judge(s, 1000), Opinion::kLate);
+  EXPECT_EQ(assess(s, 1000), Opinion::kLate);
 }
 
 TEST(Observation, AndPlansKeepTheirWholeOnTheWay) {
   Observation o;
-  Seen s;
+  ZoneSample s;
   s.attempts = 9, s.refused = 1, s.timed_out = 2, s.failed = 3, s.full = 4, s.latency_us = 5, s.postponed = 6;
   s.cold = 7, s.room = 8.5;
-  o.saw("a", 0, "b", s);
+  o.record("a", 0, "b", s);
   o.voted("a", "b", {1, 2, 3});
   o.asked("a", 7, 8);
   o.leads(7, "c");
@@ -111,10 +111,10 @@
   EXPECT_THROW(observation_from_json({{"votes", {{"a", "b", "many", 1, 2}}}}), nlohmann::json::exception);
   Plan p;
   p.number = 9;
-  p.zones["a"] = {Phase::kOpening, Reason::kStep, 5, 6, 7, 8, 0.25, true};
-  p.links[{"a", "b"}] = {Phase::kClosed, Reason::kSeenIll, 1, 2, 3, 4, 0, false};
+  p.zones["a"] = {Phase::kOpening, PhaseReason::kStep, 5, 6, 7, 8, 0.25, true};
+  p.links[{"a", "b"}] = {Phase::kClosed, PhaseReason::kUnhealthy, 1, 2, 3, 4, 0, false};
   p.shares[{1, "a"}] = {{"a", 0.5}, {"b", 0.25}};
-  p.spares[{1, "a"}] = {{"b", 0.125}};
+  p.surplus_capacity[{1, "a"}] = {{"b", 0.125}};
   p.changes = {{"a", 77}};
   p.frozen = true;
   auto back = plan_from_json(nlohmann::json::parse(to_json(p).dump()));
@@ -137,14 +137,14 @@
   auto second = [&](std::uint64_t n) {
     Observation o;
     o.asked("a", 1, n);
-    d.heed(o, 0.5);
+    d.debounce(o, 0.5);
     return d.rates().at({"a", 1});
   };
   EXPECT_EQ(second(500), 1000);
   EXPECT_LT(second(520), 1020);
   EXPECT_EQ(second(1000), 2000);  // twice as many is no chance
   EXPECT_GT(second(500), 1500);
-  for (int i = 0; i < 100; ++i) d.heed(Observation(), 0.5);
+  for (int i = 0; i < 100; ++i) d.debounce(Observation(), 0.5);
   EXPECT_TRUE(d.rates().empty());
 }
 
@@ -156,7 +156,8 @@
     now += 500ms;
     return watcher.take(now, 3, [](const std::string&) { return 2.0; });
   }
-  void serve(int count, const std::string& server, Ended how = Ended::kServed, Micros took = 2ms) {
+  void serve(int count, const std::string& server, RequestOutcome how = RequestOutcome::kServed,
+             Micros took = 2ms) {
     for (int i = 0; i < count; ++i) {
       watcher.sent(++id, 0, server, now, false);
       watcher.ended(id, 0, server, how, took);
@@ -171,7 +172,7 @@
   watcher.asked(1);
   watcher.asked(1);
   serve(4, "a1");
-  serve(1, "a2", Ended::kFailed);
+  serve(1, "a2", RequestOutcome::kFailed);
   watcher.leads("a1");
   auto o = take();
   EXPECT_EQ(o.demand().at({"a", 1}), 2u);
@@ -183,7 +184,7 @@
   EXPECT_EQ(s.latency_us, 8000u);
   EXPECT_EQ(s.room, 4.0);
   EXPECT_EQ(o.seen().at({"a", 0, "b"}).cold, 1u);
-  EXPECT_EQ(o.votes().at({"a", "a"}), (Votes{1, 0, 0}));
+  EXPECT_EQ(o.votes().at({"a", "a"}), (HealthVotes{1, 0, 0}));
   EXPECT_FALSE(o.votes().count({"a", "b"}));  // it sent nothing there
 }
 
@@ -192,10 +193,10 @@
   take();
   for (int i = 0; i < 5; ++i) watcher.sent(100 + static_cast<std::uint64_t>(i), 0, "a1", now, false);
   auto o = take();
-  EXPECT_EQ(o.votes().at({"a", "a"}), (Votes{0, 0, 1}));
+  EXPECT_EQ(o.votes().at({"a", "a"}), (HealthVotes{0, 0, 1}));
   // Its end, whenever it comes, is not counted once more.
   for (int i = 0; i < 5; ++i)
-    watcher.ended(100 + static_cast<std::uint64_t>(i), 0, "a1", Ended::kTimedOut, 2s);
+    watcher.ended(100 + static_cast<std::uint64_t>(i), 0, "a1", RequestOutcome::kTimedOut, 2s);
   EXPECT_EQ(take().seen().at({"a", 0, "a"}).attempts, 0u);
 }
 
@@ -223,7 +224,7 @@
   auto closer = watcher.blind(7);
   ASSERT_EQ(closer.size(), 3u);
   for (auto& server : closer) watcher.probed(server, false);
-  EXPECT_EQ(take().votes().at({"a", "b"}), (Votes{0, 0, 1}));
+  EXPECT_EQ(take().votes().at({"a", "b"}), (HealthVotes{0, 0, 1}));
   ZoneHealthObserver other("a", false);
   other.servers({{"b1", {1, "b", 0s}}});
   EXPECT_TRUE(other.blind(7).empty());
@@ -247,7 +248,8 @@
   in.seen = in.seen.demand_only();
   // No zone sees another, all are well by their own eyes: closing any would serve fewer.
   for (Zone from : {"a", "b", "c"})
-    for (Zone to : {"a", "b", "c"}) in.seen.voted(from, to, from == to ? Votes{4, 0, 0} : Votes{0, 4, 0});
+    for (Zone to : {"a", "b", "c"})
+      in.seen.voted(from, to, from == to ? HealthVotes{4, 0, 0} : HealthVotes{0, 4, 0});
   auto plan = settle(planner, {}, in, 10'000);
   for (Zone zone : {"a", "b", "c"}) {
     EXPECT_EQ(plan.zones.at(zone).phase, Phase::kOpen) << zone;
@@ -265,16 +267,16 @@
     in.seen.asked(from, 1, 500);
     for (Zone to : {"a", "b", "c"}) in.seen.voted(from, to, {to == "b" ? 0u : 4u, 0, to == "b" ? 4u : 0u});
   }
-  Seen busy;
+  ZoneSample busy;
   busy.attempts = 900;
-  in.seen.saw("b", 0, "b", busy);  // it answers nine tenths of what it bears
+  in.seen.record("b", 0, "b", busy);  // it answers nine tenths of what it bears
   EXPECT_EQ(settle(planner, {}, in, 10'000).zones.at("b").phase, Phase::kOpen);
   in.seen = [&] {
     auto o = in.seen.demand_only();
     for (auto& [key, votes] : in.seen.votes()) o.voted(key.first, key.second, votes);
-    Seen slow;
+    ZoneSample slow;
     slow.attempts = 100;
-    o.saw("b", 0, "b", slow);  // late, and doing next to nothing
+    o.record("b", 0, "b", slow);  // late, and doing next to nothing
     return o;
   }();
   EXPECT_EQ(settle(planner, {}, in, 10'000).zones.at("b").phase, Phase::kClosed);
@@ -285,8 +287,8 @@
   auto in = calm(300, 1000);
   auto plan = settle(planner, {}, in, 10'000);
   auto of = [&](const Zone& from, const Zone& to) {
-    auto it = plan.spares.find({1, from});
-    return it == plan.spares.end() || !it->second.count(to) ? 0.0 : it->second.at(to);
+    auto it = plan.surplus_capacity.find({1, from});
+    return it == plan.surplus_capacity.end() || !it->second.count(to) ? 0.0 : it->second.at(to);
   };
   EXPECT_EQ(of("a", "a"), 0);    // all of its reads go there anyway
   EXPECT_EQ(of("a", "b"), 1.0);  // 300 fit beside 300 in 950
@@ -326,13 +328,13 @@
   EXPECT_EQ(lost.zones.at("a").phase, Phase::kClosed);
   EXPECT_EQ(lost.shares.at({1, "a"}).count("a"), 0u);
   EXPECT_NEAR(lost.refused(1, "a"), 0, 0.01);
-  auto well = calm(400, 1000, 1'013'000);
-  auto still = settle(planner, lost, well, 4000);
+  auto healthy = calm(400, 1000, 1'013'000);
+  auto still = settle(planner, lost, healthy, 4000);
   EXPECT_EQ(still.zones.at("a").phase, Phase::kClosed);
   double before = 0;
   bool stepped = false;
-  for (; well.now < 1'060'000; well.now += 500) {
-    still = planner.next(still, well);
+  for (; healthy.now < 1'060'000; healthy.now += 500) {
+    still = planner.next(still, healthy);
     double part = still.zones.at("a").part;
     EXPECT_LE(part, std::max(0.1, before * 2) + 1e-9);
     stepped = stepped || (part > 0 && part < 1);
@@ -362,7 +364,7 @@
   auto grey = seen_ill(calm(900, 1000, 1'010'000), "a", {"a", "b", "c"}, 3);  // ill, and still serving
   auto kept = settle(planner, plan, grey, 10'000);
   EXPECT_EQ(kept.zones.at("a").phase, Phase::kOpen);
-  EXPECT_EQ(kept.zones.at("a").reason, Reason::kNoRoom);
+  EXPECT_EQ(kept.zones.at("a").reason, PhaseReason::kInsufficientCapacity);
   auto dead = settle(planner, plan, seen_ill(calm(900, 1000, 1'010'000), "a", {"a", "b", "c"}), 10'000);
   EXPECT_EQ(dead.zones.at("a").phase, Phase::kClosed);
   // Nobody pushes the others over: what has no room is refused, by a's clients.
