--- a/src/app/commands.cpp
+++ b/src/app/commands.cpp
@@ -132,7 +132,7 @@
   log(net::Level::kInfo,
       fmt::format("{} workers, decisions {}, clients {}", own.count,
                   own.decisions == workers::Decisions::kShared ? "shared" : "split",
-                  own.accept == workers::Accept::kDeal ? "dealt out" : "dealt out by the kernel"));
+                  own.accept == workers::Accept::kBalanced ? "dealt out" : "dealt out by the kernel"));
   group.run();
   return 0;
 }
--- a/src/app/group_runner.cpp
+++ b/src/app/group_runner.cpp
@@ -18,13 +18,13 @@
 constexpr rlim_t kGroupDescriptors = 2048;
 // Between two probes of a server by its owner: where no class bounds the age, and at least.
 // Left alone together, proxies ask the list service so far apart, one by one: a hundred calls a second.
-constexpr group::Micros kAskApart{10'000};
+constexpr group::Micros kPollSpacing{10'000};
 constexpr group::Micros kNoBound{500'000}, kLeastProbeEvery{20'000};
 
 // The owner's probes go over connections of their own, in the group's thread.
-class PoolProber : public group::Prober, private proxy::ServerEvents {
+class PoolHealthChecker : public group::Prober, private proxy::ServerEvents {
  public:
-  PoolProber(net::Loop& loop, proxy::PoolLimits limits, net::Log log, group::Probed probed)
+  PoolHealthChecker(net::Loop& loop, proxy::PoolLimits limits, net::Log log, group::Probed probed)
       : probed_(std::move(probed)), pool_(loop, limits, *this, std::move(log)) {}
   void servers(const discovery::EndpointListUpdate& list) override { pool_.update(list); }
   void probe(const std::string& server) override { pool_.probe(server); }
@@ -40,7 +40,7 @@
 };
 
 // Proxies of one zone of clients, about, that look into zones where no request of theirs goes; two must.
-constexpr double kWatchers = 4;
+constexpr double kWatchersPerZone = 4;
 
 // Of the reads of a group, what its plan says for the clients of one zone.
 request_router::Plan for_zone(const placement::Plan& plan, const placement::Zone& zone) {
@@ -63,10 +63,10 @@
 }  // namespace
 
 // The proxy's eyes on zones, in its thread.
-class GroupRunner::Eyes : public proxy::Watching {
+class GroupRunner::ZoneObserver : public proxy::RequestObserver {
  public:
-  Eyes(net::Loop& loop, const request_router::Settings& settings, placement::Zone own, bool watches)
-      : loop_(loop), warm_up_(settings.warm_up), watcher_(std::move(own), watches) {
+  ZoneObserver(net::Loop& loop, const request_router::Settings& settings, placement::Zone own, bool watches)
+      : loop_(loop), warm_up_(settings.warm_up), observer_(std::move(own), watches) {
     for (auto& c : settings.classes)
       reads_.push_back(c.level != request_router::ReadLevel::kWrite &&
                        c.level != request_router::ReadLevel::kFresh);
@@ -81,42 +81,42 @@
       if (m.started_at_ms > 0) warm = loop_.now() + group::Micros(m.started_at_ms * 1000) + warm_up_ - unix;
       places[m.id] = {m.cell, m.zone, warm};
     }
-    watcher_.servers(std::move(places));
+    observer_.servers(std::move(places));
   }
-  placement::ZoneHealthObserver& watcher() { return watcher_; }
+  placement::ZoneHealthObserver& observer() { return observer_; }
 
   void asked(const routing::Request& r) override {
-    if (reads_[r.request_class]) watcher_.asked(r.cluster);
+    if (reads_[r.request_class]) observer_.asked(r.shard_group);
   }
   void sent(const routing::Decision& d, bool waited) override {
-    watcher_.sent(d.request, d.attempt, d.server, loop_.now(), waited);
+    observer_.sent(d.request, d.attempt, d.server, loop_.now(), waited);
   }
-  void ended(const routing::Result& r) override {
+  void ended(const routing::AttemptResult& r) override {
     using routing::AttemptOutcome;
     auto how = placement::RequestOutcome::kNothing;
-    if (r.ending == AttemptOutcome::kServed || r.ending == AttemptOutcome::kDeclined)
+    if (r.outcome == AttemptOutcome::kServed || r.outcome == AttemptOutcome::kDeclined)
       how = placement::RequestOutcome::kServed;
-    if (r.ending == AttemptOutcome::kNoConnection) how = placement::RequestOutcome::kRefused;
-    if (r.ending == AttemptOutcome::kRejected) how = placement::RequestOutcome::kFull;
-    if (r.ending == AttemptOutcome::kTimedOut) how = placement::RequestOutcome::kTimedOut;
-    if (r.ending == AttemptOutcome::kError || r.ending == AttemptOutcome::kReset)
+    if (r.outcome == AttemptOutcome::kNoConnection) how = placement::RequestOutcome::kRefused;
+    if (r.outcome == AttemptOutcome::kRejected) how = placement::RequestOutcome::kFull;
+    if (r.outcome == AttemptOutcome::kTimedOut) how = placement::RequestOutcome::kTimedOut;
+    if (r.outcome == AttemptOutcome::kError || r.outcome == AttemptOutcome::kReset)
       how = placement::RequestOutcome::kFailed;
-    if (r.role == routing::ServerRole::kPrimary) watcher_.leads(r.server);
-    watcher_.ended(r.request, r.attempt, r.server, how, r.taken);
+    if (r.role == routing::ServerRole::kPrimary) observer_.leads(r.server);
+    observer_.ended(r.request, r.attempt, r.server, how, r.taken);
   }
-  void probed(const routing::ProbeResult& r) override { watcher_.probed(r.server, r.ok); }
+  void probed(const routing::ProbeResult& r) override { observer_.probed(r.server, r.ok); }
 
  private:
   net::Loop& loop_;
   group::Micros warm_up_;
   std::vector<bool> reads_;  // by class
-  placement::ZoneHealthObserver watcher_;
+  placement::ZoneHealthObserver observer_;
 };
 
 GroupRunner::GroupRunner(net::Loop& loop, proxy::Proxy& proxy, routing::Decider& decider,
                          group::Options options, const proxy::ProxyOptions& of,
                          const request_router::Settings& settings, std::uint64_t seed, net::Log log)
-    : loop_(loop), proxy_(proxy), decider_(decider), mailbox_(loop) {
+    : loop_(loop), proxy_(proxy), decider_(decider), tasks_(loop) {
   signal(SIGXFSZ, SIG_IGN);  // a limit on files is a full disk, not the end
   rlimit limit{};
   if (getrlimit(RLIMIT_NOFILE, &limit) == 0) {
@@ -124,7 +124,7 @@
     setrlimit(RLIMIT_NOFILE, &limit);
   }
   options.seed = seed;
-  options.spread = std::max(options.spread, kAskApart * settings.routers);
+  options.spread = std::max(options.spread, kPollSpacing * settings.routers);
   if (options.probe_every.count() == 0) {
     // Replicas are asked in turn: of two, one was asked within a third of the bound, which leaves two thirds
     // for lag and the way here; of one, it is asked twice as often.
@@ -140,60 +140,62 @@
     for (auto& [zone, region] : options.placement->regions) zones.insert(zone);
     auto each = std::max(1.0, static_cast<double>(settings.routers) / static_cast<double>(zones.size()));
     auto draw = static_cast<double>(std::hash<std::string>{}(options.name) >> 11) * 0x1p-53;
-    eyes_ = std::make_unique<Eyes>(loop, settings, settings.zone, draw * each < kWatchers);
-    eyes_->list(of.known);
-    proxy.dispatcher().watch(eyes_.get());
+    zone_observer_ =
+        std::make_unique<ZoneObserver>(loop, settings, settings.zone, draw * each < kWatchersPerZone);
+    zone_observer_->list(of.known);
+    proxy.dispatcher().watch(zone_observer_.get());
   }
   group::Hooks hooks;
   hooks.plan = [this, zone = settings.zone](std::optional<placement::Plan> plan) {
     auto own = plan ? for_zone(*plan, zone) : request_router::Plan{};
-    mailbox_.post([this, own = std::move(own)] { proxy_.dispatcher().plan(own); });
+    tasks_.post([this, own = std::move(own)] { proxy_.dispatcher().plan(own); });
   };
   hooks.list = [this](discovery::EndpointListUpdate update, bool anew) {
-    mailbox_.post([this, anew, update = std::move(update)] {
-      if (eyes_) eyes_->list(update);
-      proxy_.dispatcher().await_facts(true);
+    tasks_.post([this, anew, update = std::move(update)] {
+      if (zone_observer_) zone_observer_->list(update);
+      proxy_.dispatcher().expect_load_reports(true);
       proxy_.given(update, anew);
     });
   };
   hooks.facts = [this](std::vector<group::Fact> facts) {
-    mailbox_.post([this, facts = std::move(facts)] {
+    tasks_.post([this, facts = std::move(facts)] {
       for (auto& f : facts) proxy_.dispatcher().fact({f.server, true, f.taken, f.load}, f.age);
     });
   };
   hooks.alone = [this](bool alone, bool ask) {
-    mailbox_.post([this, alone, ask] {
-      proxy_.dispatcher().await_facts(!alone);
+    tasks_.post([this, alone, ask] {
+      proxy_.dispatcher().expect_load_reports(!alone);
       proxy_.watch_discovery(alone && ask);
     });
   };
   hooks.prober = [limits = of.pool, log](net::Loop& group_loop, group::Probed probed) {
-    return std::make_unique<PoolProber>(group_loop, limits, log, std::move(probed));
+    return std::make_unique<PoolHealthChecker>(group_loop, limits, log, std::move(probed));
   };
-  proxy.dispatcher().use_facts([this](const std::string& server) { node_->want(server); });
-  proxy.before_turn_end = [this] { mailbox_.drain(); };
+  proxy.dispatcher().use_load_reports([this](const std::string& server) { node_->want(server); });
+  proxy.before_iteration_end = [this] { tasks_.drain(); };
   node_ = std::make_unique<group::Node>(std::move(options), of.discovery, of.schedule, of.known,
                                         std::move(hooks), std::move(log));
 }
 
 void GroupRunner::start() {
   node_->start();
-  if (eyes_) look_timer_ = loop_.at(loop_.now() + group::kObserveEvery, [this] { look(); });
+  if (zone_observer_) look_timer_ = loop_.at(loop_.now() + group::kObserveEvery, [this] { look(); });
 }
 
 void GroupRunner::look() {
   look_timer_ = loop_.at(loop_.now() + group::kObserveEvery, [this] { look(); });
-  node_->observed(eyes_->watcher().take(loop_.now(), node_->following(),
-                                        [this](const std::string& server) { return decider_.room(server); }));
+  node_->observed(zone_observer_->observer().take(
+      loop_.now(), node_->following(),
+      [this](const std::string& server) { return decider_.spare_capacity(server); }));
   auto draw = static_cast<std::uint64_t>(loop_.now().count()) * 0x9e3779b97f4a7c15;
-  for (auto& server : eyes_->watcher().blind(draw >> 8)) proxy_.dispatcher().look_at(server);
+  for (auto& server : zone_observer_->observer().blind(draw >> 8)) proxy_.dispatcher().probe_now(server);
 }
 
 GroupRunner::~GroupRunner() {
   loop_.cancel(&look_timer_);
   node_.reset();
   proxy_.dispatcher().watch(nullptr);
-  proxy_.before_turn_end = [] {};
+  proxy_.before_iteration_end = [] {};
 }
 
 }  // namespace database_proxy::app
--- a/src/app/group_runner.h
+++ b/src/app/group_runner.h
@@ -23,14 +23,14 @@
   }
 
  private:
-  class Eyes;
+  class ZoneObserver;
   void look();
 
   net::Loop& loop_;
   proxy::Proxy& proxy_;
   routing::Decider& decider_;
-  net::TaskQueue mailbox_;  // to the proxy's thread
-  std::unique_ptr<Eyes> eyes_;
+  net::TaskQueue tasks_;  // to the proxy's thread
+  std::unique_ptr<ZoneObserver> zone_observer_;
   net::Loop::TimerId look_timer_ = net::Loop::kNoTimer;
   std::unique_ptr<group::Node> node_;
 };
--- a/src/app/operator_file.cpp
+++ b/src/app/operator_file.cpp
@@ -71,7 +71,7 @@
     o.decisions =
         w.value("decisions", "shared") == "split" ? workers::Decisions::kSplit : workers::Decisions::kShared;
     o.accept =
-        w.value("accept", "deal") == "reuseport" ? workers::Accept::kReusePort : workers::Accept::kDeal;
+        w.value("accept", "deal") == "reuseport" ? workers::Accept::kReusePort : workers::Accept::kBalanced;
     o.share_probes = w.value("share_probes", o.share_probes);
     o.connections_per_server = w.value("connections_per_server", o.connections_per_server);
     o.cpus = w.value("cpus", o.cpus);
--- a/src/net/buffer.cpp
+++ b/src/net/buffer.cpp
@@ -9,27 +9,27 @@
 
 namespace database_proxy::net {
 namespace {
-constexpr std::size_t kChunk = 16 * 1024;
+constexpr std::size_t kChunk = 16 * 1024;  // read by one system call at most
 // An emptied buffer larger than this gives its memory back: a thousand connections that once had a large
 // value must not hold it for good.
-constexpr std::size_t kKeep = 4 * 1024;
+constexpr std::size_t kRetainedCapacity = 4 * 1024;
 }  // namespace
 
-void InBuffer::consume(std::size_t n) {
-  start_ += std::min(n, bytes_.size() - start_);
+void InBuffer::consume(std::size_t count) {
+  start_ += std::min(count, bytes_.size() - start_);
   if (start_ < bytes_.size()) return;
   start_ = 0;
   bytes_.clear();
-  if (bytes_.capacity() > kKeep) bytes_.shrink_to_fit();
+  if (bytes_.capacity() > kRetainedCapacity) bytes_.shrink_to_fit();
 }
 
 IoEnd InBuffer::fill(int fd, std::size_t cap, std::size_t most, bool drained_by_short) {
   char chunk[kChunk];
   while (true) {
-    std::size_t held = bytes_.size() - start_;
-    if (held >= cap || most == 0) return IoEnd::kFull;
-    auto room = std::min({sizeof chunk, cap - held, most});
-    ssize_t n = recv(fd, chunk, room, 0);
+    std::size_t buffered = bytes_.size() - start_;
+    if (buffered >= cap || most == 0) return IoEnd::kFull;
+    auto wanted = std::min({sizeof chunk, cap - buffered, most});
+    ssize_t n = recv(fd, chunk, wanted, 0);
     if (n < 0 && errno == EINTR) continue;
     if (n < 0) return errno == EAGAIN || errno == EWOULDBLOCK ? IoEnd::kAgain : IoEnd::kReset;
     if (n == 0) return IoEnd::kClosed;
@@ -39,7 +39,7 @@
     }
     bytes_.append(chunk, static_cast<std::size_t>(n));
     most -= static_cast<std::size_t>(n);
-    if (drained_by_short && static_cast<std::size_t>(n) < room) return IoEnd::kAgain;
+    if (drained_by_short && static_cast<std::size_t>(n) < wanted) return IoEnd::kAgain;
   }
 }
 
--- a/src/net/buffer.h
+++ b/src/net/buffer.h
@@ -15,13 +15,15 @@
 // Whether nothing more will come from the peer.
 constexpr bool is_over(IoEnd end) { return end == IoEnd::kClosed || end == IoEnd::kReset; }
 
+// Unread input of one connection.
 class InBuffer {
  public:
   std::string_view view() const { return std::string_view(bytes_).substr(start_); }
-  void consume(std::size_t n);
-  // Reads until EAGAIN, the end, `cap` unread bytes are held, or `most` bytes have come by this call.
-  // `drained_by_short`: a short read says that all has been read, as epoll(7) has it for streams; for calls
-  // after an event that did not tell of the peer's end.
+  // Drops the first bytes, which have been parsed.
+  void consume(std::size_t count);
+  // Reads until EAGAIN, the end, `cap` unread bytes are buffered, or `most` bytes have come by this call.
+  // `drained_by_short`: a short read means that all has been read, as epoll(7) has it for streams; for calls
+  // after an event that did not report the peer's end.
   IoEnd fill(int fd, std::size_t cap, std::size_t most = SIZE_MAX, bool drained_by_short = false);
   std::size_t memory() const { return bytes_.capacity(); }
   void clear() { consume(bytes_.size()); }
@@ -34,6 +36,7 @@
 // Throws away what has come, `most` bytes at most. kFull: there may be more.
 IoEnd discard(int fd, std::size_t most);
 
+// Output of one connection that its socket has not taken yet.
 class OutBuffer {
  public:
   bool empty() const { return bytes_.empty(); }
--- a/src/net/event_notifier.cpp
+++ b/src/net/event_notifier.cpp
@@ -7,15 +7,15 @@
 
 namespace database_proxy::net {
 
-EventNotifier::EventNotifier(Loop& loop, std::function<bool()> waiting)
-    : loop_(loop), waiting_(std::move(waiting)), event_(eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC)) {
+EventNotifier::EventNotifier(Loop& loop, std::function<bool()> has_work)
+    : loop_(loop), has_work_(std::move(has_work)), event_(eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC)) {
   if (!event_ || !loop_.add(event_.get(), this))
     throw std::system_error(errno, std::generic_category(), "eventfd");
-  loop_.set_wake(this);
+  loop_.set_notifier(this);
 }
 
 EventNotifier::~EventNotifier() {
-  loop_.set_wake(nullptr);
+  loop_.set_notifier(nullptr);
   loop_.remove(event_.get(), this);
 }
 
@@ -24,7 +24,8 @@
 
 void EventNotifier::signal() {
   std::uint64_t one = 1;
-  [[maybe_unused]] auto n = ::write(event_.get(), &one, sizeof one);  // full only after 2^64 - 2 of them
+  // Fails only where 2^64 - 2 of them were not read: then the loop has an event anyway.
+  [[maybe_unused]] auto written = ::write(event_.get(), &one, sizeof one);
 }
 
 }  // namespace database_proxy::net
--- a/src/net/event_notifier.h
+++ b/src/net/event_notifier.h
@@ -1,4 +1,4 @@
-// How one thread tells another's loop that something waits for it. A write to the kernel is spent only where
+// How one thread notifies another's loop that work waits for it. A write to the kernel is spent only where
 // the other side sleeps or is about to.
 #pragma once
 
@@ -13,9 +13,9 @@
 // Owned by the thread that sleeps and registered with its loop; notify() may be called from any thread.
 class EventNotifier : public Handler {
  public:
-  // `waiting` says whether there is work that nobody was notified of; it runs in the loop's own thread.
-  // Throws std::system_error when the kernel gives no descriptor.
-  EventNotifier(Loop& loop, std::function<bool()> waiting);
+  // `has_work` returns whether work waits that the loop was not notified of; it runs in the loop's own
+  // thread. Throws std::system_error when the kernel gives no descriptor.
+  EventNotifier(Loop& loop, std::function<bool()> has_work);
   ~EventNotifier() override;
   EventNotifier(const EventNotifier&) = delete;
   EventNotifier& operator=(const EventNotifier&) = delete;
@@ -28,7 +28,7 @@
   // By the loop: false where work waits, so that it must not sleep.
   bool may_sleep() {
     sleeping_.exchange(true, std::memory_order_acq_rel);
-    if (!waiting_()) return true;
+    if (!has_work_()) return true;
     awake();
     return false;
   }
@@ -39,7 +39,7 @@
   void signal();
 
   Loop& loop_;
-  std::function<bool()> waiting_;
+  std::function<bool()> has_work_;
   Fd event_;
   std::atomic<bool> sleeping_{false};
 };
--- a/src/net/fd.h
+++ b/src/net/fd.h
@@ -7,6 +7,7 @@
 
 namespace database_proxy::net {
 
+// A descriptor with one owner, closed when its owner goes. Moving hands it on; an empty one holds -1.
 class Fd {
  public:
   Fd() = default;
--- a/src/net/loop.h
+++ b/src/net/loop.h
@@ -1,6 +1,6 @@
-// The event loop: edge-triggered epoll, timers, one thread. The clock is read once a turn, and all that
-// happens in it happens at that time. A second reading, before the sleep, only tells how long the turn itself
-// took.
+// The event loop: edge-triggered epoll and timers in one thread. The clock is read once an iteration, and all
+// that happens in the iteration happens at that time. A second reading, before the sleep, only measures how
+// long the iteration took.
 #pragma once
 
 #include <sys/epoll.h>
@@ -16,12 +16,15 @@
 
 namespace database_proxy::net {
 
+// The monotonic clock, read now. Code that runs in a loop takes Loop::now() instead.
 Micros monotonic_now();
 
-// Whether an event speaks of the peer's end, so that reading must go on until that is met.
-constexpr bool ends(std::uint32_t events) { return events & (EPOLLRDHUP | EPOLLHUP | EPOLLERR); }
+// Whether epoll's events report the end of the peer, so that reading must go on until it is met.
+constexpr bool peer_has_ended(std::uint32_t events) {
+  return (events & (EPOLLRDHUP | EPOLLHUP | EPOLLERR)) != 0;
+}
 
-// Told when its descriptor is ready. Edge-triggered: read and write until EAGAIN.
+// Is called when its descriptor is ready. Edge-triggered: it must read and write until EAGAIN.
 class Handler {
  public:
   virtual ~Handler() = default;
@@ -30,15 +33,17 @@
 
 class EventNotifier;
 
+// Owned and used by one thread; only an EventNotifier may be called from others. Throws std::system_error
+// where the kernel gives no epoll descriptor.
 class Loop {
  public:
   using TimerId = Timers::Id;
   static constexpr TimerId kNoTimer = Timers::kNone;
 
   Loop();
-  Micros now() const { return now_; }  // the time of this turn
-  // What this turn finds ready may have been so since then: since the last turn began, where this one
-  // followed it without a rest, or since the time of a timer that is overdue. Otherwise now().
+  Micros now() const { return now_; }  // the time of this iteration
+  // What this iteration finds ready may have been so since then: since the last iteration began, where this
+  // one followed it without a rest, or since the time of a timer that is overdue. Otherwise now().
   Micros ready_since() const { return ready_since_; }
 
   // False when the kernel will not watch it. A handler may outlive its registration, never the other way.
@@ -51,27 +56,32 @@
     timers_.cancel(std::exchange(*timer, kNoTimer));
   }  // and forgets it; harmless for one that has fired
 
-  // Calls on_ready(EPOLLIN) in the next turn, which comes at once: for what had to stop to let others go on.
+  // Calls on_ready(EPOLLIN) in the next iteration, which comes at once: for a handler that stopped before it
+  // met EAGAIN, to let others go on.
   void again(Handler* handler) { again_.push_back(handler); }
-  std::uint64_t turn() const { return turn_; }
+  // The number of this iteration.
+  std::uint64_t iteration() const { return iteration_; }
 
-  // Another thread's means to end this loop's sleep; nullptr: none. Not owned.
-  void set_wake(EventNotifier* wake) { wake_ = wake; }
+  // By which another thread ends this loop's sleep; nullptr: none. Not owned.
+  void set_notifier(EventNotifier* notifier) { notifier_ = notifier; }
 
   // Sleeps end within some ten microseconds of a timer instead of within a millisecond. Costs a second system
   // call where the kernel does not know epoll_pwait2.
   void set_fine(bool fine) { fine_ = fine; }
 
-  // `end_of_turn` runs after the events and timers of each turn, and once before the first wait.
-  void run(const std::function<void()>& end_of_turn);
+  // `on_iteration_end` runs after the events and timers of each iteration, and once before the first wait.
+  // Throws std::system_error where the kernel fails to wait.
+  void run(const std::function<void()>& on_iteration_end);
+  // run() returns at the end of this iteration. In the loop's own thread.
   void stop() { stopped_ = true; }
 
  private:
   int sleep();
   Micros oldest_ready(Micros began, Micros slept_at) const;
+  void dispatch(std::size_t fetched);
 
   Fd epoll_;
-  EventNotifier* wake_ = nullptr;
+  EventNotifier* notifier_ = nullptr;
   Micros now_, ready_since_;
   bool stopped_ = false, fine_ = false;
   std::size_t watched_ = 0;
@@ -79,7 +89,7 @@
   std::vector<epoll_event> batch_;
   std::size_t cursor_ = 0, filled_ = 0;
   std::vector<Handler*> again_, due_;
-  std::uint64_t turn_ = 0;
+  std::uint64_t iteration_ = 0;
 };
 
 }  // namespace database_proxy::net
--- a/src/net/socket.cpp
+++ b/src/net/socket.cpp
@@ -7,7 +7,7 @@
 
 #include <cerrno>
 #include <charconv>
-#include <cstring>
+#include <system_error>
 
 namespace database_proxy::net {
 namespace {
@@ -22,9 +22,15 @@
   return address;
 }
 
-void no_delay(int fd) {
-  int on = 1;
-  setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
+constexpr int kEnabled = 1;
+
+const sockaddr* generic(const Address& address) {
+  return reinterpret_cast<const sockaddr*>(&address.storage);
+}
+
+// Small messages go out at once, by the congestion control that was set.
+void configure_stream(int fd) {
+  setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &kEnabled, sizeof kEnabled);
   if (!congestion_control().empty())
     setsockopt(fd, IPPROTO_TCP, TCP_CONGESTION, congestion_control().data(),
                static_cast<socklen_t>(congestion_control().size()));
@@ -74,20 +80,18 @@
   auto address = parse_address(text.find(':') == std::string::npos ? text + ":0" : "[" + text + "]:0");
   if (!address) return false;
   Fd probe(socket(address->storage.ss_family, SOCK_STREAM | SOCK_CLOEXEC, 0));
-  if (!probe || bind(probe.get(), reinterpret_cast<const sockaddr*>(&address->storage), address->length) != 0)
-    return false;
+  if (!probe || bind(probe.get(), generic(*address), address->length) != 0) return false;
   source() = address;
   return true;
 }
 
-Fd listen_on(const Address& address, std::string* error, bool shared) {
+Fd listen_on(const Address& address, std::string* error, PortSharing sharing) {
   Fd fd(socket(address.storage.ss_family, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
-  int on = 1;
-  if (!fd || setsockopt(fd.get(), SOL_SOCKET, SO_REUSEADDR, &on, sizeof on) != 0 ||
-      (shared && setsockopt(fd.get(), SOL_SOCKET, SO_REUSEPORT, &on, sizeof on) != 0) ||
-      bind(fd.get(), reinterpret_cast<const sockaddr*>(&address.storage), address.length) != 0 ||
-      listen(fd.get(), SOMAXCONN) != 0) {
-    *error = std::strerror(errno);
+  bool shared = sharing == PortSharing::kShared;
+  if (!fd || setsockopt(fd.get(), SOL_SOCKET, SO_REUSEADDR, &kEnabled, sizeof kEnabled) != 0 ||
+      (shared && setsockopt(fd.get(), SOL_SOCKET, SO_REUSEPORT, &kEnabled, sizeof kEnabled) != 0) ||
+      bind(fd.get(), generic(address), address.length) != 0 || listen(fd.get(), SOMAXCONN) != 0) {
+    *error = std::generic_category().message(errno);
     return Fd();
   }
   return fd;
@@ -100,18 +104,17 @@
     *error = errno;
     return fd;
   }
-  no_delay(fd.get());
+  configure_stream(fd.get());
   if (source() && source()->storage.ss_family == address.storage.ss_family) {
-    int on = 1;  // the port is chosen with the connection, as without an address of its own
-    setsockopt(fd.get(), IPPROTO_IP, IP_BIND_ADDRESS_NO_PORT, &on, sizeof on);
-    if (bind(fd.get(), reinterpret_cast<const sockaddr*>(&source()->storage), source()->length) != 0) {
+    // The port is chosen with the connection, as without an address of its own.
+    setsockopt(fd.get(), IPPROTO_IP, IP_BIND_ADDRESS_NO_PORT, &kEnabled, sizeof kEnabled);
+    if (bind(fd.get(), generic(*source()), source()->length) != 0) {
       *error = errno;
       fd.reset();
       return fd;
     }
   }
-  if (connect(fd.get(), reinterpret_cast<const sockaddr*>(&address.storage), address.length) != 0 &&
-      errno != EINPROGRESS) {
+  if (connect(fd.get(), generic(address), address.length) != 0 && errno != EINPROGRESS) {
     *error = errno;
     fd.reset();
   }
@@ -121,7 +124,7 @@
 Fd accept_from(int listener, int* error) {
   Fd fd(accept4(listener, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
   *error = fd ? 0 : errno;
-  if (fd) no_delay(fd.get());
+  if (fd) configure_stream(fd.get());
   return fd;
 }
 
--- a/src/net/socket.h
+++ b/src/net/socket.h
@@ -11,12 +11,13 @@
 
 namespace database_proxy::net {
 
+// An IPv4 or IPv6 address with its port, as the system calls take it.
 struct Address {
   sockaddr_storage storage{};
   socklen_t length = 0;
 };
 
-// "10.0.0.4:6432" or "[::1]:6432"; nothing else, since there is no DNS.
+// "10.0.0.4:6432" or "[::1]:6432". Names are not resolved: there is no DNS.
 std::optional<Address> parse_address(std::string_view text);
 
 // The congestion control of all sockets made from now on, by its name in the kernel; empty: the system's own.
@@ -28,13 +29,21 @@
 // chooses. Call it before threads start. False, and nothing changes: it is no address of this machine.
 bool set_source(const std::string& address);
 
-// `shared`: several sockets of this process listen there, and the kernel deals clients out (SO_REUSEPORT).
-Fd listen_on(const Address& address, std::string* error, bool shared = false);
-Fd start_connect(const Address& address, int* error);  // an Fd even while EINPROGRESS
-Fd accept_from(int listener, int* error);              // error is EAGAIN when nothing waits
+// Whether several sockets of this process listen at one address and the kernel shares clients out among them
+// (SO_REUSEPORT).
+enum class PortSharing { kExclusive, kShared };
+
+// A listening socket; an empty one and the reason in `error` where the system refuses.
+Fd listen_on(const Address& address, std::string* error, PortSharing sharing = PortSharing::kExclusive);
+// A connection that is up or on its way (EINPROGRESS); an empty one and errno in `error` where it has failed.
+Fd start_connect(const Address& address, int* error);
+// The next client; an empty one and errno in `error`, EAGAIN where none waits.
+Fd accept_from(int listener, int* error);
+// The pending error of a socket (SO_ERROR); 0: none.
 int socket_error(int fd);
 // Whether the peer has closed, or half-closed, or reset this connection; looks past unread input.
-bool peer_has_closed(int fd);  // SO_ERROR, 0 when fine
+bool peer_has_closed(int fd);
+// The port that a socket is bound to; 0: none.
 int local_port(int fd);
 
 }  // namespace database_proxy::net
--- a/src/net/task_queue.h
+++ b/src/net/task_queue.h
@@ -1,5 +1,5 @@
-// Calls that other threads want done in a loop's own thread: rare ones, such as list changes, cancels and
-// steps of a shutdown. What is frequent goes over rings (ring.h).
+// Tasks that other threads hand to a loop's own thread: rare ones, such as endpoint list changes, cancels and
+// steps of a shutdown. What is frequent goes over workers/spsc_queue.h.
 #pragma once
 
 #include <atomic>
@@ -11,46 +11,47 @@
 
 namespace database_proxy::net {
 
+// Owned by the thread of the loop; post() and notify() may be called from any thread.
 class TaskQueue {
  public:
-  using Call = std::function<void()>;
-  // `more`: further work that must keep the loop from sleeping; it runs in the loop's thread.
+  using Task = std::function<void()>;
+  // `has_more`: further work that must keep the loop from sleeping; it runs in the loop's thread.
   explicit TaskQueue(
-      Loop& loop, std::function<bool()> more = [] { return false; })
-      : wake_(loop,
-              [this, more = std::move(more)] { return waiting_.load(std::memory_order_acquire) || more(); }) {
-  }
+      Loop& loop, std::function<bool()> has_more = [] { return false; })
+      : notifier_(loop, [this, has_more = std::move(has_more)] {
+          return has_tasks_.load(std::memory_order_acquire) || has_more();
+        }) {}
 
-  // From any thread. Calls run in the order in which they were posted. Unbounded by itself: whoever posts
+  // From any thread. Tasks run in the order in which they were posted. Unbounded by itself: whoever posts
   // must be bounded by what it posts for (a list change, a client, a step).
-  void post(Call call) {
+  void post(Task task) {
     {
       std::lock_guard lock(mutex_);
-      calls_.push_back(std::move(call));
-      waiting_.store(true, std::memory_order_release);
+      tasks_.push_back(std::move(task));
+      has_tasks_.store(true, std::memory_order_release);
     }
-    wake_.notify();
+    notifier_.notify();
   }
-  void notify() { wake_.notify(); }
+  void notify() { notifier_.notify(); }
 
-  // In the loop's thread, once a turn. Costs one load where nothing waits.
+  // In the loop's thread, once an iteration: runs what waits; false where nothing did. Costs one load then.
   bool drain() {
-    if (!waiting_.load(std::memory_order_acquire)) return false;
-    std::vector<Call> calls;
+    if (!has_tasks_.load(std::memory_order_acquire)) return false;
+    std::vector<Task> tasks;
     {
       std::lock_guard lock(mutex_);
-      calls.swap(calls_);
-      waiting_.store(false, std::memory_order_release);
+      tasks.swap(tasks_);
+      has_tasks_.store(false, std::memory_order_release);
     }
-    for (auto& call : calls) call();
-    return !calls.empty();
+    for (auto& task : tasks) task();
+    return !tasks.empty();
   }
 
  private:
-  std::mutex mutex_;  // held for a push or a swap only
-  std::vector<Call> calls_;
-  std::atomic<bool> waiting_{false};
-  EventNotifier wake_;
+  std::mutex mutex_;  // guards tasks_; held for a push or a swap only
+  std::vector<Task> tasks_;
+  std::atomic<bool> has_tasks_{false};
+  EventNotifier notifier_;
 };
 
 }  // namespace database_proxy::net
--- a/src/net/timers.cpp
+++ b/src/net/timers.cpp
@@ -70,14 +70,16 @@
   do {
     early_ = false;
     due_.clear();
-    auto from = ran_.count() / kSlotMicros, to = now.count() / kSlotMicros;
+    auto from = ran_.count() / kSlotMicros;
+    auto to = now.count() / kSlotMicros;
     if (to - from >= static_cast<std::int64_t>(kSlots)) from = to - static_cast<std::int64_t>(kSlots) + 1;
-    for (auto s = from; s <= to; ++s) {
-      auto slot = static_cast<std::size_t>(s) % kSlots;
+    for (auto tick = from; tick <= to; ++tick) {
+      auto slot = static_cast<std::size_t>(tick) % kSlots;
       if (used_[slot / 64] >> slot % 64 & 1) collect(slot, now);
     }
-    std::sort(due_.begin(), due_.end(), [&](auto a, auto b) {
-      return std::pair(nodes_[a].when, nodes_[a].order) < std::pair(nodes_[b].when, nodes_[b].order);
+    std::sort(due_.begin(), due_.end(), [&](auto left, auto right) {
+      return std::pair(nodes_[left].when, nodes_[left].order) <
+             std::pair(nodes_[right].when, nodes_[right].order);
     });
     ran_ = now;
     std::vector<Id> ids;
--- a/src/net/timers.h
+++ b/src/net/timers.h
@@ -14,6 +14,7 @@
 
 using Micros = std::chrono::microseconds;  // on the monotonic clock, or a span of it
 
+// Used by the thread of its loop only.
 class Timers {
  public:
   using Id = std::pair<std::uint32_t, std::uint32_t>;  // its place, and how often that was used before
--- a/src/pg/message.cpp
+++ b/src/pg/message.cpp
@@ -4,10 +4,12 @@
 namespace {
 
 constexpr std::uint32_t kVersion3 = 196608, kCancelCode = 80877102, kSslCode = 80877103, kGssCode = 80877104;
-constexpr std::uint32_t kLongestFirst = 10'000;  // as PostgreSQL itself allows
+constexpr std::uint32_t kLongestFirstMessage = 10'000;  // bytes, as PostgreSQL itself allows
+constexpr std::size_t kLengthSize = 4;                  // bytes of a message's length, which counts itself
+constexpr std::uint32_t kCancelRequestSize = 16;
 
 std::uint32_t read32(std::string_view in, std::size_t at) {
-  auto byte = [&](std::size_t i) { return std::uint32_t{static_cast<unsigned char>(in[at + i])}; };
+  auto byte = [&](std::size_t offset) { return std::uint32_t{static_cast<unsigned char>(in[at + offset])}; };
   return byte(0) << 24 | byte(1) << 16 | byte(2) << 8 | byte(3);
 }
 
@@ -17,7 +19,7 @@
 
 std::string message(char type, std::string_view body) {
   std::string out(1, type);
-  put32(out, body.size() + 4);
+  put32(out, body.size() + kLengthSize);
   out.append(body);
   return out;
 }
@@ -40,46 +42,57 @@
 
 }  // namespace
 
-Parse parse_frame(std::string_view in, std::size_t max_body, Frame* frame) {
-  if (in.empty()) return Parse::kMore;
+ParseStatus parse_frame(std::string_view in, std::size_t max_body, Frame* frame) {
+  if (in.empty()) return ParseStatus::kMore;
   // A letter that no message has says that the stream is lost; its length is not to be believed.
   char type = in[0];
   if (!((type >= 'A' && type <= 'Z') || (type >= 'a' && type <= 'z') || (type >= '1' && type <= '3')))
-    return Parse::kBad;
-  if (in.size() < 5) return Parse::kMore;
+    return ParseStatus::kBad;
+  if (in.size() < 5) return ParseStatus::kMore;
   std::size_t length = read32(in, 1);
-  if (length < 4 || length - 4 > max_body) return Parse::kBad;
-  if (in.size() < 1 + length) return Parse::kMore;
+  if (length < 4 || length - 4 > max_body) return ParseStatus::kBad;
+  if (in.size() < 1 + length) return ParseStatus::kMore;
   *frame = {type, in.substr(5, length - 4), 1 + length};
-  return Parse::kOk;
+  return ParseStatus::kOk;
 }
 
-Parse parse_first(std::string_view in, FirstMessage* first) {
-  if (in.size() < 4) return Parse::kMore;
+namespace {
+
+FirstMessageKind kind_of_code(std::uint32_t code) {
+  if (code == kSslCode) return FirstMessageKind::kSsl;
+  if (code == kGssCode) return FirstMessageKind::kGssEnc;
+  if (code == kCancelCode) return FirstMessageKind::kCancel;
+  bool is_version_3 = code >> 16 == kVersion3 >> 16;
+  return is_version_3 ? FirstMessageKind::kStartup : FirstMessageKind::kOther;
+}
+
+// Pairs of strings, then one empty string.
+bool is_parameter_list(std::string_view list) {
+  while (true) {
+    auto name = take_text(list);
+    if (!name) return false;
+    if (name->empty()) return list.empty();
+    if (!take_text(list)) return false;
+  }
+}
+
+}  // namespace
+
+ParseStatus parse_first_message(std::string_view in, FirstMessage* first) {
+  if (in.size() < kLengthSize) return ParseStatus::kMore;
   std::uint32_t length = read32(in, 0);
-  if (length < 8 || length > kLongestFirst) return Parse::kBad;
-  if (in.size() < length) return Parse::kMore;
+  if (length < 8 || length > kLongestFirstMessage) return ParseStatus::kBad;
+  if (in.size() < length) return ParseStatus::kMore;
   first->size = length;
   first->code = read32(in, 4);
-  first->kind = first->code == kSslCode      ? Opening::kSsl
-                : first->code == kGssCode    ? Opening::kGssEnc
-                : first->code == kCancelCode ? Opening::kCancel
-                : first->code >> 16 == 3     ? Opening::kStartup
-                                             : Opening::kOther;
-  if (first->kind == Opening::kCancel) {
-    if (length != 16) return Parse::kBad;
+  first->kind = kind_of_code(first->code);
+  if (first->kind == FirstMessageKind::kCancel) {
+    if (length != kCancelRequestSize) return ParseStatus::kBad;
     first->number = read32(in, 8);
     first->secret = read32(in, 12);
   }
-  if (first->kind != Opening::kStartup) return Parse::kOk;
-  // Pairs of strings, then one empty string.
-  auto rest = in.substr(8, length - 8);
-  while (true) {
-    auto name = take_text(rest);
-    if (!name) return Parse::kBad;
-    if (name->empty()) return rest.empty() ? Parse::kOk : Parse::kBad;
-    if (!take_text(rest)) return Parse::kBad;
-  }
+  if (first->kind != FirstMessageKind::kStartup) return ParseStatus::kOk;
+  return is_parameter_list(in.substr(8, length - 8)) ? ParseStatus::kOk : ParseStatus::kBad;
 }
 
 std::optional<std::string_view> text_of_query(std::string_view body) {
--- a/src/pg/message.h
+++ b/src/pg/message.h
@@ -8,35 +8,41 @@
 
 namespace database_proxy::pg {
 
-enum class Parse { kOk, kMore, kBad };
+// kMore: the message is not there as a whole yet. kBad: this is no message, and the connection is lost.
+enum class ParseStatus { kOk, kMore, kBad };
 
-// One typed message: its letter, its body, and how many bytes it takes in all.
+// One typed message.
 struct Frame {
-  char type = 0;
-  std::string_view body;
-  std::size_t size = 0;
+  char type = 0;          // its letter
+  std::string_view body;  // points into the input
+  std::size_t size = 0;   // bytes that it takes in all
 };
-Parse parse_frame(std::string_view in, std::size_t max_body, Frame* frame);
+// `max_body`: a longer body is kBad at once. `frame` is set with kOk only.
+ParseStatus parse_frame(std::string_view in, std::size_t max_body, Frame* frame);
 
-// The first message of a connection, which has no letter.
-enum class Opening { kStartup, kSsl, kGssEnc, kCancel, kOther };
+// The first message of a connection has no letter; its code tells what it is.
+enum class FirstMessageKind { kStartup, kSsl, kGssEnc, kCancel, kOther };
 struct FirstMessage {
-  Opening kind = Opening::kOther;
+  FirstMessageKind kind = FirstMessageKind::kOther;
   std::uint32_t code = 0;
-  std::uint32_t number = 0, secret = 0;  // kCancel: the session it means
-  std::size_t size = 0;
+  std::uint32_t number = 0;  // kCancel: of the session that it means
+  std::uint32_t secret = 0;  // kCancel: the proof that its sender knows that session
+  std::size_t size = 0;      // bytes that it takes in all
 };
-Parse parse_first(std::string_view in, FirstMessage* first);
+ParseStatus parse_first_message(std::string_view in, FirstMessage* first);
 
-std::optional<std::string_view> text_of_query(
-    std::string_view body);  // without its end mark, which must be there
+// The text of a Query without its end mark; nullopt: the mark is missing, or another one stands before the
+// end.
+std::optional<std::string_view> text_of_query(std::string_view body);
 
 // The fields of an ErrorResponse that matter here.
 struct ErrorFields {
   std::string_view code, message, detail;
 };
+// nullopt: malformed, or without a code.
 std::optional<ErrorFields> parse_error(std::string_view body);
 
+// A ParameterStatus.
 struct Parameter {
   std::string_view name, value;
 };
@@ -45,14 +51,16 @@
 // The single column of a DataRow; nullopt when there is another number of columns, NULL, or a false length.
 std::optional<std::string_view> parse_single_column(std::string_view body);
 
-// Writers.
-std::string query_head(std::size_t text_size);  // the letter and length of a Query whose text follows
+// The letter and length of a Query whose text, of `text_size` bytes and its end mark, follows.
+std::string query_head(std::size_t text_size);
 std::string startup_message(std::string_view user, std::string_view database);
 std::string simple_query(std::string_view text);
 std::string ready_for_query();
-// AuthenticationOk, the parameters drivers ask for, what to cancel by, ReadyForQuery.
+// What a client gets after its startup: AuthenticationOk, the parameters that drivers expect, BackendKeyData
+// (by which it may cancel), ReadyForQuery.
 std::string greeting(std::uint32_t number, std::uint32_t secret);
-std::string negotiate_version();  // to a client that asks for more than 3.0
+// NegotiateProtocolVersion: to a client that wishes for more than 3.0.
+std::string negotiate_version();
 std::string command_complete(std::string_view tag);
 std::string empty_query_response();
 std::string error_response(std::string_view severity, std::string_view code, std::string_view message,
--- a/src/pg/statement.cpp
+++ b/src/pg/statement.cpp
@@ -8,12 +8,15 @@
 
 constexpr std::string_view kSelect = "SELECT content FROM kv WHERE name = '";
 constexpr std::string_view kInsert = "INSERT INTO kv (name, content) VALUES ('";
-constexpr std::size_t kLongestName = 64;
+constexpr std::size_t kLongestName = 64;  // of a request's id or key
 constexpr std::string_view kNameCharacters =
     "0123456789abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ-_.:";
-constexpr std::int64_t kLongestWaitMs = 24LL * 3600 * 1000;
+constexpr std::int64_t kLongestTimeoutMs = 24LL * 3600 * 1000;
 
-bool take(std::string_view& in, std::string_view prefix) {
+// What is wrong with a statement; nullopt: nothing.
+using Problem = std::optional<std::string_view>;
+
+bool take_prefix(std::string_view& in, std::string_view prefix) {
   if (!in.starts_with(prefix)) return false;
   in.remove_prefix(prefix.size());
   return true;
@@ -23,7 +26,8 @@
 std::optional<std::string_view> take_quoted(std::string_view& in) {
   for (std::size_t i = 0; i < in.size(); ++i) {
     if (in[i] != '\'') continue;
-    if (i + 1 < in.size() && in[i + 1] == '\'') {
+    bool is_doubled = i + 1 < in.size() && in[i + 1] == '\'';
+    if (is_doubled) {
       ++i;
       continue;
     }
@@ -34,81 +38,147 @@
   return std::nullopt;
 }
 
-std::optional<std::int64_t> whole(std::string_view s) {
+std::optional<std::int64_t> to_integer(std::string_view digits) {
   std::int64_t value = 0;
-  auto [end, error] = std::from_chars(s.data(), s.data() + s.size(), value);
-  if (s.empty() || error != std::errc() || end != s.data() + s.size()) return std::nullopt;
+  const char* last = digits.data() + digits.size();
+  auto [end, error] = std::from_chars(digits.data(), last, value);
+  if (digits.empty() || error != std::errc() || end != last) return std::nullopt;
   return value;
 }
 
-bool is_space(char c) { return c == ' ' || c == '\t' || c == '\n' || c == '\r' || c == '\f'; }
+bool is_space(char character) {
+  return character == ' ' || character == '\t' || character == '\n' || character == '\r' || character == '\f';
+}
+
+bool is_padding(char character) { return is_space(character) || character == ';'; }
 
-std::string_view trim(std::string_view s) {
-  while (!s.empty() && (is_space(s.front()) || s.front() == ';')) s.remove_prefix(1);
-  while (!s.empty() && (is_space(s.back()) || s.back() == ';')) s.remove_suffix(1);
-  return s;
+std::string_view trim(std::string_view text) {
+  while (!text.empty() && is_padding(text.front())) text.remove_prefix(1);
+  while (!text.empty() && is_padding(text.back())) text.remove_suffix(1);
+  return text;
 }
 
-bool same_word(std::string_view a, std::string_view upper) {
-  if (a.size() != upper.size()) return false;
-  for (std::size_t i = 0; i < a.size(); ++i)
-    if ((a[i] >= 'a' && a[i] <= 'z' ? a[i] - 32 : a[i]) != upper[i]) return false;
-  return true;
+char to_upper(char character) {
+  return character >= 'a' && character <= 'z' ? static_cast<char>(character - 'a' + 'A') : character;
 }
 
-// What stands for a request or its key: it goes into logs and on to data servers.
-bool is_name(std::string_view s) {
-  return !s.empty() && s.size() <= kLongestName &&
-         s.find_first_not_of(kNameCharacters) == std::string_view::npos;
+bool equals_ignoring_case(std::string_view text, std::string_view upper) {
+  return std::equal(text.begin(), text.end(), upper.begin(), upper.end(),
+                    [](char left, char right) { return to_upper(left) == right; });
 }
 
-// The names and values of the comment. False: something is wrong or missing.
-bool parse_comment(std::string_view text, std::string_view comment, Statement* s, std::string_view* why) {
-  bool cluster = false;
-  auto once = [&](bool fresh, std::string_view what) {
-    if (!fresh) *why = what;
-    return fresh;
-  };
-  while (!comment.empty()) {
-    auto comma = comment.find(',');
-    auto pair = comment.substr(0, comma);
-    comment.remove_prefix(comma == std::string_view::npos ? comment.size() : comma + 1);
-    auto equals = pair.find('=');
-    if (equals == std::string_view::npos || equals == 0)
-      return once(false, "the comment is no list of name=value");
-    auto name = pair.substr(0, equals), value = pair.substr(equals + 1);
-    if (name == "id") {
-      if (!once(s->id.empty() && is_name(value), "id is no name or given twice")) return false;
-      s->id = value;
-    } else if (name == "c") {
-      if (!once(s->request_class.empty() && !value.empty(), "c is empty or given twice")) return false;
-      s->request_class = value;
-    } else if (name == "d") {
-      auto ms = whole(value);
-      if (!once(s->wait_ms == 0 && ms && *ms > 0 && *ms <= kLongestWaitMs, "d is no wait in milliseconds"))
-        return false;
-      s->wait_ms = *ms;
-      s->wait_at = static_cast<std::size_t>(value.data() - text.data());
-      s->wait_end = s->wait_at + value.size();
-    } else if (name == "k") {
-      if (!once(!s->idempotency_key && is_name(value), "k is no name or given twice")) return false;
-      s->idempotency_key = value;
-    } else if (name == "cluster") {
-      auto number = whole(value);
-      if (!once(!cluster && number, "cluster is no number")) return false;
-      cluster = true;
-      s->cluster = *number;
-    } else if (name == "after") {
-      auto ms = whole(value);
-      if (!once(!s->after && ms && *ms >= 0, "after is no position")) return false;
-      if (*ms > 0) s->after = *ms;
-    } else if (name == "r") {
-      if (!once(value == "0" || value == "1", "r is neither 0 nor 1")) return false;
-      s->retry = value == "1";
+// Ids and keys are restricted to characters that are safe in logs and in statements to data servers.
+bool is_name(std::string_view text) {
+  return !text.empty() && text.size() <= kLongestName &&
+         text.find_first_not_of(kNameCharacters) == std::string_view::npos;
+}
+
+// Reads the fields of the comment into a statement. Fields of other names are passed over.
+class CommentParser {
+ public:
+  // `text`: the whole statement, in which the comment lies.
+  CommentParser(std::string_view text, Statement& statement) : text_(text), statement_(statement) {}
+
+  Problem parse(std::string_view comment) {
+    while (!comment.empty()) {
+      auto comma = comment.find(',');
+      auto field = comment.substr(0, comma);
+      comment.remove_prefix(comma == std::string_view::npos ? comment.size() : comma + 1);
+      auto equals = field.find('=');
+      if (equals == std::string_view::npos || equals == 0) return "the comment is no list of name=value";
+      if (auto problem = read_field(field.substr(0, equals), field.substr(equals + 1))) return problem;
     }
+    bool is_complete = !statement_.id.empty() && !statement_.request_class.empty() &&
+                       statement_.timeout_ms > 0 && has_shard_group_;
+    if (!is_complete) return "id, c, d or cluster is missing";
+    return std::nullopt;
+  }
+
+ private:
+  Problem read_field(std::string_view name, std::string_view value) {
+    if (name == "id") return read_id(value);
+    if (name == "c") return read_request_class(value);
+    if (name == "d") return read_timeout(value);
+    if (name == "k") return read_idempotency_key(value);
+    if (name == "cluster") return read_shard_group(value);
+    if (name == "after") return read_position(value);
+    if (name == "r") return read_retry(value);
+    return std::nullopt;
+  }
+
+  Problem read_id(std::string_view value) {
+    if (!statement_.id.empty() || !is_name(value)) return "id is no name or given twice";
+    statement_.id = value;
+    return std::nullopt;
+  }
+
+  Problem read_request_class(std::string_view value) {
+    if (!statement_.request_class.empty() || value.empty()) return "c is empty or given twice";
+    statement_.request_class = value;
+    return std::nullopt;
+  }
+
+  Problem read_timeout(std::string_view value) {
+    auto timeout_ms = to_integer(value);
+    bool is_valid = timeout_ms && *timeout_ms > 0 && *timeout_ms <= kLongestTimeoutMs;
+    if (statement_.timeout_ms != 0 || !is_valid) return "d is no wait in milliseconds";
+    statement_.timeout_ms = *timeout_ms;
+    statement_.timeout_begin = static_cast<std::size_t>(value.data() - text_.data());
+    statement_.timeout_end = statement_.timeout_begin + value.size();
+    return std::nullopt;
   }
-  return once(!s->id.empty() && !s->request_class.empty() && s->wait_ms > 0 && cluster,
-              "id, c, d or cluster is missing");
+
+  Problem read_idempotency_key(std::string_view value) {
+    if (statement_.idempotency_key || !is_name(value)) return "k is no name or given twice";
+    statement_.idempotency_key = value;
+    return std::nullopt;
+  }
+
+  Problem read_shard_group(std::string_view value) {
+    auto number = to_integer(value);
+    if (has_shard_group_ || !number) return "cluster is no number";
+    has_shard_group_ = true;
+    statement_.shard_group = *number;
+    return std::nullopt;
+  }
+
+  Problem read_position(std::string_view value) {
+    auto unix_ms = to_integer(value);
+    if (statement_.after_unix_ms || !unix_ms || *unix_ms < 0) return "after is no position";
+    if (*unix_ms > 0) statement_.after_unix_ms = *unix_ms;
+    return std::nullopt;
+  }
+
+  Problem read_retry(std::string_view value) {
+    if (value != "0" && value != "1") return "r is neither 0 nor 1";
+    statement_.is_retry = value == "1";
+    return std::nullopt;
+  }
+
+  std::string_view text_;
+  Statement& statement_;
+  bool has_shard_group_ = false;
+};
+
+Statement unknown(std::string_view problem) {
+  Statement statement;
+  statement.problem = problem;
+  return statement;
+}
+
+// Empty queries and session commands; else unknown.
+Statement parse_other(std::string_view text) {
+  Statement statement = unknown("this statement is not known here");
+  auto words = trim(text);
+  if (words.empty()) statement.kind = StatementKind::kEmpty;
+  bool is_single = words.find(';') == std::string_view::npos;
+  auto first_word = words.substr(0, words.find_first_of(" \t\n\r\f;"));
+  for (std::string_view tag : {"SET", "RESET", "DISCARD"}) {
+    if (!is_single || !equals_ignoring_case(first_word, tag)) continue;
+    statement.kind = StatementKind::kSession;
+    statement.tag = tag;
+  }
+  return statement;
 }
 
 }  // namespace
@@ -118,40 +188,28 @@
   return begun.substr(0, size) == kInsert.substr(0, size);
 }
 
-Statement parse_statement(std::string_view text, std::string_view* why) {
-  Statement s;
+Statement parse_statement(std::string_view text) {
   auto rest = text;
-  bool read = take(rest, kSelect), write = !read && take(rest, kInsert);
-  if (!read && !write) {
-    auto words = trim(text);
-    auto first = words.substr(0, words.find_first_of(" \t\n\r\f;"));
-    if (words.empty()) s.kind = StatementKind::kEmpty;
-    for (std::string_view tag : {"SET", "RESET", "DISCARD"})
-      if (same_word(first, tag) && words.find(';') == std::string_view::npos) {
-        s.kind = StatementKind::kSession;
-        s.tag = tag;
-      }
-    *why = "this statement is not known here";
-    return s;
-  }
-  auto refuse = [&](std::string_view reason) {
-    *why = reason;
-    return Statement{};
-  };
+  bool is_read = take_prefix(rest, kSelect);
+  bool is_write = !is_read && take_prefix(rest, kInsert);
+  if (!is_read && !is_write) return parse_other(text);
+
+  Statement statement;
   auto key = take_quoted(rest);
-  if (!key || key->empty()) return refuse("the key is empty or its quote is never closed");
-  s.key = *key;
-  if (write) {
-    if (!take(rest, ", '") || !take_quoted(rest) || !take(rest, ") RETURNING content"))
-      return refuse("this is not the INSERT known here");
+  if (!key || key->empty()) return unknown("the key is empty or its quote is never closed");
+  statement.key = *key;
+  if (is_write) {
+    bool is_known = take_prefix(rest, ", '") && take_quoted(rest) && take_prefix(rest, ") RETURNING content");
+    if (!is_known) return unknown("this is not the INSERT known here");
   }
-  if (!take(rest, " /* ") || !rest.ends_with(" */")) return refuse("the comment is missing or never closed");
+  bool has_comment = take_prefix(rest, " /* ") && rest.ends_with(" */");
+  if (!has_comment) return unknown("the comment is missing or never closed");
   rest.remove_suffix(3);
-  if (rest.find("*/") != std::string_view::npos || rest.find("/*") != std::string_view::npos)
-    return refuse("one comment only");
-  if (!parse_comment(text, rest, &s, why)) return Statement{};
-  s.kind = write ? StatementKind::kWrite : StatementKind::kRead;
-  return s;
+  bool has_another = rest.find("*/") != std::string_view::npos || rest.find("/*") != std::string_view::npos;
+  if (has_another) return unknown("one comment only");
+  if (auto problem = CommentParser(text, statement).parse(rest)) return unknown(*problem);
+  statement.kind = is_write ? StatementKind::kWrite : StatementKind::kRead;
+  return statement;
 }
 
 }  // namespace database_proxy::pg
--- a/src/proxy/attempt_outcome.h
+++ b/src/proxy/attempt_outcome.h
@@ -8,20 +8,20 @@
 namespace database_proxy::proxy {
 
 // An ErrorResponse to a request that was written whole.
-inline routing::AttemptOutcome ending_of_error(std::string_view sqlstate) {
+inline routing::AttemptOutcome outcome_of_error(std::string_view sqlstate) {
   if (sqlstate == "25006" || sqlstate == "72000") return routing::AttemptOutcome::kDeclined;
   if (sqlstate == "53300") return routing::AttemptOutcome::kRejected;
   return routing::AttemptOutcome::kError;  // XX000, and what nobody has named: it may have run
 }
 
 // The last byte written separates "never ran" from "may have".
-inline routing::AttemptOutcome ending_of_break(bool written) {
+inline routing::AttemptOutcome outcome_of_broken_connection(bool written) {
   return written ? routing::AttemptOutcome::kReset : routing::AttemptOutcome::kNoConnection;
 }
-inline routing::AttemptOutcome ending_of_timeout(bool written) {
+inline routing::AttemptOutcome outcome_of_timeout(bool written) {
   return written ? routing::AttemptOutcome::kTimedOut : routing::AttemptOutcome::kNotSent;
 }
-inline routing::AttemptOutcome ending_of_cancel(bool written) {
+inline routing::AttemptOutcome outcome_of_cancel(bool written) {
   return written ? routing::AttemptOutcome::kCancelled : routing::AttemptOutcome::kNotSent;
 }
 
--- a/src/proxy/client_session.cpp
+++ b/src/proxy/client_session.cpp
@@ -17,31 +17,31 @@
 constexpr std::size_t kReadCap = kLongestMessage + 16 * 1024;  // what is pipelined waits in the kernel beyond
 constexpr std::size_t kWriteCap = 64 * 1024;  // a client that does not read its answers gets no more
 // One client's share of a turn: whoever sends without end waits for all the others after each of these.
-constexpr int kCommandsPerTurn = 8;
-constexpr std::size_t kBytesPerTurn = 64 * 1024, kDiscardPerTurn = 1024 * 1024;
+constexpr int kCommandsPerIteration = 8;
+constexpr std::size_t kBytesPerIteration = 64 * 1024, kDiscardPerIteration = 1024 * 1024;
 // So many commands of one connection may wait for their answers, which is more than a driver sends ahead.
 // More requests are refused untouched, or one client's hundreds would crowd out all others; and at the second
 // figure, no more is read.
-constexpr std::size_t kPipelined = 32, kMostQueued = 256;
+constexpr std::size_t kMostPipelinedRequests = 32, kMostQueuedCommands = 256;
 // A connection that sends no whole command in this time after its beginning, or after the first byte of a
 // later one, is closed: silence and half a command must not hold a descriptor.
-constexpr Micros kPatience = 2500ms;
+constexpr Micros kCommandTimeout = 2500ms;
 // Before its startup a client may ask for two kinds of encryption, and once more for good measure.
-constexpr int kMostOpenings = 4;
-constexpr Micros kWritePatience = 5s;  // a client that takes nothing of its answers for so long is gone
+constexpr int kMostFirstMessages = 4;
+constexpr Micros kWriteTimeout = 5s;  // a client that takes nothing of its answers for so long is gone
 // After a fatal error reading goes on for so long, or a reset for unread input would overtake the error.
-constexpr Micros kDrainTime = 1s;
-constexpr std::size_t kDrainMost = 64 * 1024 * 1024;
+constexpr Micros kLingerTime = 1s;
+constexpr std::size_t kLongestLinger = 64 * 1024 * 1024;
 // `d` runs from the client's send, and the answer takes a while to arrive: a sixteenth of it is kept for
 // that, within these bounds. Some clients wait for a few times ten milliseconds only and need nearly all of
 // them.
 constexpr Micros kLeastMargin = 2ms, kMostMargin = 20ms;
-constexpr int kMarginPart = 16;
+constexpr int kMarginDivisor = 16;
 // No class waits so long; whoever asks for more is answered by then, and nothing is kept for a day.
 constexpr Micros kLongestWait = 60s;
 
 // Sessions are named by text; the module knows them by number (FNV-1a).
-std::uint64_t number_of(std::string_view name) {
+std::uint64_t hash_of(std::string_view name) {
   std::uint64_t hash = 14695981039346656037u;
   for (unsigned char c : name) hash = (hash ^ c) * 1099511628211u;
   return hash;
@@ -67,7 +67,7 @@
 }
 
 bool ClientSession::start() {
-  arm();
+  arm_timeout();
   return loop_.add(fd_.get(), this);
 }
 
@@ -76,12 +76,12 @@
   // What is answered already goes out as far as the socket takes it.
   if (!gathered_.empty()) out_.write(fd_.get(), {std::exchange(gathered_, {})});
   loop_.cancel(&timer_);
-  owner_.buffered(-static_cast<std::ptrdiff_t>(std::exchange(counted_, 0)));
+  owner_.on_buffered_change(-static_cast<std::ptrdiff_t>(std::exchange(counted_, 0)));
   loop_.remove(fd_.get(), this);
   fd_.reset();
   for (auto& slot : queue_)
     if (slot->request != 0) dispatcher_.leave(std::exchange(slot->request, 0));
-  owner_.session_closed(this);
+  owner_.on_session_closed(this);
 }
 
 void ClientSession::on_ready(std::uint32_t events) {
@@ -92,7 +92,7 @@
   }
   if (draining_) return drain();
   // Told once, and not to be found by reading where that stops at a limit before the end of the stream.
-  if (net::ends(events)) return peer_closed();
+  if (net::peer_has_ended(events)) return peer_closed();
   if (events & EPOLLIN) fill(true);
   if (fd_) process();
 }
@@ -101,31 +101,32 @@
 // is carried out: its sender may close right behind it.
 void ClientSession::peer_closed() {
   if (started_) return close();
-  new_turn();
+  begin_iteration();
   in_.fill(fd_.get(), kReadCap, bytes_left_);
   pg::FirstMessage first;
-  if (pg::parse_first(in_.view(), &first) == pg::Parse::kOk && first.kind == pg::Opening::kCancel)
-    owner_.cancel_requested(first.number, first.secret);
+  if (pg::parse_first_message(in_.view(), &first) == pg::ParseStatus::kOk &&
+      first.kind == pg::FirstMessageKind::kCancel)
+    owner_.on_cancel_request(first.number, first.secret);
   close();
 }
 
 // A request that was read in this turn had its client then; for others the connection is looked at, since its
 // end may have come after the events that this turn has fetched.
 bool ClientSession::still_connected(const Slot& slot) {
-  if (fd_ && slot.turn != loop_.turn() && net::peer_has_closed(fd_.get())) close();
+  if (fd_ && slot.turn != loop_.iteration() && net::peer_has_closed(fd_.get())) close();
   return static_cast<bool>(fd_);
 }
 
-void ClientSession::new_turn() {
-  if (std::exchange(turn_, loop_.turn()) == loop_.turn()) return;
-  commands_left_ = kCommandsPerTurn;
-  bytes_left_ = kBytesPerTurn;
+void ClientSession::begin_iteration() {
+  if (std::exchange(turn_, loop_.iteration()) == loop_.iteration()) return;
+  commands_left_ = kCommandsPerIteration;
+  bytes_left_ = kBytesPerIteration;
 }
 
 void ClientSession::fill(bool drained_by_short) {
-  new_turn();
+  begin_iteration();
   if (ended_) {  // whatever comes behind the last command is not wanted
-    if (net::is_over(net::discard(fd_.get(), kDiscardPerTurn))) close();
+    if (net::is_over(net::discard(fd_.get(), kDiscardPerIteration))) close();
     return;
   }
   auto before = in_.view().size();
@@ -143,14 +144,14 @@
 }
 
 bool ClientSession::account() {
-  auto held = answers_ + (in_.memory() > pg::kLongestShort ? in_.memory() : 0);
+  auto held = answers_ + (in_.memory() > pg::kLongestShortStatement ? in_.memory() : 0);
   auto change = static_cast<std::ptrdiff_t>(held) - static_cast<std::ptrdiff_t>(counted_);
   counted_ = held;
-  return owner_.buffered(change);
+  return owner_.on_buffered_change(change);
 }
 
 // The time by which something must have come. A request that is out has its own.
-void ClientSession::arm() {
+void ClientSession::arm_timeout() {
   if (!fd_ || draining_) return;
   auto now = loop_.now();
   bool partial = queue_.empty() && !waiting_ && !in_.view().empty();
@@ -161,22 +162,22 @@
   if (out_.empty())
     stuck_by_.reset();
   else if (!stuck_by_)
-    stuck_by_ = now + kWritePatience;
+    stuck_by_ = now + kWriteTimeout;
   std::optional<Micros> by;
   if (stuck_by_)
     by = stuck_by_;
   else if (queue_.empty() && !waiting_ && !commanded_)
-    by = born_ + kPatience;
+    by = born_ + kCommandTimeout;
   else if (begun_)
-    by = *begun_ + kPatience;
+    by = *begun_ + kCommandTimeout;
   if (by && timer_ != net::Loop::kNoTimer && timer_at_ == *by) return;
   loop_.cancel(&timer_);
   if (!by) return;
   timer_at_ = *by;
-  timer_ = loop_.at(*by, [this] { expire(); });
+  timer_ = loop_.at(*by, [this] { on_timeout(); });
 }
 
-void ClientSession::expire() {
+void ClientSession::on_timeout() {
   timer_ = net::Loop::kNoTimer;
   if (draining_ || !out_.empty()) return close();
   fatal("57014", "no whole command has come in time");
@@ -184,27 +185,27 @@
 
 // Reads on for a while after the last word to the client, and throws it away.
 void ClientSession::drain() {
-  auto end = net::discard(fd_.get(), kDiscardPerTurn);
+  auto end = net::discard(fd_.get(), kDiscardPerIteration);
   if (net::is_over(end)) return close();
   if (out_.empty()) shutdown(fd_.get(), SHUT_WR);
   if (end != net::IoEnd::kFull) return;
-  drained_ += kDiscardPerTurn;
-  if (drained_ >= kDrainMost) return close();
+  drained_ += kDiscardPerIteration;
+  if (drained_ >= kLongestLinger) return close();
   later();
 }
 
 // Goes on in the next turn, after all others have had theirs; asked for once a turn.
 void ClientSession::later() {
-  if (std::exchange(later_in_, loop_.turn() + 1) != loop_.turn() + 1) loop_.again(this);
+  if (std::exchange(later_in_, loop_.iteration() + 1) != loop_.iteration() + 1) loop_.again(this);
 }
 
-bool ClientSession::hopeless_begin() {
+bool ClientSession::is_certain_to_be_rejected() {
   auto in = in_.view().substr(parsed_);
-  if (!started_ || in.size() <= pg::kLongestShort) return false;
+  if (!started_ || in.size() <= pg::kLongestShortStatement) return false;
   return in[0] != 'Q' || !pg::may_be_long(in.substr(5));
 }
 
-bool ClientSession::read_once() {
+bool ClientSession::poll_input() {
   fill();
   if (fd_) process();
   return static_cast<bool>(fd_);
@@ -217,7 +218,7 @@
 
 // All that was read is taken; the last byte of the next command is still to come. Where reading had stopped
 // in the middle of that command, the rest may have waited on the client's side ever since.
-void ClientSession::all_taken() {
+void ClientSession::on_all_input_taken() {
   if (paused_) return;
   if (in_.view().size() == parsed_) held_back_ = false;
   if (!held_back_) input_since_.reset();
@@ -226,12 +227,13 @@
 void ClientSession::process() {
   if (processing_) return;
   processing_ = true;
-  new_turn();
+  begin_iteration();
   blocked_ = false;
-  while (fd_ && !draining_ && !ended_ && !waiting_ && unsent() < kWriteCap && queue_.size() < kMostQueued) {
+  while (fd_ && !draining_ && !ended_ && !waiting_ && unsent() < kWriteCap &&
+         queue_.size() < kMostQueuedCommands) {
     if (!started_) {
       if (opening()) continue;
-      all_taken();
+      on_all_input_taken();
       break;
     }
     // What comes behind may be the client's end: all that has room is read before anything more is begun.
@@ -241,16 +243,16 @@
     }
     pg::Frame frame;
     auto parse = pg::parse_frame(in_.view().substr(parsed_), kLongestMessage, &frame);
-    if (parse == pg::Parse::kBad) {
+    if (parse == pg::ParseStatus::kBad) {
       fatal("08P01", "this is no message of the protocol");
       break;
     }
-    if (parse == pg::Parse::kMore) {
-      if (hopeless_begin()) {
+    if (parse == pg::ParseStatus::kMore) {
+      if (is_certain_to_be_rejected()) {
         fatal("42601", "this statement is too long and not known here");
         break;
       }
-      all_taken();
+      on_all_input_taken();
       // Where commands that wait for their answers fill the buffer, their end makes room.
       if (!paused_ || in_.view().size() >= kReadCap) break;
       if (bytes_left_ == 0) {
@@ -281,34 +283,34 @@
   }
   processing_ = false;
   if (fd_ && closing_ && idle()) close();
-  arm();
+  arm_timeout();
 }
 
 bool ClientSession::opening() {
   pg::FirstMessage first;
-  auto parse = pg::parse_first(in_.view(), &first);
-  if (parse == pg::Parse::kMore) return false;
-  if (parse == pg::Parse::kBad) {
+  auto parse = pg::parse_first_message(in_.view(), &first);
+  if (parse == pg::ParseStatus::kMore) return false;
+  if (parse == pg::ParseStatus::kBad) {
     fatal("08P01", "this is no startup message");
     return false;
   }
-  if (++openings_ > kMostOpenings) {
+  if (++first_messages_ > kMostFirstMessages) {
     fatal("08P01", "the startup message is missing");
     return false;
   }
   switch (first.kind) {
-    case pg::Opening::kSsl:
-    case pg::Opening::kGssEnc:
+    case pg::FirstMessageKind::kSsl:
+    case pg::FirstMessageKind::kGssEnc:
       write({"N"});
       break;
-    case pg::Opening::kCancel:  // it gets no answer itself
-      owner_.cancel_requested(first.number, first.secret);
+    case pg::FirstMessageKind::kCancel:  // it gets no answer itself
+      owner_.on_cancel_request(first.number, first.secret);
       close();
       return false;
-    case pg::Opening::kOther:
+    case pg::FirstMessageKind::kOther:
       fatal("0A000", "only version 3 of the protocol is spoken here");
       return false;
-    case pg::Opening::kStartup:
+    case pg::FirstMessageKind::kStartup:
       started_ = true;
       write({first.code & 0xffff ? pg::negotiate_version() : "", pg::greeting(number_, secret_)});
       break;
@@ -355,8 +357,7 @@
 }
 
 void ClientSession::run(std::string_view text) {
-  std::string_view why;
-  auto statement = pg::parse_statement(text, &why);
+  auto statement = pg::parse_statement(text);
   switch (statement.kind) {
     case pg::StatementKind::kEmpty:
       // The front takes this answer for "able to serve".
@@ -368,7 +369,7 @@
     case pg::StatementKind::kSession:
       return answer(pg::command_complete(statement.tag));
     case pg::StatementKind::kUnknown:
-      return reject("42601", why);
+      return reject("42601", statement.problem);
     case pg::StatementKind::kRead:
     case pg::StatementKind::kWrite:
       break;
@@ -381,11 +382,11 @@
   if (request_class->keyed && !statement.idempotency_key) return reject("22023", "this class needs k");
   routing::Request request;
   request.request_class = request_class->index;
-  request.cluster = statement.cluster;
-  if (request_class->session) request.session = number_of(statement.key);
-  request.after_unix_ms = statement.after;
+  request.shard_group = statement.shard_group;
+  if (request_class->session) request.session = hash_of(statement.key);
+  request.after_unix_ms = statement.after_unix_ms;
   bool write = statement.kind == pg::StatementKind::kWrite;
-  auto key = number_of(statement.key);
+  auto key = hash_of(statement.key);
   // Whoever sends a write and a read of the same key behind one another expects to see the write.
   blocked_ = std::any_of(queue_.begin(), queue_.end(), [&](auto& slot) {
     return slot->request != 0 && slot->key == key && (slot->write || write);
@@ -395,21 +396,22 @@
     if (!blocked_since_) blocked_since_ = arrived;
     return;
   }
-  Micros wait = std::min<Micros>(std::chrono::milliseconds(statement.wait_ms), kLongestWait);
+  Micros wait = std::min<Micros>(std::chrono::milliseconds(statement.timeout_ms), kLongestWait);
   request.expires = blocked_since_.value_or(arrived) +
-                    std::max(wait - std::clamp(wait / kMarginPart, kLeastMargin, kMostMargin), wait / 2);
-  request.retry = statement.retry;
-  if (queue_.size() >= kPipelined || (!queue_.empty() && !account()) || request.expires <= loop_.now())
+                    std::max(wait - std::clamp(wait / kMarginDivisor, kLeastMargin, kMostMargin), wait / 2);
+  request.is_retry = statement.is_retry;
+  if (queue_.size() >= kMostPipelinedRequests || (!queue_.empty() && !account()) ||
+      request.expires <= loop_.now())
     return answer(pg::error_response("ERROR", "53300", "too many commands wait on this connection"));
   auto slot = std::make_unique<Slot>(*this);
   // The other one, perhaps of another client, goes on as if this had not come.
   slot->request = dispatcher_.submit(slot.get(), request, statement.id);
   if (slot->request == 0) return reject("42710", "a request with this id is open");
-  slot->turn = loop_.turn();
+  slot->turn = loop_.iteration();
   slot->start = consumed_ + parsed_;
   slot->size = slot->message = message_;
-  slot->wait_at = statement.wait_at;
-  slot->wait_end = statement.wait_end;
+  slot->wait_at = statement.timeout_begin;
+  slot->wait_end = statement.timeout_end;
   slot->key = key;
   slot->write = write;
   queue_.push_back(std::move(slot));
@@ -432,7 +434,7 @@
     if (!out_.write(fd_.get(), parts)) close();
     return;
   }
-  if (gathered_.empty()) owner_.flush_later(this);
+  if (gathered_.empty()) owner_.schedule_flush(this);
   for (auto part : parts) gathered_.append(part);
   if (!more || gathered_.size() >= kWriteCap) flush();
 }
@@ -441,7 +443,7 @@
   if (!fd_ || gathered_.empty()) return;
   auto gathered = std::exchange(gathered_, {});
   if (!out_.write(fd_.get(), {gathered})) return close();
-  if (!processing_) arm();
+  if (!processing_) arm_timeout();
 }
 
 // To a command just taken: at once, or behind the answers to those before it.
@@ -476,9 +478,9 @@
 void ClientSession::half_close() {
   draining_ = true;
   in_.clear();
-  owner_.buffered(-static_cast<std::ptrdiff_t>(std::exchange(counted_, 0)));
+  owner_.on_buffered_change(-static_cast<std::ptrdiff_t>(std::exchange(counted_, 0)));
   loop_.cancel(&timer_);
-  timer_ = loop_.at(loop_.now() + kDrainTime, [this] { close(); });
+  timer_ = loop_.at(loop_.now() + kLingerTime, [this] { close(); });
   drain();
 }
 
--- a/src/proxy/client_session.h
+++ b/src/proxy/client_session.h
@@ -19,12 +19,12 @@
 class SessionOwner {
  public:
   virtual ~SessionOwner() = default;
-  virtual void session_closed(ClientSession* session) = 0;  // its descriptor is free already
-  virtual void cancel_requested(std::uint32_t number, std::uint32_t secret) = 0;
+  virtual void on_session_closed(ClientSession* session) = 0;  // its descriptor is free already
+  virtual void on_cancel_request(std::uint32_t number, std::uint32_t secret) = 0;
   // Told of each change of what a session's unfinished input holds; false: that is too much in all.
-  virtual bool buffered(std::ptrdiff_t change) = 0;
+  virtual bool on_buffered_change(std::ptrdiff_t change) = 0;
   // Asks for flush() at the end of this turn, once a turn.
-  virtual void flush_later(ClientSession* session) = 0;
+  virtual void schedule_flush(ClientSession* session) = 0;
 };
 
 class ClientSession : public net::Handler {
@@ -42,8 +42,8 @@
   bool idle() const { return queue_.empty() && !waiting_ && in_.view().empty() && unsent() == 0; }
   bool busy() const { return !draining_ && (!queue_.empty() || unsent() > 0); }
   bool owes_answers() const { return !queue_.empty(); }
-  bool draining() const { return draining_; }                                // it has had its last word
-  bool spare() const { return queue_.empty() && !commanded_ && !waiting_; }  // it has never asked
+  bool is_draining() const { return draining_; }                                 // it has had its last word
+  bool is_unused() const { return queue_.empty() && !commanded_ && !waiting_; }  // it has never asked
   // What a CancelRequest names this session by.
   std::uint32_t number() const { return number_; }
   std::uint32_t secret() const { return secret_; }
@@ -54,8 +54,8 @@
   // Shutdown: what is read from now on is refused at once, as harmless to repeat.
   void refuse_new_requests() { closing_ = refusing_ = true; }
   // A command has begun to arrive and is not whole.
-  bool mid_command() const { return queue_.empty() && started_ && !draining_ && !in_.view().empty(); }
-  bool read_once();  // looks for what has come unseen; false: closed by that
+  bool is_mid_command() const { return queue_.empty() && started_ && !draining_ && !in_.view().empty(); }
+  bool poll_input();  // looks for what has come unseen; false: closed by that
 
  private:
   // A command whose answer is not on its way yet. Requests that a client sends behind one another are out at
@@ -83,14 +83,14 @@
   void peer_closed();
   bool still_connected(const Slot& slot);
   void process();
-  void all_taken();
-  void arm();  // the time by which something must have come
-  void expire();
+  void on_all_input_taken();
+  void arm_timeout();  // the time by which something must have come
+  void on_timeout();
   void drain();
   void later();
-  void new_turn();
-  bool hopeless_begin();  // what has come of a command shows that it will be refused
-  bool opening();         // the messages before the session; false: more is needed, or closed
+  void begin_iteration();
+  bool is_certain_to_be_rejected();  // what has come of a command shows that it will be refused
+  bool opening();                    // the messages before the session; false: more is needed, or closed
   void command(const pg::Frame& frame);
   void run(std::string_view text);
   Query query(const Slot& slot, Micros wait) const;
@@ -126,7 +126,7 @@
   std::optional<Micros> input_since_;  // of what was read and is not yet taken as commands
   bool commanded_ = false, draining_ = false;
   std::uint64_t later_in_ = 0, turn_ = ~0ULL;  // that of the two shares below
-  int openings_ = 0, commands_left_ = 0;
+  int first_messages_ = 0, commands_left_ = 0;
   std::size_t bytes_left_ = 0;
   std::size_t counted_ = 0;  // what buffered() knows of
   std::size_t drained_ = 0;
--- a/src/proxy/dispatcher.cpp
+++ b/src/proxy/dispatcher.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 using namespace std::chrono_literals;
-using What = routing::Decision::What;
+using Kind = routing::Decision::Kind;
 
 // The module ends each request by itself before it expires. Should that ever fail, the client still gets its
 // one answer: this long after, which is before it gives up.
@@ -17,7 +17,7 @@
 // ended.
 constexpr Micros kComeBackFull = 200ms;
 // A wish reaches the owner, is probed and told within some 60 ms where nothing is amiss.
-constexpr Micros kAwaitFact = 100ms;
+constexpr Micros kLoadReportDelay = 100ms;
 // A read that was sent so long after it came waited for a replica.
 constexpr Micros kWaited = 5ms;
 
@@ -27,7 +27,7 @@
                        SiblingWorkers* others, RequestId first, RequestId step)
     : loop_(loop),
       decider_(decider),
-      others_(others),
+      siblings_(others),
       log_(log),
       pool_(loop, limits, *this, log, others),
       next_(first),
@@ -55,13 +55,13 @@
 }
 
 RequestId Dispatcher::submit(ClientPort* client, routing::Request request, std::string_view name) {
-  if (others_ ? !others_->take_name(name) : names_.count(name) > 0) return 0;
+  if (siblings_ ? !siblings_->reserve_request_name(name) : names_.count(name) > 0) return 0;
   request.id = std::exchange(next_, next_ + step_);
   ++counters_.taken;
   auto guard = loop_.at(request.expires + kGuard, [this, id = request.id] { overdue(id); });
   auto& open = open_[request.id] = {client, guard, std::string(name), loop_.now()};
-  if (watching_) watching_->asked(request);
-  if (!others_) names_.insert(open.name);  // nodes of the map stay where they are
+  if (observer_) observer_->asked(request);
+  if (!siblings_) names_.insert(open.name);  // nodes of the map stay where they are
   new_.push_back(request);
   return request.id;
 }
@@ -71,8 +71,8 @@
   if (it == open_.end()) return nullptr;
   auto* client = it->second.client;
   loop_.cancel(&it->second.guard);
-  if (others_)
-    others_->release_name(it->second.name);
+  if (siblings_)
+    siblings_->release_request_name(it->second.name);
   else
     names_.erase(it->second.name);
   open_.erase(it);
@@ -99,14 +99,14 @@
 
 void Dispatcher::attempt_ended(AttemptEnd end) { ends_.push_back(std::move(end)); }
 void Dispatcher::probe_ended(routing::ProbeResult result) {
-  if (facts_) facts_->saw(result.server, result.ok);
-  if (others_ && result.ok) others_->probed(result);
-  if (watching_) watching_->probed(result);
+  if (load_reports_) load_reports_->on_contact(result.server, result.ok);
+  if (siblings_ && result.ok) siblings_->probed(result);
+  if (observer_) observer_->probed(result);
   probes_.push_back(std::move(result));
 }
 
 void Dispatcher::fact(routing::ProbeResult result, Micros age) {
-  if (facts_ && facts_->told(loop_.now(), result, age)) probes_.push_back(std::move(result));
+  if (load_reports_ && load_reports_->record(loop_.now(), result, age)) probes_.push_back(std::move(result));
 }
 
 ClientPort* Dispatcher::client_of(RequestId request) {
@@ -120,50 +120,51 @@
       ++counters_.served;
       client->serve(*end.answer);
     }
-    pool_.give_back(end.connection);
+    pool_.release(end.connection);
   }
-  if (facts_) facts_->saw(end.result.server, end.result.ending);
-  if (watching_) watching_->ended(end.result);
+  if (load_reports_) load_reports_->on_contact(end.result.server, end.result.outcome);
+  if (observer_) observer_->ended(end.result);
   // A request that is no longer open here has had its end, whatever this attempt brought.
   end.result.closed = open_.count(end.result.request) == 0;
   decider_.report(loop_.now(), std::move(end.result));
 }
 
 // The way to the decisions is full, so none can be made in time: nothing of it has run.
-void Dispatcher::turn_away(RequestId request) {
+void Dispatcher::reject_overloaded(RequestId request) {
   auto* client = close(request);
   ++counters_.refused;
   client->reject(kComeBackFull);
 }
 
 void Dispatcher::carry_out(const routing::Decision& d) {
-  switch (d.what) {
-    case What::kHold:
+  switch (d.kind) {
+    case Kind::kPostpone:
       return;
-    case What::kSend:
+    case Kind::kSend:
       return send(d);
-    case What::kReject:
+    case Kind::kReject:
       if (auto* client = close(d.request)) {
         ++counters_.refused;
         client->reject(d.retry_after);
       }
       return;
-    case What::kFail:
+    case Kind::kFail:
       if (auto* client = close(d.request)) {
         ++counters_.failed;
         client->fail("no data server could serve this request");
       }
       return;
-    case What::kCancel:
+    case Kind::kCancel:
       return pool_.cancel(d.request, d.attempt);
-    case What::kProbe:
-      if (facts_) {
-        if (auto fact = facts_->answer(loop_.now(), d.server)) return probes_.push_back(std::move(*fact));
-        wanted_(d.server);
+    case Kind::kProbe:
+      if (load_reports_) {
+        if (auto fact = load_reports_->find_fresh(loop_.now(), d.server))
+          return probes_.push_back(std::move(*fact));
+        on_load_report_wanted_(d.server);
         // The owner's first fact is on its way: hundreds would probe at the same moment.
-        if (await_facts_ && !facts_->distrusts(d.server)) {
-          loop_.at(loop_.now() + kAwaitFact, [this, server = d.server] {
-            if (!facts_->answer(loop_.now(), server)) probe(server);
+        if (expects_load_reports_ && !load_reports_->is_distrusted(d.server)) {
+          loop_.at(loop_.now() + kLoadReportDelay, [this, server = d.server] {
+            if (!load_reports_->find_fresh(loop_.now(), server)) probe(server);
           });
           return;
         }
@@ -186,31 +187,31 @@
     never.result.request = d.request;
     never.result.attempt = d.attempt;
     never.result.server = d.server;
-    never.result.ending = routing::AttemptOutcome::kNotSent;
+    never.result.outcome = routing::AttemptOutcome::kNotSent;
     return ends_.push_back(std::move(never));
   }
   ++counters_.sends;
-  if (watching_) watching_->sent(d, loop_.now() - open_.at(d.request).since > kWaited);
-  pool_.start(d.request, d.attempt, d.server, d.wait, d.begin_within);
+  if (observer_) observer_->sent(d, loop_.now() - open_.at(d.request).since > kWaited);
+  pool_.start(d.request, d.attempt, d.server, d.timeout, d.start_within);
 }
 
-void Dispatcher::end_of_turn() {
+void Dispatcher::on_iteration_end() {
   auto now = loop_.now();
   std::optional<Micros> next_due;
-  pool_.write_ready();
+  pool_.start_ready_attempts();
   // What is carried out may bring results at once, such as a refused connection; attempts are few, so this
   // ends.
   do {
     for (auto& [update, cached] : std::exchange(lists_, {})) {
       pool_.update(update);
-      if (facts_ && update.reset) facts_->keep(update.members);
+      if (load_reports_ && update.reset) load_reports_->retain_listed(update.members);
       decider_.update(now, update, cached);
     }
     for (auto& end : std::exchange(ends_, {})) settle(end);
     for (auto& probe : std::exchange(probes_, {})) decider_.report(now, std::move(probe));
     for (auto request : std::exchange(left_, {})) decider_.on_client_disconnected(now, request);
     for (auto& request : std::exchange(new_, {}))
-      if (open_.count(request.id) && !decider_.ask(now, request)) turn_away(request.id);
+      if (open_.count(request.id) && !decider_.submit(now, request)) reject_overloaded(request.id);
     auto ticked = decider_.collect(now);
     for (auto& decision : ticked.decisions) carry_out(decision);
     next_due = ticked.next_due;
--- a/src/proxy/dispatcher.h
+++ b/src/proxy/dispatcher.h
@@ -28,12 +28,12 @@
 };
 
 // Looks on, for the fleet's plan of zones.
-struct Watching {
-  virtual ~Watching() = default;
+struct RequestObserver {
+  virtual ~RequestObserver() = default;
   virtual void asked(const routing::Request& request) = 0;
   // `waited`: it was not sent in the turn in which it came, but some time later.
   virtual void sent(const routing::Decision& decision, bool waited) = 0;
-  virtual void ended(const routing::Result& result) = 0;
+  virtual void ended(const routing::AttemptResult& result) = 0;
   virtual void probed(const routing::ProbeResult& result) = 0;
 };
 
@@ -45,28 +45,30 @@
   ~Dispatcher() override;
 
   ServerPool& pool() { return pool_; }
-  const routing::ClassInfo* find_class(std::string_view name) const { return decider_.find_class(name); }
+  const routing::RequestClassInfo* find_class(std::string_view name) const {
+    return decider_.find_class(name);
+  }
   bool ready() const { return decider_.ready(); }
   std::size_t open_requests() const { return open_.size(); }
   const Counters& counters() const { return counters_; }
 
   void list(discovery::EndpointListUpdate update, bool cached = false);
   // A probe of another proxy, whose result counts here too.
-  void heard(routing::ProbeResult result) { probes_.push_back(std::move(result)); }
+  void on_sibling_probe(routing::ProbeResult result) { probes_.push_back(std::move(result)); }
   // Facts of the owner of a set's probes count here from now on, and stand for probes of its own.
   // `wanted`: told of each server that was to be probed and of which no fact says anything.
-  void use_facts(std::function<void(const std::string&)> wanted) {
-    facts_.emplace();
-    wanted_ = std::move(wanted);
+  void use_load_reports(std::function<void(const std::string&)> wanted) {
+    load_reports_.emplace();
+    on_load_report_wanted_ = std::move(wanted);
   }
   void fact(routing::ProbeResult result, Micros age);
   // Whether an owner is there whose facts are worth waiting for, a moment, before probing by itself.
-  void await_facts(bool on) { await_facts_ = on; }
+  void expect_load_reports(bool on) { expects_load_reports_ = on; }
   // nullptr: nobody. It must outlive this.
-  void watch(Watching* watching) { watching_ = watching; }
+  void watch(RequestObserver* watching) { observer_ = watching; }
   void plan(request_router::Plan plan) { decider_.plan(loop_.now(), std::move(plan)); }
   // Beside the module's own wishes.
-  void look_at(const std::string& server) { probe(server); }
+  void probe_now(const std::string& server) { probe(server); }
   // Takes a request; `request.id` is given here. The answer comes through the port, never within this call.
   // 0: a request of the same name is open. Both would reach the data server as attempts of one request.
   RequestId submit(ClientPort* client, routing::Request request, std::string_view name);
@@ -74,14 +76,14 @@
 
   // Feeds the module what this turn has brought, list changes and results before new requests, and carries
   // out what it decides.
-  void end_of_turn();
+  void on_iteration_end();
 
   void attempt_ended(AttemptEnd end) override;
   void probe_ended(routing::ProbeResult result) override;
   ClientPort* client_of(RequestId request) override;
 
  private:
-  struct Open {
+  struct OpenRequest {
     ClientPort* client;
     net::Loop::TimerId guard;
     std::string name;  // by which the data server knows it
@@ -90,27 +92,27 @@
   void settle(AttemptEnd& end);
   void send(const routing::Decision& decision);
   void probe(const std::string& server);
-  void turn_away(RequestId request);
+  void reject_overloaded(RequestId request);
   void carry_out(const routing::Decision& decision);
   ClientPort* close(RequestId request);
   void overdue(RequestId request);
 
   net::Loop& loop_;
   routing::Decider& decider_;
-  SiblingWorkers* others_;
+  SiblingWorkers* siblings_;
   net::Log log_;
   ServerPool pool_;
   Counters counters_;
   RequestId next_, step_;
-  std::unordered_map<RequestId, Open> open_;
+  std::unordered_map<RequestId, OpenRequest> open_;
   std::unordered_set<std::string_view> names_;  // of those that are open
   std::vector<std::pair<discovery::EndpointListUpdate, bool>> lists_;
   std::vector<AttemptEnd> ends_;
   std::vector<routing::ProbeResult> probes_;
-  std::optional<routing::FactBook> facts_;
-  std::function<void(const std::string&)> wanted_;
-  bool await_facts_ = false;
-  Watching* watching_ = nullptr;
+  std::optional<routing::LoadReportCache> load_reports_;
+  std::function<void(const std::string&)> on_load_report_wanted_;
+  bool expects_load_reports_ = false;
+  RequestObserver* observer_ = nullptr;
   std::vector<RequestId> left_;
   std::vector<routing::Request> new_;
   net::Loop::TimerId due_ = net::Loop::kNoTimer;
--- a/src/proxy/ports.h
+++ b/src/proxy/ports.h
@@ -38,7 +38,7 @@
 
 // How one attempt ended at the data server.
 struct AttemptEnd {
-  routing::Result result;
+  routing::AttemptResult result;
   std::optional<Answer> answer;  // with kServed; valid until the pool gets its connection back
   void* connection = nullptr;    // to be given back to the pool once the answer is passed on
 };
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -15,33 +15,33 @@
 
 // After the word to stop, new connections keep coming for up to 0.4 s and clients keep using theirs. They are
 // served as before until this long has passed; then each connection is closed between requests.
-constexpr Micros kServeOn = 500ms, kLeast = 700ms;
+constexpr Micros kContinueServing = 500ms, kRejectAfter = 700ms;
 // A command that is half there at the end of service has so long to become whole, and is refused then.
-constexpr Micros kMidCommand = 2500ms;
+constexpr Micros kPartialCommandGrace = 2500ms;
 // A client that does not read its last answers does not keep the proxy up. Requests that are open are never
 // cut off: each ends by its own deadline.
-constexpr Micros kMost = 15s;
+constexpr Micros kLongestShutdown = 15s;
 // Standard streams, epoll, the signals, the listener, discovery, the log: and some to spare.
 constexpr std::size_t kOwnDescriptors = 16;
-constexpr std::size_t kOfEachProxy = 2;  // of several: each one's epoll, and one to spare
-constexpr std::size_t kKeptBack = 8;     // of these, while another proxy of the process makes room
+constexpr std::size_t kOfEachProxy = 2;          // of several: each one's epoll, and one to spare
+constexpr std::size_t kReservedDescriptors = 8;  // of these, while another proxy of the process makes room
 // Clients with requests hold a third of the descriptors at most. Two thirds for all clients leave those their
 // part beside as many silent ones, and data servers the last third.
 constexpr double kClientShare = 2.0 / 3;
 // One turn's share of new clients: a flood of them waits in the backlog, where it costs nothing.
-constexpr int kAcceptsPerTurn = 16;
+constexpr int kAcceptsPerIteration = 16;
 // Where another proxy of this process was asked for room, by then it has closed something.
-constexpr Micros kLookAgain = 5ms;
+constexpr Micros kAcceptRetry = 5ms;
 // A client that has been idle for so long, or has not asked for so long since it came, may be closed for
 // another one.
 constexpr Micros kIdleClient = 2s, kSilentClient = 1s;
 // Clients that asked once and keep their connection for good use up what all clients together may hold, a
 // third of the descriptors, and the others can open none. So over a quarter, the longest idle ones are
 // closed: never one that has asked so lately that it may be about to ask again.
-constexpr std::size_t kKeptShare = 4;
-constexpr Micros kJustAsked = 50ms, kTrimEvery = 5ms;
+constexpr std::size_t kActiveClientShare = 4;
+constexpr Micros kRecentlyActive = 50ms, kTrimEvery = 5ms;
 // Of the memory allowed: what unfinished statements of clients may hold together.
-constexpr std::size_t kBufferShare = 4;
+constexpr std::size_t kStatementMemoryShare = 4;
 
 }  // namespace
 
@@ -79,18 +79,18 @@
     : loop_(loop),
       options_(std::move(options)),
       log_(log),
-      others_(others),
+      siblings_(others),
       dispatcher_(loop, decider, options_.pool, log, others, options_.number + 1, options_.count),
       on_listener_(*this) {
   auto address = net::parse_address(options_.listen);
   if (!address) throw std::runtime_error("listen is no address: '" + options_.listen + "'");
-  dispatcher_.pool().room = [this] {
+  dispatcher_.pool().has_descriptor = [this] {
     auto used = descriptors_in_use();
-    if (used < options_.descriptors || make_room()) return true;
+    if (used < options_.descriptors || free_descriptor()) return true;
     // Nothing of this proxy can give way, but something of another may: it closes that while this one goes on
     // with what is kept back for the proxy's own use.
-    if (!others_ || used >= options_.descriptors + kKeptBack) return false;
-    others_->ask_for_room();
+    if (!siblings_ || used >= options_.descriptors + kReservedDescriptors) return false;
+    siblings_->request_descriptor();
     return true;
   };
   auto known = options_.known;
@@ -98,7 +98,8 @@
   dispatcher_.list(known, true);
   if (!options_.listens) return;
   std::string error;
-  listener_ = net::listen_on(*address, &error, options_.count > 1);
+  auto sharing = options_.count > 1 ? net::PortSharing::kShared : net::PortSharing::kExclusive;
+  listener_ = net::listen_on(*address, &error, sharing);
   if (!listener_) throw std::runtime_error(fmt::format("cannot listen on {}: {}", options_.listen, error));
   if (!loop_.add(listener_.get(), &on_listener_)) throw std::runtime_error("cannot watch the listener");
 }
@@ -121,11 +122,11 @@
 void Proxy::run() {
   running_ = true;
   if (discovery_) discovery_->start();
-  loop_.run([this] { end_of_turn(); });
+  loop_.run([this] { on_iteration_end(); });
 }
 
-void Proxy::cancel_requested(std::uint32_t number, std::uint32_t secret) {
-  if (others_ && number % options_.count != options_.number) return others_->cancel(number, secret);
+void Proxy::on_cancel_request(std::uint32_t number, std::uint32_t secret) {
+  if (siblings_ && number % options_.count != options_.number) return siblings_->cancel(number, secret);
   cancel(number, secret);
 }
 
@@ -136,43 +137,44 @@
 
 std::size_t Proxy::descriptors_in_use() const {
   auto own = loop_.watched() + kOwnDescriptors;
-  return others_ ? own + kOfEachProxy * options_.count + others_->others().descriptors : own;
+  return siblings_ ? own + kOfEachProxy * options_.count + siblings_->others().descriptors : own;
 }
 
 std::size_t Proxy::clients_in_all() const {
-  return sessions_.size() + (others_ ? others_->others().clients : 0);
+  return sessions_.size() + (siblings_ ? siblings_->others().clients : 0);
 }
 
 void Proxy::publish() {
-  if (!others_) return;
+  if (!siblings_) return;
   held_.descriptors = loop_.watched();
   held_.clients = sessions_.size();
-  held_.buffered = buffered_;
+  held_.statement_bytes = buffered_;
   // Those that have asked are counted only where trim_idle() may want to know.
-  if (clients_in_all() > options_.descriptors / kKeptShare && loop_.now() - published_at_ >= kTrimEvery) {
+  if (clients_in_all() > options_.descriptors / kActiveClientShare &&
+      loop_.now() - published_at_ >= kTrimEvery) {
     published_at_ = loop_.now();
     held_.asked = 0;
-    for (auto& [session, owned] : sessions_) held_.asked += !session->draining() && !session->spare();
+    for (auto& [session, owned] : sessions_) held_.asked += !session->is_draining() && !session->is_unused();
   }
-  others_->publish(held_);
+  siblings_->publish(held_);
 }
 
 void Proxy::accept_all() {
   accept_again_ = false;
   if (!backlog_since_) backlog_since_ = loop_.ready_since();
   for (int accepted = 0;; ++accepted) {
-    if (accepted == kAcceptsPerTurn) {
+    if (accepted == kAcceptsPerIteration) {
       loop_.again(&on_listener_);
       break;
     }
     auto most = static_cast<double>(options_.descriptors - kOwnDescriptors) * kClientShare;
-    if ((static_cast<double>(clients_in_all()) >= most && !close_client(has_its_part())) ||
-        (descriptors_in_use() >= options_.descriptors && !make_room())) {
+    if ((static_cast<double>(clients_in_all()) >= most && !close_client(has_fair_share())) ||
+        (descriptors_in_use() >= options_.descriptors && !free_descriptor())) {
       accept_again_ = true;  // the edge has passed: look again when something has ended
-      if (others_) {
-        others_->ask_for_room();
-        loop_.cancel(&look_again_);
-        look_again_ = loop_.at(loop_.now() + kLookAgain, [] {});
+      if (siblings_) {
+        siblings_->request_descriptor();
+        loop_.cancel(&accept_retry_timer_);
+        accept_retry_timer_ = loop_.at(loop_.now() + kAcceptRetry, [] {});
       }
       break;
     }
@@ -183,8 +185,9 @@
         backlog_since_.reset();
         break;
       }
-      if ((error == EMFILE || error == ENFILE || error == ENOBUFS || error == ENOMEM) && !make_room()) {
-        if (++without_descriptor_ == 1) log_(net::Level::kError, "no descriptor is left to accept clients");
+      if ((error == EMFILE || error == ENFILE || error == ENOBUFS || error == ENOMEM) && !free_descriptor()) {
+        if (++accepts_without_descriptor_ == 1)
+          log_(net::Level::kError, "no descriptor is left to accept clients");
         accept_again_ = true;
         break;
       }
@@ -215,23 +218,23 @@
   auto session = std::make_unique<ClientSession>(loop_, dispatcher_, *this, std::move(fd), number, secret,
                                                  waiting_since);
   if (!session->start()) return;
-  if (stopping_since_ && loop_.now() - *stopping_since_ >= kServeOn) session->close_when_idle();
+  if (stopping_since_ && loop_.now() - *stopping_since_ >= kContinueServing) session->close_when_idle();
   sessions_.emplace(session.get(), std::move(session));
 }
 
 void Proxy::adopt(net::Fd client) { admit(std::move(client), loop_.ready_since()); }
 
-void Proxy::give_room() { make_room(); }
+void Proxy::release_descriptor() { free_descriptor(); }
 
 // Frees a descriptor. Clients that have nothing to lose go first, then an idle connection to a data server: a
 // new one costs that server work and the next request time, so silent clients must not drive them out.
-bool Proxy::make_room() {
-  return close_client(false) || dispatcher_.pool().close_one_idle() || close_client(has_its_part());
+bool Proxy::free_descriptor() {
+  return close_client(false) || dispatcher_.pool().close_one_idle() || close_client(has_fair_share());
 }
 
 // Of several proxies, one that holds less than its part of the clients leaves it to the others to close some
 // that came just now: its own are too few to choose from.
-bool Proxy::has_its_part() const { return sessions_.size() * options_.count >= clients_in_all(); }
+bool Proxy::has_fair_share() const { return sessions_.size() * options_.count >= clients_in_all(); }
 
 // Closes the client that is easiest to miss: one that was turned away, one that has never asked since a
 // while, one that has long been idle. Only where `any` of them must go, those that came or asked just now: a
@@ -242,14 +245,14 @@
   for (auto& [session, owned] : sessions_) {
     auto quiet = now - session->idle_since();
     // Whoever came in this very turn has had no chance to speak.
-    int rank = session->draining() ? 0
-               : session->spare()  ? (quiet >= kSilentClient && !session->mid_command() ? 1
-                                      : quiet.count() > 0                               ? 4
-                                                                                        : -1)
-               : session->idle()   ? (quiet >= kIdleClient  ? 2
-                                      : quiet >= kJustAsked ? 3
-                                                            : -1)  // its answer may still be on the way
-                                   : -1;
+    int rank = session->is_draining() ? 0
+               : session->is_unused() ? (quiet >= kSilentClient && !session->is_mid_command() ? 1
+                                         : quiet.count() > 0                                  ? 4
+                                                                                              : -1)
+               : session->idle()      ? (quiet >= kIdleClient       ? 2
+                                         : quiet >= kRecentlyActive ? 3
+                                                                    : -1)  // its answer may still be on the way
+                                      : -1;
     if (rank < 0) continue;
     if (!best[rank] || session->idle_since() < best[rank]->idle_since()) best[rank] = session;
   }
@@ -262,60 +265,61 @@
 }
 
 void Proxy::trim_idle() {
-  auto most = options_.descriptors / kKeptShare;
+  auto most = options_.descriptors / kActiveClientShare;
   if (clients_in_all() <= most || loop_.now() - trimmed_at_ < kTrimEvery) return;
   trimmed_at_ = loop_.now();
   std::vector<ClientSession*> idle;
   std::size_t asked = 0;
   for (auto& [session, owned] : sessions_) {
-    if (session->draining() || session->spare()) continue;
+    if (session->is_draining() || session->is_unused()) continue;
     ++asked;
-    if (session->idle() && loop_.now() - session->idle_since() >= kJustAsked) idle.push_back(session);
+    if (session->idle() && loop_.now() - session->idle_since() >= kRecentlyActive) idle.push_back(session);
   }
   // Of several, each closes its part of what all have too many.
-  auto all = asked + (others_ ? others_->others().asked : 0);
+  auto all = asked + (siblings_ ? siblings_->others().asked : 0);
   if (all <= most) return;
-  auto own = others_ ? (all - most) * asked / all + 1 : all - most;
+  auto own = siblings_ ? (all - most) * asked / all + 1 : all - most;
   auto count = std::min(own, idle.size());
   std::partial_sort(idle.begin(), idle.begin() + static_cast<std::ptrdiff_t>(count), idle.end(),
                     [](auto* a, auto* b) { return a->idle_since() < b->idle_since(); });
   // What has arrived since this turn's events were fetched is read first: whoever asks is not idle.
   for (std::size_t i = 0; i < count; ++i)
-    if (idle[i]->read_once() && idle[i]->idle()) idle[i]->close();
+    if (idle[i]->poll_input() && idle[i]->idle()) idle[i]->close();
 }
 
-bool Proxy::buffered(std::ptrdiff_t change) {
+bool Proxy::on_buffered_change(std::ptrdiff_t change) {
   buffered_ += static_cast<std::size_t>(change);
-  return buffered_ + (others_ ? others_->others().buffered : 0) <= options_.memory / kBufferShare;
+  return buffered_ + (siblings_ ? siblings_->others().statement_bytes : 0) <=
+         options_.memory / kStatementMemoryShare;
 }
 
-void Proxy::session_closed(ClientSession* session) {
+void Proxy::on_session_closed(ClientSession* session) {
   auto it = sessions_.find(session);
   if (it == sessions_.end()) return;
   closed_.push_back(std::move(it->second));  // it may be in one of its own calls
   sessions_.erase(it);
 }
 
-void Proxy::end_of_turn() {
-  before_turn_end();
+void Proxy::on_iteration_end() {
+  before_iteration_end();
   if (accept_again_) accept_all();
   if (stopping_since_) close_idle_clients();
   trim_idle();
-  dispatcher_.end_of_turn();
+  dispatcher_.on_iteration_end();
   if (!was_ready_ && dispatcher_.ready()) {
     was_ready_ = true;
-    if (!others_) log_(net::Level::kInfo, "ready to serve");
+    if (!siblings_) log_(net::Level::kInfo, "ready to serve");
     on_ready();
     std::vector<ClientSession*> all;
     for (auto& [session, owned] : sessions_) all.push_back(session);
     for (auto* session : all) session->resume();
-    dispatcher_.end_of_turn();  // for what stood behind the empty query
+    dispatcher_.on_iteration_end();  // for what stood behind the empty query
   }
   // A client that turns out to be gone gives back what it had out.
   while (!to_flush_.empty()) {
     auto open = sessions_.size();
     for (auto* session : std::exchange(to_flush_, {})) session->flush();
-    if (sessions_.size() < open) dispatcher_.end_of_turn();
+    if (sessions_.size() < open) dispatcher_.on_iteration_end();
   }
   closed_.clear();
   publish();
@@ -324,32 +328,35 @@
 void Proxy::shut_down() {
   if (stopping_since_) return;
   stopping_since_ = loop_.now();
-  if (!others_)
+  if (!siblings_)
     log_(net::Level::kInfo, fmt::format("told to stop: {} clients, {} requests open", sessions_.size(),
                                         dispatcher_.open_requests()));
-  for (auto after : {kServeOn, kLeast, kLeast + kMidCommand, kMost}) loop_.at(loop_.now() + after, [] {});
+  for (auto after : {kContinueServing, kRejectAfter, kRejectAfter + kPartialCommandGrace, kLongestShutdown})
+    loop_.at(loop_.now() + after, [] {});
 }
 
 void Proxy::close_idle_clients() {
   auto past = loop_.now() - *stopping_since_;
-  if (past < kServeOn) return;
+  if (past < kContinueServing) return;
   if (listener_) accept_all();
   std::vector<ClientSession*> all;
   for (auto& [session, owned] : sessions_) all.push_back(session);
   for (auto* session : all) {
     session->close_when_idle();
-    if (sessions_.count(session) && session->idle()) session->read_once();
+    if (sessions_.count(session) && session->idle()) session->poll_input();
   }
-  if (past < kLeast) return;
+  if (past < kRejectAfter) return;
   for (auto* session : all) {
     if (!sessions_.count(session)) continue;
     session->refuse_new_requests();
-    bool last_word = session->draining() || (session->mid_command() && past < kLeast + kMidCommand);
-    if (last_word ? past >= kMost : !session->busy() || (past >= kMost && !session->owes_answers()))
+    bool last_word =
+        session->is_draining() || (session->is_mid_command() && past < kRejectAfter + kPartialCommandGrace);
+    if (last_word ? past >= kLongestShutdown
+                  : !session->busy() || (past >= kLongestShutdown && !session->owes_answers()))
       session->close();
   }
   if (!sessions_.empty()) return;
-  if (!others_) log_(net::Level::kInfo, dispatcher_.counters().stopped());
+  if (!siblings_) log_(net::Level::kInfo, dispatcher_.counters().stopped());
   loop_.stop();
 }
 
--- a/src/proxy/proxy.h
+++ b/src/proxy/proxy.h
@@ -54,17 +54,17 @@
     dispatcher_.list(std::move(update), cached);
   }
   void adopt(net::Fd client);
-  void give_room();  // closes something that is easy to miss
+  void release_descriptor();  // closes something that is easy to miss
   void cancel(std::uint32_t number, std::uint32_t secret);
   Dispatcher& dispatcher() { return dispatcher_; }
   std::size_t clients() const { return sessions_.size(); }
-  std::function<void()> on_ready = [] {};         // it can serve from now on
-  std::function<void()> before_turn_end = [] {};  // runs before what a turn brought is dispatched
+  std::function<void()> on_ready = [] {};              // it can serve from now on
+  std::function<void()> before_iteration_end = [] {};  // runs before what a turn brought is dispatched
   ServerPool& pool() { return dispatcher_.pool(); }
-  void session_closed(ClientSession* session) override;
-  void cancel_requested(std::uint32_t number, std::uint32_t secret) override;
-  bool buffered(std::ptrdiff_t change) override;
-  void flush_later(ClientSession* session) override { to_flush_.push_back(session); }
+  void on_session_closed(ClientSession* session) override;
+  void on_cancel_request(std::uint32_t number, std::uint32_t secret) override;
+  bool on_buffered_change(std::ptrdiff_t change) override;
+  void schedule_flush(ClientSession* session) override { to_flush_.push_back(session); }
 
  private:
   Proxy(net::Loop& loop, routing::Decider& decider, ProxyOptions options, net::Log log,
@@ -79,9 +79,9 @@
   };
 
   void accept_all();
-  void end_of_turn();
-  bool make_room();
-  bool has_its_part() const;
+  void on_iteration_end();
+  bool free_descriptor();
+  bool has_fair_share() const;
   bool close_client(bool any);
   void trim_idle();
   void close_idle_clients();
@@ -94,7 +94,7 @@
   net::Loop& loop_;
   ProxyOptions options_;
   net::Log log_;
-  SiblingWorkers* others_;
+  SiblingWorkers* siblings_;
   Dispatcher dispatcher_;
   std::optional<discovery::EndpointListSubscription> discovery_;
   std::int64_t generation_ = 0;  // of the newest list, whoever gave it
@@ -112,9 +112,9 @@
   std::optional<Micros> stopping_since_;
   Micros trimmed_at_{0}, published_at_{0};
   ResourceUsage held_;
-  std::uint64_t without_descriptor_ = 0;
+  std::uint64_t accepts_without_descriptor_ = 0;
   std::uint32_t next_number_ = 1;  // counted within the proxy; sessions are numbered over all of them
-  net::Loop::TimerId look_again_ = net::Loop::kNoTimer;
+  net::Loop::TimerId accept_retry_timer_ = net::Loop::kNoTimer;
 };
 
 }  // namespace database_proxy::proxy
--- a/src/proxy/server_pool.cpp
+++ b/src/proxy/server_pool.cpp
@@ -55,7 +55,7 @@
     Micros up_by = loop.now() + pool_.limits_.connect_timeout;
     limit = std::min(limit, up_by);
     job_timer_ = loop.at(limit, [this, up_by] {
-      finish(job_->deadline >= up_by ? AttemptOutcome::kNoConnection : ending_of_timeout(false), false);
+      finish(job_->deadline >= up_by ? AttemptOutcome::kNoConnection : outcome_of_timeout(false), false);
     });
     return true;
   }
@@ -82,13 +82,14 @@
     sent = out_.write(fd_.get(), {pg::simple_query(kProbe)});
   } else {
     auto* client = pool_.events_.client_of(job_->request);
-    bool came_up_late = state_ == State::kUp;  // for an idle connection the dispatcher has just asked
+    bool came_up_late =
+        state_ == State::kEstablished;  // for an idle connection the dispatcher has just asked
     if (!client || (came_up_late && !client->still_connected())) {
-      if (job_) finish(ending_of_cancel(false), false);  // else ended with its request
+      if (job_) finish(outcome_of_cancel(false), false);  // else ended with its request
       return true;
     }
     if (loop.now() >= std::min(job_->deadline, job_->begin_by)) {
-      finish(ending_of_timeout(false), false);
+      finish(outcome_of_timeout(false), false);
       return true;
     }
     auto query = client->query(std::max(Micros(1000), job_->deadline - loop.now()));
@@ -96,30 +97,30 @@
   }
   if (!sent && std::exchange(used_, true)) return false;
   if (!sent) {
-    broke();
+    on_connection_error();
     return true;
   }
   used_ = true;
   state_ = State::kBusy;
   written_ = out_.empty();
-  job_timer_ = loop.at(job_->deadline, [this] { finish(ending_of_timeout(written_), false); });
+  job_timer_ = loop.at(job_->deadline, [this] { finish(outcome_of_timeout(written_), false); });
   return true;
 }
 
 void ServerConnection::on_ready(std::uint32_t events) {
   if (state_ == State::kConnecting) {
-    if (net::socket_error(fd_.get()) != 0) return broke();
+    if (net::socket_error(fd_.get()) != 0) return on_connection_error();
     if (!(events & EPOLLOUT)) return;
     state_ = State::kGreeting;
-    if (!out_.write(fd_.get(), {pg::startup_message(kUser, kDatabase)})) return broke();
+    if (!out_.write(fd_.get(), {pg::startup_message(kUser, kDatabase)})) return on_connection_error();
   }
   if (events & EPOLLOUT) {
-    if (!out_.flush(fd_.get())) return broke();
+    if (!out_.flush(fd_.get())) return on_connection_error();
     if (state_ == State::kBusy && out_.empty()) written_ = true;
   }
   if (!(events & (EPOLLIN | EPOLLRDHUP | EPOLLHUP | EPOLLERR))) return;
-  auto end = in_.fill(fd_.get(), kCap, SIZE_MAX, !net::ends(events));
-  if (end == net::IoEnd::kFull) return spoilt();
+  auto end = in_.fill(fd_.get(), kCap, SIZE_MAX, !net::peer_has_ended(events));
+  if (end == net::IoEnd::kFull) return on_malformed_answer();
   if (net::is_over(end)) {
     peer_closed_ = true;
     reusable_ = false;
@@ -129,33 +130,34 @@
   if (parsed_ == in_.view().size() && row_description_.size == 0 && error_.empty()) return;  // not begun
   auto& loop = pool_.loop_;
   loop.cancel(&job_timer_);
-  job_timer_ = loop.at(std::min(job_->deadline, loop.now() + kStall), [this] { spoilt(); });
+  job_timer_ = loop.at(std::min(job_->deadline, loop.now() + kStall), [this] { on_malformed_answer(); });
 }
 
 void ServerConnection::read_frames() {
   while (fd_ && state_ != State::kSettled) {
     pg::Frame message;
     auto parse = pg::parse_frame(in_.view().substr(parsed_), kLongestMessage, &message);
-    if (parse == pg::Parse::kMore) break;
-    if (parse == pg::Parse::kOk && message.type == 'Z' && state_ == State::kGreeting && error_.empty()) {
+    if (parse == pg::ParseStatus::kMore) break;
+    if (parse == pg::ParseStatus::kOk && message.type == 'Z' && state_ == State::kGreeting &&
+        error_.empty()) {
       if (job_->probe) {  // nobody's end goes before it, and not all who probe have such an end of turn
         ready();
         continue;
       }
-      state_ = State::kUp;
+      state_ = State::kEstablished;
       pool_.loop_.cancel(&job_timer_);
       in_.consume(in_.view().size());
       parsed_ = 0;
-      pool_.up_.push_back(this);
+      pool_.established_.push_back(this);
       break;
     }
     bool busy = state_ == State::kBusy;
-    if (parse == pg::Parse::kBad || !frame(message, parsed_)) return spoilt();
+    if (parse == pg::ParseStatus::kBad || !frame(message, parsed_)) return on_malformed_answer();
     // The answer is whole: the connection may be back in the pool, with its buffer emptied.
     if (busy && state_ != State::kBusy) return;
     parsed_ += message.size;
   }
-  if (peer_closed_ && fd_ && state_ != State::kSettled) broke();
+  if (peer_closed_ && fd_ && state_ != State::kSettled) on_connection_error();
 }
 
 // False: this message has no place here.
@@ -204,9 +206,9 @@
       return true;
     case 'Z':
       if (state_ != State::kBusy) return false;
-      if (amounts_to() == AttemptOutcome::kReset) return false;
+      if (answer_outcome() == AttemptOutcome::kReset) return false;
       // What stands behind the answer belongs to nobody: the next answer must not begin with it.
-      finish(amounts_to(), in_.view().size() == at + message.size);
+      finish(answer_outcome(), in_.view().size() == at + message.size);
       return true;
     default:
       return false;
@@ -214,53 +216,54 @@
 }
 
 // What the messages so far amount to: a row or an error, and not both; kReset: no whole answer.
-AttemptOutcome ServerConnection::amounts_to() const {
+AttemptOutcome ServerConnection::answer_outcome() const {
   bool row = row_description_.size > 0 && data_row_.size > 0 && complete_.size > 0;
   if (!error_.empty())
-    return row_description_.size + complete_.size > 0 ? AttemptOutcome::kReset : ending_of_error(error_);
+    return row_description_.size + complete_.size > 0 ? AttemptOutcome::kReset : outcome_of_error(error_);
   return row ? AttemptOutcome::kServed : AttemptOutcome::kReset;
 }
 
 // What came is no answer, or stopped in the middle of one. Nothing that it said before counts: an attempt
 // that was written whole may have run, whatever error code the noise resembles.
-void ServerConnection::spoilt() {
-  pool_.spoilt(server_);
+void ServerConnection::on_malformed_answer() {
+  pool_.on_malformed_answer(server_);
   if (!job_) return pool_.close(this);
-  if (state_ == State::kBusy && amounts_to() == AttemptOutcome::kServed)
+  if (state_ == State::kBusy && answer_outcome() == AttemptOutcome::kServed)
     return finish(AttemptOutcome::kServed, false);
   role_ = routing::ServerRole::kUnknown;
   position_.reset();
   load_.clear();
-  finish(ending_of_break(state_ == State::kBusy && written_), false);
+  finish(outcome_of_broken_connection(state_ == State::kBusy && written_), false);
 }
 
 // The connection has ended.
-void ServerConnection::broke() {
+void ServerConnection::on_connection_error() {
   if (!job_) return pool_.close(this);
   if (state_ == State::kGreeting && error_ == "53300") return finish(AttemptOutcome::kRejected, false);
-  if (state_ == State::kBusy && amounts_to() != AttemptOutcome::kReset) return finish(amounts_to(), false);
-  finish(ending_of_break(state_ == State::kBusy && written_), false);
+  if (state_ == State::kBusy && answer_outcome() != AttemptOutcome::kReset)
+    return finish(answer_outcome(), false);
+  finish(outcome_of_broken_connection(state_ == State::kBusy && written_), false);
 }
 
-void ServerConnection::finish(AttemptOutcome ending, bool reusable) {
+void ServerConnection::finish(AttemptOutcome outcome, bool reusable) {
   auto& loop = pool_.loop_;
   loop.cancel(&job_timer_);
   Job job = *std::exchange(job_, std::nullopt);
-  bool answered = ending == AttemptOutcome::kServed;
+  bool answered = outcome == AttemptOutcome::kServed;
   reusable_ = reusable && !peer_closed_;
   state_ = State::kSettled;
   if (job.probe) {
     routing::ProbeResult result{server_, answered, loop.now() - job.started, load_};
     if (answered && result.load.empty()) result.load = text(value_);
     pool_.events_.probe_ended(std::move(result));
-    return pool_.give_back(this);
+    return pool_.release(this);
   }
   pool_.out_.erase(job.request);
   AttemptEnd end;
   end.result.request = job.request;
   end.result.attempt = job.attempt;
   end.result.server = server_;
-  end.result.ending = ending;
+  end.result.outcome = outcome;
   end.result.taken = loop.now() - job.started;
   end.result.role = role_;
   end.result.position_unix_ms = position_;
@@ -270,7 +273,7 @@
     end.connection = this;
   }
   pool_.events_.attempt_ended(std::move(end));
-  if (!answered) pool_.give_back(this);
+  if (!answered) pool_.release(this);
 }
 
 // ---- the pool
@@ -278,16 +281,16 @@
 
 ServerPool::ServerPool(net::Loop& loop, PoolLimits limits, ServerEvents& events, net::Log log,
                        SiblingWorkers* others)
-    : loop_(loop), limits_(limits), events_(events), log_(std::move(log)), others_(others) {}
+    : loop_(loop), limits_(limits), events_(events), log_(std::move(log)), siblings_(others) {}
 
 ServerPool::~ServerPool() = default;
 
 void ServerPool::update(const discovery::EndpointListUpdate& list) {
   if (list.reset)
-    for (auto& [id, server] : servers_) server.listed = false;
+    for (auto& [id, server] : servers_) server.on_endpoint_list = false;
   for (auto& m : list.members) {
     auto& server = servers_[m.id];
-    server.listed = m.lifecycle != discovery::Lifecycle::kRemoved;
+    server.on_endpoint_list = m.lifecycle != discovery::Lifecycle::kRemoved;
     if (!m.address.empty() && m.address != server.address_text) {
       server.address = net::parse_address(m.address);
       server.address_text = m.address;
@@ -298,7 +301,7 @@
   }
   std::vector<std::string> left;
   for (auto& [id, server] : servers_)
-    if (!server.listed) left.push_back(id);
+    if (!server.on_endpoint_list) left.push_back(id);
   for (auto& id : left) {
     drop_idle(servers_[id]);
     forget(id);
@@ -308,17 +311,17 @@
 // A server that has left the list goes with its last connection: new ones replace old ones all day.
 void ServerPool::forget(const std::string& name) {
   auto it = servers_.find(name);
-  if (it != servers_.end() && !it->second.listed && it->second.connections == 0) servers_.erase(it);
+  if (it != servers_.end() && !it->second.on_endpoint_list && it->second.connections == 0) servers_.erase(it);
 }
 
 // Told once a second at most, with how many there were: a server at fault must not fill the log.
-void ServerPool::spoilt(const std::string& server) {
-  ++spoilt_;
-  if (loop_.now() < spoilt_told_ + Micros(1'000'000)) return;
-  spoilt_told_ = loop_.now();
+void ServerPool::on_malformed_answer(const std::string& server) {
+  ++malformed_answers_;
+  if (loop_.now() < malformed_logged_at_ + Micros(1'000'000)) return;
+  malformed_logged_at_ = loop_.now();
   log_(net::Level::kWarning,
        fmt::format("server {} sent what is no answer ({} such answers since the last line)", server,
-                   std::exchange(spoilt_, 0)));
+                   std::exchange(malformed_answers_, 0)));
 }
 
 void ServerPool::drop_idle(Server& server) {
@@ -327,13 +330,13 @@
 }
 
 void ServerPool::start(RequestId request, int attempt, const std::string& server, Micros wait,
-                       Micros begin_within) {
+                       Micros start_within) {
   ServerConnection::Job job;
   job.request = request;
   job.attempt = attempt;
   job.started = loop_.now();
   job.deadline = loop_.now() + wait;
-  if (begin_within != Micros::max()) job.begin_by = loop_.now() + begin_within;
+  if (start_within != Micros::max()) job.begin_by = loop_.now() + start_within;
   run(server, job);
 }
 
@@ -347,7 +350,7 @@
 
 void ServerPool::run(const std::string& name, ServerConnection::Job job) {
   auto known = servers_.find(name);
-  if (known == servers_.end()) return ended_unsent(name, job, AttemptOutcome::kNoConnection);
+  if (known == servers_.end()) return end_unsent(name, job, AttemptOutcome::kNoConnection);
   auto& server = known->second;
   while (!server.idle.empty()) {
     auto* connection = server.idle.back();
@@ -358,34 +361,34 @@
     connection->job_.reset();
     close(connection);
   }
-  if (!server.address) return ended_unsent(name, job, AttemptOutcome::kNoConnection);
-  if (others_ && others_->too_many_connections(name)) others_->ask_to_close_idle(name);
-  if (!room()) {
+  if (!server.address) return end_unsent(name, job, AttemptOutcome::kNoConnection);
+  if (siblings_ && siblings_->has_too_many_connections(name)) siblings_->request_closing_idle(name);
+  if (!has_descriptor()) {
     log_(net::Level::kWarning, "no descriptor is left for a connection to a data server");
-    return ended_unsent(name, job, AttemptOutcome::kNotSent);
+    return end_unsent(name, job, AttemptOutcome::kNotSent);
   }
   auto made = std::make_unique<ServerConnection>(*this, name);
   auto* connection = made.get();
   int error = 0;
   if (!connection->open(*server.address, &error)) {
     bool ours = error == EMFILE || error == ENFILE;  // our own want of descriptors says nothing of the server
-    return ended_unsent(name, job, ours ? AttemptOutcome::kNotSent : AttemptOutcome::kNoConnection);
+    return end_unsent(name, job, ours ? AttemptOutcome::kNotSent : AttemptOutcome::kNoConnection);
   }
   all_[connection] = std::move(made);
   ++server.connections;
-  if (others_) others_->connection_opened(name);
+  if (siblings_) siblings_->connection_opened(name);
   if (!job.probe) out_[job.request] = connection;
   connection->begin(job);
 }
 
-void ServerPool::ended_unsent(const std::string& server, const ServerConnection::Job& job,
-                              AttemptOutcome ending) {
+void ServerPool::end_unsent(const std::string& server, const ServerConnection::Job& job,
+                            AttemptOutcome outcome) {
   if (job.probe) return events_.probe_ended({server, false, Micros(0), ""});
   AttemptEnd end;
   end.result.request = job.request;
   end.result.attempt = job.attempt;
   end.result.server = server;
-  end.result.ending = ending;
+  end.result.outcome = outcome;
   events_.attempt_ended(std::move(end));
 }
 
@@ -394,14 +397,14 @@
   if (it == out_.end()) return;
   auto* connection = it->second;
   if (attempt && connection->job_->attempt != *attempt) return;
-  connection->finish(ending_of_cancel(connection->written_), false);
+  connection->finish(outcome_of_cancel(connection->written_), false);
 }
 
-void ServerPool::give_back(void* given) {
+void ServerPool::release(void* given) {
   auto* connection = static_cast<ServerConnection*>(given);
   if (!connection->reusable_ || !connection->out_.empty()) return close(connection);
   auto& server = servers_[connection->server_];  // it stays as long as its connections
-  if (!server.listed || (others_ && others_->too_many_connections(connection->server_)))
+  if (!server.on_endpoint_list || (siblings_ && siblings_->has_too_many_connections(connection->server_)))
     return close(connection);
   connection->in_.consume(connection->in_.view().size());
   connection->parsed_ = 0;
@@ -429,10 +432,10 @@
   if (it == all_.end()) return;
   loop_.cancel(&connection->job_timer_);
   loop_.cancel(&connection->idle_timer_);
-  std::erase(up_, connection);
+  std::erase(established_, connection);
   if (connection->fd_) loop_.remove(connection->fd_.get(), connection);
   connection->fd_.reset();
-  if (others_) others_->connection_closed(connection->server_);
+  if (siblings_) siblings_->connection_closed(connection->server_);
   if (auto server = servers_.find(connection->server_); server != servers_.end()) {
     std::erase(server->second.idle, connection);
     --server->second.connections;
@@ -442,10 +445,10 @@
   all_.erase(it);
 }
 
-void ServerPool::write_ready() {
-  while (!up_.empty()) {
-    auto* connection = up_.back();
-    up_.pop_back();
+void ServerPool::start_ready_attempts() {
+  while (!established_.empty()) {
+    auto* connection = established_.back();
+    established_.pop_back();
     connection->ready();
   }
 }
--- a/src/proxy/server_pool.h
+++ b/src/proxy/server_pool.h
@@ -35,7 +35,7 @@
  private:
   friend class ServerPool;
   // kUp: it has just come up, and its job is written at the end of this turn.
-  enum class State { kConnecting, kGreeting, kUp, kIdle, kBusy, kSettled };
+  enum class State { kConnecting, kGreeting, kEstablished, kIdle, kBusy, kSettled };
 
   struct Job {
     bool probe = false;
@@ -54,10 +54,10 @@
   bool ready();
   void read_frames();
   bool frame(const pg::Frame& frame, std::size_t at);
-  void finish(routing::AttemptOutcome ending, bool reusable);
-  void broke();
-  void spoilt();
-  routing::AttemptOutcome amounts_to() const;
+  void finish(routing::AttemptOutcome outcome, bool reusable);
+  void on_connection_error();
+  void on_malformed_answer();
+  routing::AttemptOutcome answer_outcome() const;
   std::string_view text(Span span) const { return in_.view().substr(span.at, span.size); }
 
   ServerPool& pool_;
@@ -84,51 +84,51 @@
 
   void update(const discovery::EndpointListUpdate& list);
   void set_limits(PoolLimits limits) { limits_ = limits; }  // for what begins from now on
-  void start(RequestId request, int attempt, const std::string& server, Micros wait, Micros begin_within);
+  void start(RequestId request, int attempt, const std::string& server, Micros wait, Micros start_within);
   // Closes; tells nobody unless an attempt was out, and where `attempt` is given, just that one.
   void cancel(RequestId request, std::optional<int> attempt = std::nullopt);
   void probe(const std::string& server);
-  void give_back(void* connection);  // the answer of its attempt has been passed on
-  bool close_one_idle();             // to make room for a descriptor; false: there is none
+  void release(void* connection);  // the answer of its attempt has been passed on
+  bool close_one_idle();           // to make room for a descriptor; false: there is none
   void close_one_idle(const std::string& server);
   std::size_t servers_known() const { return servers_.size(); }
   // Begins the attempts whose connections have come up: after all that this turn has brought is known, so
   // that a client's end goes before its attempt's beginning.
-  void write_ready();
+  void start_ready_attempts();
   void sweep();  // at the end of a turn: frees what was closed in it
   // Asked before a new connection: false when no descriptor is left.
-  std::function<bool()> room = [] { return true; };
+  std::function<bool()> has_descriptor = [] { return true; };
 
  private:
   friend class ServerConnection;
   struct Server {
     std::optional<net::Address> address;
     std::string address_text;
-    bool listed = false;
+    bool on_endpoint_list = false;
     int connections = 0;
     std::vector<ServerConnection*> idle;
   };
 
   void run(const std::string& server, ServerConnection::Job job);
-  void ended_unsent(const std::string& server, const ServerConnection::Job& job,
-                    routing::AttemptOutcome ending);
+  void end_unsent(const std::string& server, const ServerConnection::Job& job,
+                  routing::AttemptOutcome outcome);
   void close(ServerConnection* connection);
   void drop_idle(Server& server);
   void forget(const std::string& name);
-  void spoilt(const std::string& server);
+  void on_malformed_answer(const std::string& server);
 
   net::Loop& loop_;
   PoolLimits limits_;
   ServerEvents& events_;
   net::Log log_;
-  SiblingWorkers* others_;
+  SiblingWorkers* siblings_;
   std::unordered_map<std::string, Server> servers_;
   std::unordered_map<ServerConnection*, std::unique_ptr<ServerConnection>> all_;
   std::unordered_map<RequestId, ServerConnection*> out_;  // attempts that are out
-  std::vector<ServerConnection*> up_;                     // in state kUp
+  std::vector<ServerConnection*> established_;            // in state kUp
   std::vector<std::unique_ptr<ServerConnection>> closed_;
-  std::uint64_t spoilt_ = 0;
-  Micros spoilt_told_{INT64_MIN / 2};
+  std::uint64_t malformed_answers_ = 0;
+  Micros malformed_logged_at_{INT64_MIN / 2};
 };
 
 }  // namespace database_proxy::proxy
--- a/src/routing/decider.h
+++ b/src/routing/decider.h
@@ -11,20 +11,20 @@
 class Decider {
  public:
   virtual ~Decider() = default;
-  virtual const ClassInfo* find_class(std::string_view name) const = 0;
+  virtual const RequestClassInfo* find_class(std::string_view name) const = 0;
   virtual bool ready() const = 0;  // it knows of a server that is up
 
   // What has happened. Within one turn: list changes first, then results, those who left, and new requests.
   virtual void update(Micros now, const discovery::EndpointListUpdate& list, bool cached) = 0;
-  virtual void report(Micros now, Result result) = 0;
+  virtual void report(Micros now, AttemptResult result) = 0;
   virtual void report(Micros now, ProbeResult result) = 0;
   virtual void on_client_disconnected(Micros now, RequestId request) = 0;
   // False: it has no room for one more, and this request was not taken.
-  virtual bool ask(Micros now, const Request& request) = 0;
+  virtual bool submit(Micros now, const Request& request) = 0;
   // The fleet's plan, and what this router would send to a server beside what it has out there (requests a
   // second). Only where decisions are made in this thread: a group of daemons goes with one worker.
   virtual void plan(Micros, request_router::Plan) {}
-  virtual double room(const std::string&) const { return 0; }
+  virtual double spare_capacity(const std::string&) const { return 0; }
   // What was decided since the last call, in order. `next_due`: call again by then.
   virtual TickResult collect(Micros now) = 0;
 };
@@ -33,22 +33,24 @@
 class LocalDecider : public Decider {
  public:
   explicit LocalDecider(DecisionFacade& facade) : facade_(facade) {}
-  const ClassInfo* find_class(std::string_view name) const override { return facade_.find_class(name); }
+  const RequestClassInfo* find_class(std::string_view name) const override {
+    return facade_.find_class(name);
+  }
   bool ready() const override { return facade_.ready(); }
   void update(Micros now, const discovery::EndpointListUpdate& list, bool cached) override {
     facade_.update(now, list, cached);
   }
-  void report(Micros now, Result result) override { facade_.report(now, result); }
+  void report(Micros now, AttemptResult result) override { facade_.report(now, result); }
   void report(Micros now, ProbeResult result) override { facade_.report(now, result); }
   void on_client_disconnected(Micros now, RequestId request) override {
     facade_.on_client_disconnected(now, request);
   }
-  bool ask(Micros now, const Request& request) override {
-    facade_.ask(now, request);
+  bool submit(Micros now, const Request& request) override {
+    facade_.submit(now, request);
     return true;
   }
   void plan(Micros now, request_router::Plan plan) override { facade_.plan(now, std::move(plan)); }
-  double room(const std::string& server) const override { return facade_.room(server); }
+  double spare_capacity(const std::string& server) const override { return facade_.spare_capacity(server); }
   TickResult collect(Micros now) override { return facade_.tick(now); }
 
  private:
--- a/src/routing/decision_facade.cpp
+++ b/src/routing/decision_facade.cpp
@@ -14,8 +14,8 @@
 // one.
 constexpr Micros kForgetServer = std::chrono::seconds(90);
 
-bc::Status status_of(AttemptOutcome ending) {
-  switch (ending) {
+bc::Status status_of(AttemptOutcome outcome) {
+  switch (outcome) {
     case AttemptOutcome::kServed:
       return bc::Status::kSuccess;
     case AttemptOutcome::kDeclined:
@@ -56,7 +56,7 @@
   }
 }
 
-const ClassInfo* DecisionFacade::find_class(std::string_view name) const {
+const RequestClassInfo* DecisionFacade::find_class(std::string_view name) const {
   auto it = classes_.find(std::string(name));
   return it == classes_.end() ? nullptr : &it->second;
 }
@@ -72,7 +72,7 @@
   bc::MemberList told;
   told.kind = cached ? bc::ListKind::kCached : list.reset ? bc::ListKind::kFull : bc::ListKind::kDelta;
   if (list.reset)
-    for (auto& [number, server] : servers_) server.up = server.listed = false;
+    for (auto& [number, server] : servers_) server.up = server.on_endpoint_list = false;
   for (auto& m : list.members) {
     bc::MemberEntry entry;
     entry.member = member(now, m.id);
@@ -86,7 +86,7 @@
     if (m.started_at_ms > 0) entry.started_at = std::max(Micros(1), clock_.known(m.started_at_ms));
     auto& server = servers_[entry.member];
     server.up = m.lifecycle == discovery::Lifecycle::kUp;
-    server.listed = m.lifecycle != discovery::Lifecycle::kRemoved;
+    server.on_endpoint_list = m.lifecycle != discovery::Lifecycle::kRemoved;
     told.entries.push_back(std::move(entry));
   }
   usable_ = static_cast<std::size_t>(
@@ -94,7 +94,7 @@
   pending_.emplace_back(std::move(told));
   // Servers are replaced by new ones all day; the module forgets them sooner than this.
   std::erase_if(servers_, [&](auto& entry) {
-    bool on_client_disconnected = !entry.second.listed && now - entry.second.since > kForgetServer;
+    bool on_client_disconnected = !entry.second.on_endpoint_list && now - entry.second.since > kForgetServer;
     if (on_client_disconnected) numbers_.erase(entry.second.name);
     return on_client_disconnected;
   });
@@ -117,12 +117,12 @@
   return report;
 }
 
-void DecisionFacade::report(Micros now, const Result& result) {
+void DecisionFacade::report(Micros now, const AttemptResult& result) {
   bc::Outcome o;
   o.id = result.request;
   o.attempt = result.attempt;
   o.member = member(now, result.server);
-  o.status = status_of(result.ending);
+  o.status = status_of(result.outcome);
   o.taken = result.taken;
   o.closed = result.closed;
   o.role = role_of(result.role);
@@ -146,9 +146,9 @@
   attempts_.erase(request);
   pending_.emplace_back(bc::ClientGone{request});
   std::erase_if(decided_, [&](auto& d) {
-    if (d.request != request || d.what == Decision::What::kProbe) return false;
+    if (d.request != request || d.kind == Decision::Kind::kProbe) return false;
     // A send that was decided but never fetched would count as in flight at its server for ever.
-    if (d.what == Decision::What::kSend) {
+    if (d.kind == Decision::Kind::kSend) {
       bc::Outcome never;
       never.id = request;
       never.attempt = d.attempt;
@@ -163,19 +163,19 @@
 
 void DecisionFacade::plan(Micros, bc::Plan plan) { pending_.emplace_back(std::move(plan)); }
 
-double DecisionFacade::room(const std::string& server) const {
+double DecisionFacade::spare_capacity(const std::string& server) const {
   auto it = numbers_.find(server);
   return it == numbers_.end() ? 0 : router_.room(it->second);
 }
 
-void DecisionFacade::ask(Micros now, const Request& request) {
+void DecisionFacade::submit(Micros now, const Request& request) {
   bc::Request r;
   r.id = request.id;
   r.request_class = request.request_class;
-  r.group = request.cluster;
+  r.group = request.shard_group;
   r.key = request.session;
   r.expires = request.expires;
-  r.retry = request.retry;
+  r.retry = request.is_retry;
   // An age of 0 would say that the session has written nothing: the youngest write is 1 us old.
   if (request.after_unix_ms) r.write_age = std::max(Micros(1), now - clock_.required(*request.after_unix_ms));
   attempts_[request.id] = 0;
@@ -183,10 +183,10 @@
 }
 
 Decision DecisionFacade::pick(Micros now, const Request& request) {
-  ask(now, request);
+  submit(now, request);
   flush(now);
   for (auto it = decided_.begin(); it != decided_.end(); ++it)
-    if (it->request == request.id && it->what != Decision::What::kProbe) {
+    if (it->request == request.id && it->kind != Decision::Kind::kProbe) {
       auto decision = std::move(*it);
       decided_.erase(it);
       return decision;
@@ -221,27 +221,27 @@
   for (auto& action : actions) {
     Decision d;
     if (auto* send = std::get_if<bc::Send>(&action)) {
-      d.what = Decision::What::kSend;
+      d.kind = Decision::Kind::kSend;
       d.request = send->id;
       d.attempt = attempts_[send->id]++;
       d.server = servers_[send->member].name;
-      d.wait = send->timeout;
-      d.begin_within = send->start_within;
+      d.timeout = send->timeout;
+      d.start_within = send->start_within;
     } else if (auto* cancel = std::get_if<bc::Cancel>(&action)) {
-      d.what = Decision::What::kCancel;
+      d.kind = Decision::Kind::kCancel;
       d.request = cancel->id;
       d.attempt = cancel->attempt;
     } else if (auto* reject = std::get_if<bc::Reject>(&action)) {
-      d.what = Decision::What::kReject;
+      d.kind = Decision::Kind::kReject;
       d.request = reject->id;
       d.retry_after = reject->retry_after;
       attempts_.erase(reject->id);
     } else if (auto* fail = std::get_if<bc::Fail>(&action)) {
-      d.what = Decision::What::kFail;
+      d.kind = Decision::Kind::kFail;
       d.request = fail->id;
       attempts_.erase(fail->id);
     } else if (auto* probe = std::get_if<bc::Probe>(&action)) {
-      d.what = Decision::What::kProbe;
+      d.kind = Decision::Kind::kProbe;
       d.server = servers_[probe->member].name;
     } else if (auto* timer = std::get_if<bc::SetTimer>(&action)) {
       timers_.emplace_back(now + timer->after, timer->key);
--- a/src/routing/decision_facade.h
+++ b/src/routing/decision_facade.h
@@ -18,7 +18,7 @@
 
 using RequestId = std::uint64_t;
 
-struct ClassInfo {
+struct RequestClassInfo {
   std::size_t index = 0;
   bool write = false, keyed = false, session = false;
 };
@@ -26,11 +26,11 @@
 struct Request {
   RequestId id = 0;
   std::size_t request_class = 0;
-  std::int64_t cluster = 0;
+  std::int64_t shard_group = 0;
   std::optional<std::uint64_t> session;
   std::optional<std::int64_t> after_unix_ms;
   Micros expires{0};  // the final answer must be on its way by then
-  bool retry = false;
+  bool is_retry = false;
 };
 
 // How an attempt ended, in the words of the protocol page's table.
@@ -47,11 +47,11 @@
 };
 enum class ServerRole { kUnknown, kPrimary, kReplica };
 
-struct Result {
+struct AttemptResult {
   RequestId request = 0;
   int attempt = 0;
   std::string server;
-  AttemptOutcome ending = AttemptOutcome::kServed;
+  AttemptOutcome outcome = AttemptOutcome::kServed;
   Micros taken{0};
   bool closed = false;  // the request has its final answer
   ServerRole role = ServerRole::kUnknown;
@@ -67,18 +67,18 @@
 };
 
 struct Decision {
-  enum class What { kSend, kHold, kReject, kFail, kCancel, kProbe };
-  What what = What::kHold;
+  enum class Kind { kSend, kPostpone, kReject, kFail, kCancel, kProbe };
+  Kind kind = Kind::kPostpone;
   RequestId request = 0;
   int attempt = 0;                      // kSend, kCancel
   std::string server;                   // kSend, kProbe
-  Micros wait{0};                       // kSend: how long this attempt may take
-  Micros begin_within = Micros::max();  // kSend: the attempt is not made where it cannot begin by then
+  Micros timeout{0};                    // kSend: how long this attempt may take
+  Micros start_within = Micros::max();  // kSend: the attempt is not made where it cannot begin by then
   Micros retry_after{0};                // kRefuse; 0: no guidance
   // Where it was made in another thread: when, and after how many changes of the list; and whether it comes
   // too late to be carried out, so that it goes back as never sent.
-  Micros made{0};
-  std::uint64_t list = 0;
+  Micros decided_at{0};
+  std::uint64_t endpoint_list_version = 0;
   bool stale = false;
 };
 
@@ -92,19 +92,19 @@
   DecisionFacade(request_router::Settings settings, std::uint64_t seed, UnixClock clock,
                  std::function<void(const std::string&)> log);
 
-  const ClassInfo* find_class(std::string_view name) const;
-  const std::unordered_map<std::string, ClassInfo>& classes() const { return classes_; }
+  const RequestClassInfo* find_class(std::string_view name) const;
+  const std::unordered_map<std::string, RequestClassInfo>& classes() const { return classes_; }
   bool ready() const { return usable_ > 0; }  // it knows of a server that is up
 
   void update(Micros now, const discovery::EndpointListUpdate& list, bool cached = false);
-  void report(Micros now, const Result& result);
+  void report(Micros now, const AttemptResult& result);
   void report(Micros now, const ProbeResult& result);
   void on_client_disconnected(
       Micros now, RequestId request);  // its client has left, or it has had an answer not decided here
-  void plan(Micros now, request_router::Plan plan);  // replaces the last one whole
-  double room(const std::string& server) const;      // as Router::room; 0: not known
+  void plan(Micros now, request_router::Plan plan);        // replaces the last one whole
+  double spare_capacity(const std::string& server) const;  // as Router::room; 0: not known
   Decision pick(Micros now, const Request& request);
-  void ask(Micros now, const Request& request);  // the same; its decision comes with the next tick()
+  void submit(Micros now, const Request& request);  // the same; its decision comes with the next tick()
   TickResult tick(Micros now);
 
   // What is kept of servers: bounded by those that are listed or have gone just now.
@@ -121,11 +121,11 @@
   request_router::Router router_;
   UnixClock clock_;
   std::function<void(const std::string&)> log_;
-  std::unordered_map<std::string, ClassInfo> classes_;
+  std::unordered_map<std::string, RequestClassInfo> classes_;
   std::unordered_map<std::string, request_router::MemberId> numbers_;
   struct Server {
     std::string name;
-    bool up = false, listed = false;
+    bool up = false, on_endpoint_list = false;
     Micros since{0};  // when it was last listed, or named by a result
   };
   std::unordered_map<request_router::MemberId, Server> servers_;
--- a/src/routing/load_reports.h
+++ b/src/routing/load_reports.h
@@ -14,30 +14,30 @@
 
 namespace database_proxy::routing {
 
-class FactBook {
+class LoadReportCache {
  public:
   // An owner that probes every 100 ms, three of which may be late.
   static constexpr Micros kFresh{400'000};
 
   // False: it is of no use here now.
-  bool told(Micros now, ProbeResult result, Micros age) {
+  bool record(Micros now, ProbeResult result, Micros age) {
     auto& one = known_[result.server];
     if (one.distrusted || (one.result && now - age < one.seen)) return false;
     one.seen = now - age;
     one.result = std::move(result);
     return age <= kFresh;
   }
-  std::optional<ProbeResult> answer(Micros now, const std::string& server) const {
+  std::optional<ProbeResult> find_fresh(Micros now, const std::string& server) const {
     auto it = known_.find(server);
     if (it == known_.end() || it->second.distrusted || !it->second.result) return std::nullopt;
     return now - it->second.seen <= kFresh ? it->second.result : std::nullopt;
   }
-  bool distrusts(const std::string& server) const {
+  bool is_distrusted(const std::string& server) const {
     auto it = known_.find(server);
     return it != known_.end() && it->second.distrusted;
   }
   // Seen here: it answered, or it was out of reach or silent.
-  void saw(const std::string& server, bool answered) {
+  void on_contact(const std::string& server, bool answered) {
     if (answered) {
       if (auto it = known_.find(server); it != known_.end()) it->second.distrusted = false;
       return;
@@ -46,17 +46,17 @@
     one.distrusted = true;
     one.result.reset();
   }
-  void saw(const std::string& server, AttemptOutcome ending) {
-    if (ending == AttemptOutcome::kNoConnection || ending == AttemptOutcome::kTimedOut)
-      return saw(server, false);
-    if (ending == AttemptOutcome::kServed || ending == AttemptOutcome::kDeclined ||
-        ending == AttemptOutcome::kError || ending == AttemptOutcome::kRejected)
-      saw(server, true);
+  void on_contact(const std::string& server, AttemptOutcome outcome) {
+    if (outcome == AttemptOutcome::kNoConnection || outcome == AttemptOutcome::kTimedOut)
+      return on_contact(server, false);
+    if (outcome == AttemptOutcome::kServed || outcome == AttemptOutcome::kDeclined ||
+        outcome == AttemptOutcome::kError || outcome == AttemptOutcome::kRejected)
+      on_contact(server, true);
   }
   // Of servers that are listed no more nothing is kept.
-  void keep(const std::vector<discovery::Endpoint>& listed) {
+  void retain_listed(const std::vector<discovery::Endpoint>& on_endpoint_list) {
     std::unordered_map<std::string, One> kept;
-    for (auto& m : listed)
+    for (auto& m : on_endpoint_list)
       if (auto it = known_.find(m.id); it != known_.end()) kept.insert(std::move(*it));
     known_ = std::move(kept);
   }
--- a/src/testbench/commands.cpp
+++ b/src/testbench/commands.cpp
@@ -137,7 +137,7 @@
     if (n <= 0) throw std::runtime_error("no whole answer came");
     in.append(chunk, static_cast<std::size_t>(n));
     pg::Frame frame;
-    while (pg::parse_frame(in, 1 << 20, &frame) == pg::Parse::kOk) {
+    while (pg::parse_frame(in, 1 << 20, &frame) == pg::ParseStatus::kOk) {
       if (frame.type == 'D')
         said = fmt::format("served: {}", pg::parse_single_column(frame.body).value_or("?"));
       if (frame.type == 'E')
--- a/src/testbench/fake_servers.cpp
+++ b/src/testbench/fake_servers.cpp
@@ -258,7 +258,7 @@
   if ((events & EPOLLOUT) && !out_.flush(fd_.get())) return close();
   if (!(events & (EPOLLIN | EPOLLRDHUP | EPOLLHUP | EPOLLERR))) return;
   auto before = in_.view().size();
-  auto end = in_.fill(fd_.get(), kReadCap, SIZE_MAX, !net::ends(events));
+  auto end = in_.fill(fd_.get(), kReadCap, SIZE_MAX, !net::peer_has_ended(events));
   if (before == 0 && !in_.view().empty()) begun_ = server_.now();
   if (server_.model.life() != Life::kSilent) take();
   if (fd_ && net::is_over(end)) close();
@@ -268,9 +268,9 @@
   while (fd_ && request_.empty()) {
     if (!started_) {
       pg::FirstMessage first;
-      auto parse = pg::parse_first(in_.view(), &first);
-      if (parse == pg::Parse::kBad) return close();
-      if (parse == pg::Parse::kMore) return;
+      auto parse = pg::parse_first_message(in_.view(), &first);
+      if (parse == pg::ParseStatus::kBad) return close();
+      if (parse == pg::ParseStatus::kMore) return;
       in_.consume(first.size);
       started_ = true;
       if (server_.figures.connections > static_cast<int>(server_.testbench.options_.connections)) {
@@ -283,8 +283,8 @@
     }
     pg::Frame frame;
     auto parse = pg::parse_frame(in_.view(), kLongestMessage, &frame);
-    if (parse == pg::Parse::kMore) return;
-    if (parse == pg::Parse::kBad || frame.type != 'Q') return close();
+    if (parse == pg::ParseStatus::kMore) return;
+    if (parse == pg::ParseStatus::kBad || frame.type != 'Q') return close();
     if (auto text = pg::text_of_query(frame.body))
       query(*text);
     else
@@ -304,8 +304,7 @@
                     m.primary() ? 1 : 0, m.inside());
     return answer(row(text == "SELECT 1" ? "1" : usage), false);
   }
-  std::string_view why;
-  auto statement = pg::parse_statement(text, &why);
+  auto statement = pg::parse_statement(text);
   switch (statement.kind) {
     case pg::StatementKind::kEmpty:
       out_.write(fd_.get(), {pg::empty_query_response(), pg::ready_for_query()});
@@ -334,7 +333,7 @@
   job.kind = s.kind == pg::StatementKind::kWrite ? Kind::kWrite
              : s.request_class == "browse"       ? Kind::kBounded
                                                  : Kind::kOwn;
-  job.after_unix_ms = s.after.value_or(0);
+  job.after_unix_ms = s.after_unix_ms.value_or(0);
   auto unix_now = server_.unix_ms();
   auto admitted = server_.model.arrive(now, unix_now, job);
   switch (admitted.verdict) {
--- a/src/testbench/load.cpp
+++ b/src/testbench/load.cpp
@@ -259,11 +259,11 @@
     if (!out_.write(fd_.get(), {pg::startup_message("backend", "store")})) return broke();
   }
   if ((events & EPOLLOUT) && !out_.flush(fd_.get())) return broke();
-  auto end = in_.fill(fd_.get(), kReadCap, SIZE_MAX, !net::ends(events));
+  auto end = in_.fill(fd_.get(), kReadCap, SIZE_MAX, !net::peer_has_ended(events));
   std::size_t at = 0;
   auto view = in_.view();
   pg::Frame frame;
-  while (pg::parse_frame(view.substr(at), kReadCap, &frame) == pg::Parse::kOk) {
+  while (pg::parse_frame(view.substr(at), kReadCap, &frame) == pg::ParseStatus::kOk) {
     at += frame.size;
     switch (frame.type) {
       case 'D':
--- a/src/workers/connection_balancer.h
+++ b/src/workers/connection_balancer.h
@@ -8,21 +8,22 @@
 namespace database_proxy::workers {
 
 struct WorkerSlot {
-  std::size_t clients = 0;  // that it serves
-  std::size_t dealt = 0;    // that were dealt to it and that it has not taken yet
+  std::size_t clients = 0;   // that it serves
+  std::size_t assigned = 0;  // that were dealt to it and that it has not taken yet
   bool running = true;
 };
 
 // Clients that one worker may have waiting to be taken. A worker that stands still collects no more than
 // these.
-constexpr std::size_t kMostDealt = 64;
+constexpr std::size_t kMostAssigned = 64;
 
 // The worker with the fewest clients; of equal ones, the first after `last`. None: all that run are behind,
 // so leave the client in the backlog of the kernel and look again.
-std::optional<std::size_t> deal(const std::vector<WorkerSlot>& seats, std::size_t last);
+std::optional<std::size_t> assign_worker(const std::vector<WorkerSlot>& worker_slots, std::size_t last);
 
 // The worker with the most clients, `asker` excepted; it most likely has one that is easy to miss. None where
 // no other worker has any.
-std::optional<std::size_t> give_room(const std::vector<WorkerSlot>& seats, std::optional<std::size_t> asker);
+std::optional<std::size_t> release_descriptor(const std::vector<WorkerSlot>& worker_slots,
+                                              std::optional<std::size_t> asker);
 
 }  // namespace database_proxy::workers
--- a/src/workers/decision_staleness_check.cpp
+++ b/src/workers/decision_staleness_check.cpp
@@ -8,7 +8,7 @@
 
 }  // namespace
 
-void DecisionStalenessCheck::listed(Micros now, const discovery::EndpointListUpdate& update) {
+void DecisionStalenessCheck::on_endpoint_list(Micros now, const discovery::EndpointListUpdate& update) {
   ++version_;
   prune(now);
   std::unordered_map<std::string, bool> before;
@@ -38,14 +38,15 @@
   std::erase_if(closed_, [&](auto& entry) { return now - entry.second.at > kKeep; });
 }
 
-DecisionStalenessCheck::Verdict DecisionStalenessCheck::judge(Micros now,
+DecisionStalenessCheck::Verdict DecisionStalenessCheck::check(Micros now,
                                                               const routing::Decision& decision) const {
-  if (decision.list > version_) return Verdict::kAhead;
-  if (decision.what != routing::Decision::What::kSend) return Verdict::kGood;
-  if (now - decision.made > kStalest || now >= decision.made + decision.wait) return Verdict::kOld;
+  if (decision.endpoint_list_version > version_) return Verdict::kAhead;
+  if (decision.kind != routing::Decision::Kind::kSend) return Verdict::kCurrent;
+  if (now - decision.decided_at > kLongestDecisionAge || now >= decision.decided_at + decision.timeout)
+    return Verdict::kTooOld;
   auto it = closed_.find(decision.server);
-  if (it != closed_.end() && decision.list < it->second.version) return Verdict::kClosed;
-  return Verdict::kGood;
+  if (it != closed_.end() && decision.endpoint_list_version < it->second.version) return Verdict::kClosed;
+  return Verdict::kCurrent;
 }
 
 }  // namespace database_proxy::workers
--- a/src/workers/decision_staleness_check.h
+++ b/src/workers/decision_staleness_check.h
@@ -19,21 +19,21 @@
 // Data that was fresh enough when the decision was made is older by as much as the way took; this much is
 // within what a bound allows for the way to a server (100 ms on the platform's sockets), and far above what a
 // ring takes.
-constexpr Micros kStalest{20'000};
+constexpr Micros kLongestDecisionAge{20'000};
 
 class DecisionStalenessCheck {
  public:
   // The list as this worker has it has changed. Both threads count the changes alike, from 1.
-  void listed(Micros now, const discovery::EndpointListUpdate& update);
+  void on_endpoint_list(Micros now, const discovery::EndpointListUpdate& update);
   std::uint64_t version() const { return version_; }
 
   enum class Verdict {
-    kGood,
+    kCurrent,
     kAhead,   // made on a list that has not come here yet: wait for that
-    kOld,     // made too long ago
+    kTooOld,  // made too long ago
     kClosed,  // made before word that this server takes no new work
   };
-  Verdict judge(Micros now, const routing::Decision& decision) const;
+  Verdict check(Micros now, const routing::Decision& decision) const;
   std::size_t kept() const { return closed_.size(); }
 
  private:
--- a/src/workers/decision_thread.h
+++ b/src/workers/decision_thread.h
@@ -21,22 +21,22 @@
                  proxy::PoolLimits limits, net::Log log, std::function<void(std::size_t)> wake);
   ~DecisionThread();
 
-  Line& line(std::size_t worker) { return *lines_[worker]; }
+  DecisionChannel& line(std::size_t worker) { return *channels_[worker]; }
   const routing::DecisionFacade& facade() const { return *facade_; }  // only what never changes: its classes
   void start(int cpu);                                                // -1: not pinned
   void stop();
 
   // From any thread.
-  void wake() { mailbox_.notify(); }
-  void post(net::TaskQueue::Call call) { mailbox_.post(std::move(call)); }
+  void wake() { tasks_.notify(); }
+  void post(net::TaskQueue::Task call) { tasks_.post(std::move(call)); }
   void list(discovery::EndpointListUpdate update, bool cached);
   void set_limits(proxy::PoolLimits limits);
   std::uint64_t probes() const { return probes_made_.load(std::memory_order_relaxed); }
   std::size_t descriptors() const { return descriptors_.load(std::memory_order_relaxed); }
 
  private:
-  void end_of_turn();
-  void take(Line& line);
+  void on_iteration_end();
+  void take(DecisionChannel& line);
   void route(std::vector<routing::Decision> decisions);
 
   void attempt_ended(proxy::AttemptEnd) override {}  // it sends no requests
@@ -44,11 +44,11 @@
   proxy::ClientPort* client_of(routing::RequestId) override { return nullptr; }
 
   net::Loop loop_;
-  net::TaskQueue mailbox_;
+  net::TaskQueue tasks_;
   std::unique_ptr<routing::DecisionFacade> facade_;
   proxy::ServerPool pool_;
   std::function<void(std::size_t)> wake_;
-  std::vector<std::unique_ptr<Line>> lines_;
+  std::vector<std::unique_ptr<DecisionChannel>> channels_;
   std::vector<bool> told_;  // workers to wake at the end of the turn
   std::vector<routing::Request> asked_;
   std::vector<routing::ProbeResult> probed_;
--- a/src/workers/remote_decider.h
+++ b/src/workers/remote_decider.h
@@ -16,12 +16,12 @@
   enum class Kind { kRequest, kResult, kGone } kind = Kind::kGone;
   routing::RequestId on_client_disconnected = 0;
   routing::Request request{};
-  routing::Result result{};
+  routing::AttemptResult result{};
 };
 
 // Both ways between one worker and the decision thread.
-struct Line {
-  explicit Line(std::size_t ring) : told(ring), made(ring) {}
+struct DecisionChannel {
+  explicit DecisionChannel(std::size_t ring) : told(ring), made(ring) {}
   SpscQueue<Told> told;               // worker to decisions
   SpscQueue<routing::Decision> made;  // decisions to worker
   std::atomic<bool> ready{false};     // the decisions know of a server that is up
@@ -31,27 +31,28 @@
  public:
   // `most_waiting`: new requests that may wait beyond the full ring; more are turned away. What else is sent
   // is bounded by what is open. `wake` tells the decision thread that something waits for it.
-  RemoteDecider(Line& line, const std::unordered_map<std::string, routing::ClassInfo>& classes,
-                std::size_t most_waiting, std::function<void()> wake)
-      : line_(line), classes_(classes), most_waiting_(most_waiting), wake_(std::move(wake)) {}
+  RemoteDecider(DecisionChannel& line,
+                const std::unordered_map<std::string, routing::RequestClassInfo>& classes,
+                std::size_t most_queued_requests, std::function<void()> wake)
+      : line_(line), classes_(classes), most_queued_requests_(most_queued_requests), wake_(std::move(wake)) {}
 
-  const routing::ClassInfo* find_class(std::string_view name) const override;
+  const routing::RequestClassInfo* find_class(std::string_view name) const override;
   bool ready() const override { return line_.ready.load(std::memory_order_acquire); }
   // Lists reach the decision thread by another way; here they only raise the fence.
   void update(Micros now, const discovery::EndpointListUpdate& list, bool cached) override;
-  void report(Micros now, routing::Result result) override;
+  void report(Micros now, routing::AttemptResult result) override;
   void report(Micros, routing::ProbeResult) override {}  // the decision thread probes by itself
   void on_client_disconnected(Micros now, routing::RequestId request) override;
-  bool ask(Micros now, const routing::Request& request) override;
+  bool submit(Micros now, const routing::Request& request) override;
   routing::TickResult collect(Micros now) override;
 
   bool waiting() const { return line_.made.waiting(); }  // decisions wait to be collected
   std::uint64_t returned() const { return returned_; }   // decisions that went back as too old
 
  private:
-  Line& line_;
-  const std::unordered_map<std::string, routing::ClassInfo>& classes_;
-  std::size_t most_waiting_;
+  DecisionChannel& line_;
+  const std::unordered_map<std::string, routing::RequestClassInfo>& classes_;
+  std::size_t most_queued_requests_;
   std::function<void()> wake_;
   DecisionStalenessCheck staleness_check_;
   bool told_ = false;
--- a/src/workers/shared_request_registry.cpp
+++ b/src/workers/shared_request_registry.cpp
@@ -2,29 +2,29 @@
 
 namespace database_proxy::workers {
 
-void Holdings::publish(std::size_t worker, const proxy::ResourceUsage& held) {
-  auto& line = lines_[worker];
+void ResourceUsageTable::publish(std::size_t worker, const proxy::ResourceUsage& held) {
+  auto& line = channels_[worker];
   line.descriptors.store(held.descriptors, std::memory_order_relaxed);
   line.clients.store(held.clients, std::memory_order_relaxed);
   line.asked.store(held.asked, std::memory_order_relaxed);
-  line.buffered.store(held.buffered, std::memory_order_relaxed);
+  line.statement_bytes.store(held.statement_bytes, std::memory_order_relaxed);
 }
 
-proxy::ResourceUsage Holdings::of(std::size_t worker) const {
-  auto& line = lines_[worker];
+proxy::ResourceUsage ResourceUsageTable::of(std::size_t worker) const {
+  auto& line = channels_[worker];
   return {line.descriptors.load(std::memory_order_relaxed), line.clients.load(std::memory_order_relaxed),
-          line.asked.load(std::memory_order_relaxed), line.buffered.load(std::memory_order_relaxed)};
+          line.asked.load(std::memory_order_relaxed), line.statement_bytes.load(std::memory_order_relaxed)};
 }
 
-proxy::ResourceUsage Holdings::others(std::size_t worker) const {
+proxy::ResourceUsage ResourceUsageTable::others(std::size_t worker) const {
   proxy::ResourceUsage sum;
-  for (std::size_t i = 0; i < lines_.size(); ++i) {
+  for (std::size_t i = 0; i < channels_.size(); ++i) {
     if (i == worker) continue;
     auto one = of(i);
     sum.descriptors += one.descriptors;
     sum.clients += one.clients;
     sum.asked += one.asked;
-    sum.buffered += one.buffered;
+    sum.statement_bytes += one.statement_bytes;
   }
   return sum;
 }
--- a/src/workers/shared_request_registry.h
+++ b/src/workers/shared_request_registry.h
@@ -16,7 +16,7 @@
 namespace database_proxy::workers {
 
 // Names of the requests that are open at any worker.
-class OpenNames {
+class RequestNameRegistry {
  public:
   bool take(std::string_view name) {
     auto& s = shard(name);
@@ -53,19 +53,19 @@
 };
 
 // What each worker holds of the descriptors, clients and memory that all share. Each writes its own line.
-class Holdings {
+class ResourceUsageTable {
  public:
-  explicit Holdings(std::size_t workers) : lines_(workers) {}
+  explicit ResourceUsageTable(std::size_t workers) : channels_(workers) {}
   void publish(std::size_t worker, const proxy::ResourceUsage& held);
   proxy::ResourceUsage of(std::size_t worker) const;
   proxy::ResourceUsage others(
       std::size_t worker) const;  // the sum without it; all: any number beyond the last
 
  private:
-  struct alignas(64) Line {
-    std::atomic<std::size_t> descriptors{0}, clients{0}, asked{0}, buffered{0};
+  struct alignas(64) DecisionChannel {
+    std::atomic<std::size_t> descriptors{0}, clients{0}, asked{0}, statement_bytes{0};
   };
-  std::vector<Line> lines_;
+  std::vector<DecisionChannel> channels_;
 };
 
 // Connections to each data server over all workers.
--- a/src/workers/worker_pool.cpp
+++ b/src/workers/worker_pool.cpp
@@ -15,11 +15,11 @@
 using namespace std::chrono_literals;
 
 // One turn's share of new clients, as a proxy by itself has it; the rest waits in the backlog of the kernel.
-constexpr int kAcceptsPerTurn = 64;
+constexpr int kAcceptsPerIteration = 64;
 // Where no client may be let in: how soon it is looked again. A worker asked for room has closed one by then.
-constexpr Micros kLookAgain = 5ms;
+constexpr Micros kAcceptRetry = 5ms;
 // A worker that wants room asks no more often, so that one in need does not flood the others.
-constexpr Micros kAskRoomEvery = 5ms;
+constexpr Micros kDescriptorRequestInterval = 5ms;
 // The same share of descriptors as a proxy by itself leaves to clients, and what the process needs of its
 // own.
 constexpr double kClientShare = 2.0 / 3;
@@ -48,12 +48,12 @@
       : group_(group),
         number_(number),
         log_(group.make_log_(fmt::format("w{}", number))),
-        mailbox_(loop_, [this] { return remote_ && remote_->waiting(); }) {
+        tasks_(loop_, [this] { return remote_ && remote_->waiting(); }) {
     auto& c = group.config_;
     if (c.options.decisions == Decisions::kShared) {
-      remote_ = std::make_unique<RemoteDecider>(group.decisions_->line(number),
-                                                group.decisions_->facade().classes(), c.options.most_waiting,
-                                                [&group] { group.decisions_->wake(); });
+      remote_ = std::make_unique<RemoteDecider>(
+          group.decisions_->line(number), group.decisions_->facade().classes(),
+          c.options.most_queued_requests, [&group] { group.decisions_->wake(); });
       decider_ = remote_.get();
     } else {
       facade_ = std::make_unique<routing::DecisionFacade>(
@@ -68,9 +68,9 @@
     options.count = static_cast<std::uint32_t>(c.options.count);
     options.listens = c.options.accept == Accept::kReusePort;
     proxy_ = std::make_unique<proxy::Proxy>(loop_, *decider_, options, log_, *this);
-    proxy_->before_turn_end = [this] { mailbox_.drain(); };
+    proxy_->before_iteration_end = [this] { tasks_.drain(); };
     proxy_->on_ready = [this] {
-      if (!group_.told_ready_.exchange(true)) group_.log_(net::Level::kInfo, "ready to serve");
+      if (!group_.logged_ready_.exchange(true)) group_.log_(net::Level::kInfo, "ready to serve");
     };
   }
   ~Worker() override { join(); }
@@ -86,47 +86,49 @@
       name_and_pin(fmt::format("worker-{}", number_), cpu);
       proxy_->run();
       running_ = false;
-      group_.mailbox_.post([this] { group_.ended(); });
+      group_.tasks_.post([this] { group_.ended(); });
     });
   }
-  void post(std::function<void()> call) { mailbox_.post(std::move(call)); }
-  void wake() { mailbox_.notify(); }
-  void deal(net::Fd fd) {
-    ++dealt_;
+  void post(std::function<void()> call) { tasks_.post(std::move(call)); }
+  void wake() { tasks_.notify(); }
+  void assign_worker(net::Fd fd) {
+    ++assigned_;
     // std::function wants what can be copied, and a descriptor must not be lost where the call never runs.
     auto held = std::make_shared<net::Fd>(std::move(fd));
     post([this, held] {
-      --dealt_;
+      --assigned_;
       proxy_->adopt(std::move(*held));
     });
   }
-  WorkerSlot seat() const { return {group_.holdings_.of(number_).clients, dealt_.load(), running_.load()}; }
+  WorkerSlot slot() const {
+    return {group_.resource_usage_.of(number_).clients, assigned_.load(), running_.load()};
+  }
   proxy::Proxy& proxy() { return *proxy_; }
   std::uint64_t returned() const { return remote_ ? remote_->returned() : 0; }
 
   // SiblingWorkers, in the worker's own thread.
-  void publish(const proxy::ResourceUsage& held) override { group_.holdings_.publish(number_, held); }
+  void publish(const proxy::ResourceUsage& held) override { group_.resource_usage_.publish(number_, held); }
   proxy::ResourceUsage others() const override {
-    auto sum = group_.holdings_.others(number_);
+    auto sum = group_.resource_usage_.others(number_);
     if (group_.decisions_) sum.descriptors += group_.decisions_->descriptors();
     return sum;
   }
-  void ask_for_room() override {
-    if (loop_.now() - asked_room_ < kAskRoomEvery) return;
-    asked_room_ = loop_.now();
-    group_.ask_for_room(number_);
+  void request_descriptor() override {
+    if (loop_.now() - requested_descriptor_at_ < kDescriptorRequestInterval) return;
+    requested_descriptor_at_ = loop_.now();
+    group_.request_descriptor(number_);
   }
   void cancel(std::uint32_t number, std::uint32_t secret) override { group_.cancel(number, secret); }
-  bool take_name(std::string_view name) override { return group_.names_.take(name); }
-  void release_name(std::string_view name) override { group_.names_.release(name); }
+  bool reserve_request_name(std::string_view name) override { return group_.names_.take(name); }
+  void release_request_name(std::string_view name) override { group_.names_.release(name); }
   void connection_opened(const std::string& server) override { ++*counter(server); }
   void connection_closed(const std::string& server) override { --*counter(server); }
-  bool too_many_connections(const std::string& server) const override {
+  bool has_too_many_connections(const std::string& server) const override {
     auto most = group_.connections_per_server_.load(std::memory_order_relaxed);
     auto it = counters_.find(server);
     return most > 0 && it != counters_.end() && it->second->load(std::memory_order_relaxed) > most;
   }
-  void ask_to_close_idle(const std::string& server) override {
+  void request_closing_idle(const std::string& server) override {
     for (auto& other : group_.workers_)
       if (other.get() != this)
         other->post([server, &p = *other->proxy_] { p.pool().close_one_idle(server); });
@@ -134,7 +136,8 @@
   void probed(const routing::ProbeResult& result) override {
     if (!group_.config_.options.share_probes) return;
     for (auto& other : group_.workers_)
-      if (other.get() != this) other->post([result, &p = *other->proxy_] { p.dispatcher().heard(result); });
+      if (other.get() != this)
+        other->post([result, &p = *other->proxy_] { p.dispatcher().on_sibling_probe(result); });
   }
 
  private:
@@ -152,16 +155,16 @@
   std::size_t number_;
   net::Log log_;
   net::Loop loop_;
-  net::TaskQueue mailbox_;
+  net::TaskQueue tasks_;
   std::unique_ptr<RemoteDecider> remote_;
   std::unique_ptr<routing::DecisionFacade> facade_;
   std::unique_ptr<routing::LocalDecider> local_;
   routing::Decider* decider_ = nullptr;
   std::unordered_map<std::string, ServerConnections::Count> counters_;
   std::unique_ptr<proxy::Proxy> proxy_;
-  std::atomic<std::size_t> dealt_{0};
+  std::atomic<std::size_t> assigned_{0};
   std::atomic<bool> running_{false};
-  Micros asked_room_{0};
+  Micros requested_descriptor_at_{0};
   std::thread thread_;
 };
 
@@ -184,33 +187,33 @@
   }
   int port() const { return net::local_port(listener_.get()); }
   void on_ready(std::uint32_t) override {
-    for (int accepted = 0; accepted < kAcceptsPerTurn; ++accepted) {
-      auto seats = group_.seats();
-      auto all = group_.holdings_.others(seats.size());
-      std::size_t dealt = 0;
-      for (auto& s : seats) dealt += s.dealt;
+    for (int accepted = 0; accepted < kAcceptsPerIteration; ++accepted) {
+      auto worker_slots = group_.worker_slots();
+      auto all = group_.resource_usage_.others(worker_slots.size());
+      std::size_t assigned = 0;
+      for (auto& s : worker_slots) assigned += s.assigned;
       auto limit = group_.descriptors_.load();
       auto most = static_cast<double>(limit - kOwnDescriptors) * kClientShare;
-      auto own = kOwnDescriptors + kOfEachProxy * seats.size() +
+      auto own = kOwnDescriptors + kOfEachProxy * worker_slots.size() +
                  (group_.decisions_ ? group_.decisions_->descriptors() : 0);
-      if (static_cast<double>(all.clients + dealt) >= most || all.descriptors + dealt + own >= limit) {
-        if (auto giver = give_room(seats, std::nullopt))
-          group_.workers_[*giver]->post([&p = group_.workers_[*giver]->proxy()] { p.give_room(); });
+      if (static_cast<double>(all.clients + assigned) >= most || all.descriptors + assigned + own >= limit) {
+        if (auto giver = release_descriptor(worker_slots, std::nullopt))
+          group_.workers_[*giver]->post([&p = group_.workers_[*giver]->proxy()] { p.release_descriptor(); });
         return later();
       }
-      auto to = deal(seats, last_);
+      auto to = assign_worker(worker_slots, last_);
       if (!to) return later();
       int error = 0;
       auto fd = net::accept_from(listener_.get(), &error);
       if (!fd) {
         if (error == EAGAIN || error == EWOULDBLOCK) return;
         if (error == ECONNABORTED || error == EINTR || error == EPROTO) continue;
-        if (++without_descriptor_ == 1)
+        if (++accepts_without_descriptor_ == 1)
           group_.log_(net::Level::kError, "no descriptor is left to accept clients");
         return later();
       }
       last_ = *to;
-      group_.workers_[*to]->deal(std::move(fd));
+      group_.workers_[*to]->assign_worker(std::move(fd));
     }
     group_.control_.again(this);
   }
@@ -219,12 +222,12 @@
   // The edge has passed, so it must be looked again without one.
   void later() {
     group_.control_.cancel(&again_);
-    again_ = group_.control_.at(group_.control_.now() + kLookAgain, [this] { on_ready(EPOLLIN); });
+    again_ = group_.control_.at(group_.control_.now() + kAcceptRetry, [this] { on_ready(EPOLLIN); });
   }
   WorkerPool& group_;
   net::Fd listener_;
   std::size_t last_ = 0;
-  std::uint64_t without_descriptor_ = 0;
+  std::uint64_t accepts_without_descriptor_ = 0;
   net::Loop::TimerId again_ = net::Loop::kNoTimer;
 };
 
@@ -237,10 +240,10 @@
       config_(std::move(config)),
       make_log_(std::move(log)),
       log_(make_log_("")),
-      holdings_(config_.options.count),
+      resource_usage_(config_.options.count),
       descriptors_(config_.proxy.descriptors),
       connections_per_server_(config_.options.connections_per_server),
-      mailbox_(control) {
+      tasks_(control) {
   auto& o = config_.options;
   if (o.decisions == Decisions::kShared) {
     auto decisions_log = make_log_("decisions");
@@ -251,7 +254,7 @@
                                                   decisions_log,
                                                   [this](std::size_t worker) { workers_[worker]->wake(); });
   }
-  if (o.accept == Accept::kDeal) acceptor_ = std::make_unique<Acceptor>(*this);
+  if (o.accept == Accept::kBalanced) acceptor_ = std::make_unique<Acceptor>(*this);
   auto configured = config_.proxy.listen;
   for (std::size_t i = 0; i < o.count; ++i) {
     workers_.push_back(std::make_unique<Worker>(*this, i));
@@ -292,7 +295,7 @@
   running_ = workers_.size();
   for (auto& worker : workers_) worker->start();
   discovery_->start();
-  control_.run([this] { mailbox_.drain(); });
+  control_.run([this] { tasks_.drain(); });
   for (auto& worker : workers_) worker->join();  // one may still be telling of its end
   if (decisions_) decisions_->stop();
   for (auto& worker : workers_) counters_.add(worker->proxy().dispatcher().counters());
@@ -307,7 +310,7 @@
 void WorkerPool::shut_down() {
   if (std::exchange(stopping_, true)) return;
   std::size_t clients = 0;
-  for (auto& s : seats()) clients += s.clients;
+  for (auto& s : worker_slots()) clients += s.clients;
   log_(net::Level::kInfo, fmt::format("told to stop: {} clients, {} requests open", clients, names_.size()));
   for (auto& worker : workers_) worker->post([&p = worker->proxy()] { p.shut_down(); });
 }
@@ -322,15 +325,15 @@
 
 int WorkerPool::port() const { return acceptor_ ? acceptor_->port() : workers_[0]->proxy().port(); }
 
-std::vector<WorkerSlot> WorkerPool::seats() const {
+std::vector<WorkerSlot> WorkerPool::worker_slots() const {
   std::vector<WorkerSlot> all;
-  for (auto& worker : workers_) all.push_back(worker->seat());
+  for (auto& worker : workers_) all.push_back(worker->slot());
   return all;
 }
 
-void WorkerPool::ask_for_room(std::optional<std::size_t> asker) {
-  if (auto giver = give_room(seats(), asker))
-    workers_[*giver]->post([&p = workers_[*giver]->proxy()] { p.give_room(); });
+void WorkerPool::request_descriptor(std::optional<std::size_t> asker) {
+  if (auto giver = release_descriptor(worker_slots(), asker))
+    workers_[*giver]->post([&p = workers_[*giver]->proxy()] { p.release_descriptor(); });
 }
 
 void WorkerPool::cancel(std::uint32_t number, std::uint32_t secret) {
--- a/src/workers/worker_pool.h
+++ b/src/workers/worker_pool.h
@@ -16,17 +16,17 @@
 
 namespace database_proxy::workers {
 
-enum class Decisions { kShared, kSplit };  // one module for all; a module for each worker
-enum class Accept { kDeal, kReusePort };   // one thread accepts and deals out; the kernel does
+enum class Decisions { kShared, kSplit };     // one module for all; a module for each worker
+enum class Accept { kBalanced, kReusePort };  // one thread accepts and deals out; the kernel does
 
 struct WorkerPoolOptions {
   std::size_t count = 1;
   Decisions decisions = Decisions::kShared;
-  Accept accept = Accept::kDeal;
+  Accept accept = Accept::kBalanced;
   bool share_probes = true;  // kSplit: a good probe counts for all workers
   // Entries of a ring between a worker and the decision thread: what a stalled peer lets gather in a tenth of
   // a second at 40,000 requests a second. New requests that may wait behind a full one; more are turned away.
-  std::size_t ring = 4096, most_waiting = 4096;
+  std::size_t ring = 4096, most_queued_requests = 4096;
   // Connections to one data server over all workers above which idle ones are closed rather than kept.
   // PostgreSQL's own default lets 100 in, of which it keeps 3 for its administrators.
   int connections_per_server = 90;
@@ -64,7 +64,7 @@
   void post(std::size_t worker, std::function<void(proxy::Proxy&)> call);
   void post_decisions(std::function<void()> call);
   std::size_t workers() const { return workers_.size(); }
-  std::size_t clients(std::size_t worker) const { return holdings_.of(worker).clients; }
+  std::size_t clients(std::size_t worker) const { return resource_usage_.of(worker).clients; }
   std::uint64_t returned() const;  // decisions that came too late and were made anew; after run()
   proxy::Counters counters() const { return counters_; }  // after run()
 
@@ -73,17 +73,17 @@
   class Acceptor;
   friend class Worker;
   void told(discovery::EndpointListUpdate update, bool cached);
-  void ask_for_room(std::optional<std::size_t> asker);
+  void request_descriptor(std::optional<std::size_t> asker);
   void cancel(std::uint32_t number, std::uint32_t secret);
-  std::vector<WorkerSlot> seats() const;
+  std::vector<WorkerSlot> worker_slots() const;
   void ended();  // a worker has stopped
 
   net::Loop& control_;
   WorkerPoolConfig config_;
   std::function<net::Log(const std::string&)> make_log_;
   net::Log log_;
-  Holdings holdings_;
-  OpenNames names_;
+  ResourceUsageTable resource_usage_;
+  RequestNameRegistry names_;
   ServerConnections connections_;
   std::atomic<std::size_t> descriptors_;  // as configured now
   std::atomic<int> connections_per_server_;
@@ -91,8 +91,8 @@
   std::vector<std::unique_ptr<Worker>> workers_;
   std::unique_ptr<Acceptor> acceptor_;
   std::optional<discovery::EndpointListSubscription> discovery_;
-  net::TaskQueue mailbox_;
-  std::atomic<bool> told_ready_{false};
+  net::TaskQueue tasks_;
+  std::atomic<bool> logged_ready_{false};
   bool stopping_ = false;
   std::size_t running_ = 0;
   proxy::Counters counters_;
--- a/tests/formats/wire_format_test.cpp
+++ b/tests/formats/wire_format_test.cpp
@@ -276,14 +276,14 @@
 
 TEST(WireFormat, GoldenPgMessagesAreReadAsTheyWereMeant) {
   pg::FirstMessage first;
-  ASSERT_EQ(pg::parse_first(golden_bytes("pg.startup_message"), &first), pg::Parse::kOk);
-  EXPECT_EQ(first.kind, pg::Opening::kStartup);
+  ASSERT_EQ(pg::parse_first_message(golden_bytes("pg.startup_message"), &first), pg::ParseStatus::kOk);
+  EXPECT_EQ(first.kind, pg::FirstMessageKind::kStartup);
   auto query = golden_bytes("pg.simple_query"), error = golden_bytes("pg.error_response.detail");
   pg::Frame frame;
-  ASSERT_EQ(pg::parse_frame(query, 1 << 20, &frame), pg::Parse::kOk);
+  ASSERT_EQ(pg::parse_frame(query, 1 << 20, &frame), pg::ParseStatus::kOk);
   EXPECT_EQ(frame.type, 'Q');
   EXPECT_EQ(pg::text_of_query(frame.body), "SELECT 1");
-  ASSERT_EQ(pg::parse_frame(error, 1 << 20, &frame), pg::Parse::kOk);
+  ASSERT_EQ(pg::parse_frame(error, 1 << 20, &frame), pg::ParseStatus::kOk);
   auto fields = pg::parse_error(frame.body);
   ASSERT_TRUE(fields);
   EXPECT_EQ(fields->code, "57P01");
@@ -293,26 +293,24 @@
 
 // pg/statement writes nothing; what it makes of each known form is fixed here.
 TEST(WireFormat, StatementsAreReadFieldByField) {
-  std::string_view why;
   std::string text =
       "SELECT content FROM kv WHERE name = 'k1' /* id=a1,c=browse,d=250,cluster=7,after=99,r=1 */";
-  auto read = pg::parse_statement(text, &why);
+  auto read = pg::parse_statement(text);
   EXPECT_EQ(read.kind, pg::StatementKind::kRead);
   EXPECT_EQ(read.key, "k1");
   EXPECT_EQ(read.id, "a1");
   EXPECT_EQ(read.request_class, "browse");
-  EXPECT_EQ(read.wait_ms, 250);
-  EXPECT_EQ(text.substr(read.wait_at, read.wait_end - read.wait_at), "250");
-  EXPECT_EQ(read.cluster, 7);
-  EXPECT_EQ(read.after, 99);
-  EXPECT_TRUE(read.retry);
+  EXPECT_EQ(read.timeout_ms, 250);
+  EXPECT_EQ(text.substr(read.timeout_begin, read.timeout_end - read.timeout_begin), "250");
+  EXPECT_EQ(read.shard_group, 7);
+  EXPECT_EQ(read.after_unix_ms, 99);
+  EXPECT_TRUE(read.is_retry);
   auto write = pg::parse_statement(
       "INSERT INTO kv (name, content) VALUES ('k2', 'it''s') RETURNING content /* "
-      "id=a2,c=book,d=9,k=key,cluster=-1 */",
-      &why);
+      "id=a2,c=book,d=9,k=key,cluster=-1 */");
   EXPECT_EQ(write.kind, pg::StatementKind::kWrite);
   EXPECT_EQ(write.idempotency_key, "key");
-  EXPECT_EQ(pg::parse_statement(" reset all; ", &why).tag, "RESET");
+  EXPECT_EQ(pg::parse_statement(" reset all; ").tag, "RESET");
 }
 
 }  // namespace database_proxy::test
--- a/tests/group/parts_test.cpp
+++ b/tests/group/parts_test.cpp
@@ -223,20 +223,20 @@
 }
 
 TEST(Facts, AreNoFresherThanTheySayAndNotBelievedAgainstOwnEyes) {
-  routing::FactBook book;
+  routing::LoadReportCache book;
   auto fact = [](const std::string& load) { return routing::ProbeResult{"s", true, 1ms, load}; };
-  EXPECT_TRUE(book.told(10s, fact("new"), 100ms));
-  EXPECT_FALSE(book.told(10s, fact("older"), 300ms));  // came later, was seen earlier
-  EXPECT_EQ(book.answer(10s, "s")->load, "new");
-  EXPECT_FALSE(book.answer(10s + routing::FactBook::kFresh, "s"));  // 100 ms old when it came
-  EXPECT_FALSE(book.told(11s, fact("stale"), routing::FactBook::kFresh + 1us));
-  EXPECT_TRUE(book.told(12s, fact("good"), 0us));
-  book.saw("s", routing::AttemptOutcome::kTimedOut);
-  EXPECT_FALSE(book.answer(12s, "s"));
-  EXPECT_FALSE(book.told(12s, fact("good again"), 0us));
-  book.saw("s", routing::AttemptOutcome::kServed);
-  EXPECT_TRUE(book.told(12s, fact("believed"), 0us));
-  book.keep({});
+  EXPECT_TRUE(book.record(10s, fact("new"), 100ms));
+  EXPECT_FALSE(book.record(10s, fact("older"), 300ms));  // came later, was seen earlier
+  EXPECT_EQ(book.find_fresh(10s, "s")->load, "new");
+  EXPECT_FALSE(book.find_fresh(10s + routing::LoadReportCache::kFresh, "s"));  // 100 ms old when it came
+  EXPECT_FALSE(book.record(11s, fact("stale"), routing::LoadReportCache::kFresh + 1us));
+  EXPECT_TRUE(book.record(12s, fact("good"), 0us));
+  book.on_contact("s", routing::AttemptOutcome::kTimedOut);
+  EXPECT_FALSE(book.find_fresh(12s, "s"));
+  EXPECT_FALSE(book.record(12s, fact("good again"), 0us));
+  book.on_contact("s", routing::AttemptOutcome::kServed);
+  EXPECT_TRUE(book.record(12s, fact("believed"), 0us));
+  book.retain_listed({});
   EXPECT_EQ(book.size(), 0u);
 }
 
--- a/tests/proxy/crossings_test.cpp
+++ b/tests/proxy/crossings_test.cpp
@@ -216,7 +216,7 @@
   std::promise<void> fetched, on_client_disconnected;
   {
     Rig::StandStill still(rig, [&](proxy::Proxy& p) {
-      p.before_turn_end = [&, turn = 0]() mutable {
+      p.before_iteration_end = [&, turn = 0]() mutable {
         if (++turn != 2) return;  // the first is the turn that stands still
         fetched.set_value();
         on_client_disconnected.get_future().wait();
@@ -229,7 +229,7 @@
   client.close();
   on_client_disconnected.set_value();
   let_it_turn(rig);
-  rig.with_proxy([](proxy::Proxy& p) { p.before_turn_end = [] {}; });
+  rig.with_proxy([](proxy::Proxy& p) { p.before_iteration_end = [] {}; });
   let_it_turn(rig);
   rig.primary.reply = rig.replica.reply = [](const std::string&) { return Reply{}; };
   CHECK(other.ask(write_sql("d2", 9000)).row);
@@ -292,7 +292,7 @@
       REQUIRE(clients.back()->ask(read_sql("x" + std::to_string(i))).row);
     }
     still.emplace(rig, [&](proxy::Proxy& p) {
-      p.before_turn_end = [&, turn = 0]() mutable {
+      p.before_iteration_end = [&, turn = 0]() mutable {
         if (++turn != 2) return;  // the first is the turn that stands still
         fetched.set_value();
         asked.get_future().wait();
@@ -306,7 +306,7 @@
     REQUIRE(clients[i]->send(pg::simple_query(read_sql("z" + std::to_string(i)))));
   asked.set_value();
   for (auto& client : clients) CHECK(client->answer().row);
-  rig.with_proxy([](proxy::Proxy& p) { p.before_turn_end = [] {}; });
+  rig.with_proxy([](proxy::Proxy& p) { p.before_iteration_end = [] {}; });
   let_it_turn(rig);
 }
 
--- a/tests/proxy/parsers_test.cpp
+++ b/tests/proxy/parsers_test.cpp
@@ -18,25 +18,25 @@
 namespace database_proxy {
 
 using namespace std::string_literals;
-using pg::Parse;
+using pg::ParseStatus;
 
 TEST_CASE("frames") {
   struct Case {
     std::string in;
-    Parse parse;
+    ParseStatus parse;
     std::string body;
   };
-  auto c = GENERATE(values<Case>({{"", Parse::kMore, ""},
-                                  {"Q", Parse::kMore, ""},
-                                  {"Q\0\0\0\4"s, Parse::kOk, ""},
-                                  {"Q\0\0\0\6ab"s, Parse::kOk, "ab"},
-                                  {"Q\0\0\0\6abmore"s, Parse::kOk, "ab"},
-                                  {"Q\0\0\0\6a"s, Parse::kMore, ""},
-                                  {"Q\0\0\0\3"s, Parse::kBad, ""},
-                                  {"Q\0\0\0\x20"s, Parse::kBad, ""},
-                                  {"Q\xff\xff\xff\xff"s, Parse::kBad, ""},
-                                  {"\x01", Parse::kBad, ""},
-                                  {"\0\0\0\10"s, Parse::kBad, ""}}));
+  auto c = GENERATE(values<Case>({{"", ParseStatus::kMore, ""},
+                                  {"Q", ParseStatus::kMore, ""},
+                                  {"Q\0\0\0\4"s, ParseStatus::kOk, ""},
+                                  {"Q\0\0\0\6ab"s, ParseStatus::kOk, "ab"},
+                                  {"Q\0\0\0\6abmore"s, ParseStatus::kOk, "ab"},
+                                  {"Q\0\0\0\6a"s, ParseStatus::kMore, ""},
+                                  {"Q\0\0\0\3"s, ParseStatus::kBad, ""},
+                                  {"Q\0\0\0\x20"s, ParseStatus::kBad, ""},
+                                  {"Q\xff\xff\xff\xff"s, ParseStatus::kBad, ""},
+                                  {"\x01", ParseStatus::kBad, ""},
+                                  {"\0\0\0\10"s, ParseStatus::kBad, ""}}));
   pg::Frame frame;
   CHECK(pg::parse_frame(c.in, 16, &frame) == c.parse);
   CHECK(frame.body == c.body);
@@ -45,28 +45,28 @@
 TEST_CASE("first messages") {
   struct Case {
     std::string in;
-    Parse parse;
-    pg::Opening kind;
+    ParseStatus parse;
+    pg::FirstMessageKind kind;
   };
   auto c = GENERATE(values<Case>({
-      {"\0\0\0"s, Parse::kMore, pg::Opening::kOther},
-      {"\0\0\0\x08\x04\xd2\x16\x2f"s, Parse::kOk, pg::Opening::kSsl},
-      {"\0\0\0\x08\x04\xd2\x16\x30"s, Parse::kOk, pg::Opening::kGssEnc},
-      {"\0\0\0\x10\x04\xd2\x16\x2e\0\0\0\0\0\0\0\0"s, Parse::kOk, pg::Opening::kCancel},
-      {"\0\0\0\x0c\x04\xd2\x16\x2e\0\0\0\0"s, Parse::kBad, pg::Opening::kCancel},
-      {"\0\0\0\x08\0\2\0\0"s, Parse::kOk, pg::Opening::kOther},
-      {"\0\0\0\x09\0\3\0\0\0"s, Parse::kOk, pg::Opening::kStartup},
-      {"\0\0\0\x0d\0\3\0\0a\0b\0\0"s, Parse::kOk, pg::Opening::kStartup},
-      {"\0\0\0\x0c\0\3\0\0a\0b\0"s, Parse::kBad, pg::Opening::kStartup},
-      {"\0\0\0\x0a\0\3\0\0aa"s, Parse::kBad, pg::Opening::kStartup},
-      {"\0\0\0\x08\0\3\0\0"s, Parse::kBad, pg::Opening::kStartup},
-      {"\0\0\0\x07"s, Parse::kBad, pg::Opening::kOther},
-      {"GET / HTTP/1.1\r\n", Parse::kBad, pg::Opening::kOther},
+      {"\0\0\0"s, ParseStatus::kMore, pg::FirstMessageKind::kOther},
+      {"\0\0\0\x08\x04\xd2\x16\x2f"s, ParseStatus::kOk, pg::FirstMessageKind::kSsl},
+      {"\0\0\0\x08\x04\xd2\x16\x30"s, ParseStatus::kOk, pg::FirstMessageKind::kGssEnc},
+      {"\0\0\0\x10\x04\xd2\x16\x2e\0\0\0\0\0\0\0\0"s, ParseStatus::kOk, pg::FirstMessageKind::kCancel},
+      {"\0\0\0\x0c\x04\xd2\x16\x2e\0\0\0\0"s, ParseStatus::kBad, pg::FirstMessageKind::kCancel},
+      {"\0\0\0\x08\0\2\0\0"s, ParseStatus::kOk, pg::FirstMessageKind::kOther},
+      {"\0\0\0\x09\0\3\0\0\0"s, ParseStatus::kOk, pg::FirstMessageKind::kStartup},
+      {"\0\0\0\x0d\0\3\0\0a\0b\0\0"s, ParseStatus::kOk, pg::FirstMessageKind::kStartup},
+      {"\0\0\0\x0c\0\3\0\0a\0b\0"s, ParseStatus::kBad, pg::FirstMessageKind::kStartup},
+      {"\0\0\0\x0a\0\3\0\0aa"s, ParseStatus::kBad, pg::FirstMessageKind::kStartup},
+      {"\0\0\0\x08\0\3\0\0"s, ParseStatus::kBad, pg::FirstMessageKind::kStartup},
+      {"\0\0\0\x07"s, ParseStatus::kBad, pg::FirstMessageKind::kOther},
+      {"GET / HTTP/1.1\r\n", ParseStatus::kBad, pg::FirstMessageKind::kOther},
   }));
   pg::FirstMessage first;
-  CHECK(pg::parse_first(c.in, &first) == c.parse);
+  CHECK(pg::parse_first_message(c.in, &first) == c.parse);
   CHECK(first.kind == c.kind);
-  CHECK(pg::parse_first(pg::startup_message("u", "d"), &first) == Parse::kOk);
+  CHECK(pg::parse_first_message(pg::startup_message("u", "d"), &first) == ParseStatus::kOk);
 }
 
 TEST_CASE("small messages") {
@@ -89,38 +89,34 @@
 }
 
 TEST_CASE("statements: good ones") {
-  std::string_view why;
   std::string text =
       "SELECT content FROM kv WHERE name = '7f3a' /* "
       "id=9b,c=basket,d=480,cluster=2,after=1767225600123,r=1,new=x */";
-  auto s = pg::parse_statement(text, &why);
+  auto s = pg::parse_statement(text);
   REQUIRE(s.kind == pg::StatementKind::kRead);
   CHECK(s.key == "7f3a");
   CHECK(s.id == "9b");
   CHECK(s.request_class == "basket");
-  CHECK(s.wait_ms == 480);
-  CHECK(text.substr(s.wait_at, s.wait_end - s.wait_at) == "480");
-  CHECK(s.cluster == 2);
-  CHECK(s.after == 1767225600123);
-  CHECK(s.retry);
+  CHECK(s.timeout_ms == 480);
+  CHECK(text.substr(s.timeout_begin, s.timeout_end - s.timeout_begin) == "480");
+  CHECK(s.shard_group == 2);
+  CHECK(s.after_unix_ms == 1767225600123);
+  CHECK(s.is_retry);
   auto w = pg::parse_statement(
       "INSERT INTO kv (name, content) VALUES ('a''b', '\\x9f /* d=1 */ 03') RETURNING content /* "
-      "id=1,c=o,d=5,k=5c,cluster=-7,after=0 */",
-      &why);
+      "id=1,c=o,d=5,k=5c,cluster=-7,after=0 */");
   REQUIRE(w.kind == pg::StatementKind::kWrite);
   CHECK(w.key == "a''b");
   CHECK(w.idempotency_key == "5c");
-  CHECK(w.cluster == -7);
-  CHECK(w.wait_ms == 5);
-  CHECK_FALSE(w.after);
+  CHECK(w.shard_group == -7);
+  CHECK(w.timeout_ms == 5);
+  CHECK_FALSE(w.after_unix_ms);
 }
 
 TEST_CASE("statements: empty ones, SET and its like") {
-  std::string_view why;
-  for (auto text : {"", " ", ";", " ;\n"})
-    CHECK(pg::parse_statement(text, &why).kind == pg::StatementKind::kEmpty);
+  for (auto text : {"", " ", ";", " ;\n"}) CHECK(pg::parse_statement(text).kind == pg::StatementKind::kEmpty);
   for (auto text : {"SET a = 1", "set a to b;", "RESET ALL", "discard all"})
-    CHECK(pg::parse_statement(text, &why).kind == pg::StatementKind::kSession);
+    CHECK(pg::parse_statement(text).kind == pg::StatementKind::kSession);
 }
 
 TEST_CASE("statements: bad ones") {
@@ -156,10 +152,9 @@
        "INSERT INTO kv (name, content) VALUES ('a', 'b')" + comment,
        "INSERT INTO kv (name, content) VALUES ('a') RETURNING content" + comment,
        "INSERT INTO kv (name, content) VALUES ('a', 'b'), ('c', 'd') RETURNING content" + comment}));
-  std::string_view why;
   CAPTURE(text);
-  CHECK(pg::parse_statement(text, &why).kind == pg::StatementKind::kUnknown);
-  CHECK_FALSE(why.empty());
+  CHECK(pg::parse_statement(text).kind == pg::StatementKind::kUnknown);
+  CHECK_FALSE(pg::parse_statement(text).problem.empty());
 }
 
 TEST_CASE("responses of HTTP") {
@@ -279,16 +274,16 @@
 
 TEST_CASE("the outcome table") {
   using routing::AttemptOutcome;
-  CHECK(proxy::ending_of_error("25006") == AttemptOutcome::kDeclined);
-  CHECK(proxy::ending_of_error("72000") == AttemptOutcome::kDeclined);
-  CHECK(proxy::ending_of_error("53300") == AttemptOutcome::kRejected);
-  CHECK(proxy::ending_of_error("XX000") == AttemptOutcome::kError);
-  CHECK(proxy::ending_of_error("08P01") == AttemptOutcome::kError);
-  CHECK(proxy::ending_of_break(false) == AttemptOutcome::kNoConnection);
-  CHECK(proxy::ending_of_break(true) == AttemptOutcome::kReset);
-  CHECK(proxy::ending_of_timeout(false) == AttemptOutcome::kNotSent);
-  CHECK(proxy::ending_of_timeout(true) == AttemptOutcome::kTimedOut);
-  CHECK(proxy::ending_of_cancel(true) == AttemptOutcome::kCancelled);
+  CHECK(proxy::outcome_of_error("25006") == AttemptOutcome::kDeclined);
+  CHECK(proxy::outcome_of_error("72000") == AttemptOutcome::kDeclined);
+  CHECK(proxy::outcome_of_error("53300") == AttemptOutcome::kRejected);
+  CHECK(proxy::outcome_of_error("XX000") == AttemptOutcome::kError);
+  CHECK(proxy::outcome_of_error("08P01") == AttemptOutcome::kError);
+  CHECK(proxy::outcome_of_broken_connection(false) == AttemptOutcome::kNoConnection);
+  CHECK(proxy::outcome_of_broken_connection(true) == AttemptOutcome::kReset);
+  CHECK(proxy::outcome_of_timeout(false) == AttemptOutcome::kNotSent);
+  CHECK(proxy::outcome_of_timeout(true) == AttemptOutcome::kTimedOut);
+  CHECK(proxy::outcome_of_cancel(true) == AttemptOutcome::kCancelled);
 }
 
 TEST_CASE("positions: a known one never later, a required one never earlier") {
@@ -309,7 +304,7 @@
 TEST_CASE("Routers that start together all come through to a discovery at its limit") {
   using namespace std::chrono_literals;
   using database_proxy::discovery::PollingSchedule;
-  constexpr PollingSchedule::Micros kEach = 50ms, kMost = 2s;
+  constexpr PollingSchedule::Micros kEach = 50ms, kLongestShutdown = 2s;
   constexpr int kRouters = 100;
   std::vector<PollingSchedule> schedules;
   std::multimap<PollingSchedule::Micros, int> due;
@@ -324,7 +319,7 @@
     due.erase(due.begin());
     ++calls;
     busy_until = std::max(busy_until, at);
-    if (busy_until - at > kMost) {
+    if (busy_until - at > kLongestShutdown) {
       busy_until += kEach / 4;  // turning away is work as well
       due.emplace(at + schedules[static_cast<std::size_t>(r)].after_refused_call(), r);
     } else {
--- a/tests/proxy/rig.h
+++ b/tests/proxy/rig.h
@@ -46,7 +46,9 @@
 // A blocking socket.
 class Peer {
  public:
-  explicit Peer(int fd) : fd_(fd) { setsockopt(fd, SOL_SOCKET, SO_RCVTIMEO, &kPatience, sizeof kPatience); }
+  explicit Peer(int fd) : fd_(fd) {
+    setsockopt(fd, SOL_SOCKET, SO_RCVTIMEO, &kCommandTimeout, sizeof kCommandTimeout);
+  }
   static Peer to(int port) {
     auto address = *net::parse_address("127.0.0.1:" + std::to_string(port));
     int fd = socket(AF_INET, SOCK_STREAM, 0);
@@ -72,7 +74,7 @@
   // The next message: its letter and body. Letter 0: none came.
   std::pair<char, std::string> message() {
     pg::Frame frame;
-    while (pg::parse_frame(in, 1 << 22, &frame) != pg::Parse::kOk)
+    while (pg::parse_frame(in, 1 << 22, &frame) != pg::ParseStatus::kOk)
       if (!more()) return {};
     std::pair<char, std::string> result{frame.type, std::string(frame.body)};
     in.erase(0, frame.size);
@@ -82,7 +84,7 @@
   std::string in;
 
  private:
-  static constexpr timeval kPatience{10, 0};
+  static constexpr timeval kCommandTimeout{10, 0};
   net::Fd fd_;
 };
 
@@ -178,7 +180,7 @@
   }
   void session(Peer& peer) {
     pg::FirstMessage first;
-    while (pg::parse_first(peer.in, &first) != pg::Parse::kOk)
+    while (pg::parse_first_message(peer.in, &first) != pg::ParseStatus::kOk)
       if (!peer.more()) return;
     peer.in.erase(0, first.size);
     if (full) {
--- a/tests/proxy/rules_test.cpp
+++ b/tests/proxy/rules_test.cpp
@@ -290,15 +290,15 @@
     routing::Request request;
     request.id = id;
     request.request_class = facade.find_class("book")->index;
-    request.cluster = 2;
+    request.shard_group = 2;
     request.expires = at + routing::Micros(3'000'000);
     auto decision = facade.pick(at, request);
-    if (decision.what == routing::Decision::What::kSend) {
+    if (decision.kind == routing::Decision::Kind::kSend) {
       ++sends;
-      routing::Result end;
+      routing::AttemptResult end;
       end.request = id;
       end.server = decision.server;
-      end.ending = routing::AttemptOutcome::kReset;
+      end.outcome = routing::AttemptOutcome::kReset;
       end.taken = routing::Micros(100);
       end.role = routing::ServerRole::kPrimary;
       facade.report(at, end);
