--- a/tests/workers/worker_parts_test.cpp
+++ b/tests/workers/worker_parts_test.cpp
@@ -32,11 +32,11 @@
 Decision send_to(const std::string& server, std::uint64_t list, Micros made,
                  Micros wait = Micros(1'000'000)) {
   Decision d;
-  d.what = Decision::What::kSend;
+  d.kind = Decision::Kind::kSend;
   d.server = server;
-  d.list = list;
-  d.made = made;
-  d.wait = wait;
+  d.endpoint_list_version = list;
+  d.decided_at = made;
+  d.timeout = wait;
   return d;
 }
 
@@ -44,40 +44,41 @@
 
 TEST_CASE("fence: a send decided before the word of a drain goes back, one decided in its knowledge passes") {
   DecisionStalenessCheck fence;
-  fence.listed(Micros(0), update(true, {{"a", Lifecycle::kUp}, {"b", Lifecycle::kUp}}));
+  fence.on_endpoint_list(Micros(0), update(true, {{"a", Lifecycle::kUp}, {"b", Lifecycle::kUp}}));
   REQUIRE(fence.version() == 1);
   Micros now(1000);
-  CHECK(fence.judge(now, send_to("a", 1, now)) == DecisionStalenessCheck::Verdict::kGood);
-  CHECK(fence.judge(now, send_to("a", 2, now)) == DecisionStalenessCheck::Verdict::kAhead);
-  fence.listed(now, update(false, {{"a", Lifecycle::kDraining}}));
-  CHECK(fence.judge(now, send_to("a", 1, now)) == DecisionStalenessCheck::Verdict::kClosed);
-  CHECK(fence.judge(now, send_to("b", 1, now)) == DecisionStalenessCheck::Verdict::kGood);
-  CHECK(fence.judge(now, send_to("a", 2, now)) ==
-        DecisionStalenessCheck::Verdict::kGood);  // a primary that hands over
+  CHECK(fence.check(now, send_to("a", 1, now)) == DecisionStalenessCheck::Verdict::kCurrent);
+  CHECK(fence.check(now, send_to("a", 2, now)) == DecisionStalenessCheck::Verdict::kAhead);
+  fence.on_endpoint_list(now, update(false, {{"a", Lifecycle::kDraining}}));
+  CHECK(fence.check(now, send_to("a", 1, now)) == DecisionStalenessCheck::Verdict::kClosed);
+  CHECK(fence.check(now, send_to("b", 1, now)) == DecisionStalenessCheck::Verdict::kCurrent);
+  CHECK(fence.check(now, send_to("a", 2, now)) ==
+        DecisionStalenessCheck::Verdict::kCurrent);  // a primary that hands over
   // The same word again does not turn back what was decided after the first.
-  fence.listed(now, update(false, {{"a", Lifecycle::kDraining}}));
-  CHECK(fence.judge(now, send_to("a", 2, now)) == DecisionStalenessCheck::Verdict::kGood);
-  CHECK(fence.judge(now, send_to("a", 1, now)) == DecisionStalenessCheck::Verdict::kClosed);
+  fence.on_endpoint_list(now, update(false, {{"a", Lifecycle::kDraining}}));
+  CHECK(fence.check(now, send_to("a", 2, now)) == DecisionStalenessCheck::Verdict::kCurrent);
+  CHECK(fence.check(now, send_to("a", 1, now)) == DecisionStalenessCheck::Verdict::kClosed);
   // Removal closes too, told or by its absence from a whole list; up again opens.
-  fence.listed(now, update(false, {{"b", Lifecycle::kRemoved}}));
-  CHECK(fence.judge(now, send_to("b", 3, now)) == DecisionStalenessCheck::Verdict::kClosed);
-  fence.listed(now, update(true, {{"c", Lifecycle::kUp}}));
-  CHECK(fence.judge(now, send_to("a", 4, now)) == DecisionStalenessCheck::Verdict::kClosed);
-  CHECK(fence.judge(now, send_to("c", 4, now)) == DecisionStalenessCheck::Verdict::kGood);
+  fence.on_endpoint_list(now, update(false, {{"b", Lifecycle::kRemoved}}));
+  CHECK(fence.check(now, send_to("b", 3, now)) == DecisionStalenessCheck::Verdict::kClosed);
+  fence.on_endpoint_list(now, update(true, {{"c", Lifecycle::kUp}}));
+  CHECK(fence.check(now, send_to("a", 4, now)) == DecisionStalenessCheck::Verdict::kClosed);
+  CHECK(fence.check(now, send_to("c", 4, now)) == DecisionStalenessCheck::Verdict::kCurrent);
 }
 
 TEST_CASE("fence: what was decided long ago, or has no time left, goes back, cancels always pass") {
   DecisionStalenessCheck fence;
-  fence.listed(Micros(0), update(true, {{"a", Lifecycle::kUp}}));
+  fence.on_endpoint_list(Micros(0), update(true, {{"a", Lifecycle::kUp}}));
   Micros made(5000);
-  CHECK(fence.judge(made + kStalest, send_to("a", 1, made)) == DecisionStalenessCheck::Verdict::kGood);
-  CHECK(fence.judge(made + kStalest + Micros(1), send_to("a", 1, made)) ==
-        DecisionStalenessCheck::Verdict::kOld);
-  CHECK(fence.judge(made + Micros(3000), send_to("a", 1, made, Micros(3000))) ==
-        DecisionStalenessCheck::Verdict::kOld);
+  CHECK(fence.check(made + kLongestDecisionAge, send_to("a", 1, made)) ==
+        DecisionStalenessCheck::Verdict::kCurrent);
+  CHECK(fence.check(made + kLongestDecisionAge + Micros(1), send_to("a", 1, made)) ==
+        DecisionStalenessCheck::Verdict::kTooOld);
+  CHECK(fence.check(made + Micros(3000), send_to("a", 1, made, Micros(3000))) ==
+        DecisionStalenessCheck::Verdict::kTooOld);
   Decision cancel = send_to("a", 1, made);
-  cancel.what = Decision::What::kCancel;
-  CHECK(fence.judge(made + Micros(10'000'000), cancel) == DecisionStalenessCheck::Verdict::kGood);
+  cancel.kind = Decision::Kind::kCancel;
+  CHECK(fence.check(made + Micros(10'000'000), cancel) == DecisionStalenessCheck::Verdict::kCurrent);
 }
 
 TEST_CASE("fence: it forgets closings that no decision can be older than, however many servers come and go") {
@@ -86,30 +87,30 @@
   for (int i = 0; i < 5000; ++i) {
     now += Micros(50'000);
     auto id = "s" + std::to_string(i);
-    fence.listed(now, update(false, {{id, Lifecycle::kUp}}));
-    fence.listed(now, update(false, {{id, Lifecycle::kRemoved}}));
+    fence.on_endpoint_list(now, update(false, {{id, Lifecycle::kUp}}));
+    fence.on_endpoint_list(now, update(false, {{id, Lifecycle::kRemoved}}));
   }
   CHECK(fence.kept() <= 25);
 }
 
 TEST_CASE(
     "dealing: the fewest clients, in turn where equal, none to a worker that stands still or has ended") {
-  std::vector<WorkerSlot> seats(3);
-  CHECK(deal(seats, 0) == 1);
-  CHECK(deal(seats, 2) == 0);
-  seats[0].clients = 5;
-  seats[1].clients = 3;
-  seats[2].clients = 4;
-  CHECK(deal(seats, 0) == 1);
-  seats[1].dealt = kMostDealt;  // it takes none of those it has
-  CHECK(deal(seats, 0) == 2);
-  seats[2].running = false;
-  CHECK(deal(seats, 0) == 0);
-  seats[0].dealt = kMostDealt;
-  CHECK_FALSE(deal(seats, 0));
-  CHECK(give_room(seats, std::nullopt) == 0);
-  CHECK(give_room(seats, 0) == 1);
-  CHECK_FALSE(give_room(std::vector<WorkerSlot>(2), 0));
+  std::vector<WorkerSlot> worker_slots(3);
+  CHECK(assign_worker(worker_slots, 0) == 1);
+  CHECK(assign_worker(worker_slots, 2) == 0);
+  worker_slots[0].clients = 5;
+  worker_slots[1].clients = 3;
+  worker_slots[2].clients = 4;
+  CHECK(assign_worker(worker_slots, 0) == 1);
+  worker_slots[1].assigned = kMostAssigned;  // it takes none of those it has
+  CHECK(assign_worker(worker_slots, 0) == 2);
+  worker_slots[2].running = false;
+  CHECK(assign_worker(worker_slots, 0) == 0);
+  worker_slots[0].assigned = kMostAssigned;
+  CHECK_FALSE(assign_worker(worker_slots, 0));
+  CHECK(release_descriptor(worker_slots, std::nullopt) == 0);
+  CHECK(release_descriptor(worker_slots, 0) == 1);
+  CHECK_FALSE(release_descriptor(std::vector<WorkerSlot>(2), 0));
 }
 
 TEST_CASE("channel: nothing is lost or reordered when the ring is full, from one thread to another") {
@@ -137,7 +138,7 @@
 
 TEST_CASE(
     "ledger: a name is taken once at a time, from any thread, connections are forgotten with their last") {
-  OpenNames names;
+  RequestNameRegistry names;
   std::atomic<int> taken{0};
   std::vector<std::thread> threads;
   for (int t = 0; t < 4; ++t)
@@ -156,12 +157,12 @@
     for (int i = 0; i < 100; ++i) connections.counter("gone" + std::to_string(i));
     CHECK(connections.servers() <= 2);
   }
-  Holdings holdings(3);
+  ResourceUsageTable holdings(3);
   holdings.publish(0, {1, 10, 5, 100});
   holdings.publish(2, {2, 20, 6, 200});
   CHECK(holdings.others(0).clients == 20);
   CHECK(holdings.others(1).descriptors == 3);
-  CHECK(holdings.others(9).buffered == 300);
+  CHECK(holdings.others(9).statement_bytes == 300);
 }
 
 TEST_CASE("split: workers are routers of their own, told apart, and no two share a seed") {
--- a/tests/workers/worker_pool_test.cpp
+++ b/tests/workers/worker_pool_test.cpp
@@ -146,7 +146,7 @@
 
 TEST_CASE("workers: both ways of deciding and of accepting serve reads and writes on every worker") {
   for (auto decisions : {Decisions::kShared, Decisions::kSplit})
-    for (auto accept : {workers::Accept::kDeal, workers::Accept::kReusePort}) {
+    for (auto accept : {workers::Accept::kBalanced, workers::Accept::kReusePort}) {
       auto o = options(3, decisions);
       o.accept = accept;
       GroupRig rig(o);
@@ -269,7 +269,7 @@
     "workers: while the decisions stand still each request gets one answer in time, and no queue grows") {
   auto o = options(2);
   o.ring = 8;
-  o.most_waiting = 8;
+  o.most_queued_requests = 8;
   GroupRig rig(o);
   std::vector<std::unique_ptr<Placed>> placed;
   for (int i = 0; i < 4; ++i) placed.push_back(std::make_unique<Placed>(rig.port, 2));
@@ -327,7 +327,7 @@
 
 TEST_CASE(
     "workers: silent clients on one worker, and all places taken, do not shut out a client of another") {
-  for (auto accept : {workers::Accept::kDeal, workers::Accept::kReusePort}) {
+  for (auto accept : {workers::Accept::kBalanced, workers::Accept::kReusePort}) {
     auto o = options(2);
     o.accept = accept;
     GroupRig rig(o, 150);
@@ -336,7 +336,7 @@
     for (int i = 0; i < 600 && silent.size() < 110; ++i) {
       auto placed = std::make_unique<Placed>(rig.port, 2);
       if (placed->worker == 0) silent.push_back(std::move(placed));  // else it leaves: worker 1 stays empty
-      if (accept == workers::Accept::kDeal && silent.size() > 40)
+      if (accept == workers::Accept::kBalanced && silent.size() > 40)
         break;  // dealing evens out: some are enough
     }
     CHECK(soon([&] { return rig.running->group->clients(1) == 0; }));
