--- a/src/app/group_runner.cpp
+++ b/src/app/group_runner.cpp
@@ -32,7 +32,7 @@
 
  private:
   void attempt_ended(proxy::AttemptEnd) override {}
-  void probe_ended(routing::ProbeResult r) override { probed_(r.server, r.ok, r.taken, r.load); }
+  void probe_ended(routing::ProbeResult r) override { probed_(r.server, r.ok, r.duration, r.load_report); }
   proxy::ClientPort* client_of(routing::RequestId) override { return nullptr; }
 
   group::Probed probed_;
@@ -102,7 +102,7 @@
     if (r.outcome == AttemptOutcome::kError || r.outcome == AttemptOutcome::kReset)
       how = placement::RequestOutcome::kFailed;
     if (r.role == routing::ServerRole::kPrimary) observer_.leads(r.server);
-    observer_.ended(r.request, r.attempt, r.server, how, r.taken);
+    observer_.ended(r.request, r.attempt, r.server, how, r.duration);
   }
   void probed(const routing::ProbeResult& r) override { observer_.probed(r.server, r.ok); }
 
--- a/src/proxy/client_session.cpp
+++ b/src/proxy/client_session.cpp
@@ -377,13 +377,13 @@
   if (refusing_) return answer(pg::error_response("ERROR", "57P03", "the proxy is shutting down"));
   auto* request_class = dispatcher_.find_class(statement.request_class);
   if (!request_class) return reject("22023", "this class is not known here");
-  if (request_class->write != (statement.kind == pg::StatementKind::kWrite))
+  if (request_class->is_write != (statement.kind == pg::StatementKind::kWrite))
     return reject("22023", "this class is for the other kind of statement");
-  if (request_class->keyed && !statement.idempotency_key) return reject("22023", "this class needs k");
+  if (request_class->needs_key && !statement.idempotency_key) return reject("22023", "this class needs k");
   routing::Request request;
   request.request_class = request_class->index;
   request.shard_group = statement.shard_group;
-  if (request_class->session) request.session = hash_of(statement.key);
+  if (request_class->has_session) request.session = hash_of(statement.key);
   request.after_unix_ms = statement.after_unix_ms;
   bool write = statement.kind == pg::StatementKind::kWrite;
   auto key = hash_of(statement.key);
--- a/src/proxy/server_pool.cpp
+++ b/src/proxy/server_pool.cpp
@@ -254,7 +254,7 @@
   state_ = State::kSettled;
   if (job.probe) {
     routing::ProbeResult result{server_, answered, loop.now() - job.started, load_};
-    if (answered && result.load.empty()) result.load = text(value_);
+    if (answered && result.load_report.empty()) result.load_report = text(value_);
     pool_.events_.probe_ended(std::move(result));
     return pool_.release(this);
   }
@@ -264,10 +264,10 @@
   end.result.attempt = job.attempt;
   end.result.server = server_;
   end.result.outcome = outcome;
-  end.result.taken = loop.now() - job.started;
+  end.result.duration = loop.now() - job.started;
   end.result.role = role_;
   end.result.position_unix_ms = position_;
-  end.result.load = load_;
+  end.result.load_report = load_;
   if (answered) {
     end.answer = Answer{{text(row_description_), text(data_row_), text(complete_)}};
     end.connection = this;
@@ -287,10 +287,10 @@
 
 void ServerPool::update(const discovery::EndpointListUpdate& list) {
   if (list.reset)
-    for (auto& [id, server] : servers_) server.on_endpoint_list = false;
+    for (auto& [id, server] : servers_) server.is_listed = false;
   for (auto& m : list.members) {
     auto& server = servers_[m.id];
-    server.on_endpoint_list = m.lifecycle != discovery::Lifecycle::kRemoved;
+    server.is_listed = m.lifecycle != discovery::Lifecycle::kRemoved;
     if (!m.address.empty() && m.address != server.address_text) {
       server.address = net::parse_address(m.address);
       server.address_text = m.address;
@@ -301,7 +301,7 @@
   }
   std::vector<std::string> left;
   for (auto& [id, server] : servers_)
-    if (!server.on_endpoint_list) left.push_back(id);
+    if (!server.is_listed) left.push_back(id);
   for (auto& id : left) {
     drop_idle(servers_[id]);
     forget(id);
@@ -311,7 +311,7 @@
 // A server that has left the list goes with its last connection: new ones replace old ones all day.
 void ServerPool::forget(const std::string& name) {
   auto it = servers_.find(name);
-  if (it != servers_.end() && !it->second.on_endpoint_list && it->second.connections == 0) servers_.erase(it);
+  if (it != servers_.end() && !it->second.is_listed && it->second.connections == 0) servers_.erase(it);
 }
 
 // Told once a second at most, with how many there were: a server at fault must not fill the log.
@@ -404,7 +404,7 @@
   auto* connection = static_cast<ServerConnection*>(given);
   if (!connection->reusable_ || !connection->out_.empty()) return close(connection);
   auto& server = servers_[connection->server_];  // it stays as long as its connections
-  if (!server.on_endpoint_list || (siblings_ && siblings_->has_too_many_connections(connection->server_)))
+  if (!server.is_listed || (siblings_ && siblings_->has_too_many_connections(connection->server_)))
     return close(connection);
   connection->in_.consume(connection->in_.view().size());
   connection->parsed_ = 0;
--- a/src/proxy/server_pool.h
+++ b/src/proxy/server_pool.h
@@ -104,7 +104,7 @@
   struct Server {
     std::optional<net::Address> address;
     std::string address_text;
-    bool on_endpoint_list = false;
+    bool is_listed = false;
     int connections = 0;
     std::vector<ServerConnection*> idle;
   };
--- a/src/routing/decider.h
+++ b/src/routing/decider.h
@@ -1,5 +1,5 @@
-// What a dispatcher asks for decisions: the facade in its own thread, or a thread that owns one. Nothing here
-// knows a protocol or decides anything.
+// Where a dispatcher gets its decisions: from a facade in its own thread, or from a thread that owns one.
+// Nothing here knows a protocol or decides anything. Called by the dispatcher's thread only.
 #pragma once
 
 #include <string_view>
@@ -10,19 +10,23 @@
 
 class Decider {
  public:
+  Decider() = default;
+  Decider(const Decider&) = delete;
+  Decider& operator=(const Decider&) = delete;
   virtual ~Decider() = default;
   virtual const RequestClassInfo* find_class(std::string_view name) const = 0;
-  virtual bool ready() const = 0;  // it knows of a server that is up
+  virtual bool ready() const = 0;  // as DecisionFacade::ready()
 
-  // What has happened. Within one turn: list changes first, then results, those who left, and new requests.
+  // What has happened. Within one iteration of the loop: list changes first, then results, clients that left,
+  // and new requests.
   virtual void update(Micros now, const discovery::EndpointListUpdate& list, bool cached) = 0;
   virtual void report(Micros now, AttemptResult result) = 0;
   virtual void report(Micros now, ProbeResult result) = 0;
   virtual void on_client_disconnected(Micros now, RequestId request) = 0;
-  // False: it has no room for one more, and this request was not taken.
+  // False: the queue to the decisions is full, and this request was not taken.
   virtual bool submit(Micros now, const Request& request) = 0;
-  // The fleet's plan, and what this router would send to a server beside what it has out there (requests a
-  // second). Only where decisions are made in this thread: a group of daemons goes with one worker.
+  // The plan of zones, and DecisionFacade::spare_capacity(). Only where decisions are made in this thread: a
+  // group of daemons goes with one worker.
   virtual void plan(Micros, request_router::Plan) {}
   virtual double spare_capacity(const std::string&) const { return 0; }
   // What was decided since the last call, in order. `next_due`: call again by then.
--- a/src/routing/decision_facade.cpp
+++ b/src/routing/decision_facade.cpp
@@ -1,58 +1,89 @@
 #include "routing/decision_facade.h"
 
 #include <algorithm>
-#include <cmath>
+#include <utility>
 
 #include "request_router/settings.h"
 
 namespace database_proxy::routing {
 namespace {
 
-namespace bc = request_router;
+namespace router = request_router;
 
-// Longer than any request lasts after its server has left the list, so that no result can be for a forgotten
+// Longer than any request lasts after its server has left the list, so that no result can name a forgotten
 // one.
-constexpr Micros kForgetServer = std::chrono::seconds(90);
+constexpr Micros kForgetServerAfter = std::chrono::seconds(90);
+// A position in a load report beyond this, in Unix seconds, is no time.
+constexpr double kLatestUnixSeconds = 9e9;
+// The youngest age and the earliest start that mean anything: 0 means none in the module's events.
+constexpr Micros kLeastTime{1};
 
-bc::Status status_of(AttemptOutcome outcome) {
+router::Status status_of(AttemptOutcome outcome) {
   switch (outcome) {
     case AttemptOutcome::kServed:
-      return bc::Status::kSuccess;
+      return router::Status::kSuccess;
     case AttemptOutcome::kDeclined:
-      return bc::Status::kDeclined;
+      return router::Status::kDeclined;
     case AttemptOutcome::kError:
-      return bc::Status::kFailure;
+      return router::Status::kFailure;
     case AttemptOutcome::kRejected:
-      return bc::Status::kOverloaded;
+      return router::Status::kOverloaded;
     case AttemptOutcome::kNoConnection:
-      return bc::Status::kUnreachable;
+      return router::Status::kUnreachable;
     case AttemptOutcome::kReset:
-      return bc::Status::kBroken;
+      return router::Status::kBroken;
     case AttemptOutcome::kTimedOut:
-      return bc::Status::kTimedOut;
+      return router::Status::kTimedOut;
     case AttemptOutcome::kCancelled:
-      return bc::Status::kCancelled;
+      return router::Status::kCancelled;
     case AttemptOutcome::kNotSent:
-      return bc::Status::kNotStarted;
+      return router::Status::kNotStarted;
   }
-  return bc::Status::kFailure;
+  return router::Status::kFailure;
 }
 
-bc::Role role_of(ServerRole role) {
-  return role == ServerRole::kPrimary   ? bc::Role::kPrimary
-         : role == ServerRole::kReplica ? bc::Role::kReplica
-                                        : bc::Role::kUnknown;
+router::Role role_of(ServerRole role) {
+  switch (role) {
+    case ServerRole::kPrimary:
+      return router::Role::kPrimary;
+    case ServerRole::kReplica:
+      return router::Role::kReplica;
+    case ServerRole::kUnknown:
+      return router::Role::kUnknown;
+  }
+  return router::Role::kUnknown;
+}
+
+router::Condition condition_of(discovery::Lifecycle lifecycle) {
+  switch (lifecycle) {
+    case discovery::Lifecycle::kUp:
+      return router::Condition::kReady;
+    case discovery::Lifecycle::kDraining:
+      return router::Condition::kDraining;
+    case discovery::Lifecycle::kRemoved:
+      return router::Condition::kGone;
+  }
+  return router::Condition::kGone;
+}
+
+router::ListKind kind_of(const discovery::EndpointListUpdate& list, bool cached) {
+  if (cached) return router::ListKind::kCached;
+  return list.reset ? router::ListKind::kFull : router::ListKind::kDelta;
 }
 
 }  // namespace
 
-DecisionFacade::DecisionFacade(bc::Settings settings, std::uint64_t seed, UnixClock clock,
+DecisionFacade::DecisionFacade(router::Settings settings, std::uint64_t seed, UnixClock clock,
                                std::function<void(const std::string&)> log)
     : settings_(settings), router_(std::move(settings), seed), clock_(clock), log_(std::move(log)) {
   for (std::size_t i = 0; i < settings_.classes.size(); ++i) {
-    auto& c = settings_.classes[i];
-    classes_[c.name] = {i, c.level == bc::ReadLevel::kWrite, c.effect == bc::Effect::kKeyed,
-                        c.level == bc::ReadLevel::kWrite || c.level == bc::ReadLevel::kSession};
+    auto& request_class = settings_.classes[i];
+    RequestClassInfo info;
+    info.index = i;
+    info.is_write = request_class.level == router::ReadLevel::kWrite;
+    info.needs_key = request_class.effect == router::Effect::kKeyed;
+    info.has_session = info.is_write || request_class.level == router::ReadLevel::kSession;
+    classes_[request_class.name] = info;
   }
 }
 
@@ -61,55 +92,64 @@
   return it == classes_.end() ? nullptr : &it->second;
 }
 
-bc::MemberId DecisionFacade::member(Micros now, const std::string& server) {
-  auto [it, fresh] = numbers_.try_emplace(server, next_member_);
-  if (fresh) servers_[next_member_++].name = server;
-  servers_[it->second].since = now;
+router::MemberId DecisionFacade::member_of(Micros now, const std::string& server) {
+  auto [it, is_new] = member_ids_.try_emplace(server, next_member_);
+  if (is_new) servers_[next_member_++].name = server;
+  servers_[it->second].last_named = now;
   return it->second;
 }
 
+router::MemberEntry DecisionFacade::to_entry(Micros now, const discovery::Endpoint& endpoint) {
+  router::MemberEntry entry;
+  entry.member = member_of(now, endpoint.id);
+  entry.group = endpoint.cell;
+  entry.zone = endpoint.zone;
+  entry.condition = condition_of(endpoint.lifecycle);
+  entry.weight = endpoint.weight;
+  // 0 means long ago; a true start is kept above it even where this machine booted later.
+  if (endpoint.started_at_ms > 0)
+    entry.started_at = std::max(kLeastTime, clock_.known(endpoint.started_at_ms));
+  return entry;
+}
+
 void DecisionFacade::update(Micros now, const discovery::EndpointListUpdate& list, bool cached) {
-  bc::MemberList told;
-  told.kind = cached ? bc::ListKind::kCached : list.reset ? bc::ListKind::kFull : bc::ListKind::kDelta;
   if (list.reset)
-    for (auto& [number, server] : servers_) server.up = server.on_endpoint_list = false;
-  for (auto& m : list.members) {
-    bc::MemberEntry entry;
-    entry.member = member(now, m.id);
-    entry.group = m.cell;
-    entry.zone = m.zone;
-    entry.condition = m.lifecycle == discovery::Lifecycle::kUp         ? bc::Condition::kReady
-                      : m.lifecycle == discovery::Lifecycle::kDraining ? bc::Condition::kDraining
-                                                                       : bc::Condition::kGone;
-    entry.weight = m.weight;
-    // 0 says long ago; a true start is kept above 0 even where this machine booted later.
-    if (m.started_at_ms > 0) entry.started_at = std::max(Micros(1), clock_.known(m.started_at_ms));
-    auto& server = servers_[entry.member];
-    server.up = m.lifecycle == discovery::Lifecycle::kUp;
-    server.on_endpoint_list = m.lifecycle != discovery::Lifecycle::kRemoved;
-    told.entries.push_back(std::move(entry));
+    for (auto& [id, server] : servers_) server.is_up = server.is_listed = false;
+  router::MemberList members;
+  members.kind = kind_of(list, cached);
+  for (auto& endpoint : list.members) {
+    members.entries.push_back(to_entry(now, endpoint));
+    auto& server = servers_[members.entries.back().member];
+    server.is_up = endpoint.lifecycle == discovery::Lifecycle::kUp;
+    server.is_listed = endpoint.lifecycle != discovery::Lifecycle::kRemoved;
   }
-  usable_ = static_cast<std::size_t>(
-      std::count_if(servers_.begin(), servers_.end(), [](auto& s) { return s.second.up; }));
-  pending_.emplace_back(std::move(told));
-  // Servers are replaced by new ones all day; the module forgets them sooner than this.
+  usable_servers_ = static_cast<std::size_t>(
+      std::count_if(servers_.begin(), servers_.end(), [](auto& entry) { return entry.second.is_up; }));
+  pending_events_.emplace_back(std::move(members));
+  forget_old_servers(now);
+}
+
+// Servers are replaced by new ones all day. The module forgets them sooner than this.
+void DecisionFacade::forget_old_servers(Micros now) {
   std::erase_if(servers_, [&](auto& entry) {
-    bool on_client_disconnected = !entry.second.on_endpoint_list && now - entry.second.since > kForgetServer;
-    if (on_client_disconnected) numbers_.erase(entry.second.name);
-    return on_client_disconnected;
+    auto& server = entry.second;
+    bool is_old = !server.is_listed && now - server.last_named > kForgetServerAfter;
+    if (is_old) member_ids_.erase(server.name);
+    return is_old;
   });
 }
 
-// "inflight=7,util=0.61", or the same with colons.
-bc::Report DecisionFacade::load_report(std::string_view text) const {
-  bc::Report report;
-  for (auto pair : bc::split_at(text, ',')) {
-    auto at = pair.find_first_of("=:");
-    if (at == std::string_view::npos) continue;
-    auto name = pair.substr(0, at);
-    auto value = bc::to_number(pair.substr(at + 1));
+// "inflight=7,util=0.61", or the same with colons. Names that are not known are passed over.
+router::Report DecisionFacade::parse_load_report(std::string_view text) const {
+  router::Report report;
+  for (auto field : router::split_at(text, ',')) {
+    auto separator = field.find_first_of("=:");
+    if (separator == std::string_view::npos) continue;
+    auto name = field.substr(0, separator);
+    auto value = router::to_number(field.substr(separator + 1));
     if (!value) continue;
-    if (name == "x0" && *value > 0 && *value < 9e9) report.position = clock_.known_seconds(*value);
+    if (name == "x0" && *value > 0 && *value < kLatestUnixSeconds)
+      report.position = clock_.known_seconds(*value);
     if (name == "x1") report.primary = *value == 1;
     if (name == "util" || name == "busy") report.busy = *value;
     if (name == "rif" || name == "inflight") report.held = *value;
@@ -118,142 +158,143 @@
 }
 
 void DecisionFacade::report(Micros now, const AttemptResult& result) {
-  bc::Outcome o;
-  o.id = result.request;
-  o.attempt = result.attempt;
-  o.member = member(now, result.server);
-  o.status = status_of(result.outcome);
-  o.taken = result.taken;
-  o.closed = result.closed;
-  o.role = role_of(result.role);
+  router::Outcome outcome;
+  outcome.id = result.request;
+  outcome.attempt = result.attempt;
+  outcome.member = member_of(now, result.server);
+  outcome.status = status_of(result.outcome);
+  outcome.taken = result.duration;
+  outcome.closed = result.closed;
+  outcome.role = role_of(result.role);
   if (result.position_unix_ms && *result.position_unix_ms > 0)
-    o.position = clock_.known(*result.position_unix_ms);
-  o.report = load_report(result.load);
+    outcome.position = clock_.known(*result.position_unix_ms);
+  outcome.report = parse_load_report(result.load_report);
   if (result.closed) attempts_.erase(result.request);
-  pending_.emplace_back(std::move(o));
+  pending_events_.emplace_back(outcome);
 }
 
 void DecisionFacade::report(Micros now, const ProbeResult& result) {
-  bc::ProbeResult p;
-  p.member = member(now, result.server);
-  p.ok = result.ok;
-  p.taken = result.taken;
-  p.report = load_report(result.load);
-  pending_.emplace_back(std::move(p));
+  router::ProbeResult probe;
+  probe.member = member_of(now, result.server);
+  probe.ok = result.ok;
+  probe.taken = result.duration;
+  probe.report = parse_load_report(result.load_report);
+  pending_events_.emplace_back(probe);
 }
 
 void DecisionFacade::on_client_disconnected(Micros now, RequestId request) {
   attempts_.erase(request);
-  pending_.emplace_back(bc::ClientGone{request});
-  std::erase_if(decided_, [&](auto& d) {
-    if (d.request != request || d.kind == Decision::Kind::kProbe) return false;
-    // A send that was decided but never fetched would count as in flight at its server for ever.
-    if (d.kind == Decision::Kind::kSend) {
-      bc::Outcome never;
-      never.id = request;
-      never.attempt = d.attempt;
-      never.member = member(now, d.server);
-      never.status = bc::Status::kNotStarted;
-      never.closed = true;
-      pending_.emplace_back(std::move(never));
-    }
+  pending_events_.emplace_back(router::ClientGone{request});
+  std::erase_if(decisions_, [&](auto& decision) {
+    if (decision.request != request || decision.kind == Decision::Kind::kProbe) return false;
+    if (decision.kind == Decision::Kind::kSend) withdraw_decision(now, decision);
     return true;
   });
 }
 
-void DecisionFacade::plan(Micros, bc::Plan plan) { pending_.emplace_back(std::move(plan)); }
+// A send that was decided but never fetched would count as in flight at its server for ever.
+void DecisionFacade::withdraw_decision(Micros now, const Decision& decision) {
+  router::Outcome outcome;
+  outcome.id = decision.request;
+  outcome.attempt = decision.attempt;
+  outcome.member = member_of(now, decision.server);
+  outcome.status = router::Status::kNotStarted;
+  outcome.closed = true;
+  pending_events_.emplace_back(outcome);
+}
+
+void DecisionFacade::plan(Micros, router::Plan plan) { pending_events_.emplace_back(std::move(plan)); }
 
 double DecisionFacade::spare_capacity(const std::string& server) const {
-  auto it = numbers_.find(server);
-  return it == numbers_.end() ? 0 : router_.room(it->second);
+  auto it = member_ids_.find(server);
+  return it == member_ids_.end() ? 0 : router_.room(it->second);
 }
 
 void DecisionFacade::submit(Micros now, const Request& request) {
-  bc::Request r;
-  r.id = request.id;
-  r.request_class = request.request_class;
-  r.group = request.shard_group;
-  r.key = request.session;
-  r.expires = request.expires;
-  r.retry = request.is_retry;
-  // An age of 0 would say that the session has written nothing: the youngest write is 1 us old.
-  if (request.after_unix_ms) r.write_age = std::max(Micros(1), now - clock_.required(*request.after_unix_ms));
+  router::Request submitted;
+  submitted.id = request.id;
+  submitted.request_class = request.request_class;
+  submitted.group = request.shard_group;
+  submitted.key = request.session;
+  submitted.expires = request.expires;
+  submitted.retry = request.is_retry;
+  // An age of 0 would mean that the session has written nothing.
+  if (request.after_unix_ms)
+    submitted.write_age = std::max(kLeastTime, now - clock_.required(*request.after_unix_ms));
   attempts_[request.id] = 0;
-  pending_.emplace_back(std::move(r));
+  pending_events_.emplace_back(submitted);
 }
 
 Decision DecisionFacade::pick(Micros now, const Request& request) {
   submit(now, request);
   flush(now);
-  for (auto it = decided_.begin(); it != decided_.end(); ++it)
-    if (it->request == request.id && it->kind != Decision::Kind::kProbe) {
-      auto decision = std::move(*it);
-      decided_.erase(it);
-      return decision;
-    }
-  Decision hold;
-  hold.request = request.id;
-  return hold;
+  auto is_for_request = [&](auto& decision) {
+    return decision.request == request.id && decision.kind != Decision::Kind::kProbe;
+  };
+  auto it = std::find_if(decisions_.begin(), decisions_.end(), is_for_request);
+  if (it == decisions_.end()) {
+    Decision postponed;
+    postponed.request = request.id;
+    return postponed;
+  }
+  auto decision = std::move(*it);
+  decisions_.erase(it);
+  return decision;
 }
 
 TickResult DecisionFacade::tick(Micros now) {
   std::erase_if(timers_, [&](auto& timer) {
-    if (timer.first > now) return false;
-    pending_.emplace_back(bc::TimerFired{timer.second});
+    if (timer.due > now) return false;
+    pending_events_.emplace_back(router::TimerFired{timer.key});
     return true;
   });
   flush(now);
-  TickResult ticked;
-  ticked.decisions = std::move(decided_);
-  decided_.clear();
+  TickResult result;
+  result.decisions = std::exchange(decisions_, {});
   for (auto& timer : timers_)
-    if (!ticked.next_due || timer.first < *ticked.next_due) ticked.next_due = timer.first;
-  return ticked;
+    if (!result.next_due || timer.due < *result.next_due) result.next_due = timer.due;
+  return result;
 }
 
 void DecisionFacade::flush(Micros now) {
-  if (pending_.empty()) return;
-  take(now, router_.handle(now, pending_));
-  pending_.clear();
+  if (pending_events_.empty()) return;
+  for (auto& action : router_.handle(now, pending_events_)) carry_out(now, action);
+  pending_events_.clear();
 }
 
-void DecisionFacade::take(Micros now, std::vector<bc::Action> actions) {
-  for (auto& action : actions) {
-    Decision d;
-    if (auto* send = std::get_if<bc::Send>(&action)) {
-      d.kind = Decision::Kind::kSend;
-      d.request = send->id;
-      d.attempt = attempts_[send->id]++;
-      d.server = servers_[send->member].name;
-      d.timeout = send->timeout;
-      d.start_within = send->start_within;
-    } else if (auto* cancel = std::get_if<bc::Cancel>(&action)) {
-      d.kind = Decision::Kind::kCancel;
-      d.request = cancel->id;
-      d.attempt = cancel->attempt;
-    } else if (auto* reject = std::get_if<bc::Reject>(&action)) {
-      d.kind = Decision::Kind::kReject;
-      d.request = reject->id;
-      d.retry_after = reject->retry_after;
-      attempts_.erase(reject->id);
-    } else if (auto* fail = std::get_if<bc::Fail>(&action)) {
-      d.kind = Decision::Kind::kFail;
-      d.request = fail->id;
-      attempts_.erase(fail->id);
-    } else if (auto* probe = std::get_if<bc::Probe>(&action)) {
-      d.kind = Decision::Kind::kProbe;
-      d.server = servers_[probe->member].name;
-    } else if (auto* timer = std::get_if<bc::SetTimer>(&action)) {
-      timers_.emplace_back(now + timer->after, timer->key);
-      continue;
-    } else if (auto* log = std::get_if<bc::Log>(&action)) {
-      log_(log->text);
-      continue;
-    } else {
-      continue;  // Subscribe: the watch on discovery is always kept
-    }
-    decided_.push_back(std::move(d));
+void DecisionFacade::carry_out(Micros now, const router::Action& action) {
+  Decision decision;
+  if (auto* send = std::get_if<router::Send>(&action)) {
+    decision.kind = Decision::Kind::kSend;
+    decision.request = send->id;
+    decision.attempt = attempts_[send->id]++;
+    decision.server = servers_[send->member].name;
+    decision.timeout = send->timeout;
+    decision.start_within = send->start_within;
+  } else if (auto* cancel = std::get_if<router::Cancel>(&action)) {
+    decision.kind = Decision::Kind::kCancel;
+    decision.request = cancel->id;
+    decision.attempt = cancel->attempt;
+  } else if (auto* reject = std::get_if<router::Reject>(&action)) {
+    decision.kind = Decision::Kind::kReject;
+    decision.request = reject->id;
+    decision.retry_after = reject->retry_after;
+    attempts_.erase(reject->id);
+  } else if (auto* fail = std::get_if<router::Fail>(&action)) {
+    decision.kind = Decision::Kind::kFail;
+    decision.request = fail->id;
+    attempts_.erase(fail->id);
+  } else if (auto* probe = std::get_if<router::Probe>(&action)) {
+    decision.kind = Decision::Kind::kProbe;
+    decision.server = servers_[probe->member].name;
+  } else {
+    // Subscribe needs nothing: the watch on discovery is always kept.
+    if (auto* timer = std::get_if<router::SetTimer>(&action))
+      timers_.push_back({now + timer->after, timer->key});
+    if (auto* log = std::get_if<router::Log>(&action)) log_(log->text);
+    return;
   }
+  decisions_.push_back(std::move(decision));
 }
 
 }  // namespace database_proxy::routing
--- a/src/routing/load_reports.h
+++ b/src/routing/load_reports.h
@@ -1,74 +1,88 @@
-// What the owner of a set's probes tells of its servers, kept for a moment: an answer to the module's own
-// wish to probe, and news that nobody asked for. A fact is no fresher than it says. Where this process has
-// seen a server silent with its own eyes, facts about it say nothing until it has answered here. No I/O, no
-// clock.
+// Load reports of data servers that another process has gathered for all, cached for a moment. They answer
+// the module's own wishes to probe, and news that nobody asked for counts as well. No I/O, no clock, no
+// thread.
 #pragma once
 
 #include <chrono>
 #include <optional>
 #include <string>
 #include <unordered_map>
+#include <utility>
 #include <vector>
 
 #include "routing/decision_facade.h"
 
 namespace database_proxy::routing {
 
+// A report is no fresher than its measurement. Where this process has found a server silent by itself,
+// reports about it are not believed until it has answered here.
 class LoadReportCache {
  public:
-  // An owner that probes every 100 ms, three of which may be late.
+  // Whoever probes for all does so every 100 ms; three reports in a row may be late.
   static constexpr Micros kFresh{400'000};
 
-  // False: it is of no use here now.
+  // `age`: since the measurement, at least. Returns whether the report is of use here now.
   bool record(Micros now, ProbeResult result, Micros age) {
-    auto& one = known_[result.server];
-    if (one.distrusted || (one.result && now - age < one.seen)) return false;
-    one.seen = now - age;
-    one.result = std::move(result);
+    auto& entry = entries_[result.server];
+    bool is_older = entry.result && now - age < entry.measured_at;
+    if (entry.is_distrusted || is_older) return false;
+    entry.measured_at = now - age;
+    entry.result = std::move(result);
     return age <= kFresh;
   }
+  // The last report of a server where it is fresh enough to stand for a probe.
   std::optional<ProbeResult> find_fresh(Micros now, const std::string& server) const {
-    auto it = known_.find(server);
-    if (it == known_.end() || it->second.distrusted || !it->second.result) return std::nullopt;
-    return now - it->second.seen <= kFresh ? it->second.result : std::nullopt;
+    auto it = entries_.find(server);
+    if (it == entries_.end() || it->second.is_distrusted || !it->second.result) return std::nullopt;
+    return now - it->second.measured_at <= kFresh ? it->second.result : std::nullopt;
   }
   bool is_distrusted(const std::string& server) const {
-    auto it = known_.find(server);
-    return it != known_.end() && it->second.distrusted;
+    auto it = entries_.find(server);
+    return it != entries_.end() && it->second.is_distrusted;
   }
-  // Seen here: it answered, or it was out of reach or silent.
+  // This process has tried to reach a server by itself.
   void on_contact(const std::string& server, bool answered) {
     if (answered) {
-      if (auto it = known_.find(server); it != known_.end()) it->second.distrusted = false;
+      if (auto it = entries_.find(server); it != entries_.end()) it->second.is_distrusted = false;
       return;
     }
-    auto& one = known_[server];
-    one.distrusted = true;
-    one.result.reset();
+    auto& entry = entries_[server];
+    entry.is_distrusted = true;
+    entry.result.reset();
   }
   void on_contact(const std::string& server, AttemptOutcome outcome) {
-    if (outcome == AttemptOutcome::kNoConnection || outcome == AttemptOutcome::kTimedOut)
-      return on_contact(server, false);
-    if (outcome == AttemptOutcome::kServed || outcome == AttemptOutcome::kDeclined ||
-        outcome == AttemptOutcome::kError || outcome == AttemptOutcome::kRejected)
-      on_contact(server, true);
+    switch (outcome) {
+      case AttemptOutcome::kNoConnection:
+      case AttemptOutcome::kTimedOut:
+        return on_contact(server, false);
+      case AttemptOutcome::kServed:
+      case AttemptOutcome::kDeclined:
+      case AttemptOutcome::kError:
+      case AttemptOutcome::kRejected:
+        return on_contact(server, true);
+      case AttemptOutcome::kReset:
+      case AttemptOutcome::kCancelled:
+      case AttemptOutcome::kNotSent:
+        return;  // says nothing of the server
+    }
   }
-  // Of servers that are listed no more nothing is kept.
-  void retain_listed(const std::vector<discovery::Endpoint>& on_endpoint_list) {
-    std::unordered_map<std::string, One> kept;
-    for (auto& m : on_endpoint_list)
-      if (auto it = known_.find(m.id); it != known_.end()) kept.insert(std::move(*it));
-    known_ = std::move(kept);
+  // Forgets servers that are not listed any more.
+  void retain_listed(const std::vector<discovery::Endpoint>& listed) {
+    std::unordered_map<std::string, Entry> retained;
+    for (auto& endpoint : listed)
+      if (auto it = entries_.find(endpoint.id); it != entries_.end()) retained.insert(std::move(*it));
+    entries_ = std::move(retained);
   }
-  std::size_t size() const { return known_.size(); }
+  std::size_t size() const { return entries_.size(); }
 
  private:
-  struct One {
+  static constexpr Micros kNever{INT64_MIN / 4};  // far back, so that differences stay in range
+  struct Entry {
     std::optional<ProbeResult> result;
-    Micros seen{INT64_MIN / 4};
-    bool distrusted = false;
+    Micros measured_at = kNever;
+    bool is_distrusted = false;
   };
-  std::unordered_map<std::string, One> known_;
+  std::unordered_map<std::string, Entry> entries_;
 };
 
 }  // namespace database_proxy::routing
--- a/src/routing/unix_clock.h
+++ b/src/routing/unix_clock.h
@@ -10,15 +10,18 @@
 
 using Micros = std::chrono::microseconds;
 
+// A fixed distance between the two clocks; conversions round to the safe side.
 class UnixClock {
  public:
   // Unix time minus the monotonic clock, in microseconds.
   explicit UnixClock(Micros distance) : distance_(distance) {}
+  // Measured now: the tightest of several pairs of readings counts.
   static UnixClock measured() {
     using std::chrono::steady_clock, std::chrono::system_clock;
     auto best = steady_clock::duration::max();
     Micros distance{0};
-    for (int i = 0; i < 16; ++i) {  // the tightest pair of readings counts
+    constexpr int kReadings = 16;
+    for (int i = 0; i < kReadings; ++i) {
       auto before = steady_clock::now();
       auto unix_now = system_clock::now();
       auto after = steady_clock::now();
@@ -31,16 +34,18 @@
   }
 
   // A position that a server is known to have reached: never later than it was.
-  Micros known(std::int64_t unix_ms) const { return Micros(sane(unix_ms) * 1000) - distance_; }
+  Micros known(std::int64_t unix_ms) const { return Micros(clamp_to_range(unix_ms) * 1000) - distance_; }
   Micros known_seconds(double unix_s) const {
     return Micros(static_cast<std::int64_t>(std::floor(unix_s * 1e6))) - distance_;
   }
   // A position that a read must see: never earlier than it is (it comes rounded up to a millisecond).
-  Micros required(std::int64_t unix_ms) const { return Micros(sane(unix_ms) * 1000 + 1) - distance_; }
+  Micros required(std::int64_t unix_ms) const {
+    return Micros(clamp_to_range(unix_ms) * 1000 + 1) - distance_;
+  }
 
  private:
   // Peers may write any number: what lies outside some thousand years is brought to their edge.
-  static std::int64_t sane(std::int64_t unix_ms) {
+  static std::int64_t clamp_to_range(std::int64_t unix_ms) {
     return std::clamp<std::int64_t>(unix_ms, 0, 100'000'000'000'000);
   }
 
--- a/tests/group/parts_test.cpp
+++ b/tests/group/parts_test.cpp
@@ -227,7 +227,7 @@
   auto fact = [](const std::string& load) { return routing::ProbeResult{"s", true, 1ms, load}; };
   EXPECT_TRUE(book.record(10s, fact("new"), 100ms));
   EXPECT_FALSE(book.record(10s, fact("older"), 300ms));  // came later, was seen earlier
-  EXPECT_EQ(book.find_fresh(10s, "s")->load, "new");
+  EXPECT_EQ(book.find_fresh(10s, "s")->load_report, "new");
   EXPECT_FALSE(book.find_fresh(10s + routing::LoadReportCache::kFresh, "s"));  // 100 ms old when it came
   EXPECT_FALSE(book.record(11s, fact("stale"), routing::LoadReportCache::kFresh + 1us));
   EXPECT_TRUE(book.record(12s, fact("good"), 0us));
--- a/tests/proxy/rules_test.cpp
+++ b/tests/proxy/rules_test.cpp
@@ -299,7 +299,7 @@
       end.request = id;
       end.server = decision.server;
       end.outcome = routing::AttemptOutcome::kReset;
-      end.taken = routing::Micros(100);
+      end.duration = routing::Micros(100);
       end.role = routing::ServerRole::kPrimary;
       facade.report(at, end);
     }
