--- a/src/proxy/client_session.cpp
+++ b/src/proxy/client_session.cpp
@@ -4,48 +4,26 @@
 #include <sys/socket.h>
 
 #include <algorithm>
-
-#include "pg/message.h"
+#include <utility>
 
 namespace database_proxy::proxy {
 namespace {
 
 using namespace std::chrono_literals;
 
-// A value of 64 KiB takes 128 KiB as hexadecimal digits; the rest of a statement is short.
-constexpr std::size_t kLongestMessage = 132 * 1024;
-constexpr std::size_t kReadCap = kLongestMessage + 16 * 1024;  // what is pipelined waits in the kernel beyond
-constexpr std::size_t kWriteCap = 64 * 1024;  // a client that does not read its answers gets no more
-// One client's share of a turn: whoever sends without end waits for all the others after each of these.
-constexpr int kCommandsPerIteration = 8;
-constexpr std::size_t kBytesPerIteration = 64 * 1024, kDiscardPerIteration = 1024 * 1024;
-// So many commands of one connection may wait for their answers, which is more than a driver sends ahead.
-// More requests are refused untouched, or one client's hundreds would crowd out all others; and at the second
-// figure, no more is read.
-constexpr std::size_t kMostPipelinedRequests = 32, kMostQueuedCommands = 256;
-// A connection that sends no whole command in this time after its beginning, or after the first byte of a
+// A client that does not read its answers gets no more than these bytes.
+constexpr std::size_t kWriteCap = 64 * 1024;
+// So many commands of one connection may wait for their answers; then no more is read.
+constexpr std::size_t kMostQueuedCommands = 256;
+// A connection that sends no complete command in this time after its beginning, or after the first byte of a
 // later one, is closed: silence and half a command must not hold a descriptor.
 constexpr Micros kCommandTimeout = 2500ms;
-// Before its startup a client may ask for two kinds of encryption, and once more for good measure.
-constexpr int kMostFirstMessages = 4;
-constexpr Micros kWriteTimeout = 5s;  // a client that takes nothing of its answers for so long is gone
+// A client that takes nothing of its answers for so long is gone.
+constexpr Micros kWriteTimeout = 5s;
 // After a fatal error reading goes on for so long, or a reset for unread input would overtake the error.
 constexpr Micros kLingerTime = 1s;
-constexpr std::size_t kLongestLinger = 64 * 1024 * 1024;
-// `d` runs from the client's send, and the answer takes a while to arrive: a sixteenth of it is kept for
-// that, within these bounds. Some clients wait for a few times ten milliseconds only and need nearly all of
-// them.
-constexpr Micros kLeastMargin = 2ms, kMostMargin = 20ms;
-constexpr int kMarginDivisor = 16;
-// No class waits so long; whoever asks for more is answered by then, and nothing is kept for a day.
-constexpr Micros kLongestWait = 60s;
-
-// Sessions are named by text; the module knows them by number (FNV-1a).
-std::uint64_t hash_of(std::string_view name) {
-  std::uint64_t hash = 14695981039346656037u;
-  for (unsigned char c : name) hash = (hash ^ c) * 1099511628211u;
-  return hash;
-}
+constexpr std::size_t kMostDiscarded = 64 * 1024 * 1024;
+constexpr std::size_t kDiscardPerIteration = 1024 * 1024;
 
 }  // namespace
 
@@ -57,8 +35,8 @@
       fd_(std::move(fd)),
       number_(number),
       secret_(secret),
-      unread_since_(waiting_since),
-      born_(loop.now()),
+      input_(loop, waiting_since),
+      connected_at_(loop.now()),
       idle_since_(loop.now()) {}
 
 ClientSession::~ClientSession() {
@@ -67,471 +45,366 @@
 }
 
 bool ClientSession::start() {
-  arm_timeout();
+  update_timeout();
   return loop_.add(fd_.get(), this);
 }
 
+bool ClientSession::is_idle() const {
+  return queue_.empty() && !awaits_ready() && input_.view().empty() && unsent() == 0;
+}
+
+bool ClientSession::has_started() const {
+  return state_ == State::kServing || state_ == State::kAwaitingReady || state_ == State::kSkippingToSync ||
+         state_ == State::kFinishing;
+}
+
+bool ClientSession::takes_commands() const {
+  return state_ == State::kStartup || state_ == State::kServing || state_ == State::kSkippingToSync;
+}
+
+bool ClientSession::is_mid_command() const {
+  return queue_.empty() && has_started() && !input_.view().empty();
+}
+
+// The one place where a connection ends. What is answered already goes out as far as the socket takes it.
 void ClientSession::close() {
   if (!fd_) return;
-  // What is answered already goes out as far as the socket takes it.
+  state_ = State::kClosed;
   if (!gathered_.empty()) out_.write(fd_.get(), {std::exchange(gathered_, {})});
   loop_.cancel(&timer_);
-  owner_.on_buffered_change(-static_cast<std::ptrdiff_t>(std::exchange(counted_, 0)));
+  owner_.on_buffered_change(-static_cast<std::ptrdiff_t>(std::exchange(accounted_, 0)));
   loop_.remove(fd_.get(), this);
   fd_.reset();
-  for (auto& slot : queue_)
-    if (slot->request != 0) dispatcher_.leave(std::exchange(slot->request, 0));
+  for (auto& command : queue_)
+    if (command->request != 0) dispatcher_.leave(std::exchange(command->request, 0));
   owner_.on_session_closed(this);
 }
 
+void ClientSession::close_when_idle() {
+  if (shutdown_ == Shutdown::kNone) shutdown_ = Shutdown::kClosingWhenIdle;
+}
+
 void ClientSession::on_ready(std::uint32_t events) {
-  if (events & EPOLLOUT) {
-    auto before = out_.size();
+  if ((events & EPOLLOUT) != 0) {
+    auto size_before = out_.size();
     if (!out_.flush(fd_.get())) return close();
-    if (out_.size() != before) stuck_by_.reset();  // it reads: its time begins anew
+    if (out_.size() != size_before) write_timeout_.reset();  // it reads: its time begins anew
   }
-  if (draining_) return drain();
-  // Told once, and not to be found by reading where that stops at a limit before the end of the stream.
-  if (net::peer_has_ended(events)) return peer_closed();
-  if (events & EPOLLIN) fill(true);
+  if (is_lingering()) return discard_input();
+  // Reported once, and not to be found by reading where that stops at a limit before the end of the stream.
+  if (net::peer_has_ended(events)) return on_peer_closed();
+  if ((events & EPOLLIN) != 0) fill(true);
   if (fd_) process();
 }
 
 // The client has gone, and nothing that it sent is begun any more, whether read or not. Only a CancelRequest
 // is carried out: its sender may close right behind it.
-void ClientSession::peer_closed() {
-  if (started_) return close();
-  begin_iteration();
-  in_.fill(fd_.get(), kReadCap, bytes_left_);
+void ClientSession::on_peer_closed() {
+  if (has_started()) return close();
+  input_.read(fd_.get(), false);
   pg::FirstMessage first;
-  if (pg::parse_first_message(in_.view(), &first) == pg::ParseStatus::kOk &&
-      first.kind == pg::FirstMessageKind::kCancel)
+  auto status = pg::parse_first_message(input_.view(), &first);
+  if (status == pg::ParseStatus::kOk && first.kind == pg::FirstMessageKind::kCancel)
     owner_.on_cancel_request(first.number, first.secret);
   close();
 }
 
-// A request that was read in this turn had its client then; for others the connection is looked at, since its
-// end may have come after the events that this turn has fetched.
-bool ClientSession::still_connected(const Slot& slot) {
-  if (fd_ && slot.turn != loop_.iteration() && net::peer_has_closed(fd_.get())) close();
+// A request that was read in this iteration had its client then; for others the connection is looked at,
+// since its end may have come after the events that this iteration has fetched.
+bool ClientSession::still_connected(const QueuedCommand& command) {
+  if (fd_ && command.iteration != loop_.iteration() && net::peer_has_closed(fd_.get())) close();
   return static_cast<bool>(fd_);
 }
 
-void ClientSession::begin_iteration() {
-  if (std::exchange(turn_, loop_.iteration()) == loop_.iteration()) return;
-  commands_left_ = kCommandsPerIteration;
-  bytes_left_ = kBytesPerIteration;
-}
+// Sets the timer for the time by which something must have come. A request that is open has its own.
+void ClientSession::update_timeout() {
+  if (!fd_ || is_lingering()) return;
+  bool has_partial_command = queue_.empty() && !awaits_ready() && !input_.view().empty();
+  if (!has_partial_command)
+    command_began_at_.reset();
+  else if (!command_began_at_)
+    command_began_at_ = loop_.now();
+  if (out_.empty())
+    write_timeout_.reset();
+  else if (!write_timeout_)
+    write_timeout_ = loop_.now() + kWriteTimeout;
 
-void ClientSession::fill(bool drained_by_short) {
-  begin_iteration();
-  if (ended_) {  // whatever comes behind the last command is not wanted
-    if (net::is_over(net::discard(fd_.get(), kDiscardPerIteration))) close();
-    return;
-  }
-  auto before = in_.view().size();
-  auto since = caught_up_ ? loop_.ready_since() : unread_since_;
-  auto end = in_.fill(fd_.get(), kReadCap, bytes_left_, drained_by_short);
-  bytes_left_ -= std::min(bytes_left_, in_.view().size() - before);
-  paused_ = end == net::IoEnd::kFull;
-  if (net::is_over(end)) return close();
-  if (in_.view().size() > before && !input_since_) input_since_ = since;
-  caught_up_ = !paused_;
-  held_back_ = held_back_ || paused_;
-  unread_since_ = since;
-  auto before_it = counted_;
-  if (!account() && counted_ > before_it) fatal("53200", "no memory is left for a statement of this size");
-}
-
-bool ClientSession::account() {
-  auto held = answers_ + (in_.memory() > pg::kLongestShortStatement ? in_.memory() : 0);
-  auto change = static_cast<std::ptrdiff_t>(held) - static_cast<std::ptrdiff_t>(counted_);
-  counted_ = held;
-  return owner_.on_buffered_change(change);
+  auto timeout = next_timeout();
+  bool is_set = timer_ != net::Loop::kNoTimer;
+  if (timeout && is_set && timer_at_ == *timeout) return;
+  loop_.cancel(&timer_);
+  if (!timeout) return;
+  timer_at_ = *timeout;
+  timer_ = loop_.at(*timeout, [this] { on_timeout(); });
 }
 
-// The time by which something must have come. A request that is out has its own.
-void ClientSession::arm_timeout() {
-  if (!fd_ || draining_) return;
-  auto now = loop_.now();
-  bool partial = queue_.empty() && !waiting_ && !in_.view().empty();
-  if (!partial)
-    begun_.reset();
-  else if (!begun_)
-    begun_ = now;
-  if (out_.empty())
-    stuck_by_.reset();
-  else if (!stuck_by_)
-    stuck_by_ = now + kWriteTimeout;
-  std::optional<Micros> by;
-  if (stuck_by_)
-    by = stuck_by_;
-  else if (queue_.empty() && !waiting_ && !commanded_)
-    by = born_ + kCommandTimeout;
-  else if (begun_)
-    by = *begun_ + kCommandTimeout;
-  if (by && timer_ != net::Loop::kNoTimer && timer_at_ == *by) return;
-  loop_.cancel(&timer_);
-  if (!by) return;
-  timer_at_ = *by;
-  timer_ = loop_.at(*by, [this] { on_timeout(); });
+std::optional<Micros> ClientSession::next_timeout() const {
+  if (write_timeout_) return write_timeout_;
+  if (is_unused()) return connected_at_ + kCommandTimeout;
+  if (command_began_at_) return *command_began_at_ + kCommandTimeout;
+  return std::nullopt;
 }
 
 void ClientSession::on_timeout() {
   timer_ = net::Loop::kNoTimer;
-  if (draining_ || !out_.empty()) return close();
-  fatal("57014", "no whole command has come in time");
+  if (is_lingering() || !out_.empty()) return close();
+  fail_connection("57014", "no whole command has come in time");
 }
 
-// Reads on for a while after the last word to the client, and throws it away.
-void ClientSession::drain() {
+// Half-closes behind the last answer.
+void ClientSession::linger() {
+  state_ = State::kLingering;
+  input_.clear();
+  owner_.on_buffered_change(-static_cast<std::ptrdiff_t>(std::exchange(accounted_, 0)));
+  loop_.cancel(&timer_);
+  timer_ = loop_.at(loop_.now() + kLingerTime, [this] { close(); });
+  discard_input();
+}
+
+// Reads on for a while after the last answer to the client, and throws it away.
+void ClientSession::discard_input() {
   auto end = net::discard(fd_.get(), kDiscardPerIteration);
   if (net::is_over(end)) return close();
   if (out_.empty()) shutdown(fd_.get(), SHUT_WR);
   if (end != net::IoEnd::kFull) return;
-  drained_ += kDiscardPerIteration;
-  if (drained_ >= kLongestLinger) return close();
-  later();
+  discarded_ += kDiscardPerIteration;
+  if (discarded_ >= kMostDiscarded) return close();
+  continue_next_iteration();
 }
 
-// Goes on in the next turn, after all others have had theirs; asked for once a turn.
-void ClientSession::later() {
-  if (std::exchange(later_in_, loop_.iteration() + 1) != loop_.iteration() + 1) loop_.again(this);
+// Goes on after all others have had their share.
+void ClientSession::continue_next_iteration() {
+  auto next = loop_.iteration() + 1;
+  if (std::exchange(continues_in_, next) != next) loop_.again(this);
 }
 
-bool ClientSession::is_certain_to_be_rejected() {
-  auto in = in_.view().substr(parsed_);
-  if (!started_ || in.size() <= pg::kLongestShortStatement) return false;
-  return in[0] != 'Q' || !pg::may_be_long(in.substr(5));
+void ClientSession::fill(bool drained_by_short) {
+  input_.begin_iteration();
+  if (state_ == State::kFinishing) {  // what comes behind the last command is not taken
+    if (net::is_over(net::discard(fd_.get(), kDiscardPerIteration))) close();
+    return;
+  }
+  if (net::is_over(input_.read(fd_.get(), drained_by_short))) return close();
+  auto accounted_before = accounted_;
+  bool is_within_limit = account_memory();
+  if (!is_within_limit && accounted_ > accounted_before)
+    fail_connection("53200", "no memory is left for a statement of this size");
+}
+
+// Reports what this session buffers; false: all clients together buffer too much.
+bool ClientSession::account_memory() {
+  auto input_memory = input_.memory() > pg::kLongestShortStatement ? input_.memory() : 0;
+  auto buffered = queued_answer_bytes_ + input_memory;
+  auto change = static_cast<std::ptrdiff_t>(buffered) - static_cast<std::ptrdiff_t>(accounted_);
+  accounted_ = buffered;
+  return owner_.on_buffered_change(change);
 }
 
 bool ClientSession::poll_input() {
-  fill();
+  fill(false);
   if (fd_) process();
   return static_cast<bool>(fd_);
 }
 
 void ClientSession::resume() {
-  waiting_ = false;
+  if (awaits_ready()) state_ = State::kServing;
   if (fd_) process();
 }
 
-// All that was read is taken; the last byte of the next command is still to come. Where reading had stopped
-// in the middle of that command, the rest may have waited on the client's side ever since.
-void ClientSession::on_all_input_taken() {
-  if (paused_) return;
-  if (in_.view().size() == parsed_) held_back_ = false;
-  if (!held_back_) input_since_.reset();
-}
-
+// Takes the commands that have come, as far as the limits allow.
 void ClientSession::process() {
-  if (processing_) return;
-  processing_ = true;
-  begin_iteration();
-  blocked_ = false;
-  while (fd_ && !draining_ && !ended_ && !waiting_ && unsent() < kWriteCap &&
-         queue_.size() < kMostQueuedCommands) {
-    if (!started_) {
-      if (opening()) continue;
-      on_all_input_taken();
-      break;
-    }
-    // What comes behind may be the client's end: all that has room is read before anything more is begun.
-    if (paused_ && bytes_left_ == 0 && in_.view().size() < kReadCap) {
-      later();
-      break;
-    }
-    pg::Frame frame;
-    auto parse = pg::parse_frame(in_.view().substr(parsed_), kLongestMessage, &frame);
-    if (parse == pg::ParseStatus::kBad) {
-      fatal("08P01", "this is no message of the protocol");
-      break;
-    }
-    if (parse == pg::ParseStatus::kMore) {
-      if (is_certain_to_be_rejected()) {
-        fatal("42601", "this statement is too long and not known here");
-        break;
-      }
-      on_all_input_taken();
-      // Where commands that wait for their answers fill the buffer, their end makes room.
-      if (!paused_ || in_.view().size() >= kReadCap) break;
-      if (bytes_left_ == 0) {
-        later();
-        break;
-      }
-      fill();  // room again for what waits in the kernel
-      continue;
-    }
-    if (commands_left_-- <= 0) {
-      later();
-      break;
-    }
-    message_ = frame.size;
-    commanded_ = true;
-    begun_.reset();
-    auto queued = queue_.size();
-    command(frame);
-    if (!fd_ || draining_ || waiting_ || blocked_) break;
-    blocked_since_.reset();
-    if (queue_.empty()) {
-      in_.consume(frame.size);
-      consumed_ += frame.size;
-      continue;
-    }
-    parsed_ += frame.size;
-    if (queue_.size() == queued) queue_.back()->size += frame.size;  // it gets no answer of its own
+  if (is_processing_) return;
+  is_processing_ = true;
+  input_.begin_iteration();
+  is_blocked_ = false;
+  while (fd_ && takes_commands() && unsent() < kWriteCap && queue_.size() < kMostQueuedCommands)
+    if (!process_next()) break;
+  is_processing_ = false;
+  bool closes_when_idle = shutdown_ != Shutdown::kNone;
+  if (fd_ && closes_when_idle && is_idle()) close();
+  update_timeout();
+}
+
+// Takes the next message; false: nothing more can be taken now.
+bool ClientSession::process_next() {
+  if (state_ == State::kStartup) {
+    if (handle_first_message()) return true;
+    input_.on_commands_taken(parsed_);
+    return false;
+  }
+  if (input_.must_read_on()) {
+    continue_next_iteration();
+    return false;
+  }
+  pg::Frame frame;
+  auto status = pg::parse_frame(input_.view().substr(parsed_), kLongestClientMessage, &frame);
+  if (status == pg::ParseStatus::kBad) {
+    fail_connection("08P01", "this is no message of the protocol");
+    return false;
   }
-  processing_ = false;
-  if (fd_ && closing_ && idle()) close();
-  arm_timeout();
+  if (status == pg::ParseStatus::kMore) return read_more_of_command();
+  if (!input_.take_command_share()) {
+    continue_next_iteration();
+    return false;
+  }
+  return take_command(frame);
 }
 
-bool ClientSession::opening() {
-  pg::FirstMessage first;
-  auto parse = pg::parse_first_message(in_.view(), &first);
-  if (parse == pg::ParseStatus::kMore) return false;
-  if (parse == pg::ParseStatus::kBad) {
-    fatal("08P01", "this is no startup message");
+// The next command is not complete; true: more of it was read.
+bool ClientSession::read_more_of_command() {
+  if (is_certain_to_be_rejected()) {
+    fail_connection("42601", "this statement is too long and not known here");
     return false;
   }
-  if (++first_messages_ > kMostFirstMessages) {
-    fatal("08P01", "the startup message is missing");
+  input_.on_commands_taken(parsed_);
+  // Where commands that wait for their answers fill the buffer, their end makes room.
+  if (!input_.is_paused() || input_.is_buffer_full()) return false;
+  if (input_.is_share_used_up()) {
+    continue_next_iteration();
     return false;
   }
-  switch (first.kind) {
-    case pg::FirstMessageKind::kSsl:
-    case pg::FirstMessageKind::kGssEnc:
-      write({"N"});
-      break;
-    case pg::FirstMessageKind::kCancel:  // it gets no answer itself
-      owner_.on_cancel_request(first.number, first.secret);
-      close();
-      return false;
-    case pg::FirstMessageKind::kOther:
-      fatal("0A000", "only version 3 of the protocol is spoken here");
-      return false;
-    case pg::FirstMessageKind::kStartup:
-      started_ = true;
-      write({first.code & 0xffff ? pg::negotiate_version() : "", pg::greeting(number_, secret_)});
-      break;
-  }
-  if (!fd_) return false;
-  in_.consume(first.size);
-  consumed_ += first.size;
+  fill(false);
   return true;
 }
 
-void ClientSession::command(const pg::Frame& frame) {
-  idle_since_ = loop_.now();
-  if (skipping_ && frame.type != 'S' && frame.type != 'X')
-    return;  // until the next Sync, as the protocol asks
-  switch (frame.type) {
-    case 'Q': {
-      auto text = pg::text_of_query(frame.body);
-      if (!text) return fatal("08P01", "a query must be one text with its end mark");
-      return run(*text);
-    }
-    case 'X':
-      return close();
-    case 'S':
-      skipping_ = false;
-      return reply(pg::ready_for_query());
-    case 'P':
-    case 'B':
-    case 'E':
-    case 'D':
-    case 'C':
-      skipping_ = true;
-      return reply(pg::error_response("ERROR", "0A000", "only simple queries are supported"));
-    case 'H':
-      return;
-    case 'F':
-      return reject("0A000", "function calls are not supported");
-    case 'd':
-    case 'c':
-    case 'f':
-      return;  // copy data outside a copy is passed over, as PostgreSQL does
-    default:
-      return fatal("08P01", "this message is not known here");
+// Carries out a complete message; false: the next one has to wait.
+bool ClientSession::take_command(const pg::Frame& frame) {
+  message_size_ = frame.size;
+  has_sent_command_ = true;
+  command_began_at_.reset();
+  auto queued_before = queue_.size();
+  handle_message(frame);
+  if (!fd_ || is_lingering() || awaits_ready() || is_blocked_) return false;
+  blocked_since_.reset();
+  if (queue_.empty()) {
+    input_.consume(frame.size);
+    consumed_ += frame.size;
+    return true;
   }
+  parsed_ += frame.size;
+  bool has_own_answer = queue_.size() != queued_before;
+  if (!has_own_answer) queue_.back()->size += frame.size;
+  return true;
 }
 
-void ClientSession::run(std::string_view text) {
-  auto statement = pg::parse_statement(text);
-  switch (statement.kind) {
-    case pg::StatementKind::kEmpty:
-      // The front takes this answer for "able to serve".
-      if (!dispatcher_.ready()) {
-        waiting_ = true;
-        return;
-      }
-      return answer(pg::empty_query_response());
-    case pg::StatementKind::kSession:
-      return answer(pg::command_complete(statement.tag));
-    case pg::StatementKind::kUnknown:
-      return reject("42601", statement.problem);
-    case pg::StatementKind::kRead:
-    case pg::StatementKind::kWrite:
-      break;
-  }
-  if (refusing_) return answer(pg::error_response("ERROR", "57P03", "the proxy is shutting down"));
-  auto* request_class = dispatcher_.find_class(statement.request_class);
-  if (!request_class) return reject("22023", "this class is not known here");
-  if (request_class->is_write != (statement.kind == pg::StatementKind::kWrite))
-    return reject("22023", "this class is for the other kind of statement");
-  if (request_class->needs_key && !statement.idempotency_key) return reject("22023", "this class needs k");
-  routing::Request request;
-  request.request_class = request_class->index;
-  request.shard_group = statement.shard_group;
-  if (request_class->has_session) request.session = hash_of(statement.key);
-  request.after_unix_ms = statement.after_unix_ms;
-  bool write = statement.kind == pg::StatementKind::kWrite;
-  auto key = hash_of(statement.key);
-  // Whoever sends a write and a read of the same key behind one another expects to see the write.
-  blocked_ = std::any_of(queue_.begin(), queue_.end(), [&](auto& slot) {
-    return slot->request != 0 && slot->key == key && (slot->write || write);
-  });
-  auto arrived = input_since_.value_or(loop_.now());
-  if (blocked_) {
-    if (!blocked_since_) blocked_since_ = arrived;
-    return;
-  }
-  Micros wait = std::min<Micros>(std::chrono::milliseconds(statement.timeout_ms), kLongestWait);
-  request.expires = blocked_since_.value_or(arrived) +
-                    std::max(wait - std::clamp(wait / kMarginDivisor, kLeastMargin, kMostMargin), wait / 2);
-  request.is_retry = statement.is_retry;
-  if (queue_.size() >= kMostPipelinedRequests || (!queue_.empty() && !account()) ||
-      request.expires <= loop_.now())
-    return answer(pg::error_response("ERROR", "53300", "too many commands wait on this connection"));
-  auto slot = std::make_unique<Slot>(*this);
-  // The other one, perhaps of another client, goes on as if this had not come.
-  slot->request = dispatcher_.submit(slot.get(), request, statement.id);
-  if (slot->request == 0) return reject("42710", "a request with this id is open");
-  slot->turn = loop_.iteration();
-  slot->start = consumed_ + parsed_;
-  slot->size = slot->message = message_;
-  slot->wait_at = statement.timeout_begin;
-  slot->wait_end = statement.timeout_end;
-  slot->key = key;
-  slot->write = write;
-  queue_.push_back(std::move(slot));
-}
-
-Query ClientSession::query(const Slot& slot, Micros wait) const {
-  // The statement begins behind the message's letter and length. Its text stays where it was read; only the
-  // wait is written anew.
-  auto text = in_.view().substr(slot.start - consumed_ + 5, slot.message - 5);
-  Query q;
-  q.wait = fmt::format("{}", wait / 1ms);
-  q.before = text.substr(0, slot.wait_at);
-  q.after = text.substr(slot.wait_end);
-  q.head = pg::query_head(q.before.size() + q.wait.size() + q.after.size() - 1);
-  return q;
-}
-
-void ClientSession::write(std::initializer_list<std::string_view> parts, bool more) {
-  if (!more && gathered_.empty()) {
+// What has come of a command shows that it will be rejected, so the rest of it need not be waited for.
+bool ClientSession::is_certain_to_be_rejected() const {
+  auto begun = input_.view().substr(parsed_);
+  if (!has_started() || begun.size() <= pg::kLongestShortStatement) return false;
+  constexpr std::size_t kQueryHeader = 5;  // its letter and length
+  return begun[0] != 'Q' || !pg::may_be_long(begun.substr(kQueryHeader));
+}
+
+void ClientSession::write(std::initializer_list<std::string_view> parts, WriteMode mode) {
+  bool is_gathered = mode == WriteMode::kGathered;
+  if (!is_gathered && gathered_.empty()) {
     if (!out_.write(fd_.get(), parts)) close();
     return;
   }
   if (gathered_.empty()) owner_.schedule_flush(this);
   for (auto part : parts) gathered_.append(part);
-  if (!more || gathered_.size() >= kWriteCap) flush();
+  if (!is_gathered || gathered_.size() >= kWriteCap) flush();
 }
 
 void ClientSession::flush() {
   if (!fd_ || gathered_.empty()) return;
   auto gathered = std::exchange(gathered_, {});
   if (!out_.write(fd_.get(), {gathered})) return close();
-  if (!processing_) arm_timeout();
+  if (!is_processing_) update_timeout();
 }
 
-// To a command just taken: at once, or behind the answers to those before it.
 void ClientSession::reply(std::string message) {
   if (queue_.empty()) return write({message});
-  auto slot = std::make_unique<Slot>(*this);
-  slot->size = message_;
-  slot->done = true;
-  answers_ += message.size();
-  slot->answer = std::move(message);
-  queue_.push_back(std::move(slot));
+  auto command = std::make_unique<QueuedCommand>(*this);
+  command->size = message_size_;
+  command->is_done = true;
+  queued_answer_bytes_ += message.size();
+  command->answer = std::move(message);
+  queue_.push_back(std::move(command));
 }
 
-void ClientSession::answer(std::string_view message) { reply(std::string(message) + pg::ready_for_query()); }
+void ClientSession::reply_and_ready(std::string_view message) {
+  reply(std::string(message) + pg::ready_for_query());
+}
 
-void ClientSession::reject(std::string_view code, std::string_view why) {
-  answer(pg::error_response("ERROR", code, why));
+void ClientSession::reply_error(std::string_view code, std::string_view why) {
+  reply_and_ready(pg::error_response("ERROR", code, why));
 }
 
-void ClientSession::fatal(std::string_view code, std::string_view why) {
-  if (!queue_.empty()) {  // what was taken before gets its answer first
-    message_ = 0;
-    reply(pg::error_response("FATAL", code, why));
-    queue_.back()->last = true;
-    ended_ = true;
+// Ends the connection with an error, behind the answers to what was taken before.
+void ClientSession::fail_connection(std::string_view code, std::string_view why) {
+  auto error = pg::error_response("FATAL", code, why);
+  if (!queue_.empty()) {
+    message_size_ = 0;
+    reply(std::move(error));
+    queue_.back()->ends_connection = true;
+    state_ = State::kFinishing;
     return;
   }
-  write({pg::error_response("FATAL", code, why)});
-  if (fd_) half_close();
-}
-
-void ClientSession::half_close() {
-  draining_ = true;
-  in_.clear();
-  owner_.on_buffered_change(-static_cast<std::ptrdiff_t>(std::exchange(counted_, 0)));
-  loop_.cancel(&timer_);
-  timer_ = loop_.at(loop_.now() + kLingerTime, [this] { close(); });
-  drain();
-}
-
-void ClientSession::serve(Slot& slot, const Answer& a) {
-  if (&slot != queue_.front().get()) {
-    std::string whole;
-    for (auto frame : a.frames) whole.append(frame);
-    return finish(slot, whole + pg::ready_for_query());
+  write({error});
+  if (fd_) linger();
+}
+
+// The statement stays where it was read; only its timeout is written anew.
+Query ClientSession::query(const QueuedCommand& command, Micros timeout) const {
+  constexpr std::size_t kQueryHeader = 5;  // its letter and length
+  auto begin = command.stream_offset - consumed_ + kQueryHeader;
+  auto text = input_.view().substr(begin, command.message_size - kQueryHeader);
+  Query query;
+  query.wait = fmt::format("{}", timeout / 1ms);
+  query.before = text.substr(0, command.timeout_begin);
+  query.after = text.substr(command.timeout_end);
+  query.head = pg::query_head(query.before.size() + query.wait.size() + query.after.size() - 1);
+  return query;
+}
+
+void ClientSession::serve(QueuedCommand& command, const Answer& answer) {
+  if (&command != queue_.front().get()) {
+    std::string text;
+    for (auto frame : answer.frames) text.append(frame);
+    return finish(command, text + pg::ready_for_query());
   }
-  write({a.frames[0], a.frames[1], a.frames[2], pg::ready_for_query()}, queue_.size() > 1);
-  finish(slot, "");
+  auto mode = queue_.size() > 1 ? WriteMode::kGathered : WriteMode::kAtOnce;
+  write({answer.frames[0], answer.frames[1], answer.frames[2], pg::ready_for_query()}, mode);
+  finish(command, "");
 }
 
-void ClientSession::Slot::reject(Micros retry_after) {
-  session.finish(*this,
-                 pg::error_response("ERROR", "53300", "too much to do at the moment",
-                                    retry_after.count() > 0 ? fmt::format("{}", retry_after / 1ms) : "") +
-                     pg::ready_for_query());
+void ClientSession::QueuedCommand::reject(Micros retry_after) {
+  auto detail = retry_after.count() > 0 ? fmt::format("{}", retry_after / 1ms) : "";
+  auto error = pg::error_response("ERROR", "53300", "too much to do at the moment", detail);
+  session.finish(*this, error + pg::ready_for_query());
 }
 
-void ClientSession::Slot::fail(std::string_view why) {
+void ClientSession::QueuedCommand::fail(std::string_view why) {
   session.finish(*this, pg::error_response("ERROR", "57014", why) + pg::ready_for_query());
 }
 
-void ClientSession::finish(Slot& slot, std::string answer) {
-  slot.request = 0;
-  if (!fd_) return;  // writing found it broken
-  slot.done = true;
-  answers_ += answer.size();
-  slot.answer = std::move(answer);
+void ClientSession::finish(QueuedCommand& command, std::string answer) {
+  command.request = 0;
+  if (!fd_) return;  // writing found the connection broken
+  command.is_done = true;
+  queued_answer_bytes_ += answer.size();
+  command.answer = std::move(answer);
   idle_since_ = loop_.now();
   flush_answers();
   if (fd_) process();
 }
 
 void ClientSession::flush_answers() {
-  while (fd_ && !queue_.empty() && queue_.front()->done) {
-    auto slot = std::move(queue_.front());
+  while (fd_ && !queue_.empty() && queue_.front()->is_done) {
+    auto command = std::move(queue_.front());
     queue_.pop_front();
-    answers_ -= slot->answer.size();
-    in_.consume(slot->size);
-    consumed_ += slot->size;
-    parsed_ -= slot->size;
-    if (!slot->answer.empty()) write({slot->answer}, !queue_.empty());
-    if (fd_ && slot->last) half_close();
+    queued_answer_bytes_ -= command->answer.size();
+    input_.consume(command->size);
+    consumed_ += command->size;
+    parsed_ -= command->size;
+    auto mode = queue_.empty() ? WriteMode::kAtOnce : WriteMode::kGathered;
+    if (!command->answer.empty()) write({command->answer}, mode);
+    if (fd_ && command->ends_connection) linger();
   }
-  if (fd_) account();
+  if (fd_) account_memory();
 }
 
-// Asked for by the client on another connection: the command that is its turn. A request that is not out any
-// more is not touched.
 void ClientSession::cancel() {
   if (queue_.empty() || queue_.front()->request == 0) return;
   dispatcher_.leave(queue_.front()->request);
--- a/src/proxy/client_session.h
+++ b/src/proxy/client_session.h
@@ -1,4 +1,5 @@
-// One client connection that speaks PostgreSQL's protocol.
+// One client connection that speaks PostgreSQL's protocol: its lifetime, its messages in, its answers out in
+// order. Reading is in session_input.h, the rules for statements in session_rules.h.
 #pragma once
 
 #include <deque>
@@ -8,103 +9,152 @@
 
 #include "net/buffer.h"
 #include "net/loop.h"
+#include "pg/message.h"
 #include "pg/statement.h"
 #include "proxy/dispatcher.h"
 #include "proxy/ports.h"
+#include "proxy/session_input.h"
 
 namespace database_proxy::proxy {
 
 class ClientSession;
 
+// What a session needs of the proxy that owns it. Called in the proxy's thread.
 class SessionOwner {
  public:
+  SessionOwner() = default;
+  SessionOwner(const SessionOwner&) = delete;
+  SessionOwner& operator=(const SessionOwner&) = delete;
   virtual ~SessionOwner() = default;
-  virtual void on_session_closed(ClientSession* session) = 0;  // its descriptor is free already
+  // The session's descriptor is free already. It must not be destroyed within this call.
+  virtual void on_session_closed(ClientSession* session) = 0;
   virtual void on_cancel_request(std::uint32_t number, std::uint32_t secret) = 0;
-  // Told of each change of what a session's unfinished input holds; false: that is too much in all.
+  // A session's unfinished statements take so many bytes more; false: that is too much in all.
   virtual bool on_buffered_change(std::ptrdiff_t change) = 0;
-  // Asks for flush() at the end of this turn, once a turn.
+  // flush() is to be called at the end of this iteration; at most once an iteration.
   virtual void schedule_flush(ClientSession* session) = 0;
 };
 
+// Owned by its proxy, used in the proxy's thread only. Closing frees the descriptor at once and abandons what
+// is open.
 class ClientSession : public net::Handler {
  public:
-  // `waiting_since`: since when the connection, and what its client has sent, may have waited to be accepted.
+  // `number` and `secret`: what a CancelRequest names this session by. `waiting_since`: since when the
+  // connection, and what its client has sent, may have waited to be accepted.
   ClientSession(net::Loop& loop, Dispatcher& dispatcher, SessionOwner& owner, net::Fd fd,
                 std::uint32_t number, std::uint32_t secret, Micros waiting_since);
   ~ClientSession() override;
 
   bool start();  // false: it cannot be watched
   void on_ready(std::uint32_t events) override;
-  void resume();  // parses on, where something had to wait
-  void flush();   // sends the answers that this turn has gathered
+  // A data server is known from now on: goes on with an empty query that waited for one.
+  void resume();
+  // Sends the answers that this iteration has gathered.
+  void flush();
+  // Cancels the request whose answer is next, for a CancelRequest. One that is not open is not touched.
+  void cancel();
+  void close();
+  // Shutdown: closes once what was taken is answered.
+  void close_when_idle();
+  // Shutdown: what is read from now on is rejected at once, as harmless to repeat.
+  void reject_new_requests() { shutdown_ = Shutdown::kRejecting; }
+  // Reads and takes what has come unnoticed; false: closed by that.
+  bool poll_input();
+
   // Between requests: nothing taken, nothing half read, nothing left to write.
-  bool idle() const { return queue_.empty() && !waiting_ && in_.view().empty() && unsent() == 0; }
-  bool busy() const { return !draining_ && (!queue_.empty() || unsent() > 0); }
+  bool is_idle() const;
+  // Something is still to be answered or written.
+  bool is_busy() const { return !is_lingering() && (!queue_.empty() || unsent() > 0); }
   bool owes_answers() const { return !queue_.empty(); }
-  bool is_draining() const { return draining_; }                                 // it has had its last word
-  bool is_unused() const { return queue_.empty() && !commanded_ && !waiting_; }  // it has never asked
-  // What a CancelRequest names this session by.
+  // It has had its last answer and only waits for the peer's end.
+  bool is_lingering() const { return state_ == State::kLingering; }
+  // It has never sent a command.
+  bool is_unused() const { return queue_.empty() && !has_sent_command_ && !awaits_ready(); }
+  // A command has begun to arrive and is not complete.
+  bool is_mid_command() const;
+  Micros idle_since() const { return idle_since_; }
   std::uint32_t number() const { return number_; }
   std::uint32_t secret() const { return secret_; }
-  void cancel();
-  Micros idle_since() const { return idle_since_; }
-  void close();
-  void close_when_idle() { closing_ = true; }  // after what it still has to answer
-  // Shutdown: what is read from now on is refused at once, as harmless to repeat.
-  void refuse_new_requests() { closing_ = refusing_ = true; }
-  // A command has begun to arrive and is not whole.
-  bool is_mid_command() const { return queue_.empty() && started_ && !draining_ && !in_.view().empty(); }
-  bool poll_input();  // looks for what has come unseen; false: closed by that
 
  private:
-  // A command whose answer is not on its way yet. Requests that a client sends behind one another are out at
+  // docs/design/lifecycles.md has the table of transitions.
+  enum class State {
+    kStartup,         // messages before the session
+    kServing,         // takes commands
+    kAwaitingReady,   // an empty query waits until a data server is known
+    kSkippingToSync,  // after a message of the extended protocol, as the protocol demands
+    kFinishing,       // takes nothing more; the last command in the queue ends the connection
+    kLingering,       // the last answer is written; reading goes on until the peer's end
+    kClosed,
+  };
+  enum class Shutdown { kNone, kClosingWhenIdle, kRejecting };
+
+  // A command whose answer is not on its way yet. Requests that a client sends behind one another are open at
   // the same time; their answers wait here for those of the commands before.
-  struct Slot : ClientPort {
-    explicit Slot(ClientSession& owner) : session(owner) {}
-    Query query(Micros wait) override { return session.query(*this, wait); }
+  struct QueuedCommand : ClientPort {
+    explicit QueuedCommand(ClientSession& owner) : session(owner) {}
+    Query query(Micros timeout) override { return session.query(*this, timeout); }
     void serve(const Answer& answer) override { session.serve(*this, answer); }
     bool still_connected() override { return session.still_connected(*this); }
     void reject(Micros retry_after) override;
     void fail(std::string_view why) override;
 
     ClientSession& session;
-    RequestId request = 0;              // while it is out
-    std::uint64_t turn = 0;             // of the loop, in which the request was read
-    std::uint64_t start = 0;            // where its message stands in the stream of all that was read
-    std::size_t size = 0, message = 0;  // bytes to consume with it; those of the message itself
-    std::size_t wait_at = 0, wait_end = 0;
+    RequestId request = 0;            // while it is open
+    std::uint64_t iteration = 0;      // of the loop, in which the request was read
+    std::uint64_t stream_offset = 0;  // where its message stands in all that was read
+    std::size_t size = 0;             // bytes to consume with it
+    std::size_t message_size = 0;     // bytes of its message alone
+    std::size_t timeout_begin = 0;    // where the digits of its timeout stand in its text
+    std::size_t timeout_end = 0;
     std::uint64_t key = 0;
-    bool write = false, done = false, last = false;  // last: the connection ends after it
+    bool is_write = false;
+    bool is_done = false;
+    bool ends_connection = false;  // after its answer
     std::string answer;
   };
 
-  void fill(bool drained_by_short = false);
-  void peer_closed();
-  bool still_connected(const Slot& slot);
-  void process();
-  void on_all_input_taken();
-  void arm_timeout();  // the time by which something must have come
+  bool awaits_ready() const { return state_ == State::kAwaitingReady; }
+  bool takes_commands() const;
+  bool has_started() const;
+
+  // lifetime
+  void on_peer_closed();
+  bool still_connected(const QueuedCommand& command);
+  void update_timeout();
+  std::optional<Micros> next_timeout() const;
   void on_timeout();
-  void drain();
-  void later();
-  void begin_iteration();
-  bool is_certain_to_be_rejected();  // what has come of a command shows that it will be refused
-  bool opening();                    // the messages before the session; false: more is needed, or closed
-  void command(const pg::Frame& frame);
-  void run(std::string_view text);
-  Query query(const Slot& slot, Micros wait) const;
-  void serve(Slot& slot, const Answer& answer);
-  void finish(Slot& slot, std::string answer);
+  void linger();
+  void discard_input();
+  void continue_next_iteration();
+
+  // input
+  void fill(bool drained_by_short);
+  void process();
+  bool process_next();
+  bool read_more_of_command();
+  bool take_command(const pg::Frame& frame);
+  bool is_certain_to_be_rejected() const;
+  bool account_memory();
+
+  // commands
+  bool handle_first_message();
+  void handle_message(const pg::Frame& frame);
+  void handle_query(std::string_view text);
+  void handle_request(const pg::Statement& statement);
+  bool must_wait_for_earlier(std::uint64_t key, bool is_write) const;
+
+  // answers
+  Query query(const QueuedCommand& command, Micros timeout) const;
+  void serve(QueuedCommand& command, const Answer& answer);
+  void finish(QueuedCommand& command, std::string answer);
   void flush_answers();
-  void reply(std::string message);        // in its turn
-  void answer(std::string_view message);  // and ReadyForQuery
-  bool account();                         // false: too much is held in memory by all clients
-  void reject(std::string_view code, std::string_view why);
-  void fatal(std::string_view code, std::string_view why);  // and half-closes
-  void half_close();
-  // `more`: further answers may be ready in this turn; those go out together.
-  void write(std::initializer_list<std::string_view> parts, bool more = false);
+  void reply(std::string message);                 // behind the answers to the commands before
+  void reply_and_ready(std::string_view message);  // the same, with ReadyForQuery
+  void reply_error(std::string_view code, std::string_view why);
+  void fail_connection(std::string_view code, std::string_view why);
+  enum class WriteMode { kAtOnce, kGathered };  // kGathered: more answers may be ready in this iteration
+  void write(std::initializer_list<std::string_view> parts, WriteMode mode = WriteMode::kAtOnce);
   std::size_t unsent() const { return out_.size() + gathered_.size(); }
 
   net::Loop& loop_;
@@ -112,38 +162,30 @@
   SessionOwner& owner_;
   net::Fd fd_;
   std::uint32_t number_, secret_;
-  net::InBuffer in_;
+  State state_ = State::kStartup;
+  Shutdown shutdown_ = Shutdown::kNone;
+  SessionInput input_;
   net::OutBuffer out_;
-  std::string gathered_;  // answers of this turn, not yet handed to the socket
-  bool started_ = false, skipping_ = false, waiting_ = false, closing_ = false, processing_ = false;
-  bool paused_ = false;    // reading stopped at a limit
-  bool refusing_ = false;  // shutdown: new requests are not taken
-  // Requests tell how long their clients wait from when they sent them, so it counts since when input may
-  // have waited to be read. caught_up_: all of it was read at the last look; else unread_since_ says.
-  bool caught_up_ = false;
-  bool held_back_ = false;  // reading stopped at a limit since the command that is not whole began
-  Micros unread_since_;
-  std::optional<Micros> input_since_;  // of what was read and is not yet taken as commands
-  bool commanded_ = false, draining_ = false;
-  std::uint64_t later_in_ = 0, turn_ = ~0ULL;  // that of the two shares below
-  int first_messages_ = 0, commands_left_ = 0;
-  std::size_t bytes_left_ = 0;
-  std::size_t counted_ = 0;  // what buffered() knows of
-  std::size_t drained_ = 0;
-  Micros born_;
-  std::optional<Micros> stuck_by_;  // until when the client must take something of its answers
-  std::optional<Micros> begun_;     // when the command that is not yet whole began
+  std::string gathered_;  // answers of this iteration, not yet handed to the socket
+  bool has_sent_command_ = false;
+  bool is_processing_ = false;      // process() is running: answers given at once must not enter it again
+  std::uint64_t continues_in_ = 0;  // the iteration that continue_next_iteration() was called for
+  int first_messages_ = 0;          // so many have come
+  std::size_t accounted_ = 0;       // bytes that the owner knows of
+  std::size_t discarded_ = 0;       // bytes thrown away while lingering
+  Micros connected_at_;
+  Micros idle_since_;
+  std::optional<Micros> write_timeout_;     // by when the client must take something of its answers
+  std::optional<Micros> command_began_at_;  // of the command that is not complete
   net::Loop::TimerId timer_ = net::Loop::kNoTimer;
   Micros timer_at_{0};
-  std::deque<std::unique_ptr<Slot>> queue_;  // in the order of the commands
-  std::uint64_t consumed_ = 0;               // of the stream: where in_ begins
-  std::size_t parsed_ = 0;                   // of in_: what belongs to the queue
-  std::size_t message_ = 0;                  // the size of the one being taken
-  std::size_t answers_ = 0;                  // bytes that wait in the queue
-  bool ended_ = false;                       // nothing more is taken; the queue's last slot ends it
-  bool blocked_ = false;                     // the next command waits for one before it
+  std::deque<std::unique_ptr<QueuedCommand>> queue_;  // in the order of the commands
+  std::uint64_t consumed_ = 0;                        // bytes of the stream before the input's buffer
+  std::size_t parsed_ = 0;                            // bytes of the input that belong to the queue
+  std::size_t message_size_ = 0;                      // of the message being taken
+  std::size_t queued_answer_bytes_ = 0;
+  bool is_blocked_ = false;  // the next command waits for one before it
   std::optional<Micros> blocked_since_;
-  Micros idle_since_{0};
 };
 
 }  // namespace database_proxy::proxy
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -154,7 +154,7 @@
       loop_.now() - published_at_ >= kTrimEvery) {
     published_at_ = loop_.now();
     held_.asked = 0;
-    for (auto& [session, owned] : sessions_) held_.asked += !session->is_draining() && !session->is_unused();
+    for (auto& [session, owned] : sessions_) held_.asked += !session->is_lingering() && !session->is_unused();
   }
   siblings_->publish(held_);
 }
@@ -245,14 +245,14 @@
   for (auto& [session, owned] : sessions_) {
     auto quiet = now - session->idle_since();
     // Whoever came in this very turn has had no chance to speak.
-    int rank = session->is_draining() ? 0
-               : session->is_unused() ? (quiet >= kSilentClient && !session->is_mid_command() ? 1
-                                         : quiet.count() > 0                                  ? 4
-                                                                                              : -1)
-               : session->idle()      ? (quiet >= kIdleClient       ? 2
-                                         : quiet >= kRecentlyActive ? 3
-                                                                    : -1)  // its answer may still be on the way
-                                      : -1;
+    int rank = session->is_lingering() ? 0
+               : session->is_unused()  ? (quiet >= kSilentClient && !session->is_mid_command() ? 1
+                                          : quiet.count() > 0                                  ? 4
+                                                                                               : -1)
+               : session->is_idle()    ? (quiet >= kIdleClient       ? 2
+                                          : quiet >= kRecentlyActive ? 3
+                                                                     : -1)  // its answer may still be on the way
+                                       : -1;
     if (rank < 0) continue;
     if (!best[rank] || session->idle_since() < best[rank]->idle_since()) best[rank] = session;
   }
@@ -271,9 +271,9 @@
   std::vector<ClientSession*> idle;
   std::size_t asked = 0;
   for (auto& [session, owned] : sessions_) {
-    if (session->is_draining() || session->is_unused()) continue;
+    if (session->is_lingering() || session->is_unused()) continue;
     ++asked;
-    if (session->idle() && loop_.now() - session->idle_since() >= kRecentlyActive) idle.push_back(session);
+    if (session->is_idle() && loop_.now() - session->idle_since() >= kRecentlyActive) idle.push_back(session);
   }
   // Of several, each closes its part of what all have too many.
   auto all = asked + (siblings_ ? siblings_->others().asked : 0);
@@ -284,7 +284,7 @@
                     [](auto* a, auto* b) { return a->idle_since() < b->idle_since(); });
   // What has arrived since this turn's events were fetched is read first: whoever asks is not idle.
   for (std::size_t i = 0; i < count; ++i)
-    if (idle[i]->poll_input() && idle[i]->idle()) idle[i]->close();
+    if (idle[i]->poll_input() && idle[i]->is_idle()) idle[i]->close();
 }
 
 bool Proxy::on_buffered_change(std::ptrdiff_t change) {
@@ -343,16 +343,16 @@
   for (auto& [session, owned] : sessions_) all.push_back(session);
   for (auto* session : all) {
     session->close_when_idle();
-    if (sessions_.count(session) && session->idle()) session->poll_input();
+    if (sessions_.count(session) && session->is_idle()) session->poll_input();
   }
   if (past < kRejectAfter) return;
   for (auto* session : all) {
     if (!sessions_.count(session)) continue;
-    session->refuse_new_requests();
+    session->reject_new_requests();
     bool last_word =
-        session->is_draining() || (session->is_mid_command() && past < kRejectAfter + kPartialCommandGrace);
+        session->is_lingering() || (session->is_mid_command() && past < kRejectAfter + kPartialCommandGrace);
     if (last_word ? past >= kLongestShutdown
-                  : !session->busy() || (past >= kLongestShutdown && !session->owes_answers()))
+                  : !session->is_busy() || (past >= kLongestShutdown && !session->owes_answers()))
       session->close();
   }
   if (!sessions_.empty()) return;
