--- /dev/null
+++ b/src/request_router/admission.cpp
@@ -0,0 +1,119 @@
+#include "admission.h"
+
+#include <algorithm>
+#include <utility>
+
+#include "router_state.h"
+
+namespace request_router::internal {
+namespace {
+
+// A write that waits for the primary is kept only if so many times the requests ahead of it fit in the time
+// that it has left. Twice: the primary's rate is an estimate from few attempts.
+constexpr double kFitsSurely = 2;
+
+// With less time left than this fraction of its class's usual latency, a postponed request cannot be in time.
+constexpr double kLeastTimeFraction = 0.5;
+
+// The same for a request that has come just now: a quick answer may still do.
+constexpr double kLeastTimeFractionAtOnce = 0.15;
+
+// With so many times the class's usual latency left, a request is in no danger of being late: where times are
+// exponential, 95 of 100 take no longer.
+constexpr double kAmpleTimeRatio = 3;
+
+// A client that waited for this part of its time, while no member has had its request, can hardly ask again.
+constexpr int kWaitDivisor = 2;
+
+// The time to come back, in latency objectives of the class: a quarter to three quarters, drawn by request,
+// so that all that were rejected in one trouble do not come back as one.
+constexpr double kLeastRetryAfter = 0.25;
+constexpr double kRetryAfterSpread = 0.5;
+
+// The draw that decides the time to come back; it concerns no member.
+constexpr MemberId kRetryAfterDraw = ~1U;
+
+// Whether the known primary can serve the requests ahead of this write in the time that it has left. Only a
+// write that is worth something late waits for that.
+bool has_turn_in_time(const RouterState& state, const Group& group, const PendingRequest& pending,
+                      double writes_ahead) {
+  if (pending.request_class->late_weight_share <= 0 || !pending.needs_primary()) return false;
+  const Member* primary = find_primary(state, group);
+  if (!primary) return false;
+  double usual = state.average_latency(*primary, pending.request.request_class);
+  double turns = to_double(pending.request.expires - state.now) * primary->concurrency.limit / usual;
+  return turns > kFitsSurely * (writes_ahead + 1);
+}
+
+bool has_reached_member(const PendingRequest& pending) {
+  return std::any_of(pending.attempts.begin(), pending.attempts.end(),
+                     [](const Attempt& attempt) { return attempt.reached_member; });
+}
+
+// After a pause of this router's own, requests are older than they look: an attempt of the client lasts as
+// long as the longest one before, so its end tells when it began.
+Micros arrival_time(RouterState& state, const Request& request) {
+  Micros& longest = state.longest_client_timeout[request.request_class];
+  longest = std::max(longest, request.expires - state.now);
+  return std::clamp(request.expires - longest, state.now - state.timers.paused, state.now);
+}
+
+}  // namespace
+
+void on_request(RouterState& state, const Request& request) {
+  PendingRequest pending;
+  pending.request = request;
+  pending.request_class = &state.settings.classes.at(request.request_class);
+  pending.arrived_at = arrival_time(state, request);
+  state.work_rates.add(state.now, state.latency.typical(request.request_class));
+  if (!pending.needs_primary()) state.zone_routing.record_read(request.request_class);
+  pending.full_value_until =
+      std::min(request.expires, pending.arrived_at + pending.request_class->latency_objective);
+  if (pending.request_class->level == ReadLevel::kSession)
+    pending.required_position = session_position(state, request);
+  state.probe_budget.earn();
+  PendingRequest& added = state.pending.emplace(request.id, std::move(pending)).first->second;
+  auto group = state.groups.find(request.group);
+  if (group == state.groups.end()) {
+    give_up(state, added);  // clients may name any number: nothing is kept for an unknown group
+    return;
+  }
+  group->second.postponed.push_back(request.id);
+  state.request_decision(group->second);
+}
+
+bool cannot_meet_deadline(const RouterState& state, const Group& group, const PendingRequest& pending,
+                          double writes_ahead) {
+  Micros timeout = pending.request.expires - pending.arrived_at;
+  bool has_waited_long = state.now + state.spans.tick >= pending.arrived_at + timeout / kWaitDivisor;
+  if (has_waited_long && !has_reached_member(pending) &&
+      !has_turn_in_time(state, group, pending, writes_ahead))
+    return true;
+  bool counts_late = pending.request_class->late_weight_share > 0;
+  Micros until = counts_late ? pending.request.expires : pending.full_value_until;
+  double fraction = state.now == pending.arrived_at ? kLeastTimeFractionAtOnce : kLeastTimeFraction;
+  double least_time = fraction * state.latency.typical(pending.request.request_class);
+  return state.now + to_micros(least_time) >= until || !may_send(state, pending);
+}
+
+double value_per_work(const RouterState& state, const PendingRequest& pending) {
+  double work = state.latency.typical(pending.request.request_class);
+  double ease = to_double(pending.full_value_until - state.now) / (kAmpleTimeRatio * work);
+  return pending.request_class->priority_weight * std::clamp(ease, 0.0, 1.0) / work;
+}
+
+void give_up(RouterState& state, const PendingRequest& pending) {
+  RequestId id = pending.request.id;
+  if (may_reject(pending)) {
+    double draw = state.deterministic_fraction(id, kRetryAfterDraw);
+    Micros spread =
+        scale(pending.request_class->latency_objective, kLeastRetryAfter + kRetryAfterSpread * draw);
+    Micros most = state.settings.retry_after ? state.settings.max_retry_after : Micros(0);
+    state.actions.emplace_back(Reject{id, std::min(most, spread)});
+  } else {
+    state.actions.emplace_back(Fail{id});
+  }
+  state.pending.erase(id);
+}
+
+}  // namespace request_router::internal
--- /dev/null
+++ b/src/request_router/attempt_lifecycle.cpp
@@ -0,0 +1,131 @@
+#include "attempt_lifecycle.h"
+
+#include <algorithm>
+#include <cstddef>
+#include <optional>
+
+#include "router_state.h"
+
+namespace request_router::internal {
+namespace {
+
+// An attempt always has some time, also one that is sent at the client's last moment.
+constexpr Micros kLeastTimeout{1};
+
+std::optional<InFlightAttempt> remove_in_flight(Member& member, const Outcome& outcome) {
+  auto found = std::find_if(member.in_flight.begin(), member.in_flight.end(), [&](const auto& attempt) {
+    return attempt.id == outcome.id && attempt.attempt == outcome.attempt;
+  });
+  if (found == member.in_flight.end()) return std::nullopt;
+  InFlightAttempt attempt = *found;
+  member.in_flight.erase(found);
+  return attempt;
+}
+
+bool is_answer(Status status) {
+  return status == Status::kSuccess || status == Status::kFailure || status == Status::kOverloaded ||
+         status == Status::kDeclined;
+}
+
+// Whether the member may have executed the request, by how the attempt ended.
+bool may_have_run(Status status) {
+  return status != Status::kOverloaded && status != Status::kUnreachable && status != Status::kNotStarted &&
+         status != Status::kDeclined;
+}
+
+// What the outcome tells of the member, whatever the request was.
+void record_member_facts(RouterState& state, Member& member, const Outcome& outcome) {
+  if (is_answer(outcome.status) || outcome.status == Status::kBroken) record_response(state, member);
+  record_role(state, member, outcome.role, state.now);
+  if (outcome.position) record_rounded_position(state, member, *outcome.position);
+  record_report(state, member, outcome.report);
+  if (outcome.status != Status::kUnreachable) return;
+  // It is down, or has no connection to spare: a probe would not tell which.
+  mark_unresponsive(state, member);
+  if (member.role.role != Role::kPrimary) back_off(state, member);
+}
+
+// The member turned the request away untouched: it is no primary, or it is behind.
+void record_declined(RouterState& state, Member& member, const InFlightAttempt& attempt) {
+  if (state.settings.classes[attempt.request_class].level == ReadLevel::kWrite) {
+    member.role.write_tried_at = state.now;
+    record_role(state, member, Role::kReplica, state.now);
+  } else {
+    member.replication.declined_at = state.now;
+  }
+}
+
+void record_latency(RouterState& state, Member& member, const InFlightAttempt& attempt,
+                    const Outcome& outcome) {
+  double duration = attempt_duration(state, attempt, outcome);
+  if (outcome.status == Status::kSuccess) {
+    state.latency.record_success(member.latency, attempt.request_class, duration, state.now);
+    member.ejection.ejected_for = Micros(0);
+  }
+  if (outcome.status == Status::kSuccess || outcome.status == Status::kTimedOut)
+    state.latency.record_slowdown(member.latency, attempt.request_class, duration, state.now);
+}
+
+// What the outcome tells of the member's speed and errors. `pending`: null where the request has ended.
+void record_performance(RouterState& state, Member& member, const InFlightAttempt& attempt,
+                        const PendingRequest* pending, const Outcome& outcome) {
+  if (outcome.status == Status::kDeclined) record_declined(state, member, attempt);
+  bool is_client_caused = pending && is_client_timeout(state, member, *pending, attempt, outcome);
+  if (!is_client_caused && !is_lost_in_silence(state, member, attempt, outcome)) {
+    record_latency(state, member, attempt, outcome);
+    update_concurrency_limit(state, member, attempt, outcome);
+  }
+  if (!pending) return;
+  bool is_success = outcome.status == Status::kSuccess;
+  if (!is_client_caused && (is_success || is_lost_in_silence(state, member, attempt, outcome)))
+    record_loss(state, *pending, outcome);
+  record_failure(state, member, *pending, outcome);
+  if (is_success) record_success(state, member, *pending, attempt, outcome);
+}
+
+void end_attempt(PendingRequest& pending, const Outcome& outcome) {
+  bool is_known = outcome.attempt >= 0 && outcome.attempt < static_cast<int>(pending.attempts.size());
+  if (!is_known || !pending.attempts[outcome.attempt].is_in_flight) return;
+  Attempt& attempt = pending.attempts[outcome.attempt];
+  attempt.is_in_flight = false;
+  attempt.has_failed = outcome.status == Status::kFailure;
+  attempt.reached_member = outcome.status != Status::kUnreachable && outcome.status != Status::kNotStarted;
+  attempt.may_have_run = may_have_run(outcome.status);
+  --pending.in_flight_count;
+}
+
+}  // namespace
+
+void send_attempt(RouterState& state, PendingRequest& pending, Member& member) {
+  const Request& request = pending.request;
+  int attempt = static_cast<int>(pending.attempts.size());
+  pending.attempts.push_back({.member = member.id, .sent_at = state.now});
+  ++pending.in_flight_count;
+  state.watch(member);
+  member.in_flight.push_back({request.id, attempt, request.request_class, state.now});
+  member.last_sent_at = state.now;
+  // The client's own time: a shorter one would not free the member, but hide its work from the count here.
+  Micros timeout = std::max(request.expires - state.now, kLeastTimeout);
+  state.actions.emplace_back(Send{request.id, member.id, timeout, start_within(state, pending, member)});
+}
+
+void on_outcome(RouterState& state, const Outcome& outcome) {
+  auto known = state.members.find(outcome.member);
+  if (known == state.members.end()) return;
+  Member& member = known->second;
+  Group& group = state.groups[member.group];
+  state.request_decision(group);
+  std::optional<InFlightAttempt> attempt = remove_in_flight(member, outcome);
+  record_member_facts(state, member, outcome);
+  auto request = state.pending.find(outcome.id);
+  PendingRequest* pending = request == state.pending.end() ? nullptr : &request->second;
+  if (attempt) record_performance(state, member, *attempt, pending, outcome);
+  if (!pending) return;
+  end_attempt(*pending, outcome);
+  if (outcome.closed || outcome.status == Status::kSuccess)
+    state.pending.erase(request);
+  else if (pending->in_flight_count == 0)
+    group.postponed.push_back(outcome.id);
+}
+
+}  // namespace request_router::internal
--- /dev/null
+++ b/src/request_router/member_state.h
@@ -0,0 +1,85 @@
+// What the router knows of each member and each group, and the rules by which a member list changes it.
+//
+// Rule: the list names members, their zones and whether new requests may go to them (the drain rule,
+// `may_use`). It never proves that a member is alive or what its role is; only answers, reports and probes
+// do. A member that has been gone for long is forgotten, so that no choice looks through all that ever
+// existed.
+#pragma once
+
+#include <cstddef>
+#include <string>
+#include <vector>
+
+#include "concurrency_limit.h"
+#include "failure_detection.h"
+#include "health_check_scheduler.h"
+#include "latency_statistics.h"
+#include "outlier_ejection.h"
+#include "primary_discovery.h"
+#include "replication_lag.h"
+#include "request_router/router.h"
+#include "time_units.h"
+
+namespace request_router::internal {
+
+struct RouterState;
+
+// An attempt of this router that is under way at a member.
+struct InFlightAttempt {
+  RequestId id = 0;               // of the request
+  int attempt = 0;                // which of its attempts, from 0
+  std::size_t request_class = 0;  // index into the settings
+  Micros sent_at{0};
+  bool cancelled = false;  // to be tried elsewhere; its outcome is still to come
+};
+
+// One member: what the list says of it, and the part of its state that each module owns.
+struct Member {
+  MemberId id = 0;
+  GroupId group = 0;
+  std::string zone;
+  bool same_zone = true;  // as this router
+  Condition condition = Condition::kReady;
+  bool observed_draining = false;  // the list has said draining since it last said ready
+  Micros notified_at = kNever;     // when the list first said draining or gone
+  Micros started_at{0};            // when its process started, from the list; 0: long past
+  double preference_order = 0;     // 0 to 1: this router's own order among equal members
+  bool is_watched = false;         // listed in RouterState::watched_members
+  std::vector<InFlightAttempt> in_flight;
+  Micros last_sent_at = kNever;  // when an attempt was last sent to it
+  MemberReplication replication;
+  MemberRole role;
+  MemberLatency latency;
+  MemberConcurrency concurrency;
+  MemberEjection ejection;
+  MemberLiveness liveness;
+  MemberProbing probing;
+};
+
+// One group: a primary and its replicas, with the requests that wait for one of them.
+struct Group {
+  std::vector<Member*> members;      // in the order in which the lists named them
+  std::vector<RequestId> postponed;  // in the order in which they were postponed
+  bool needs_decision = false;       // listed in RouterState::groups_to_decide
+  bool is_waiting = false;           // listed in RouterState::waiting_groups
+  PrimarySearch primary_search;
+};
+
+// What a member is wanted for; the drain rule differs.
+enum class Duty { kReads, kPrimary };
+
+// The drain rule, kept in this one place: whether new requests may go to the member. A draining primary may
+// finish its hand-over, for half of the grace.
+bool may_use(const RouterState& state, const Member& member, Duty duty);
+
+// Whether the member takes new requests for this duty and answers, as far as is known.
+bool is_usable(const RouterState& state, const Member& member, Duty duty);
+
+// Takes in a member list: new members, zones, restarts and conditions. Members that a list leaves out are
+// gone, unless it only tells differences.
+void on_member_list(RouterState& state, const MemberList& list);
+
+// Takes in the load report that came with an answer or a probe.
+void record_report(RouterState& state, Member& member, const Report& report);
+
+}  // namespace request_router::internal
--- /dev/null
+++ b/src/request_router/pending_request.h
@@ -0,0 +1,40 @@
+// A request that has not had its final answer, with its attempts.
+#pragma once
+
+#include <vector>
+
+#include "request_router/router.h"
+#include "time_units.h"
+#include "zone_routing.h"
+
+namespace request_router::internal {
+
+// One attempt of a request at one member.
+struct Attempt {
+  MemberId member = 0;
+  Micros sent_at{0};
+  bool is_in_flight = true;
+  bool may_have_run = false;   // known once it has ended
+  bool has_failed = false;     // the member answered with an error
+  bool is_cancelled = false;   // by this router, to try elsewhere
+  bool reached_member = true;  // its member has had the whole request
+};
+
+// A request and everything that is decided about it.
+struct PendingRequest {
+  Request request;
+  const RequestClass* request_class = nullptr;  // in the settings; never null
+  Micros arrived_at{0};
+  Micros full_value_until{0};         // until when an answer earns the full priority weight
+  Micros required_position = kNever;  // session reads: the position that shows the session's last write
+  std::vector<Attempt> attempts;
+  int in_flight_count = 0;
+  ZoneAssignment zones;
+
+  // Whether only the primary can serve it.
+  bool needs_primary() const {
+    return request_class->level == ReadLevel::kWrite || request_class->level == ReadLevel::kFresh;
+  }
+};
+
+}  // namespace request_router::internal
--- /dev/null
+++ b/src/request_router/primary_discovery.cpp
@@ -0,0 +1,107 @@
+#include "primary_discovery.h"
+
+#include <algorithm>
+#include <tuple>
+
+#include "router_state.h"
+
+namespace request_router::internal {
+namespace {
+
+// While the probe budget has a surplus, a member that has not answered for so many silences, half of the
+// smallest latency objective, is probed rather than tried: a probe costs no request its time.
+constexpr int kProbeFirstSilences = 4;
+
+// A member is tried with a write once in so many silences, a quarter of the smallest latency objective.
+constexpr int kTrySilences = 2;
+
+// The longest interval between two rounds of probes, in silences: one smallest latency objective.
+constexpr int kLongestSearchSilences = 8;
+
+// Attempts of a request that are kept for the primary itself, once it is found.
+constexpr int kReservedAttempts = 2;
+
+// The order in which members are tried: seldom tried first, then unknown roles before replicas, warm ones
+// before those that are warming up, then the one furthest on.
+auto trial_rank(const RouterState& state, const PendingRequest& pending, const Member& member) {
+  auto tries = std::count_if(pending.attempts.begin(), pending.attempts.end(),
+                             [&](const Attempt& attempt) { return attempt.member == member.id; });
+  return std::tuple(-tries, member.role.role == Role::kUnknown, capacity_share(state, member) >= 1,
+                    member.replication.position);
+}
+
+// Known replicas are tried ever more seldom: when the next one may be.
+Micros next_replica_trial(const RouterState& state, const Group& group, const PendingRequest& pending) {
+  if (pending.attempts.size() < group.members.size()) return state.now;
+  return pending.attempts.back().sent_at + state.spans.silence * (1 << pending.attempts.size());
+}
+
+bool may_try_as_primary(RouterState& state, const Group& group, const PendingRequest& pending,
+                        Member& member) {
+  if (!is_usable(state, member, Duty::kPrimary)) return false;
+  Micros quiet_for = state.now - member.liveness.last_response_at;
+  if (state.probe_budget.has_surplus() && quiet_for > state.spans.silence * kProbeFirstSilences) return false;
+  bool was_tried = member.role.write_tried_at != kNever;
+  if (was_tried && state.now - member.role.write_tried_at < state.spans.silence * kTrySilences) return false;
+  return has_capacity(state, group, member, pending);
+}
+
+}  // namespace
+
+void record_role(RouterState& state, Member& member, Role role, Micros as_of) {
+  MemberRole& known = member.role;
+  if (role == Role::kUnknown || as_of < known.as_of) return;
+  if (role == Role::kPrimary && known.role != role) known.primary_since = state.now;
+  known.role = role;
+  known.as_of = as_of;
+  state.request_decision(member);
+}
+
+Member* find_primary(const RouterState& state, const Group& group) {
+  Member* newest = nullptr;
+  for (Member* member : group.members) {
+    if (member->role.role != Role::kPrimary) continue;
+    if (!newest || member->role.as_of > newest->role.as_of) newest = member;
+  }
+  if (!newest || !is_usable(state, *newest, Duty::kPrimary)) return nullptr;
+  return newest;
+}
+
+Member* probe_for_primary(RouterState& state, const Group& group, const PendingRequest& pending) {
+  bool is_read = pending.request_class->level == ReadLevel::kFresh;
+  if (is_read && state.settings.checks == Checks::kOff) return nullptr;
+  if (static_cast<int>(pending.attempts.size()) >= state.settings.max_attempts - kReservedAttempts)
+    return nullptr;
+  if (group.members.empty()) return nullptr;  // all have gone and are forgotten
+  Micros replicas_from = next_replica_trial(state, group, pending);
+  Member* best = nullptr;
+  for (Member* member : group.members) {
+    if (!may_try_as_primary(state, group, pending, *member)) continue;
+    if (member->role.role != Role::kUnknown && state.now < replicas_from) continue;
+    if (!best || trial_rank(state, pending, *member) > trial_rank(state, pending, *best)) best = member;
+  }
+  if (best) best->role.write_tried_at = state.now;
+  return best;
+}
+
+void discover_primary(RouterState& state, Group& group) {
+  PrimarySearch& search = group.primary_search;
+  bool is_first = search.started_at == kNever;
+  if (!is_first && state.now - search.started_at < search.interval) return;
+  // Where members check nothing, no write is tried out, so there a first search goes beyond the budget.
+  if (state.settings.checks == Checks::kOff && is_first)
+    state.probe_budget.grant(static_cast<double>(group.members.size()));
+  search.started_at = state.now;
+  search.interval = std::min(search.interval * 2, state.spans.silence * kLongestSearchSilences);
+  for (Member* member : group.members) {
+    if (!may_use(state, *member, Duty::kPrimary)) continue;
+    bool is_due = state.now - member->probing.last_sent_at > member->probing.interval;
+    if (!member->liveness.is_unresponsive() || is_due) send_probe(state, *member);
+  }
+}
+
+void end_primary_search(const RouterState& state, Group& group) {
+  group.primary_search.interval = state.spans.silence;
+}
+
+}  // namespace request_router::internal
--- /dev/null
+++ b/src/request_router/retry_policy.cpp
@@ -0,0 +1,132 @@
+#include "retry_policy.h"
+
+#include <algorithm>
+
+#include "router_state.h"
+
+namespace request_router::internal {
+namespace {
+
+// A read that failed at so many members is not sent again; a request that needs the primary gets one more,
+// because the primary may have changed meanwhile.
+constexpr int kMaxFailures = 2;
+
+// Steps that are kept free at the end of a key's window, for the time until an attempt arrives.
+constexpr int kWindowReserveSteps = 2;
+
+// The share of attempts lost on their way from which late ones are cancelled. Below a hundredth, cancelling
+// would hit more attempts that are merely long than lost ones.
+constexpr double kLossThreshold = 0.01;
+
+// Weight of one attempt in that share. A plain ratio: about the last two hundred attempts count, or a single
+// loss would exceed the threshold for long.
+constexpr double kLossSmoothing = 0.005;
+
+// The next attempt is given so many times the usual latency before the deadline: a sound member mostly
+// answers within that.
+constexpr double kRetryReserveRatio = 2;
+
+// No attempt is cancelled before it has taken so many times its usual latency: hardly any request takes so
+// long by itself, and what takes long by itself would take long again.
+constexpr double kSurelyLateRatio = 5;
+
+// A repeat under a key is sent in the first half of the key's window, the rest is for its own way.
+constexpr int kKeyWindowDivisor = 2;
+
+// The cancelled attempt was lost if it had lasted so many times as long as the next one took.
+constexpr int kFarSoonerRatio = 2;
+
+bool may_have_run(const PendingRequest& pending) {
+  return std::any_of(pending.attempts.begin(), pending.attempts.end(),
+                     [](const Attempt& attempt) { return attempt.is_in_flight || attempt.may_have_run; });
+}
+
+bool may_repeat(const RouterState& state, const PendingRequest& pending) {
+  const RequestClass& request_class = *pending.request_class;
+  if (request_class.effect == Effect::kPure) return true;
+  if (request_class.effect != Effect::kKeyed || request_class.scope == KeyScope::kZone) return false;
+  return state.now - pending.attempts[0].sent_at < request_class.key_window / kKeyWindowDivisor;
+}
+
+// Whether now is the time to cancel an attempt: after it is surely late, and while the next can be in time.
+bool is_time_to_cancel(const RouterState& state, const PendingRequest& pending, Micros sent_at,
+                       Micros usual) {
+  Micros until = pending.full_value_until;
+  if (pending.request_class->late_weight_share > 0 && state.now >= until) until = pending.request.expires;
+  Micros from = std::max(until - scale(usual, kRetryReserveRatio), sent_at + scale(usual, kSurelyLateRatio));
+  return state.now >= from && state.now <= until - usual;
+}
+
+}  // namespace
+
+void CancellationPolicy::record(double lost) { lost_share_ += kLossSmoothing * (lost - lost_share_); }
+
+bool CancellationPolicy::cancels_late_attempts() const { return lost_share_ >= kLossThreshold; }
+
+bool has_failed_at(const PendingRequest& pending, const Member& member) {
+  return std::any_of(pending.attempts.begin(), pending.attempts.end(), [&](const Attempt& attempt) {
+    return attempt.has_failed && attempt.member == member.id;
+  });
+}
+
+bool may_send(const RouterState& state, const PendingRequest& pending) {
+  if (pending.in_flight_count > 0) return false;
+  if (static_cast<int>(pending.attempts.size()) >= state.settings.max_attempts) return false;
+  const RequestClass& request_class = *pending.request_class;
+  auto failures = std::count_if(pending.attempts.begin(), pending.attempts.end(),
+                                [](const Attempt& attempt) { return attempt.has_failed; });
+  if (failures >= kMaxFailures + (pending.needs_primary() ? 1 : 0)) return false;
+  if (request_class.effect == Effect::kPure || !may_have_run(pending)) return true;
+  if (request_class.effect == Effect::kUnsafe || request_class.scope == KeyScope::kZone) return false;
+  auto first = std::find_if(pending.attempts.begin(), pending.attempts.end(),
+                            [](const Attempt& attempt) { return attempt.may_have_run; });
+  if (first == pending.attempts.end()) return true;
+  Micros window = request_class.key_window - state.settings.step * kWindowReserveSteps;
+  return state.now - first->sent_at < window;
+}
+
+bool may_reject(const PendingRequest& pending) {
+  const RequestClass& request_class = *pending.request_class;
+  if (request_class.effect == Effect::kPure || !may_have_run(pending)) return true;
+  return request_class.effect == Effect::kKeyed && request_class.scope == KeyScope::kAll;
+}
+
+Micros start_within(const RouterState& state, const PendingRequest& pending, const Member& member) {
+  Micros notified_at = member.notified_at == kNever ? state.now : member.notified_at;
+  Micros within = Micros::max();
+  if (state.settings.drain_grace.count() > 0) within = notified_at + state.settings.drain_grace - state.now;
+  if (pending.request_class->effect != Effect::kKeyed) return within;
+  Micros window = pending.request_class->key_window - state.settings.step * kWindowReserveSteps;
+  for (const Attempt& attempt : pending.attempts)
+    if (attempt.may_have_run) within = std::min(within, attempt.sent_at + window - state.now);
+  return within;
+}
+
+void cancel_and_retry(RouterState& state, Member& member) {
+  if (!state.settings.cancel || !state.cancellation.cancels_late_attempts()) return;
+  for (InFlightAttempt& attempt : member.in_flight) {
+    auto known = state.pending.find(attempt.id);
+    if (known == state.pending.end() || attempt.cancelled) continue;
+    PendingRequest& pending = known->second;
+    if (!may_repeat(state, pending)) continue;
+    if (static_cast<int>(pending.attempts.size()) + 1 >= state.settings.max_attempts) continue;
+    Micros usual = to_micros(state.average_latency(member, attempt.request_class));
+    if (!is_time_to_cancel(state, pending, attempt.sent_at, usual)) continue;
+    attempt.cancelled = true;
+    pending.attempts[attempt.attempt].is_cancelled = true;
+    state.actions.emplace_back(Cancel{attempt.id, attempt.attempt});
+  }
+}
+
+void record_loss(RouterState& state, const PendingRequest& pending, const Outcome& outcome) {
+  double lost = outcome.status == Status::kTimedOut ? 1 : 0;
+  if (outcome.attempt > 0 && outcome.attempt < static_cast<int>(pending.attempts.size())) {
+    const Attempt& previous = pending.attempts[outcome.attempt - 1];
+    const Attempt& current = pending.attempts[outcome.attempt];
+    if (previous.is_cancelled && outcome.taken * kFarSoonerRatio < current.sent_at - previous.sent_at)
+      lost = 1;
+  }
+  state.cancellation.record(lost);
+}
+
+}  // namespace request_router::internal
--- /dev/null
+++ b/src/request_router/slow_start.cpp
@@ -0,0 +1,128 @@
+#include "slow_start.h"
+
+#include <algorithm>
+#include <cmath>
+
+#include "router_state.h"
+
+namespace request_router::internal {
+namespace {
+
+// Requests that take so many times as long as those of the lightest class are too heavy for a member that is
+// warming up. A ratio of typical latencies: a few heavy ones would use up its share at once.
+constexpr double kHeavyRatio = 3;
+
+// What a replica that is warming up is given at most, as a multiple of its proportional load. The bound for
+// guarantees so wide that the next one would allow more.
+constexpr double kReplicaLoadMultiple = 2.2;
+
+// The same as a fraction of the guaranteed overload multiple. The rest of the guarantee is left for chance:
+// requests do not arrive evenly.
+constexpr double kReplicaGuaranteeFraction = 0.733;
+
+// What a primary that is warming up is given, as a fraction of the guaranteed overload multiple. Less than at
+// a replica, because writes have nowhere else to go and return after each refusal.
+constexpr double kPrimaryGuaranteeFraction = 0.6;
+
+// A member that is tried for writes without being known as the primary is given this part of a primary's.
+constexpr double kUnconfirmedPrimaryFraction = 0.5;
+
+// Requests that waited for the primary are let go over so many times as long as they waited. The waiting
+// requests arrived over one such span; twice that leaves room for those that arrive meanwhile.
+constexpr double kBacklogSpread = 2;
+
+// The usual work is measured over so many overload windows: long enough that a burst of one window hardly
+// changes it.
+constexpr int kUsualWindows = 8;
+
+// Keeps the correction for a short past from dividing by 0 at the first addition.
+constexpr double kLevelOffset = 1.01;
+
+// The sum of a rate that gets 1 in each span is 1 / ln 2: the level is so many times the work of a span.
+constexpr double kLevelPerSpanWork = 1.44;
+
+bool has_tried(const PendingRequest& pending, const Member& member) {
+  return std::any_of(pending.attempts.begin(), pending.attempts.end(),
+                     [&](const Attempt& attempt) { return attempt.member == member.id; });
+}
+
+// What waited until the member led would all come at once; it is spread over a time that the request draws.
+// The draw is told from those for members by inverting the member's id.
+bool waits_for_backlog(const RouterState& state, const Member& member, const PendingRequest& pending) {
+  if (!pending.needs_primary()) return false;
+  double draw = state.deterministic_fraction(pending.request.id, ~member.id);
+  Micros spread = scale(member.role.primary_since - pending.arrived_at, kBacklogSpread * draw);
+  return state.now - member.role.primary_since < spread;
+}
+
+double primary_fraction(const RouterState& state, const Member& member, double share) {
+  double confirmed = member.role.role == Role::kPrimary ? 1 : kUnconfirmedPrimaryFraction;
+  return share * kPrimaryGuaranteeFraction * state.settings.overload_multiple * confirmed;
+}
+
+double replica_fraction(const RouterState& state, const Group& group, double share) {
+  auto listed = std::count_if(group.members.begin(), group.members.end(),
+                              [](const Member* member) { return member->condition != Condition::kGone; });
+  double multiple =
+      std::min(kReplicaLoadMultiple, kReplicaGuaranteeFraction * state.settings.overload_multiple);
+  return share * multiple / std::max(1.0, static_cast<double>(listed) - 1);
+}
+
+// At most 1: how the usual work compares with what arrives of late besides this request.
+double burst_reduction(const RouterState& state, double own_work) {
+  const WorkRate& recent = state.work_rates.recent;
+  double own_level = own_work / (kLevelPerSpanWork * to_double(recent.span()));
+  double others = std::max(0.0, recent.level(state.now) - own_level);
+  if (others <= 0) return 1;
+  return std::min(1.0, state.work_rates.usual.level(state.now) / others);
+}
+
+}  // namespace
+
+void WorkRate::add(Micros now, double work) {
+  if (since_ == kNever) since_ = sum_at_ = now;
+  sum_ = sum_ * weight(sum_at_, now) + work;
+  sum_at_ = now;
+}
+
+double WorkRate::level(Micros now) const {
+  if (since_ == kNever) return 0;
+  return sum_ * weight(sum_at_, now) / (kLevelOffset - weight(since_, now));
+}
+
+double WorkRate::weight(Micros from, Micros to) const {
+  return std::exp2(-to_double(to - from) / to_double(span_));
+}
+
+WorkRates::WorkRates(const Settings& settings)
+    : recent(std::max(settings.overload_window, settings.step)), usual(recent.span() * kUsualWindows) {}
+
+void WorkRates::add(Micros now, double work) {
+  recent.add(now, work);
+  usual.add(now, work);
+}
+
+double capacity_share(const RouterState& state, const Member& member) {
+  Micros warm_up = state.settings.warm_up;
+  if (member.started_at.count() <= 0 || warm_up.count() <= 0) return 1;
+  double age = to_double(state.now - member.started_at) / to_double(warm_up);
+  if (age >= 1) return 1;
+  double initial = state.settings.initial_capacity_share;
+  return initial + (1 - initial) * std::max(0.0, age);
+}
+
+bool slow_start_admits(const RouterState& state, const Group& group, const Member& member,
+                       const PendingRequest& pending) {
+  double share = capacity_share(state, member);
+  if (share >= 1) return true;
+  if (has_tried(pending, member)) return false;
+  double own_work = state.latency.typical(pending.request.request_class);
+  if (own_work > kHeavyRatio * state.latency.least_typical()) return false;
+  if (waits_for_backlog(state, member, pending)) return false;
+  double fraction = pending.needs_primary() ? primary_fraction(state, member, share)
+                                            : replica_fraction(state, group, share);
+  fraction *= burst_reduction(state, own_work);
+  return state.deterministic_fraction(pending.request.id, member.id) < fraction;
+}
+
+}  // namespace request_router::internal
--- /dev/null
+++ b/src/request_router/zone_routing.cpp
@@ -0,0 +1,90 @@
+#include "zone_routing.h"
+
+#include <algorithm>
+#include <numeric>
+#include <utility>
+
+#include "router_state.h"
+
+namespace request_router::internal {
+namespace {
+
+// Shares that add up to more than this leave nothing out: they come as rounded decimal figures.
+constexpr double kCompleteShare = 0.999;
+
+// Weight of one read in the smoothed shares of classes. A plain ratio: about the last hundred reads count,
+// enough that the mix is stable.
+constexpr double kMixSmoothing = 0.01;
+
+// Keeps the rank finite before the first read.
+constexpr double kLeastMix = 1e-9;
+
+// Draws of a request that concern no member: ids from the top of the range stand for the member.
+constexpr MemberId kOwnZoneDraw = ~2U;
+constexpr MemberId kSecondZoneDraw = ~3U;
+constexpr MemberId kRankDraw = ~4U;
+
+// Sorts classes by value for their work, the most valuable first; classes of equal value by their index.
+auto class_order(const RouterState& state, std::size_t request_class) {
+  double weight = state.settings.classes[request_class].priority_weight;
+  return std::pair(-weight / state.latency.typical(request_class), request_class);
+}
+
+}  // namespace
+
+void ZoneRouting::set_plan(const Plan& plan, std::size_t class_count) {
+  plans_ = {plan.groups.begin(), plan.groups.end()};
+  class_mix_.resize(class_count, 0.0);
+}
+
+void ZoneRouting::record_read(std::size_t request_class) {
+  if (plans_.empty()) return;
+  for (std::size_t other = 0; other < class_mix_.size(); ++other) {
+    double arrived = other == request_class ? 1 : 0;
+    class_mix_[other] += kMixSmoothing * (arrived - class_mix_[other]);
+  }
+}
+
+bool ZoneRouting::assign(const RouterState& state, PendingRequest& pending) const {
+  auto plan = plans_.find(pending.request.group);
+  pending.zones = ZoneAssignment{.is_planned = plan != plans_.end() && !pending.needs_primary()};
+  if (!pending.zones.is_planned) return true;
+  double total = 0;
+  for (const ZoneShare& zone : plan->second) total += zone.share;
+  if (total < kCompleteShare && pending.attempts.empty() && rank(state, pending) >= total) return false;
+  double own_draw = state.deterministic_fraction(pending.request.id, kOwnZoneDraw) * total;
+  double second_draw = state.deterministic_fraction(pending.request.id, kSecondZoneDraw);
+  for (const ZoneShare& zone : plan->second) {
+    if (!pending.zones.own) {
+      own_draw -= zone.share;
+      if (own_draw < 0) pending.zones.own = &zone;
+    }
+    if (!pending.zones.second) {
+      second_draw -= zone.spare;
+      if (second_draw < 0) pending.zones.second = &zone;
+    }
+  }
+  return true;
+}
+
+// Where this read stands among all that come, from 0 (the most value for its work) to 1.
+double ZoneRouting::rank(const RouterState& state, const PendingRequest& pending) const {
+  std::size_t own = pending.request.request_class;
+  double before = state.deterministic_fraction(pending.request.id, kRankDraw) * class_mix_[own];
+  for (std::size_t other = 0; other < class_mix_.size(); ++other)
+    if (class_order(state, other) < class_order(state, own)) before += class_mix_[other];
+  return before / std::max(std::accumulate(class_mix_.begin(), class_mix_.end(), 0.0), kLeastMix);
+}
+
+bool is_allowed_by_plan(const PendingRequest& pending, const Member& member) {
+  const ZoneAssignment& zones = pending.zones;
+  if (!zones.is_planned) return true;
+  return (zones.own && zones.own->zone == member.zone) || (zones.second && zones.second->zone == member.zone);
+}
+
+void on_plan(RouterState& state, const Plan& plan) {
+  state.zone_routing.set_plan(plan, state.settings.classes.size());
+  for (auto& [id, group] : state.groups) state.request_decision(group);
+}
+
+}  // namespace request_router::internal
