--- a/include/request_router/router.h
+++ b/include/request_router/router.h
@@ -1,6 +1,8 @@
-// The interface of request_router: what a router is told (settings and events) and what it answers (actions).
-// The library does no I/O and owns no clock: feed it batches of events, carry out the actions it returns.
-// All decisions are made in src/module/decide.cpp.
+// The interface of request_router: settings and events go in, actions come out.
+//
+// The library does no I/O and owns no clock: the caller feeds it batches of events and carries out the
+// actions that it returns. All decisions are made in src/request_router, one module for each rule; the
+// mechanism and its exceptions are described in docs/design/decisions.md.
 #pragma once
 
 #include <chrono>
@@ -19,46 +21,71 @@
 using MemberId = std::uint32_t;            // one database host; the same after its process restarts
 using GroupId = std::int64_t;              // a primary and its replicas
 
-enum class Effect { kPure, kKeyed, kUnsafe };  // may repeat; repeats are discarded; never twice
-enum class KeyScope { kAll, kZone, kGroup };   // who discards the repeats of a keyed class
-enum class ReadLevel { kWrite, kFresh, kSession, kBounded, kAny };  // how current the data must be
-enum class Checks { kOff, kReject, kHold };         // what a member does with a read it is too far behind for
-enum class ListRole { kOff, kInitial, kDelayed };   // what the member list says about roles
-enum class ReportMode { kOff, kInline, kOnProbe };  // where load reports come from
+// Whether a request may be executed twice: without harm; with harm unless the members discard repeats by a
+// key; not at all.
+enum class Effect { kPure, kKeyed, kUnsafe };
+
+// Among which members the repeats of a keyed request are discarded.
+enum class KeyScope { kAll, kZone, kGroup };
+
+// How current the data of a request must be: a write; the newest data; the session's own last write; data
+// within the bound of its class; any data.
+enum class ReadLevel { kWrite, kFresh, kSession, kBounded, kAny };
+
+// What a member does with a read that it is too far behind for: answers it, turns it away, waits to catch up.
+enum class Checks { kOff, kReject, kHold };
+
+// What the member list says about roles: nothing, the role at the start, the role with a delay.
+enum class ListRole { kOff, kInitial, kDelayed };
+
+// Where load reports come from: nowhere, with each answer, with the answer to a probe.
+enum class ReportMode { kOff, kInline, kOnProbe };
+
+// The role of a member in its group.
 enum class Role { kUnknown, kPrimary, kReplica };
+
+// What the member list says of a member: removed, in service, to be given nothing new.
 enum class Condition { kGone, kReady, kDraining };
+
+// What a member list contains: changes only; all members; all members, from a cache; nothing, as the call
+// failed.
 enum class ListKind { kDelta, kFull, kCached, kFailed };
+
+// How an attempt ended.
 enum class Status {
-  kSuccess,
-  kFailure,
-  kOverloaded,
-  kTimedOut,
-  kUnreachable,
-  kBroken,
-  kCancelled,
-  kNotStarted,
-  kDeclined
+  kSuccess,      // answered as asked
+  kFailure,      // answered with an error
+  kOverloaded,   // turned away untouched, the member's queue being full
+  kTimedOut,     // not answered in its time
+  kUnreachable,  // no connection came up; it has not run
+  kBroken,       // the connection broke; it may have run
+  kCancelled,    // cancelled by this router; it may have run
+  kNotStarted,   // never sent
+  kDeclined      // turned away untouched: a write by a replica, a read by a member that is behind
 };
 
+// A kind of request, with what its clients expect.
 struct RequestClass {
   std::string name;
   ReadLevel level = ReadLevel::kAny;
   Effect effect = Effect::kPure;
   KeyScope scope = KeyScope::kAll;
-  Micros latency_objective{0};  // an answer within this earns the full worth
-  Micros deadline{0};           // the client's patience over all its tries
+  Micros latency_objective{0};  // an answer within this earns the full priority weight
+  Micros deadline{0};           // the client's timeout over all its attempts
   Micros bound{0};              // ReadLevel::kBounded: how old the data may be when the request is sent
   Micros key_window{0};         // Effect::kKeyed: how long repeats are discarded
   double priority_weight = 1;
-  double late_weight_share = 0;  // part of the worth that is left after the aim
+  double late_weight_share = 0;  // part of the weight that is left after the latency objective
 };
 
+// One of the parties that share the fleet.
 struct Tenant {
   std::string name;
   double requests_per_second = 0;  // requests a second within its share, over all routers
   double share = 0;
 };
 
+// Everything that a router is told once, when it is made.
 struct Settings {
   std::vector<RequestClass> classes;
   std::vector<Tenant> tenants;
@@ -89,14 +116,17 @@
   double over_quota_weight = 1, cross_zone_fee = 0, probe_fee = 0;
 };
 
+// A load report: what a member says of itself; fields that it does not report are empty.
 struct Report {
   std::optional<Micros> position;  // absolute, on the caller's clock
   std::optional<bool> primary;
   std::optional<double> busy;
-  std::optional<double> held;  // requests that it holds
+  std::optional<double> held;  // requests that it is working on or has in its queue
 };
 
-// events
+// Events.
+
+// A member, as the member list describes it.
 struct MemberEntry {
   MemberId member = 0;
   GroupId group = 0;
@@ -106,10 +136,12 @@
   double weight = 1;
   Micros started_at{0};  // 0: long past
 };
+// A member list has come, or the call for it failed.
 struct MemberList {
   ListKind kind = ListKind::kFull;
   std::vector<MemberEntry> entries;
 };
+// A request has come.
 struct Request {
   RequestId id = 0;
   std::size_t request_class = 0;
@@ -120,6 +152,7 @@
   bool retry = false;
   int tenant = -1;
 };
+// An attempt has ended.
 struct Outcome {
   RequestId id = 0;
   int attempt = 0;
@@ -131,73 +164,89 @@
   std::optional<Micros> position;  // absolute; a write's commit
   Report report;
 };
+// A probe was answered, or has failed.
 struct ProbeResult {
   MemberId member = 0;
   bool ok = false;
   Micros taken{0};
   Report report;
 };
+// The first byte of an answer has come.
 struct StreamStarted {
   RequestId id = 0;
   int attempt = 0;
 };
+// A timer that the router set is due.
 struct TimerFired {
   std::uint64_t key = 0;
 };
+// Another router has sent something.
 struct PeerMessage {
   int from = 0;
   std::string bytes;
 };
+// The client no longer waits for its request.
 struct ClientGone {
   RequestId id = 0;
 };
-// Where the reads of this router's clients go, agreed on by the fleet; it replaces the last one whole. Groups
-// that it does not name, and all of them where it names none, are decided without it. What a group's shares
-// lack to 1 is refused at once, the least worth first.
+// The share of one zone in the reads of a group.
 struct ZoneShare {
   std::string zone;
   double share = 0;  // of the reads: this zone is theirs
   double spare = 0;  // of the reads: this zone is open to them as well, where it costs less or theirs fails
 };
+// Where the reads of this router's clients go, agreed on by the fleet. A plan replaces the last one whole.
+// Groups that it does not name are decided without it. What a group's shares lack to 1 is rejected at once,
+// the reads of least value for their work first.
 struct Plan {
   std::vector<std::pair<GroupId, std::vector<ZoneShare>>> groups;
 };
 using Event = std::variant<MemberList, Request, Outcome, ProbeResult, StreamStarted, TimerFired, PeerMessage,
                            ClientGone, Plan>;
 
-// actions
+// Actions.
+
+// Send the request to the member.
 struct Send {
   RequestId id;
   MemberId member;
   Micros timeout;
   // How long from now the attempt may begin, where its connection has to come up first. One that has not
-  // begun by then is not to be made, and its outcome is Void.
+  // begun by then is not to be made, and its outcome is Status::kNotStarted.
   Micros start_within = Micros::max();
 };
+// Cancel an attempt that is in flight; its outcome is awaited all the same.
 struct Cancel {
   RequestId id;
   int attempt;
 };
+// Answer the request with a rejection: its client may send it again.
 struct Reject {
   RequestId id;
   Micros retry_after;  // 0: no guidance
 };
+// Answer the request with a failure: it may have run.
 struct Fail {
   RequestId id;
 };
+// Probe the member.
 struct Probe {
   MemberId member;
 };
+// Feed back TimerFired with this key after this time.
 struct SetTimer {
   std::uint64_t key;
   Micros after;
 };
+// Ask for member lists.
 struct Subscribe {};
+// Write a line to the log.
 struct Log {
   std::string text;
 };
 using Action = std::variant<Send, Cancel, Reject, Fail, Probe, SetTimer, Subscribe, Log>;
 
+// Decides where requests go: one router, for all groups that its member lists name.
 class Router {
  public:
   // Throws std::invalid_argument, naming the setting, when the settings are impossible.
@@ -209,8 +258,9 @@
   // `now` never falls from one call to the next. Every action takes effect at `now`, in order.
   std::vector<Action> handle(Micros now, const std::vector<Event>& events);
 
-  std::size_t members() const;         // how many it keeps in mind, those that have gone just now included
-  double room(MemberId member) const;  // requests a second that it would send there beside those in flight
+  std::size_t members() const;  // how many it knows, those that have gone a short time ago included
+  double room(MemberId member)
+      const;  // requests a second that it would send there beside those in flight (surplus capacity)
 
  private:
   struct State;
--- a/src/request_router/admission.cpp
+++ b/src/request_router/admission.cpp
@@ -28,15 +28,15 @@
 // The time to come back, in latency objectives of the class: a quarter to three quarters, drawn by request,
 // so that all that were rejected in one trouble do not come back as one.
 constexpr double kLeastRetryAfter = 0.25;
-constexpr double kRetryAfterSpread = 0.5;
+constexpr double kRetryAfterRange = 0.5;
 
 // The draw that decides the time to come back; it concerns no member.
 constexpr MemberId kRetryAfterDraw = ~1U;
 
 // Whether the known primary can serve the requests ahead of this write in the time that it has left. Only a
 // write that is worth something late waits for that.
-bool has_turn_in_time(const RouterState& state, const Group& group, const PendingRequest& pending,
-                      double writes_ahead) {
+bool can_be_served_in_time(const RouterState& state, const Group& group, const PendingRequest& pending,
+                           double writes_ahead) {
   if (pending.request_class->late_weight_share <= 0 || !pending.needs_primary()) return false;
   const Member* primary = find_primary(state, group);
   if (!primary) return false;
@@ -87,7 +87,7 @@
   Micros timeout = pending.request.expires - pending.arrived_at;
   bool has_waited_long = state.now + state.spans.tick >= pending.arrived_at + timeout / kWaitDivisor;
   if (has_waited_long && !has_reached_member(pending) &&
-      !has_turn_in_time(state, group, pending, writes_ahead))
+      !can_be_served_in_time(state, group, pending, writes_ahead))
     return true;
   bool counts_late = pending.request_class->late_weight_share > 0;
   Micros until = counts_late ? pending.request.expires : pending.full_value_until;
@@ -106,10 +106,10 @@
   RequestId id = pending.request.id;
   if (may_reject(pending)) {
     double draw = state.deterministic_fraction(id, kRetryAfterDraw);
-    Micros spread =
-        scale(pending.request_class->latency_objective, kLeastRetryAfter + kRetryAfterSpread * draw);
+    Micros retry_after =
+        scale(pending.request_class->latency_objective, kLeastRetryAfter + kRetryAfterRange * draw);
     Micros most = state.settings.retry_after ? state.settings.max_retry_after : Micros(0);
-    state.actions.emplace_back(Reject{id, std::min(most, spread)});
+    state.actions.emplace_back(Reject{id, std::min(most, retry_after)});
   } else {
     state.actions.emplace_back(Fail{id});
   }
--- a/src/request_router/attempt_lifecycle.cpp
+++ b/src/request_router/attempt_lifecycle.cpp
@@ -34,7 +34,7 @@
 }
 
 // What the outcome tells of the member, whatever the request was.
-void record_member_facts(RouterState& state, Member& member, const Outcome& outcome) {
+void record_member_observations(RouterState& state, Member& member, const Outcome& outcome) {
   if (is_answer(outcome.status) || outcome.status == Status::kBroken) record_response(state, member);
   record_role(state, member, outcome.role, state.now);
   if (outcome.position) record_rounded_position(state, member, *outcome.position);
@@ -116,7 +116,7 @@
   Group& group = state.groups[member.group];
   state.request_decision(group);
   std::optional<InFlightAttempt> attempt = remove_in_flight(member, outcome);
-  record_member_facts(state, member, outcome);
+  record_member_observations(state, member, outcome);
   auto request = state.pending.find(outcome.id);
   PendingRequest* pending = request == state.pending.end() ? nullptr : &request->second;
   if (attempt) record_performance(state, member, *attempt, pending, outcome);
--- a/src/request_router/concurrency_limit.cpp
+++ b/src/request_router/concurrency_limit.cpp
@@ -37,12 +37,12 @@
 constexpr double kMostPressure = 2;
 
 // The limit rises at most half as fast as it falls: too low costs a little waiting, too high costs a queue.
-constexpr double kMostFall = -1;
-constexpr double kMostRise = 0.5;
+constexpr double kMostDecrease = -1;
+constexpr double kMostIncrease = 0.5;
 
 // Requests of all routers that a member holds: with more it is taken to be slow. A count at the member, so it
 // does not scale with the number of routers; each of them has too few in flight to see crowding in its own.
-constexpr double kMaxHeldRequests = 32;
+constexpr double kMaxRequestsAtMember = 32;
 
 // An overloaded member is asked again after so many silences, half of the smallest latency objective.
 constexpr int kOverloadProbeSilences = 4;
@@ -63,8 +63,8 @@
   return std::max(1.0, kInitialTotal / std::max(1, settings.routers));
 }
 
-void record_held_requests(Member& member, double held, Micros now) {
-  member.concurrency.overloaded_at = held > kMaxHeldRequests ? now : kNever;
+void record_request_count(Member& member, double requests, Micros now) {
+  member.concurrency.overloaded_at = requests > kMaxRequestsAtMember ? now : kNever;
 }
 
 void update_concurrency_limit(const RouterState& state, Member& member, const InFlightAttempt& attempt,
@@ -79,7 +79,7 @@
   if (outcome.status != Status::kSuccess && !is_slow) return;
   double observed = latency_in_objectives(outcome, duration, request_class);
   concurrency.pressure += kPressureSmoothing * (observed - concurrency.pressure);
-  double change = std::clamp(1 - concurrency.pressure / kTargetLatencyFraction, kMostFall, kMostRise);
+  double change = std::clamp(1 - concurrency.pressure / kTargetLatencyFraction, kMostDecrease, kMostIncrease);
   // A limit that is hardly used says nothing about a higher one.
   bool is_used = static_cast<double>(member.in_flight.size()) + 1 > concurrency.limit / 2;
   if (change >= 0 && !is_used) return;
--- a/src/request_router/concurrency_limit.h
+++ b/src/request_router/concurrency_limit.h
@@ -28,7 +28,7 @@
 double initial_concurrency_limit(const Settings& settings);
 
 // Takes in how many requests the member says that it holds, of all routers.
-void record_held_requests(Member& member, double held, Micros now);
+void record_request_count(Member& member, double requests, Micros now);
 
 // Takes in how an attempt ended: the limit rises or falls by a small step.
 void update_concurrency_limit(const RouterState& state, Member& member, const InFlightAttempt& attempt,
--- a/src/request_router/member_state.cpp
+++ b/src/request_router/member_state.cpp
@@ -96,7 +96,7 @@
 }
 
 void record_report(RouterState& state, Member& member, const Report& report) {
-  if (report.held) record_held_requests(member, *report.held, state.now);
+  if (report.held) record_request_count(member, *report.held, state.now);
   if (report.position) record_reported_position(state, member, *report.position);
   if (report.primary) {
     Role role = *report.primary ? Role::kPrimary : Role::kReplica;
--- a/src/request_router/replica_selection.cpp
+++ b/src/request_router/replica_selection.cpp
@@ -42,8 +42,14 @@
   Member* member;
 };
 
+// Which of two members of about the same cost goes first.
+bool is_preferred(const Member& member, const Member& other) {
+  if (member.same_zone != other.same_zone) return member.same_zone;
+  return member.preference_order < other.preference_order;
+}
+
 // Of the members of about the least cost, one of the same zone goes first, then this router's own order
-// decides, lest hundreds of routers with the same knowledge choose alike.
+// decides, so that hundreds of routers with the same knowledge do not choose alike.
 Member* least_cost(const std::vector<Candidate>& candidates) {
   double least = 1e300;
   for (const Candidate& candidate : candidates) least = std::min(least, candidate.cost);
@@ -51,13 +57,7 @@
   for (const Candidate& candidate : candidates) {
     Member* member = candidate.member;
     if (candidate.cost > least * kEqualCostRatio) continue;
-    if (!best) {
-      best = member;
-    } else if (member->same_zone != best->same_zone) {
-      if (member->same_zone) best = member;
-    } else if (member->preference_order < best->preference_order) {
-      best = member;
-    }
+    if (!best || is_preferred(*member, *best)) best = member;
   }
   return best;
 }
@@ -71,7 +71,7 @@
         pending_(pending),
         primary_(primary),
         required_(required_position(state, pending)),
-        replica_kept_up_(pending.request_class->level != ReadLevel::kBounded) {}
+        replica_was_current_(pending.request_class->level != ReadLevel::kBounded) {}
 
   Member* select() {
     if (is_long_read())
@@ -135,14 +135,15 @@
     }
   }
 
-  // Notes that there is a replica, and whether it kept up when last heard of; false: not for this read.
+  // Notes that there is a replica, and whether its last known position was within the bound of the read.
+  // False: the plan does not allow it.
   bool consider(const Member& member) {
     if (!is_replica_candidate(member)) return false;
     has_replica_ = true;
     const MemberReplication& replication = member.replication;
-    bool kept_up = replication.position != kNever &&
-                   replication.lag - replication.report_delay <= pending_.request_class->bound;
-    replica_kept_up_ = replica_kept_up_ || kept_up;
+    bool was_current = replication.position != kNever &&
+                       replication.lag - replication.report_delay <= pending_.request_class->bound;
+    replica_was_current_ = replica_was_current_ || was_current;
     return is_allowed_by_plan(pending_, member);
   }
 
@@ -170,11 +171,12 @@
   }
 
   // From when the read may go to the primary. A bounded read stays postponed while every replica truly lags,
-  // until the last moment; where one kept up when last heard of, it need not wait so long.
+  // until the last moment; where the last known position of one was within the bound, it need not wait so
+  // long.
   Micros primary_read_from() const {
     Micros waited =
         pending_.arrived_at + scale(pending_.full_value_until - pending_.arrived_at, kPrimaryReadWait);
-    if (replica_kept_up_) return waited;
+    if (replica_was_current_) return waited;
     double usual = kLastMomentRatio * state_.load(*primary_) *
                    state_.average_latency(*primary_, pending_.request.request_class);
     return std::max(waited, pending_.full_value_until - to_micros(usual));
@@ -187,7 +189,7 @@
   Micros required_;  // the position that the read needs
   std::vector<Candidate> candidates_;
   bool has_replica_ = false;
-  bool replica_kept_up_;  // some replica was within the bound when last heard of
+  bool replica_was_current_;  // some replica was within the bound by its last known position
 };
 
 }  // namespace
--- a/src/request_router/slow_start.cpp
+++ b/src/request_router/slow_start.cpp
@@ -29,7 +29,7 @@
 
 // Requests that waited for the primary are let go over so many times as long as they waited. The waiting
 // requests arrived over one such span; twice that leaves room for those that arrive meanwhile.
-constexpr double kBacklogSpread = 2;
+constexpr double kBacklogDrainRatio = 2;
 
 // The usual work is measured over so many overload windows: long enough that a burst of one window hardly
 // changes it.
@@ -51,8 +51,8 @@
 bool waits_for_backlog(const RouterState& state, const Member& member, const PendingRequest& pending) {
   if (!pending.needs_primary()) return false;
   double draw = state.deterministic_fraction(pending.request.id, ~member.id);
-  Micros spread = scale(member.role.primary_since - pending.arrived_at, kBacklogSpread * draw);
-  return state.now - member.role.primary_since < spread;
+  Micros drain_time = scale(member.role.primary_since - pending.arrived_at, kBacklogDrainRatio * draw);
+  return state.now - member.role.primary_since < drain_time;
 }
 
 double primary_fraction(const RouterState& state, const Member& member, double share) {
--- a/src/request_router/validate.cpp
+++ b/src/request_router/validate.cpp
@@ -10,12 +10,14 @@
   if (!holds) throw std::invalid_argument(std::string("impossible setting: ") + what);
 }
 
-void validate_class(const RequestClass& c) {
-  require(c.latency_objective.count() > 0 && c.deadline >= c.latency_objective,
+void validate_class(const RequestClass& request_class) {
+  require(request_class.latency_objective.count() > 0 &&
+              request_class.deadline >= request_class.latency_objective,
           "a class's aim outside 0..deadline");
-  require(c.bound.count() >= 0, "a negative bound");
-  require(c.priority_weight >= 0, "a negative worth");
-  require(c.effect != Effect::kKeyed || c.key_window.count() > 0, "a keyed class without a key window");
+  require(request_class.bound.count() >= 0, "a negative bound");
+  require(request_class.priority_weight >= 0, "a negative worth");
+  require(request_class.effect != Effect::kKeyed || request_class.key_window.count() > 0,
+          "a keyed class without a key window");
 }
 
 }  // namespace
@@ -31,7 +33,7 @@
   require(settings.drain_grace.count() >= 0 && settings.overload_window.count() >= 0 &&
               settings.warm_up.count() >= 0,
           "negative guarantee");
-  for (auto& c : settings.classes) validate_class(c);
+  for (const auto& request_class : settings.classes) validate_class(request_class);
 }
 
 }  // namespace request_router
