--- /dev/null
+++ b/tests/request_router/failure_detection_test.cpp
@@ -0,0 +1,174 @@
+// Silent members, lost attempts and members that are ejected or forgotten.
+#include "request_router/support.h"
+
+namespace request_router::test {
+namespace {
+
+TEST_F(GroupOfThree, AnUnresponsiveMemberGetsNothingNewUntilItResponds) {
+  auto sends = actions_of<Send>(router.handle(10s + 50ms, {make_request(1, kWrite, 15s)}));
+  ASSERT_EQ(sends.size(), 1U);
+  for (Micros at = 10s + 75ms; at < 11s; at += 25ms)
+    router.handle(at, {TimerFired{1}});  // probes stay unanswered
+  EXPECT_TRUE(actions_of<Send>(router.handle(11s, {make_request(2, kWrite, 15s)})).empty());
+  sends = actions_of<Send>(router.handle(11s + 5ms, {make_probe_result(3, 11s, true)}));
+  ASSERT_EQ(sends.size(), 1U);
+  EXPECT_EQ(sends[0].member, 3U);
+}
+
+// Hundreds of routers that probed and woke on their own cost members more than the requests did.
+TEST_F(GroupOfThree, WithNothingToDoItNeitherProbesNorWakes) {
+  router.handle(10s + 25ms, {TimerFired{1}});
+  for (Micros at = 10s + 50ms; at < 20s; at += 25ms) EXPECT_TRUE(router.handle(at, {TimerFired{1}}).empty());
+}
+
+// Over a slow way every probe takes long; that is no silence once it has been seen.
+TEST_F(GroupOfThree, ASlowPathIsNotTakenForSilence) {
+  auto slow = [](MemberId member, Micros position) {
+    auto result = make_probe_result(member, position, member == 1);
+    result.taken = 150ms;
+    return result;
+  };
+  router.handle(10s + 200ms, {slow(1, 10s + 100ms)});
+  auto sends = actions_of<Send>(router.handle(10s + 250ms, {make_request(1, kWrite, 15s)}));
+  ASSERT_EQ(sends.size(), 1U);
+  std::size_t probes = 0;
+  Micros at = 10s + 275ms;
+  for (; probes == 0 && at < 12s; at += 25ms)
+    probes = actions_of<Probe>(router.handle(at, {TimerFired{1}})).size();
+  ASSERT_EQ(probes, 1U) << "its answer is overdue";
+  Micros probed_at = at - 25ms;
+  router.handle(probed_at + 300ms, {TimerFired{1}});
+  EXPECT_EQ(actions_of<Send>(router.handle(probed_at + 300ms, {make_request(2, kWrite, 15s)})).size(), 1U);
+}
+
+// A read that was out when its member fell silent waited there until the client gave up.
+TEST_F(GroupOfThree, AReadInFlightAtAnUnresponsiveMemberIsCancelledAndServedElsewhere) {
+  auto sends = actions_of<Send>(router.handle(10s + 50ms, {make_request(1, kAny, 12s)}));
+  ASSERT_EQ(sends.size(), 1U);
+  std::vector<Cancel> back;
+  Micros at = 10s + 75ms;
+  for (; back.empty() && at < 11s; at += 25ms) back = actions_of<Cancel>(router.handle(at, {TimerFired{1}}));
+  ASSERT_EQ(back.size(), 1U);
+  EXPECT_EQ(back[0].id, 1U);
+  EXPECT_LT(at, 10s + 400ms) << "while it can still be in time";
+  auto again = actions_of<Send>(router.handle(at, {make_outcome(sends[0], 0, Status::kCancelled)}));
+  ASSERT_EQ(again.size(), 1U);
+  EXPECT_NE(again[0].member, sends[0].member);
+}
+
+// A read out on a connection that had fallen silent was waited for until its client gave up: its member
+// answers probes all the while.
+TEST_F(GroupOfThree, WhereAttemptsAreLostLateOnesAreCancelledInTime) {
+  auto run = [](bool vanish) {
+    Router fresh_router(default_settings(), 7);
+    fresh_router.handle(10s, {make_list(ListKind::kFull, {make_entry(1, true), make_entry(2)})});
+    Micros now = 10s + 5ms;
+    int cancels = 0;
+    for (RequestId id = 1; id <= 400; ++id, now += 50ms) {
+      fresh_router.handle(now, {make_probe_result(1, now, true), make_probe_result(2, now, false)});
+      for (auto& send : actions_of<Send>(fresh_router.handle(now, {make_request(id, kBounded, now + 1s)}))) {
+        bool lost = vanish && id % 20 == 0;
+        auto ended = make_outcome(send, 0, lost ? Status::kTimedOut : Status::kSuccess);
+        ended.taken = 20ms;
+        for (Micros at = now + 30ms; lost && at < now + 1s; at += 30ms) {
+          auto actions = fresh_router.handle(
+              at, {TimerFired{1}, make_probe_result(1, at, true), make_probe_result(2, at, false)});
+          auto called = actions_of<Cancel>(actions);
+          if (called.empty()) continue;
+          ++cancels;
+          EXPECT_LT(at, now + 400ms) << "too late for another";
+          auto again = actions_of<Send>(fresh_router.handle(at, {make_outcome(send, 0, Status::kCancelled)}));
+          EXPECT_EQ(again.size(), 1U);
+          for (auto& second : again) {
+            auto served = make_outcome(second, 1, Status::kSuccess);
+            served.taken = 20ms;
+            fresh_router.handle(at + 20ms, {served});
+          }
+          break;
+        }
+        now += lost ? Micros(1s) : Micros(20ms);
+        fresh_router.handle(now, {ended});
+      }
+    }
+    return cancels;
+  };
+  EXPECT_EQ(run(false), 0);
+  EXPECT_GT(run(true), 5);
+}
+
+// Plays reads that fail where `bad` says so; returns how many of the later ones are first sent to member 2.
+template <typename Bad>
+int first_sent_to_two(Router& router, Bad bad) {
+  int to_two = 0;
+  RequestId id = 1;
+  for (Micros at = 10s + 50ms; at < 11s; at += 5ms, ++id) {
+    auto sends = actions_of<Send>(router.handle(at, {make_request(id, kAny, at + 2s)}));
+    if (!sends.empty() && sends[0].member == 2 && at > 10s + 500ms) ++to_two;
+    for (int attempt = 0; !sends.empty(); ++attempt) {
+      bool failed = bad(sends[0].member, id);
+      sends = actions_of<Send>(router.handle(
+          at,
+          {make_outcome(sends[0], attempt, failed ? Status::kFailure : Status::kSuccess, Role::kReplica)}));
+    }
+  }
+  return to_two;
+}
+
+TEST_F(GroupOfThree, AReplicaThatFailsMoreThanItsPeersIsEjected) {
+  EXPECT_EQ(first_sent_to_two(router, [](MemberId member, RequestId) { return member == 2; }), 0);
+}
+
+// Errors that came with the request, alike at every member, once made each router eject members in turn.
+TEST(OutlierEjection, ErrorsThatFollowTheRequestEjectNoMemberAndEndItsRetries) {
+  int to_two = 0, attempts = 0;
+  for (std::uint64_t seed = 1; seed <= 8; ++seed) {
+    Router router(default_settings(), seed);
+    router.handle(10s, {make_list(ListKind::kFull, {make_entry(1, true), make_entry(2), make_entry(3)})});
+    router.handle(10s + 5ms, {make_probe_result(1, 10s, true), make_probe_result(2, 9990ms, false),
+                              make_probe_result(3, 9990ms, false)});
+    to_two += first_sent_to_two(router, [&](MemberId, RequestId id) { return id % 2 == 0 && ++attempts; });
+  }
+  EXPECT_GT(to_two, 100) << "half of the routers prefer member 2";
+  EXPECT_LE(attempts, 2 * 8 * 95) << "two members are probed_at, no more";
+}
+
+// Members full of connections answered every probe, and were tried again at once by a thousand routers.
+TEST_F(GroupOfThree, AnUnreachableReplicaIsLeftAloneThoughItAnswersProbes) {
+  auto sends = actions_of<Send>(router.handle(10s + 50ms, {make_request(1, kAny, 12s)}));
+  ASSERT_EQ(sends.size(), 1U);
+  auto shut = sends[0].member;
+  router.handle(10s + 55ms, {make_outcome(sends[0], 0, Status::kUnreachable)});
+  router.handle(10s + 60ms, {make_probe_result(shut, 10s + 50ms, false)});
+  for (RequestId id = 2; id < 8; ++id)
+    for (auto& send : actions_of<Send>(
+             router.handle(10s + 60ms + 5ms * static_cast<int>(id), {make_request(id, kAny, 12s)})))
+      EXPECT_NE(send.member, shut);
+}
+
+// Every choice looked through all members there ever were.
+TEST_F(GroupOfThree, MembersThatAreGoneForLongAreForgotten) {
+  Micros now = 11s;
+  for (MemberId member = 10; member < 500; ++member, now += 1s) {
+    router.handle(now, {make_list(ListKind::kDelta, {make_entry(member)})});
+    router.handle(now + 500ms, {make_list(ListKind::kDelta, {make_entry(member, false, Condition::kGone)})});
+    EXPECT_LT(router.members(), 30U);
+  }
+  router.handle(now, {make_probe_result(2, now, false)});
+  EXPECT_EQ(actions_of<Send>(router.handle(now, {make_request(1, kBounded, now + 2s)})).size(), 1U);
+  // One that comes back is new.
+  router.handle(now, {make_list(ListKind::kDelta, {make_entry(10)})});
+  router.handle(now + 1s, {make_list(ListKind::kDelta, {make_entry(10, false, Condition::kGone)})});
+  EXPECT_LT(router.members(), 30U);
+}
+
+TEST_F(GroupOfThree, EventsOfUnknownOrEndedRequestsAreIgnored) {
+  Send never{77, 2, 0ms};
+  auto actions =
+      router.handle(10s + 10ms, {make_outcome(never, 3, Status::kFailure), ClientGone{99}, TimerFired{5},
+                                 make_probe_result(44, 1s, true), StreamStarted{1, 1}, PeerMessage{2, "x"}});
+  EXPECT_TRUE(actions_of<Send>(actions).empty());
+  EXPECT_TRUE(actions_of<Fail>(actions).empty());
+}
+
+}  // namespace
+}  // namespace request_router::test
--- a/tests/request_router/many_routers.h
+++ b/tests/request_router/many_routers.h
@@ -12,6 +12,7 @@
 
 namespace request_router::test {
 
+// A member as it is, whatever the routers know of it.
 struct FleetMember {
   GroupId group = 0;
   bool primary = false, up = true;
@@ -20,52 +21,54 @@
   Micros lag = 10ms, work = 8ms;
 };
 
+// Routers, members and the requests between them.
 class Fleet {
  public:
   struct Count {
-    int sends = 0, probes = 0, served = 0, missed = 0, failed = 0, unreachable = 0;
+    int sends = 0, probes = 0, served = 0, declined = 0, failed = 0, unreachable = 0;
   };
 
-  Fleet(Settings s, int routers, int groups, int each, std::uint64_t seed)
-      : settings_(std::move(s)), random_(seed), routers_(routers) {
+  Fleet(Settings settings, int routers, int groups, int each, std::uint64_t seed)
+      : settings_(std::move(settings)), random_(seed), routers_(routers) {
     settings_.routers = routers;
     MemberId id = 1;
-    for (int g = 0; g < groups; ++g)
+    for (int group = 0; group < groups; ++group)
       for (int i = 0; i < each; ++i) {
-        FleetMember m;
-        m.group = g;
-        m.primary = i == static_cast<int>(random_() % static_cast<unsigned>(each));
-        members[id++] = m;
+        FleetMember member;
+        member.group = group;
+        member.primary = i == static_cast<int>(random_() % static_cast<unsigned>(each));
+        members[id++] = member;
       }
-    for (int g = 0; g < groups; ++g) lead(g);
-    for (int r = 0; r < routers; ++r) start(r);
+    for (int group = 0; group < groups; ++group) elect_primary(group);
+    for (int router = 0; router < routers; ++router) start(router);
   }
 
   // Forgets all that router `r` knew; it gets the list as it is.
-  void start(int r) {
-    settings_.ordinal = r;
-    live_[r] = std::make_unique<Router>(settings_, random_());
-    ++life_[r];
-    feed(r, list(ListKind::kCached, entries()));
+  void start(int router) {
+    settings_.ordinal = router;
+    live_[router] = std::make_unique<Router>(settings_, random_());
+    ++life_[router];
+    feed(router, make_list(ListKind::kCached, entries()));
   }
   std::vector<MemberEntry> entries() const {
     std::vector<MemberEntry> all;
-    for (auto& [id, m] : members) {
-      auto e = entry(id, false, Condition::kReady, m.started_at);
-      e.group = m.group;
-      all.push_back(e);
+    for (auto& [id, member] : members) {
+      auto listed = make_entry(id, false, Condition::kReady, member.started_at);
+      listed.group = member.group;
+      all.push_back(listed);
     }
     return all;
   }
-  void tell_all(const MemberList& told) {
-    for (int r = 0; r < routers_; ++r) feed(r, told);
+  void notify_all(const MemberList& list) {
+    for (int router = 0; router < routers_; ++router) feed(router, list);
   }
-  void lead(GroupId group) {  // exactly one member of the group is its primary
+  void elect_primary(GroupId group) {  // exactly one member of the group is its primary
     bool has = false;
-    for (auto& [id, m] : members)
-      if (m.group == group) has = std::exchange(m.primary, m.primary && m.up && !has) && m.up ? true : has;
-    for (auto& [id, m] : members)
-      if (m.group == group && m.up && !has) has = m.primary = true;
+    for (auto& [id, member] : members)
+      if (member.group == group)
+        has = std::exchange(member.primary, member.primary && member.up && !has) && member.up ? true : has;
+    for (auto& [id, member] : members)
+      if (member.group == group && member.up && !has) has = member.primary = true;
   }
 
   // `requests_per_second` requests over all routers and groups, `writes` of them keyed writes, the rest
@@ -74,13 +77,13 @@
     auto until = now + span;
     std::exponential_distribution<double> gap(requests_per_second / 1e6);
     for (auto at = now + micros(gap(random_)); at < until; at += micros(gap(random_))) {
-      auto r = static_cast<int>(random_() % static_cast<unsigned>(routers_));
+      auto router = static_cast<int>(random_() % static_cast<unsigned>(routers_));
       auto request_class = chance() < writes ? kKeyedWrite : kBounded;
-      Request q = request(++last_, request_class, at + settings_.classes[request_class].deadline);
-      q.group = static_cast<GroupId>(random_() % static_cast<unsigned>(groups()));
-      if (only >= 0) q.group = q.group / 3 * 3 + only;
-      plan(at, r, q);
-      ++asked;
+      Request request = make_request(++last_, request_class, at + settings_.classes[request_class].deadline);
+      request.group = static_cast<GroupId>(random_() % static_cast<unsigned>(groups()));
+      if (only >= 0) request.group = request.group / 3 * 3 + only;
+      plan(at, router, request);
+      ++requested;
     }
     run(until);
   }
@@ -106,17 +109,17 @@
     }
     return static_cast<int>(most);
   }
-  int asked = 0, refused = 0, failed = 0, served = 0;
+  int requested = 0, rejected = 0, failed = 0, served = 0;
   int only = -1;  // where not below 0: load comes for each third group only, from this one on
-  int refused_of(int third) const { return refused_of_[third]; }
+  int rejected_of(int third) const { return rejected_of_[third]; }
   Micros now = 10s;
   Count total() const {
-    Count t;
-    for (auto& [id, c] : counts) {
-      t.sends += c.sends, t.probes += c.probes, t.served += c.served;
-      t.missed += c.missed, t.failed += c.failed, t.unreachable += c.unreachable;
+    Count sum;
+    for (auto& [id, count] : counts) {
+      sum.sends += count.sends, sum.probes += count.probes, sum.served += count.served;
+      sum.declined += count.declined, sum.failed += count.failed, sum.unreachable += count.unreachable;
     }
-    return t;
+    return sum;
   }
 
  private:
@@ -125,54 +128,58 @@
     std::uint64_t order;
     int router, life;
     Event event;
-    bool operator<(const Due& o) const { return at != o.at ? at > o.at : order > o.order; }
+    bool operator<(const Due& other) const { return at != other.at ? at > other.at : order > other.order; }
   };
-  static Micros micros(double us) { return Micros(static_cast<std::int64_t>(us)); }
+  static Micros micros(double microseconds) { return Micros(static_cast<std::int64_t>(microseconds)); }
   double chance() { return std::uniform_real_distribution<double>()(random_); }
   int groups() const { return static_cast<int>(members.rbegin()->second.group) + 1; }
-  void plan(Micros at, int r, Event e) { due_.push({at, ++order_, r, life_[r], std::move(e)}); }
+  void plan(Micros at, int router, Event event) {
+    due_.push({at, ++order_, router, life_[router], std::move(event)});
+  }
 
-  void feed(int r, const Event& event) {
-    if (auto* asks = std::get_if<Request>(&event))
-      classes_[asks->id] = asks->request_class, groups_[asks->id] = asks->group;
-    for (auto& action : live_[r]->handle(now, {event})) {
-      if (auto* send = std::get_if<Send>(&action)) answer(r, *send);
-      if (auto* probe = std::get_if<Probe>(&action)) answer(r, *probe);
-      if (auto* timer = std::get_if<SetTimer>(&action)) plan(now + timer->after, r, TimerFired{timer->key});
-      if (auto* reject = std::get_if<Reject>(&action)) ++refused, ++refused_of_[groups_.at(reject->id) % 3];
+  void feed(int router, const Event& event) {
+    if (const auto* request = std::get_if<Request>(&event))
+      classes_[request->id] = request->request_class, groups_[request->id] = request->group;
+    for (auto& action : live_[router]->handle(now, {event})) {
+      if (auto* send = std::get_if<Send>(&action)) answer(router, *send);
+      if (auto* probe = std::get_if<Probe>(&action)) answer(router, *probe);
+      if (auto* timer = std::get_if<SetTimer>(&action))
+        plan(now + timer->after, router, TimerFired{timer->key});
+      if (auto* reject = std::get_if<Reject>(&action)) ++rejected, ++rejected_of_[groups_.at(reject->id) % 3];
       if (std::get_if<Fail>(&action)) ++failed;
     }
   }
-  void answer(int r, const Send& send) {
-    auto& m = members.at(send.member);
-    auto& c = counts[send.member];
-    Outcome o = outcome(send, attempts_[send.id]++, Status::kSuccess);
-    o.role = m.primary ? Role::kPrimary : Role::kReplica;
-    o.position = m.primary ? now : now - m.lag;
-    o.taken = micros(static_cast<double>(m.work.count()) * (0.5 + chance()));
+  void answer(int router, const Send& send) {
+    auto& member = members.at(send.member);
+    auto& count = counts[send.member];
+    Outcome ended = make_outcome(send, attempts_[send.id]++, Status::kSuccess);
+    ended.role = member.primary ? Role::kPrimary : Role::kReplica;
+    ended.position = member.primary ? now : now - member.lag;
+    ended.taken = micros(static_cast<double>(member.work.count()) * (0.5 + chance()));
     bool write = classes_.at(send.id) == kKeyedWrite;
-    ++c.sends;
+    ++count.sends;
     arrivals[send.member].push_back(now);
-    if (!m.up) {
-      o.status = Status::kUnreachable, o.taken = 1ms, o.role = Role::kUnknown, o.position.reset(),
-      ++c.unreachable;
-    } else if ((write && !m.primary) || (!write && !m.primary && m.lag > settings_.classes[kBounded].bound)) {
-      o.status = Status::kDeclined, o.taken = 1ms, ++c.missed;
-    } else if (chance() < m.errors) {
-      o.status = Status::kFailure, o.taken = 1ms, ++c.failed;
+    if (!member.up) {
+      ended.status = Status::kUnreachable, ended.taken = 1ms, ended.role = Role::kUnknown,
+      ended.position.reset(), ++count.unreachable;
+    } else if ((write && !member.primary) ||
+               (!write && !member.primary && member.lag > settings_.classes[kBounded].bound)) {
+      ended.status = Status::kDeclined, ended.taken = 1ms, ++count.declined;
+    } else if (chance() < member.errors) {
+      ended.status = Status::kFailure, ended.taken = 1ms, ++count.failed;
     } else {
-      ++c.served, ++served;
+      ++count.served, ++served;
     }
-    o.closed = o.status == Status::kSuccess;
-    plan(now + o.taken, r, o);
+    ended.closed = ended.status == Status::kSuccess;
+    plan(now + ended.taken, router, ended);
   }
-  void answer(int r, const Probe& probe) {
-    auto& m = members.at(probe.member);
+  void answer(int router, const Probe& probe) {
+    auto& member = members.at(probe.member);
     ++counts[probe.member].probes;
     arrivals[probe.member].push_back(now);
-    auto p = probed(probe.member, m.primary ? now : now - m.lag, m.primary);
-    p.ok = m.up;
-    plan(now + 1ms, r, p);
+    auto result = make_probe_result(probe.member, member.primary ? now : now - member.lag, member.primary);
+    result.ok = member.up;
+    plan(now + 1ms, router, result);
   }
 
   Settings settings_;
@@ -184,7 +191,7 @@
   std::map<RequestId, int> attempts_;
   std::map<RequestId, std::size_t> classes_;
   std::map<RequestId, GroupId> groups_;
-  int refused_of_[3] = {0, 0, 0};
+  int rejected_of_[3] = {0, 0, 0};
   RequestId last_ = 0;
   std::uint64_t order_ = 0;
 };
--- a/tests/request_router/many_routers_test.cpp
+++ b/tests/request_router/many_routers_test.cpp
@@ -11,100 +11,105 @@
 constexpr double kPerSecond = 1500;  // 15 a second at each router: it meets a group less than once a second
 
 Settings fleet_settings() {
-  auto s = settings(Checks::kReject);
-  for (auto& c : s.classes) c.latency_objective = 150ms, c.deadline = 700ms;
-  s.classes[kKeyedWrite].latency_objective = 360ms;
-  s.classes[kKeyedWrite].deadline = 1700ms;
-  s.classes[kKeyedWrite].key_window = 5s;
-  s.list_role = ListRole::kOff;
-  s.max_attempts = 8;
-  s.probe_fee = 0.08;
-  return s;
+  Settings settings = default_settings(Checks::kReject);
+  for (auto& request_class : settings.classes) {
+    request_class.latency_objective = 150ms;
+    request_class.deadline = 700ms;
+  }
+  settings.classes[kKeyedWrite].latency_objective = 360ms;
+  settings.classes[kKeyedWrite].deadline = 1700ms;
+  settings.classes[kKeyedWrite].key_window = 5s;
+  settings.list_role = ListRole::kOff;
+  settings.max_attempts = 8;
+  settings.probe_fee = 0.08;
+  return settings;
 }
-struct AFleet : ::testing::Test {
-  AFleet() { RecordProperty("seed", static_cast<int>(kSeed)); }
+struct HundredRouters : ::testing::Test {
+  HundredRouters() { RecordProperty("seed", static_cast<int>(kSeed)); }
   Fleet fleet{fleet_settings(), kRouters, kGroups, kEach, kSeed};
 };
 
 // Each router probed every member of a group whose primary it did not know: 3.7 probes a request.
-TEST_F(AFleet, AllThatStartTogetherLearnTheRolesFromWorkNotProbes) {
+TEST_F(HundredRouters, RoutersThatStartTogetherLearnRolesFromAnswersRatherThanProbes) {
   fleet.load(1s, kPerSecond, 0.2);
   auto first = fleet.total();
-  EXPECT_LT(first.probes, fleet.asked / 5);
-  for (auto& [id, c] : fleet.counts) EXPECT_LT(c.probes, 25) << "on member " << id << " in its first second";
+  EXPECT_LT(first.probes, fleet.requested / 5);
+  for (auto& [id, count] : fleet.counts)
+    EXPECT_LT(count.probes, 25) << "on member " << id << " in its first second";
   fleet.load(4s, kPerSecond, 0.2);
   fleet.run(fleet.now + 2s);
-  EXPECT_LT(fleet.total().probes, fleet.asked / 8);
-  EXPECT_GT(fleet.served, fleet.asked * 97 / 100);
+  EXPECT_LT(fleet.total().probes, fleet.requested / 8);
+  EXPECT_GT(fleet.served, fleet.requested * 97 / 100);
 }
 
 // A list that is out of date names members that have gone: asking them again brings nothing.
-TEST_F(AFleet, ServersThatAreGoneAreNotProbedWithoutEnd) {
+TEST_F(HundredRouters, MembersThatDoNotAnswerAreNotProbedWithoutEnd) {
   fleet.load(2s, kPerSecond, 0.2);
   auto before = fleet.total();
-  int asked = fleet.asked;
-  for (auto& [id, m] : fleet.members)
-    if (m.group % 2 == 0) m.up = false;
+  int requested = fleet.requested;
+  for (auto& [id, member] : fleet.members)
+    if (member.group % 2 == 0) member.up = false;
   fleet.load(3s, kPerSecond, 0.2);
-  EXPECT_LT(fleet.total().probes - before.probes, (fleet.asked - asked) / 6);
+  EXPECT_LT(fleet.total().probes - before.probes, (fleet.requested - requested) / 6);
 }
 
-// Where most members are new and cold, each router let in too little, counted what it had refused as work
+// Where most members are warming up, each router admitted too little, counted what it had rejected as work
 // that is no longer done, and let in less. All of them together must still stay under what pushes a member
 // over.
-TEST_F(AFleet, MembersThatAreAllNewAndColdAreUsedAndNotPushedOver) {
+TEST_F(HundredRouters, MembersThatAllWarmUpAreUsedAndNotOverloaded) {
   fleet.load(3s, kPerSecond, 0.2);
-  for (auto& [id, m] : fleet.members) m.started_at = fleet.now;
-  fleet.tell_all(list(ListKind::kFull, fleet.entries()));
-  int served = fleet.served, asked = fleet.asked;
+  for (auto& [id, member] : fleet.members) member.started_at = fleet.now;
+  fleet.notify_all(make_list(ListKind::kFull, fleet.entries()));
+  int served = fleet.served, requested = fleet.requested;
   fleet.load(3s, kPerSecond, 0.2);  // a quarter of their capacity, 0.48 at the end
-  EXPECT_GT(fleet.served - served, (fleet.asked - asked) * 4 / 10);
+  EXPECT_GT(fleet.served - served, (fleet.requested - requested) * 4 / 10);
   // A third of a group's reads and all its writes are a warm member's most; that is 0.7 of what it can do.
   double warm = kPerSecond / kGroups * (0.8 / 2 + 0.2), window = 2, share = 0.25 + 0.75 * 0.3;
-  for (auto& [id, m] : fleet.members) {
+  for (auto& [id, member] : fleet.members) {
     auto& all = fleet.arrivals[id];
-    all.erase(all.begin(), std::lower_bound(all.begin(), all.end(), m.started_at));
+    all.erase(all.begin(), std::lower_bound(all.begin(), all.end(), member.started_at));
     EXPECT_LT(fleet.most_within(id, 2s), warm / 0.7 * window * share * 3) << id;
   }
 }
 
 // A write whose group elects a primary had its six tries within a tenth of a second.
-TEST_F(AFleet, WritesOutliveAnElection) {
+TEST_F(HundredRouters, MostWritesSurviveAnElection) {
   fleet.load(3s, kPerSecond, 0.2);
-  for (auto& [id, m] : fleet.members) m.primary = false;
-  int served = fleet.served, asked = fleet.asked;
+  for (auto& [id, member] : fleet.members) member.primary = false;
+  int served = fleet.served, requested = fleet.requested;
   fleet.load(400ms, kPerSecond, 1);
-  for (GroupId g = 0; g < kGroups; ++g) fleet.lead(g);
+  for (GroupId group = 0; group < kGroups; ++group) fleet.elect_primary(group);
   fleet.run(fleet.now + 3s);
-  EXPECT_GT(fleet.served - served, (fleet.asked - asked) * 6 / 10);
+  EXPECT_GT(fleet.served - served, (fleet.requested - requested) * 6 / 10);
 }
 
 // One set in trouble made every router refuse part of what came for all the others, of which it sees little.
-TEST_F(AFleet, TroubleInSomeGroupsHasNothingRefusedInTheOthers) {
-  for (auto& [id, m] : fleet.members) m.work = m.group % 3 == 0 ? 400ms : 8ms;  // over the aim of 150 ms
+TEST_F(HundredRouters, SlowGroupsCauseNoRejectionsInOthers) {
+  for (auto& [id, member] : fleet.members)
+    member.work = member.group % 3 == 0 ? 400ms : 8ms;  // over the latency objective of 150 ms
   fleet.load(4s, kPerSecond, 0.2);
-  int refused = fleet.refused_of(1), asked = fleet.asked;
+  int rejected = fleet.rejected_of(1), requested = fleet.requested;
   fleet.only = 1;  // groups 1, 4, 7, ...
   fleet.load(1s, kPerSecond / 3, 0.2);
-  EXPECT_LT(fleet.refused_of(1) - refused, (fleet.asked - asked) / 50);
+  EXPECT_LT(fleet.rejected_of(1) - rejected, (fleet.requested - requested) / 50);
 }
 
-// One time to come back for all that were refused at once would bring all of them back at once.
-TEST(Refusals, ComeBackTimesAreSpread) {
-  auto s = fleet_settings();
-  Router router(s, kSeed);
-  auto e = entry(1);
+// One Retry-After for all requests that are rejected at once would bring all of them back at once.
+TEST(Rejections, RetryAfterTimesDiffer) {
+  auto settings = fleet_settings();
+  Router router(settings, kSeed);
+  auto listed = make_entry(1);
   std::set<Micros> times;
-  router.handle(10s, {list(ListKind::kFull, {e})});
+  router.handle(10s, {make_list(ListKind::kFull, {listed})});
   for (RequestId id = 1; id <= 20; ++id) {
-    auto q = request(id, kBounded, 10s + 700ms);
-    q.group = 99;  // no such group: refused at once
-    for (auto& reject : only<Reject>(router.handle(10s, {q}))) times.insert(reject.retry_after);
+    auto request = make_request(id, kBounded, 10s + 700ms);
+    request.group = 99;  // no such group: rejected at once
+    for (auto& reject : actions_of<Reject>(router.handle(10s, {request}))) times.insert(reject.retry_after);
   }
-  EXPECT_GT(times.size(), 15u);
-  for (auto t : times) {
-    EXPECT_GE(t, 37ms);
-    EXPECT_LE(t, 113ms);
+  EXPECT_GT(times.size(), 15U);
+  for (auto time : times) {
+    EXPECT_GE(time, 37ms);
+    EXPECT_LE(time, 113ms);
   }
 }
 
--- a/tests/request_router/support.h
+++ b/tests/request_router/support.h
@@ -1,9 +1,12 @@
-// Settings and shorthands shared by the tests of the module. No servers and no load are modelled.
+// Settings, events and fixtures shared by the tests of the decision module. No servers and no load are
+// modelled.
 #pragma once
 
 #include <gtest/gtest.h>
 
 #include <chrono>
+#include <optional>
+#include <utility>
 #include <vector>
 
 #include "request_router/router.h"
@@ -12,102 +15,139 @@
 
 using namespace std::chrono_literals;
 
+// Indices of the request classes in `default_settings`.
 enum Class : std::size_t { kAny, kBounded, kSession, kFresh, kWrite, kKeyedWrite };
 
-inline Settings settings(Checks checks = Checks::kOff) {
-  auto request_class = [](const char* name, ReadLevel level, Effect effect) {
-    RequestClass c;
-    c.name = name;
-    c.level = level;
-    c.effect = effect;
-    c.scope = KeyScope::kGroup;
-    c.latency_objective = 400ms;
-    c.deadline = 2s;
-    c.bound = level == ReadLevel::kBounded ? 300ms : 0ms;
-    c.key_window = 1s;
-    c.late_weight_share = level == ReadLevel::kWrite ? 0.5 : 0;
-    return c;
-  };
-  Settings s;
-  s.classes = {request_class("any", ReadLevel::kAny, Effect::kPure),
-               request_class("bounded", ReadLevel::kBounded, Effect::kPure),
-               request_class("session", ReadLevel::kSession, Effect::kPure),
-               request_class("fresh", ReadLevel::kFresh, Effect::kPure),
-               request_class("write", ReadLevel::kWrite, Effect::kUnsafe),
-               request_class("keyed", ReadLevel::kWrite, Effect::kKeyed)};
-  s.step = 5ms;
-  s.checks = checks;
-  s.positions = true;
-  s.client_carries_write_age = true;
-  s.report_position = s.report_role = true;
-  s.reports = ReportMode::kOnProbe;
-  s.list_role = ListRole::kInitial;
-  s.probes = s.cancel = s.retry_after = true;
-  s.max_attempts = 6;
-  s.max_retry_after = 1s;
-  s.answer_slack = 20ms;
-  s.drain_grace = 500ms;
-  s.overload_window = 2s;
-  s.warm_up = 10s;
-  s.initial_capacity_share = 0.25;
-  s.overload_multiple = 3;
-  return s;
+// A class with a latency objective of 400 ms and a deadline of 2 s.
+inline RequestClass make_class(const char* name, ReadLevel level, Effect effect) {
+  RequestClass made;
+  made.name = name;
+  made.level = level;
+  made.effect = effect;
+  made.scope = KeyScope::kGroup;
+  made.latency_objective = 400ms;
+  made.deadline = 2s;
+  made.bound = level == ReadLevel::kBounded ? 300ms : 0ms;
+  made.key_window = 1s;
+  made.late_weight_share = level == ReadLevel::kWrite ? 0.5 : 0;
+  return made;
 }
 
-inline MemberEntry entry(MemberId member, bool primary = false, Condition condition = Condition::kReady,
-                         Micros started_at = 0ms) {
-  MemberEntry e;
-  e.member = member;
-  e.group = 1;
-  e.primary = primary;
-  e.condition = condition;
-  e.started_at = started_at;
-  return e;
+// One router with probes, cancellation and positions; each class of `Class`.
+inline Settings default_settings(Checks checks = Checks::kOff) {
+  Settings settings;
+  settings.classes = {make_class("any", ReadLevel::kAny, Effect::kPure),
+                      make_class("bounded", ReadLevel::kBounded, Effect::kPure),
+                      make_class("session", ReadLevel::kSession, Effect::kPure),
+                      make_class("fresh", ReadLevel::kFresh, Effect::kPure),
+                      make_class("write", ReadLevel::kWrite, Effect::kUnsafe),
+                      make_class("keyed", ReadLevel::kWrite, Effect::kKeyed)};
+  settings.step = 5ms;
+  settings.checks = checks;
+  settings.positions = true;
+  settings.client_carries_write_age = true;
+  settings.report_position = settings.report_role = true;
+  settings.reports = ReportMode::kOnProbe;
+  settings.list_role = ListRole::kInitial;
+  settings.probes = settings.cancel = settings.retry_after = true;
+  settings.max_attempts = 6;
+  settings.max_retry_after = 1s;
+  settings.answer_slack = 20ms;
+  settings.drain_grace = 500ms;
+  settings.overload_window = 2s;
+  settings.warm_up = 10s;
+  settings.initial_capacity_share = 0.25;
+  settings.overload_multiple = 3;
+  return settings;
 }
 
-inline MemberList list(ListKind kind, std::vector<MemberEntry> entries) { return {kind, std::move(entries)}; }
-
-inline Request request(RequestId id, Class request_class, Micros expires,
-                       std::optional<Micros> write_age = std::nullopt) {
-  Request r;
-  r.id = id;
-  r.request_class = request_class;
-  r.group = 1;
-  r.expires = expires;
-  r.write_age = write_age;
-  r.key = 9;
-  return r;
+// A member of group 1.
+inline MemberEntry make_entry(MemberId member, bool primary = false, Condition condition = Condition::kReady,
+                              Micros started_at = 0ms) {
+  MemberEntry made;
+  made.member = member;
+  made.group = 1;
+  made.primary = primary;
+  made.condition = condition;
+  made.started_at = started_at;
+  return made;
 }
 
-inline Outcome outcome(const Send& sent, int attempt, Status status, Role role = Role::kUnknown,
-                       std::optional<Micros> position = std::nullopt) {
-  Outcome o;
-  o.id = sent.id;
-  o.attempt = attempt;
-  o.member = sent.member;
-  o.status = status;
-  o.closed = status == Status::kSuccess;
-  o.role = role;
-  o.position = position;
-  return o;
+inline MemberList make_list(ListKind kind, std::vector<MemberEntry> entries) {
+  return {kind, std::move(entries)};
 }
 
-inline ProbeResult probed(MemberId member, Micros position, bool primary) {
-  ProbeResult p;
-  p.member = member;
-  p.ok = true;
-  p.taken = 1ms;
-  p.report.position = position;
-  p.report.primary = primary;
-  return p;
+// A request of session 9 to group 1.
+inline Request make_request(RequestId id, Class request_class, Micros expires,
+                            std::optional<Micros> write_age = std::nullopt) {
+  Request made;
+  made.id = id;
+  made.request_class = request_class;
+  made.group = 1;
+  made.expires = expires;
+  made.write_age = write_age;
+  made.key = 9;
+  return made;
 }
 
-template <typename T>
-std::vector<T> only(const std::vector<Action>& actions) {
-  std::vector<T> found;
-  for (auto& action : actions)
-    if (auto* match = std::get_if<T>(&action)) found.push_back(*match);
+// How an attempt ended; a success ends its request.
+inline Outcome make_outcome(const Send& sent, int attempt, Status status, Role role = Role::kUnknown,
+                            std::optional<Micros> position = std::nullopt) {
+  Outcome made;
+  made.id = sent.id;
+  made.attempt = attempt;
+  made.member = sent.member;
+  made.status = status;
+  made.closed = status == Status::kSuccess;
+  made.role = role;
+  made.position = position;
+  return made;
+}
+
+// A probe that was answered within 1 ms, with a report.
+inline ProbeResult make_probe_result(MemberId member, Micros position, bool primary) {
+  ProbeResult made;
+  made.member = member;
+  made.ok = true;
+  made.taken = 1ms;
+  made.report.position = position;
+  made.report.primary = primary;
+  return made;
+}
+
+// The actions of one kind, in their order.
+template <typename Kind>
+std::vector<Kind> actions_of(const std::vector<Action>& actions) {
+  std::vector<Kind> found;
+  for (const auto& action : actions)
+    if (const auto* match = std::get_if<Kind>(&action)) found.push_back(*match);
   return found;
 }
 
+// Has the router know a group of a primary (1) and two replicas (2, 3), whose positions came by probes.
+inline void add_group_of_three(Router& router) {
+  router.handle(10s, {make_list(ListKind::kFull, {make_entry(1, true), make_entry(2), make_entry(3)})});
+  router.handle(10s + 5ms, {make_probe_result(1, 10s, true), make_probe_result(2, 9990ms, false),
+                            make_probe_result(3, 9990ms, false)});
+}
+
+inline Router router_of_three(const Settings& settings = default_settings()) {
+  Router router(settings, 3);
+  add_group_of_three(router);
+  return router;
+}
+
+// A router that knows a group of a primary (1) and two replicas (2, 3).
+struct GroupOfThree : ::testing::Test {
+  explicit GroupOfThree(const Settings& settings = default_settings()) : router(settings, 7) {
+    add_group_of_three(router);
+  }
+  Router router;
+};
+
+// The same where members turn a read away that they are too far behind for.
+struct GroupOfThreeThatChecksReads : GroupOfThree {
+  GroupOfThreeThatChecksReads() : GroupOfThree(default_settings(Checks::kReject)) {}
+};
+
 }  // namespace request_router::test
--- /dev/null
+++ b/tests/request_router/zone_routing_test.cpp
@@ -0,0 +1,122 @@
+// Where reads go by the plan of the fleet.
+#include <map>
+#include <set>
+#include <string>
+
+#include "request_router/support.h"
+
+namespace request_router::test {
+namespace {
+
+// A primary in zone a, and two replicas in each of a, b and c; the router stands in a.
+struct ThreeZones : ::testing::Test {
+  ThreeZones() : router(zone_settings(), 7) {
+    std::vector<MemberEntry> entries;
+    for (MemberId member = 1; member <= 7; ++member) {
+      auto listed = make_entry(member, member == 1);
+      listed.zone = zone_of(member);
+      entries.push_back(listed);
+    }
+    router.handle(10s, {make_list(ListKind::kFull, entries)});
+  }
+  static Settings zone_settings() {
+    Settings settings = default_settings();
+    settings.zone = "a";
+    settings.classes[kAny].priority_weight = 1;
+    settings.classes[kBounded].priority_weight = 5;
+    return settings;
+  }
+  static std::string zone_of(MemberId member) { return member <= 3 ? "a" : member <= 5 ? "b" : "c"; }
+  void plan(std::vector<ZoneShare> shares) { router.handle(now, {Plan{{{1, std::move(shares)}}}}); }
+  void answer_probes(Micros at) {
+    for (MemberId member = 1; member <= 7; ++member)
+      router.handle(at, {make_probe_result(member, at - 5ms, member == 1)});
+  }
+  // So many reads, each answered at once; the sends by zone, and under "" the rejections.
+  std::map<std::string, int> reads(int count, Class request_class, std::set<std::string> silent = {}) {
+    std::map<std::string, int> went;
+    for (int i = 0; i < count; ++i) {
+      now += 5ms;
+      if (i % 20 == 0) answer_probes(now);
+      auto actions = router.handle(now, {make_request(next++, request_class, now + 2s)});
+      went[""] += static_cast<int>(actions_of<Reject>(actions).size());
+      for (auto& send : actions_of<Send>(actions)) {
+        ++went[zone_of(send.member)];
+        auto status = silent.count(zone_of(send.member)) ? Status::kUnreachable : Status::kSuccess;
+        for (auto& again : actions_of<Send>(router.handle(now + 1ms, {make_outcome(send, 0, status)}))) {
+          ++went[zone_of(again.member)];
+          router.handle(now + 2ms, {make_outcome(again, 1, Status::kSuccess)});
+        }
+      }
+    }
+    return went;
+  }
+  Router router;
+  Micros now = 10s + 5ms;
+  RequestId next = 1;
+};
+
+TEST_F(ThreeZones, ReadsGoToTheZonesOfThePlanInTheirShares) {
+  plan({{"a", 0.25, 0}, {"b", 0.75, 0}});
+  auto went = reads(800, kBounded);
+  EXPECT_NEAR(went["a"], 200, 60);
+  EXPECT_NEAR(went["b"], 600, 60);
+  EXPECT_EQ(went["c"], 0);  // closed
+  EXPECT_EQ(went[""], 0);
+  plan({{"c", 1, 0}});  // the next one replaces it whole
+  went = reads(100, kBounded);
+  EXPECT_EQ(went["c"], 100);
+  router.handle(now, {Plan{}});  // on its own again: by its own rule, the near ones first
+  went = reads(100, kBounded);
+  EXPECT_GT(went["a"], 50);
+  EXPECT_EQ(went[""], 0);
+}
+
+TEST_F(ThreeZones, APlanConcernsReadsOnlyAndNeverLeadsToStaleData) {
+  plan({{"c", 1, 0}});
+  answer_probes(now);
+  auto sends = actions_of<Send>(
+      router.handle(now + 5ms, {make_request(9001, kWrite, 12s), make_request(9002, kFresh, 12s)}));
+  ASSERT_EQ(sends.size(), 2U);
+  EXPECT_EQ(sends[0].member, 1U);  // wherever the primary is
+  EXPECT_EQ(sends[1].member, 1U);
+  // Those of c lag by 2 s; the reads wait for them, though a and b are fresh.
+  auto then = now + 1s;
+  for (MemberId member = 1; member <= 7; ++member)
+    router.handle(then, {make_probe_result(member, member >= 6 ? then - 2s : then, member == 1)});
+  EXPECT_TRUE(actions_of<Send>(router.handle(then + 5ms, {make_request(9003, kBounded, then + 2s)})).empty());
+  auto late = actions_of<Send>(router.handle(then + 20ms, {make_probe_result(7, then + 10ms, false)}));
+  ASSERT_EQ(late.size(), 1U);
+  EXPECT_EQ(late[0].member, 7U);
+}
+
+TEST_F(ThreeZones, ReadsBeyondAllSharesAreRejectedTheLeastValuableFirst) {
+  plan({{"a", 0.4, 0}, {"b", 0.2, 0}});
+  int cheap = 0, dear = 0;
+  for (int i = 0; i < 600; ++i) {
+    (i % 2 ? dear : cheap) += reads(1, i % 2 ? kBounded : kAny)[""];
+    if (i == 199) cheap = dear = 0;  // by then it knows what comes
+  }
+  EXPECT_NEAR(cheap, 160, 30);  // four in ten of all, which is eight in ten of these
+  EXPECT_EQ(dear, 0);
+}
+
+TEST_F(ThreeZones, WhereItsZoneFailsAReadGoesToSurplusCapacityOfAnother) {
+  plan({{"a", 1, 0}, {"b", 0, 0.3}});
+  auto went = reads(600, kBounded, {"a"});
+  EXPECT_NEAR(went["b"], 180, 50);
+  EXPECT_EQ(went["c"], 0);
+}
+
+TEST_F(ThreeZones, SurplusCapacityIsWhatTheLimitLeaves) {
+  answer_probes(now);
+  auto before = router.room(4);
+  EXPECT_GT(before, 0);
+  plan({{"b", 1, 0}});
+  for (int i = 0; i < 4; ++i) router.handle(now, {make_request(next++, kBounded, now + 2s)});
+  EXPECT_LT(router.room(4) + router.room(5), 2 * before);
+  EXPECT_EQ(router.room(99), 0);
+}
+
+}  // namespace
+}  // namespace request_router::test
