--- a/tests/request_router/decision_fingerprint.cpp
+++ b/tests/request_router/decision_fingerprint.cpp
@@ -1,16 +1,16 @@
 #include "decision_fingerprint.h"
 
 #include <algorithm>
+#include <chrono>
 #include <cmath>
 #include <map>
 #include <numeric>
-#include <optional>
-#include <queue>
-#include <set>
 #include <string>
 #include <utility>
 #include <vector>
 
+#include "decision_deployment.h"
+
 namespace request_router::test {
 namespace {
 
@@ -19,152 +19,6 @@
 constexpr std::uint64_t kLongSeedEvery = 100;      // one seed of so many runs long enough to fill every table
 constexpr std::uint64_t kLongSeedEvents = 140000;  // of such a seed: over 20,000 writes of different sessions
 constexpr std::uint64_t kSampleEvery = 64;         // batches between two samples of the public queries
-constexpr Micros kStart = 100s;                    // of the simulated clock: member starts lie before it
-
-// SplitMix64: the whole sequence is fixed by the seed on every platform.
-class Generator {
- public:
-  explicit Generator(std::uint64_t seed) : state_(seed) {}
-  std::uint64_t next() {
-    std::uint64_t mixed = state_ += 0x9e3779b97f4a7c15;
-    mixed = (mixed ^ (mixed >> 30)) * 0xbf58476d1ce4e5b9;
-    mixed = (mixed ^ (mixed >> 27)) * 0x94d049bb133111eb;
-    return mixed ^ (mixed >> 31);
-  }
-  std::int64_t below(std::int64_t limit) {
-    return static_cast<std::int64_t>(next() % static_cast<std::uint64_t>(limit));
-  }
-  std::int64_t between(std::int64_t least, std::int64_t most) { return least + below(most - least + 1); }
-  Micros between(Micros least, Micros most) { return Micros(between(least.count(), most.count())); }
-  bool permille(std::int64_t share) { return below(1000) < share; }
-  bool half() { return permille(500); }
-  double thousandths(std::int64_t least, std::int64_t most) {
-    return static_cast<double>(between(least, most)) / 1000;
-  }
-  template <typename Value>
-  Value pick(std::initializer_list<Value> values) {
-    return values.begin()[below(static_cast<std::int64_t>(values.size()))];
-  }
-
- private:
-  std::uint64_t state_;
-};
-
-// ---- settings ------------------------------------------------------------------------------------------
-
-RequestClass draw_class(Generator& random, std::size_t index, Micros base) {
-  RequestClass drawn;
-  drawn.name = "class" + std::to_string(index);
-  drawn.level = random.pick({ReadLevel::kWrite, ReadLevel::kFresh, ReadLevel::kSession, ReadLevel::kBounded,
-                             ReadLevel::kBounded, ReadLevel::kAny});
-  // Most classes are what operators set up; the rest are any mixture that is possible.
-  drawn.effect = drawn.level == ReadLevel::kWrite
-                     ? random.pick({Effect::kKeyed, Effect::kKeyed, Effect::kUnsafe})
-                 : random.permille(850) ? Effect::kPure
-                                        : random.pick({Effect::kKeyed, Effect::kUnsafe});
-  drawn.scope = random.pick({KeyScope::kAll, KeyScope::kZone, KeyScope::kGroup});
-  drawn.latency_objective = base * random.pick({1, 1, 1, 2, 4, 6});
-  drawn.deadline = drawn.latency_objective * random.between(1, 8);
-  drawn.bound = drawn.level == ReadLevel::kBounded ? random.between(20ms, 800ms) : Micros(0);
-  drawn.key_window = random.between(Micros(drawn.latency_objective / 2), Micros(drawn.deadline * 2));
-  drawn.priority_weight = random.thousandths(0, 8000);
-  drawn.late_weight_share = random.half() ? random.thousandths(50, 1000) : 0;
-  return drawn;
-}
-
-void draw_family(Generator& random, Settings& drawn) {
-  drawn.checks = random.pick({Checks::kOff, Checks::kReject, Checks::kHold});
-  if (drawn.checks == Checks::kHold) drawn.catch_up_timeout = random.between(5ms, 200ms);
-  drawn.positions = random.permille(700);
-  drawn.client_carries_write_age = random.half();
-  drawn.report_position = random.permille(800);
-  drawn.report_role = random.permille(700);
-  drawn.report_in_flight = random.half();
-  drawn.reports =
-      random.pick({ReportMode::kOff, ReportMode::kInline, ReportMode::kOnProbe, ReportMode::kOnProbe});
-  drawn.list_role = random.pick({ListRole::kOff, ListRole::kInitial, ListRole::kDelayed});
-}
-
-void draw_limits(Generator& random, Settings& drawn) {
-  drawn.probes = random.permille(750);
-  drawn.peers = random.half();
-  drawn.cancel = random.permille(650);
-  drawn.hedged_requests = random.half();
-  drawn.retry_after = random.half();
-  drawn.max_attempts = static_cast<int>(random.pick({1, 2, 3, 4, 6, 8, 12}));
-  drawn.max_retry_after = random.between(0ms, 1000ms);
-  drawn.poll_discovery = random.permille(300);
-  drawn.answer_slack = random.between(0ms, 50ms);
-  drawn.drain_grace = random.permille(800) ? random.between(50ms, 3000ms) : Micros(0);
-  drawn.overload_window = random.between(0ms, 3000ms);
-  drawn.warm_up = random.permille(750) ? random.between(500ms, 12000ms) : Micros(0);
-  drawn.poll_deadline = random.half() ? random.between(0ms, 2000ms) : Micros(0);
-  drawn.initial_capacity_share = random.thousandths(20, 1000);
-  drawn.overload_multiple = random.thousandths(500, 6000);
-  drawn.removal_not_binding = random.permille(250);
-  drawn.over_quota_weight = random.thousandths(0, 1000);
-  drawn.cross_zone_fee = random.thousandths(0, 500);
-  drawn.probe_fee = random.half() ? random.thousandths(1, 200) : 0;
-}
-
-std::string zone_name(std::int64_t number) { return "zone" + std::to_string(number); }
-
-Settings draw_settings(Generator& random) {
-  Settings drawn;
-  Micros base = random.between(20ms, 200ms);
-  auto classes = static_cast<std::size_t>(random.between(2, 8));
-  for (std::size_t index = 0; index < classes; ++index)
-    drawn.classes.push_back(draw_class(random, index, base));
-  for (auto tenants = random.below(4); tenants > 0; --tenants)
-    drawn.tenants.push_back({"tenant" + std::to_string(tenants), random.thousandths(0, 50000), 0.25});
-  drawn.zone = zone_name(0);
-  drawn.routers = static_cast<int>(random.pick({std::int64_t{1}, std::int64_t{1}, random.between(2, 8),
-                                                random.between(9, 60), random.between(61, 300)}));
-  drawn.ordinal = static_cast<int>(random.below(drawn.routers));
-  drawn.step = random.between(1ms, 5ms);
-  draw_family(random, drawn);
-  draw_limits(random, drawn);
-  return drawn;
-}
-
-// ---- the simulated deployment --------------------------------------------------------------------------
-
-enum class Health { kUp, kRefusing, kSilent };
-
-struct SimulatedMember {
-  MemberEntry entry;     // as the member list tells it
-  bool listed = true;    // a removed member is in no list, but may still answer
-  bool stays = false;    // one of each group is never removed: a router must not know a group without members
-  bool primary = false;  // as it is, whatever the list says
-  Health health = Health::kUp;
-  Micros lag = 10ms, work = 5ms, report_every = 20ms;
-  std::int64_t capacity = 8, in_flight = 0;
-  std::int64_t failing = 0, breaking = 0, vanishing = 0, voiding = 0;  // of 1000 attempts
-};
-
-struct SimulatedRequest {
-  std::size_t request_class = 0;
-  GroupId group = 0;
-  int attempts = 0;
-  Micros expires{0};
-  bool on_client_disconnected = false;
-};
-
-struct SimulatedAttempt {
-  MemberId member = 0;
-  Micros sent_at{0};
-};
-
-// Work of the simulation itself, which may produce events for the router.
-enum class Chore { kNone, kArrive, kChangeWorld, kTellList };
-
-struct Due {
-  Micros at;
-  std::uint64_t order;
-  Chore chore;
-  Event event;
-  bool operator<(const Due& other) const { return at != other.at ? at > other.at : order > other.order; }
-};
 
 class Fnv1a {
  public:
@@ -206,10 +60,10 @@
   std::string operator()(const Log& action) const { return "7 " + action.text; }
 };
 
-class Simulation {
+class Simulation : private SimulatedDeployment {
  public:
   Simulation(std::uint64_t seed, std::ostream* text)
-      : random_(seed * 0x2545f4914f6cdd1d + 1), hash_(text), long_(seed % kLongSeedEvery == 0) {
+      : SimulatedDeployment(seed * 0x2545f4914f6cdd1d + 1, seed % kLongSeedEvery == 0), hash_(text) {
     result_.seed = seed;
     settings_ = draw_settings(random_);
     if (long_) make_long();
@@ -221,7 +75,7 @@
     router_ = &router;
     plan(now_, Chore::kArrive);
     plan(now_ + 50ms, Chore::kChangeWorld);
-    if (!settings_.poll_discovery || random_.half()) deal({full_list(ListKind::kCached)});
+    if (!settings_.poll_discovery || random_.half()) deliver({full_list(ListKind::kCached)});
     std::uint64_t most = long_ ? kLongSeedEvents : kLeastEvents;
     while (result_.counts.all_events() < most) step();
     sample();
@@ -246,40 +100,6 @@
     settings_.list_role = ListRole::kInitial;
   }
 
-  void draw_deployment() {
-    groups_ = random_.pick({1, 1, 2, 3, 6});
-    zones_ = random_.between(1, 3);
-    std::int64_t each = random_.permille(60) ? 30 : random_.between(1, 7);
-    for (std::int64_t group = 0; group < groups_; ++group)
-      for (std::int64_t index = 0; index < each; ++index) add_member(group, index == 0).stays = index == 0;
-    mean_gap_ = random_.pick({Micros(700), Micros(2ms), Micros(5ms), Micros(12ms), Micros(40ms)});
-    if (long_) mean_gap_ = settings_.classes[0].latency_objective;
-    // A calm deployment shows the rules of long quiet times, a stormy one those that answer troubles.
-    mean_change_ = random_.pick({Micros(40ms), Micros(150ms), Micros(400ms), Micros(1500ms)});
-    if (long_) mean_change_ = 1s;
-  }
-
-  SimulatedMember& add_member(GroupId group, bool primary) {
-    MemberId id = ++last_member_;
-    SimulatedMember& member = members_[id];
-    member.entry.member = id;
-    member.entry.group = group;
-    member.entry.zone = zone_name(random_.below(zones_));
-    member.entry.weight = random_.thousandths(100, 3000);
-    member.entry.started_at = random_.permille(700) ? Micros(0) : now_ - random_.between(0ms, 20s);
-    member.primary = primary;
-    member.lag = random_.between(1ms, 60ms);
-    member.work = settings_.classes[0].latency_objective * random_.between(20, 300) / 1000;
-    member.report_every = random_.between(1ms, 100ms);
-    member.capacity = random_.between(2, 48);
-    return member;
-  }
-
-  void plan(Micros at, Chore chore, Event event = TimerFired{}) {
-    due_.push({at, ++order_, chore, std::move(event)});
-  }
-  void plan(Micros at, Event event) { plan(at, Chore::kNone, std::move(event)); }
-
   // ---- the clock ---------------------------------------------------------------------------------------
 
   // All that is due comes in batches of any size, several of them at one moment. A router that stood still
@@ -297,12 +117,12 @@
         work_off(next.chore, batch);
       else if (occurs(next.event))
         batch.push_back(std::move(next.event));
-      if (static_cast<std::int64_t>(batch.size()) >= most) deal(std::exchange(batch, {}));
+      if (static_cast<std::int64_t>(batch.size()) >= most) deliver(std::exchange(batch, {}));
     }
-    if (!batch.empty() || random_.permille(20)) deal(batch);
+    if (!batch.empty() || random_.permille(20)) deliver(batch);
   }
 
-  void deal(const std::vector<Event>& batch) {
+  void deliver(const std::vector<Event>& batch) {
     for (auto& event : batch) {
       ++result_.counts.events[event.index()];
       if (auto* outcome = std::get_if<Outcome>(&event))
@@ -336,8 +156,8 @@
     } else if (chore == Chore::kChangeWorld) {
       change_world(batch);
       plan(now_ + Micros(1) + mean_change_ * random_.between(100, 1900) / 1000, Chore::kChangeWorld);
-    } else if (chore == Chore::kTellList) {
-      batch.push_back(told_list());
+    } else if (chore == Chore::kSendList) {
+      batch.push_back(next_list());
     }
   }
 
@@ -451,15 +271,16 @@
   }
   void carry_out(const Log&) {}
 
-  // ---- what the router is told -------------------------------------------------------------------------
+  // ---- what the router is notified of
+  // -------------------------------------------------------------------------
 
   // Completes an event by how things are when it is delivered. False: it does not occur any more.
   bool occurs(Event& event) {
     if (auto* outcome = std::get_if<Outcome>(&event)) return complete(*outcome);
     if (auto* result = std::get_if<ProbeResult>(&event)) {
       if (result->ok && settings_.reports == ReportMode::kOnProbe) result->report = report(result->member);
-    } else if (auto* on_client_disconnected = std::get_if<ClientGone>(&event)) {
-      requests_[on_client_disconnected->id].on_client_disconnected = true;
+    } else if (auto* gone = std::get_if<ClientGone>(&event)) {
+      requests_[gone->id].client_is_gone = true;
     } else if (auto* request = std::get_if<Request>(&event)) {
       request->expires = std::max(request->expires, now_ + 1ms);
     }
@@ -468,7 +289,7 @@
 
   bool complete(Outcome& outcome) {
     auto found = out_.find({outcome.id, outcome.attempt});
-    if (found == out_.end()) return false;  // it was called back and has ended already
+    if (found == out_.end()) return false;  // it was cancelled and has ended already
     auto& member = members_[outcome.member];
     --member.in_flight;
     if (random_.permille(850)) outcome.taken = now_ - found->second.sent_at;
@@ -476,7 +297,7 @@
     auto& request = requests_[outcome.id];
     outcome.closed = outcome.status == Status::kSuccess
                          ? random_.permille(950)
-                         : request.on_client_disconnected || now_ >= request.expires || random_.permille(10);
+                         : request.client_is_gone || now_ >= request.expires || random_.permille(10);
     bool answered = outcome.status == Status::kSuccess || outcome.status == Status::kFailure ||
                     outcome.status == Status::kDeclined || outcome.status == Status::kOverloaded;
     if (!answered) return true;
@@ -488,201 +309,12 @@
     return true;
   }
 
-  Micros position(const SimulatedMember& member) const { return member.primary ? now_ : now_ - member.lag; }
-
-  // Members renew their reports now and then: one is as old as its last renewal.
-  Report report(MemberId id) {
-    auto& member = members_[id];
-    Report told;
-    Micros renewed = now_ - now_ % member.report_every;
-    if (settings_.report_position) told.position = renewed - (member.primary ? Micros(0) : member.lag);
-    if (settings_.report_role) told.primary = member.primary;
-    if (random_.half()) told.busy = random_.thousandths(0, 1000);
-    std::int64_t others = member.in_flight * (settings_.routers > 1 ? random_.between(1, 12) : 1);
-    if (settings_.report_in_flight && random_.permille(900)) told.held = static_cast<double>(others);
-    return told;
-  }
-
-  MemberList full_list(ListKind kind) {
-    MemberList list{kind, {}};
-    for (auto& [id, member] : members_)
-      if (member.listed) list.entries.push_back(told_entry(member));
-    return list;
-  }
-  MemberEntry told_entry(SimulatedMember& member) {
-    MemberEntry told = member.entry;
-    if (settings_.list_role == ListRole::kInitial) told.primary = member.primary;
-    if (settings_.list_role == ListRole::kDelayed) told.primary = member.primary != random_.permille(200);
-    return told;
-  }
-  MemberList told_list() {
-    if (random_.permille(60)) return {ListKind::kFailed, {}};
-    if (random_.permille(300)) return full_list(random_.permille(800) ? ListKind::kFull : ListKind::kCached);
-    MemberList list{ListKind::kDelta, {}};
-    for (auto& [id, member] : members_)
-      if (member.stays || changed_.count(id)) list.entries.push_back(told_entry(member));
-    changed_.clear();
-    return list;
-  }
-  void tell(SimulatedMember& member) {
-    changed_.insert(member.entry.member);
-    plan(now_ + random_.between(Micros(0), random_.half() ? Micros(5ms) : Micros(600ms)), Chore::kTellList);
-  }
-
-  // ---- what happens to the deployment ------------------------------------------------------------------
-
-  SimulatedMember& any_member() {
-    auto found = members_.begin();
-    std::advance(found, random_.below(static_cast<std::int64_t>(members_.size())));
-    return found->second;
-  }
-
-  void change_world(std::vector<Event>& batch) {
-    auto& member = any_member();
-    if (long_) return set_lags(member.entry.group);
-    switch (random_.below(16)) {
-      case 0:
-        return set_condition(member);
-      case 1:
-        return restart(member);
-      case 2:
-        return fail_over(member.entry.group);
-      case 3:
-        return join_or_remove(member);
-      case 4:
-        return batch.push_back(new_plan());
-      case 5:
-        return batch.push_back(PeerMessage{static_cast<int>(random_.below(settings_.routers)), "hello"});
-      case 6:
-        return batch.push_back(stray_outcome(member));
-      case 7:
-        return void(load_ = random_.pick({10, 25, 50, 100, 100, 200, 600, 1000}));
-      case 8:
-        return plan(now_, Chore::kTellList);
-      case 9:
-        return set_health(member);
-      case 10:
-        return set_lags(member.entry.group);
-      default:
-        return set_behaviour(member);
-    }
-  }
-
-  void set_condition(SimulatedMember& member) {
-    member.entry.condition =
-        random_.pick({Condition::kReady, Condition::kDraining, Condition::kDraining, Condition::kGone});
-    if (member.stays && member.entry.condition == Condition::kGone)
-      member.entry.condition = Condition::kDraining;
-    tell(member);
-    if (member.entry.condition != Condition::kReady && random_.permille(700))
-      for (auto& [id, other] : members_)  // the rest of the group is made whole first
-        if (other.entry.group == member.entry.group && id != member.entry.member) heal(other);
-  }
-  void heal(SimulatedMember& member) {
-    member.health = Health::kUp;
-    if (std::exchange(member.entry.condition, Condition::kReady) != Condition::kReady) tell(member);
-  }
-  void restart(SimulatedMember& member) {
-    member.entry.started_at = now_;
-    member.entry.condition = Condition::kReady;
-    member.health = Health::kUp;
-    member.listed = true;
-    member.failing = member.breaking = member.vanishing = member.voiding = 0;
-    if (member.primary && random_.half()) fail_over(member.entry.group);
-    tell(member);
-  }
-  // For a while the group may have no primary at all, or its old one does not know that it no longer leads.
-  void fail_over(GroupId group) {
-    std::vector<SimulatedMember*> others;
-    for (auto& [id, member] : members_) {
-      if (member.entry.group != group) continue;
-      if (!member.primary && member.health == Health::kUp) others.push_back(&member);
-      if (!random_.permille(50)) member.primary = false;
-    }
-    if (others.empty() || random_.permille(250)) return;
-    auto& chosen = *others[static_cast<std::size_t>(random_.below(static_cast<std::int64_t>(others.size())))];
-    chosen.primary = true;
-    if (random_.permille(300)) chosen.entry.started_at = now_ - random_.between(0ms, 2s);
-    if (random_.half()) tell(chosen);
-  }
-  void join_or_remove(SimulatedMember& member) {
-    if (members_.size() < 60 && random_.half()) {
-      auto& joined = add_member(random_.below(groups_), false);
-      joined.entry.started_at = random_.permille(700) ? now_ : Micros(0);
-      return tell(joined);
-    }
-    member.listed = member.stays || !member.listed;
-    plan(now_ + random_.between(0ms, 100ms), full_list(ListKind::kFull));
-  }
-  void set_health(SimulatedMember& member) {
-    member.health = random_.pick({Health::kUp, Health::kUp, Health::kRefusing, Health::kSilent});
-    for (auto& [id, other] : members_)
-      if (random_.permille(400)) other.health = Health::kUp;
-  }
-  void set_lags(GroupId group) {
-    Micros most = random_.pick({Micros(5ms), Micros(60ms), Micros(500ms), Micros(5s)});
-    for (auto& [id, member] : members_)
-      if (member.entry.group == group) member.lag = random_.between(Micros(1), most);
-  }
-  void set_behaviour(SimulatedMember& member) {
-    bool calm = random_.half();
-    member.work = settings_.classes[0].latency_objective *
-                  (calm ? random_.between(20, 200) : random_.between(20, 2500)) / 1000;
-    member.capacity = random_.between(2, 48);
-    member.report_every = random_.between(1ms, 100ms);
-    member.failing = calm ? 0 : random_.pick({0, 20, 300, 900});
-    member.breaking = calm ? 0 : random_.pick({0, 0, 20, 300});
-    member.voiding = calm ? 0 : random_.pick({0, 0, 20, 100});
-    member.vanishing = calm ? 0 : random_.pick({0, 0, 30, 100, 250});
-  }
-
-  // Shares that add up to 1 leave nothing out; others make the router refuse the rest at once.
-  Plan new_plan() {
-    Plan drawn;
-    for (std::int64_t group = 0; group < groups_; ++group) {
-      if (random_.permille(300)) continue;
-      std::vector<ZoneShare> shares;
-      std::int64_t left = random_.half() ? 1000 : random_.between(300, 1000);
-      for (std::int64_t zone = 0; zone < zones_; ++zone) {
-        std::int64_t part = zone + 1 == zones_ ? left : random_.between(0, left);
-        left -= part;
-        shares.push_back({zone_name(zone), static_cast<double>(part) / 1000, random_.thousandths(0, 600)});
-      }
-      drawn.groups.emplace_back(group, std::move(shares));
-    }
-    if (random_.permille(300)) drawn.groups.clear();
-    return drawn;
-  }
-
-  // Of a request that the router never had, or at a member that it does not know.
-  Outcome stray_outcome(SimulatedMember& member) {
-    Outcome stray;
-    stray.id = ++last_request_;
-    stray.member = random_.half() ? member.entry.member : MemberId(1000000);
-    stray.status =
-        random_.pick({Status::kSuccess, Status::kCancelled, Status::kUnreachable, Status::kDeclined});
-    stray.closed = true;
-    return stray;
-  }
-
-  Generator random_;
   Fnv1a hash_;
-  bool long_;
   DecisionFingerprint result_;
-  Settings settings_;
   Router* router_ = nullptr;
-  Micros now_ = kStart;
-  std::priority_queue<Due> due_;
-  std::uint64_t order_ = 0, batches_ = 0;
-  std::int64_t groups_ = 1, zones_ = 1;
-  std::int64_t load_ = 100;  // of 100: the gap between requests against its mean
-  Micros mean_gap_{0}, mean_change_{0};
-  std::map<MemberId, SimulatedMember> members_;
+  std::uint64_t batches_ = 0;
   std::map<RequestId, SimulatedRequest> requests_;
   std::map<std::pair<RequestId, int>, SimulatedAttempt> out_;  // attempts in flight
-  std::set<MemberId> changed_;                                 // since the last delta list
-  MemberId last_member_ = 0;
-  RequestId last_request_ = 0;
 };
 
 }  // namespace
--- a/tests/request_router/decision_fingerprint.h
+++ b/tests/request_router/decision_fingerprint.h
@@ -28,6 +28,7 @@
   void add(const DecisionCounts& other);
 };
 
+// What one seed came to.
 struct DecisionFingerprint {
   std::uint64_t seed = 0;
   std::uint64_t events = 0;
