--- a/src/simulator_adapter/main.cpp
+++ b/src/simulator_adapter/main.cpp
@@ -1,12 +1,14 @@
 // request-router-simulator-adapter: hosts routers on the simulator's wire (standard input and output).
-// It numbers the wire's words for each instance and carries events and actions; it decides nothing.
+// It numbers the wire's names for each instance and passes events and actions on; it decides nothing.
 #include <array>
 #include <charconv>
 #include <iostream>
 #include <map>
 #include <optional>
 #include <set>
+#include <stdexcept>
 #include <string>
+#include <string_view>
 #include <vector>
 
 #include "simulator_adapter/wire.h"
@@ -17,6 +19,15 @@
 using wire::Line;
 using wire::Malformed;
 
+// Limits of the simulator's wire.
+constexpr std::size_t kMostLists = 16;              // member lists that are kept, by their Ref
+constexpr std::int64_t kMostMembers = 10'000'000;   // in one list
+constexpr std::int64_t kMostSmallNumber = 1 << 30;  // of a peer: it fits in an int
+
+// Characters of a bad line that an error quotes.
+constexpr std::size_t kMostQuoted = 300;
+
+// One router of the simulation, with the events of the batch that it has not been given yet.
 struct Instance {
   Instance(const Line& spawn, std::uint64_t seed) : names(spawn), router(names.settings(), seed) {}
   wire::Names names;
@@ -24,6 +35,7 @@
   std::vector<Event> events;
 };
 
+// Reads batches from standard input and writes the actions of all routers that one touches.
 class AdapterLoop {
  public:
   // Reads one batch; false at the end of input.
@@ -37,7 +49,8 @@
     touched_.clear();
     instance_.reset();
     while (true) {
-      if (!next()) throw Malformed("the input ended inside a batch, after line: " + last_.substr(0, 300));
+      if (!next())
+        throw Malformed("the input ended inside a batch, after line: " + last_.substr(0, kMostQuoted));
       Line line(line_);
       if (line.word() == "OVER_TO_YOU") break;
       event(line);
@@ -56,69 +69,104 @@
 
   Instance& instance(const Line& line) {
     if (!instance_) line.fail("an event before any ABOUT");
-    auto it = instances_.find(*instance_);
-    if (it == instances_.end()) line.fail("an instance that was never started");
+    auto known = instances_.find(*instance_);
+    if (known == instances_.end()) line.fail("an instance that was never started");
     touched_.insert(*instance_);
-    return it->second;
+    return known->second;
   }
 
+  // Passes a line to the handler of its first word.
   void event(const Line& line) {
-    auto word = line.word();
-    if (word == "ABOUT") {
-      instance_ = line.integer("I", 0, INT64_MAX);
-    } else if (word == "ORDER") {
-      auto& i = instance(line);
-      i.events.push_back(i.names.request(line));
-    } else if (word == "RETURNED") {
-      auto& i = instance(line);
-      i.events.push_back(i.names.outcome(line));
-    } else if (word == "ELAPSED") {
-      instance(line).events.push_back(TimerFired{std::uint64_t(line.integer("KeyBack", 0, INT64_MAX))});
-    } else if (word == "HEALTH") {
-      auto& i = instance(line);
-      i.events.push_back(i.names.probe_result(line));
-    } else if (word == "LAPSED") {
-      auto& i = instance(line);
-      i.events.push_back(i.names.client_gone(line));
-    } else if (word == "ROSTER_CHANGE") {
-      auto& i = instance(line);
-      static const std::vector<wire::Row> none;
-      bool failed = line.text("Form") == "1";
-      auto ref = failed ? 0 : line.integer("Ref", 0, 15);
-      if (!failed && !lists_[ref]) line.fail("a list that was never sent");
-      i.events.push_back(i.names.member_list(line, failed ? none : *lists_[ref]));
-    } else if (word == "SNAPSHOT_ROWS") {
-      rows(line);
-    } else if (word == "MAIL") {
-      instance(line).events.push_back(PeerMessage{static_cast<int>(line.integer("Who", 0, 1 << 30)), ""});
-    } else if (word == "STARTED") {
-      auto& i = instance(line);
-      i.events.push_back(i.names.started(line));
-    } else if (word == "SPAWN") {
-      if (!instance_) line.fail("an event before any ABOUT");
-      auto seed = line.integer("RngSeed", INT64_MIN, INT64_MAX);
-      instances_.erase(*instance_);
-      try {
-        instances_.try_emplace(*instance_, line, static_cast<std::uint64_t>(seed));
-      } catch (const std::invalid_argument& e) {
-        line.fail(e.what());
-      }
-      touched_.insert(*instance_);
-    } else if (word == "RETIRE") {
-      instance(line);
-      instances_.erase(*instance_);
-      touched_.erase(*instance_);
-    } else {
-      line.fail("unknown message");
+    using Handler = void (AdapterLoop::*)(const Line&);
+    static const std::map<std::string_view, Handler> kHandlers{
+        {"ABOUT", &AdapterLoop::on_about},
+        {"ORDER", &AdapterLoop::on_order},
+        {"RETURNED", &AdapterLoop::on_returned},
+        {"ELAPSED", &AdapterLoop::on_elapsed},
+        {"HEALTH", &AdapterLoop::on_health},
+        {"LAPSED", &AdapterLoop::on_lapsed},
+        {"ROSTER_CHANGE", &AdapterLoop::on_roster_change},
+        {"SNAPSHOT_ROWS", &AdapterLoop::on_snapshot_rows},
+        {"MAIL", &AdapterLoop::on_mail},
+        {"STARTED", &AdapterLoop::on_started},
+        {"SPAWN", &AdapterLoop::on_spawn},
+        {"RETIRE", &AdapterLoop::on_retire}};
+    auto handler = kHandlers.find(line.word());
+    if (handler == kHandlers.end()) line.fail("unknown message");
+    (this->*handler->second)(line);
+  }
+
+  void on_about(const Line& line) { instance_ = line.integer("I", 0, INT64_MAX); }
+
+  void on_order(const Line& line) {
+    Instance& target = instance(line);
+    target.events.emplace_back(target.names.request(line));
+  }
+
+  void on_returned(const Line& line) {
+    Instance& target = instance(line);
+    target.events.emplace_back(target.names.outcome(line));
+  }
+
+  void on_elapsed(const Line& line) {
+    Instance& target = instance(line);
+    target.events.emplace_back(TimerFired{static_cast<std::uint64_t>(line.integer("KeyBack", 0, INT64_MAX))});
+  }
+
+  void on_health(const Line& line) {
+    Instance& target = instance(line);
+    target.events.emplace_back(target.names.probe_result(line));
+  }
+
+  void on_lapsed(const Line& line) {
+    Instance& target = instance(line);
+    target.events.emplace_back(target.names.client_gone(line));
+  }
+
+  void on_roster_change(const Line& line) {
+    static const std::vector<wire::Row> kNoRows;
+    Instance& target = instance(line);
+    bool failed = line.text("Form") == "1";
+    auto ref = failed ? 0 : line.integer("Ref", 0, kMostLists - 1);
+    if (!failed && !lists_[ref]) line.fail("a list that was never sent");
+    target.events.emplace_back(target.names.member_list(line, failed ? kNoRows : *lists_[ref]));
+  }
+
+  void on_mail(const Line& line) {
+    Instance& target = instance(line);
+    target.events.emplace_back(PeerMessage{static_cast<int>(line.integer("Who", 0, kMostSmallNumber)), ""});
+  }
+
+  void on_started(const Line& line) {
+    Instance& target = instance(line);
+    target.events.emplace_back(target.names.started(line));
+  }
+
+  void on_spawn(const Line& line) {
+    if (!instance_) line.fail("an event before any ABOUT");
+    auto seed = line.integer("RngSeed", INT64_MIN, INT64_MAX);
+    instances_.erase(*instance_);
+    try {
+      instances_.try_emplace(*instance_, line, static_cast<std::uint64_t>(seed));
+    } catch (const std::invalid_argument& error) {
+      line.fail(error.what());
     }
+    touched_.insert(*instance_);
+  }
+
+  void on_retire(const Line& line) {
+    instance(line);
+    instances_.erase(*instance_);
+    touched_.erase(*instance_);
   }
 
-  void rows(const Line& head) {
-    auto ref = head.integer("Ref", 0, 15);
-    auto count = head.integer("Members", 0, 10'000'000);
+  void on_snapshot_rows(const Line& head) {
+    auto ref = head.integer("Ref", 0, kMostLists - 1);
+    auto count = head.integer("Members", 0, kMostMembers);
     std::vector<wire::Row> rows;
     for (std::int64_t n = 0; n < count; ++n) {
-      if (!next()) throw Malformed("the input ended inside a list, after line: " + last_.substr(0, 300));
+      if (!next())
+        throw Malformed("the input ended inside a list, after line: " + last_.substr(0, kMostQuoted));
       Line row(line_);
       if (row.word() != "ROW") row.fail("a list of " + std::to_string(count) + " entries has fewer rows");
       rows.push_back(wire::parse_row(row));
@@ -129,19 +177,19 @@
   void reply() {
     out_.clear();
     for (auto number : touched_) {
-      auto& i = instances_.at(number);
-      auto actions = i.router.handle(now_, i.events);
-      i.events.clear();
+      Instance& instance = instances_.at(number);
+      auto actions = instance.router.handle(now_, instance.events);
+      instance.events.clear();
       if (!actions.empty()) out_.append("CONTEXT I=").append(std::to_string(number)).append("\n");
-      for (auto& action : actions) i.names.print(action, out_);
-      i.names.forget_closed();
+      for (const auto& action : actions) instance.names.print(action, out_);
+      instance.names.forget_closed();
     }
     out_.append("DONE\n");
     std::cout.write(out_.data(), static_cast<std::streamsize>(out_.size())).flush();
   }
 
   std::map<std::int64_t, Instance> instances_;
-  std::array<std::optional<std::vector<wire::Row>>, 16> lists_;
+  std::array<std::optional<std::vector<wire::Row>>, kMostLists> lists_;
   std::optional<std::int64_t> instance_;
   std::set<std::int64_t> touched_;
   Micros now_{INT64_MIN};
@@ -157,8 +205,8 @@
     AdapterLoop adapter;
     while (adapter.batch()) {
     }
-  } catch (const std::exception& e) {
-    std::cerr << "request-router-simulator-adapter: " << e.what() << "\n";
+  } catch (const std::exception& error) {
+    std::cerr << "request-router-simulator-adapter: " << error.what() << "\n";
     return 1;
   }
   return 0;
--- a/src/simulator_adapter/wire.cpp
+++ b/src/simulator_adapter/wire.cpp
@@ -1,5 +1,6 @@
 #include "simulator_adapter/wire.h"
 
+#include <array>
 #include <charconv>
 #include <cmath>
 #include <optional>
@@ -9,17 +10,33 @@
 namespace request_router::wire {
 namespace {
 
+// Characters of a bad line that an error quotes.
+constexpr std::size_t kMostQuoted = 300;
+
+// Limits of the wire's numbers: whole numbers up to here are exact in a double, reported ones fit in 64 bits
+// as microseconds, small ones in an int.
+constexpr double kMostWhole = 9e15;
+constexpr double kMostReported = 9e12;
+constexpr std::int64_t kMostSmallNumber = 1 << 30;
+constexpr std::int64_t kMostKey = std::int64_t{1} << 53;
+
+// The bit of Opts that marks a client's retry.
+constexpr std::int64_t kRetryBit = 2;
+
+// A Stand is a position in milliseconds times this, plus the role: 1 primary, 2 replica.
+constexpr std::int64_t kStandRoles = 4;
+
 template <typename T>
 T one_of(const Line& line, std::string_view what, std::string_view value,
-         std::initializer_list<std::pair<std::string_view, T>> words) {
-  for (auto& [word, meaning] : words)
-    if (word == value) return meaning;
+         std::initializer_list<std::pair<std::string_view, T>> meanings) {
+  for (const auto& [name, meaning] : meanings)
+    if (name == value) return meaning;
   line.fail("unknown value '" + std::string(value) + "' of " + std::string(what));
 }
 
 SettingsReader reader(const Line& spawn) {
   std::map<std::string, std::string, std::less<>> pairs;
-  for (auto& [name, value] : spawn.fields()) pairs[std::string(name)] = value;
+  for (const auto& [name, value] : spawn.fields()) pairs[std::string(name)] = value;
   return SettingsReader(std::move(pairs));
 }
 
@@ -39,17 +56,17 @@
 }
 
 void Line::fail(const std::string& what) const {
-  throw Malformed(what + ", in line: " + std::string(line_.substr(0, 300)));
+  throw Malformed(what + ", in line: " + std::string(line_.substr(0, kMostQuoted)));
 }
 
 bool Line::has(std::string_view name) const {
-  for (auto& field : fields_)
+  for (const auto& field : fields_)
     if (field.first == name) return true;
   return false;
 }
 
 std::string_view Line::text(std::string_view name) const {
-  for (auto& field : fields_)
+  for (const auto& field : fields_)
     if (field.first == name) return field.second;
   fail("missing field " + std::string(name));
 }
@@ -61,13 +78,13 @@
 }
 
 std::int64_t Line::integer(std::string_view name, std::int64_t least, std::int64_t most) const {
-  auto s = text(name);
+  auto digits = text(name);
   std::int64_t value = 0;
-  auto [end, error] = std::from_chars(s.data(), s.data() + s.size(), value);
+  auto [end, error] = std::from_chars(digits.data(), digits.data() + digits.size(), value);
   if (error == std::errc::result_out_of_range) fail("field " + std::string(name) + " is out of range");
-  if (error != std::errc() || end != s.data() + s.size()) {
+  if (error != std::errc() || end != digits.data() + digits.size()) {
     double whole = number(name);  // a whole number written with a fraction is still one
-    if (whole != std::floor(whole) || std::abs(whole) > 9e15)
+    if (whole != std::floor(whole) || std::abs(whole) > kMostWhole)
       fail("field " + std::string(name) + " is not whole");
     value = static_cast<std::int64_t>(whole);
   }
@@ -109,39 +126,39 @@
       line, "Form", line.text("Form"),
       {{"0", ListKind::kDelta}, {"1", ListKind::kFailed}, {"2", ListKind::kCached}, {"3", ListKind::kFull}});
   if (list.kind == ListKind::kFailed) return list;
-  for (auto& row : rows) {
-    auto [it, fresh] = hosts_.try_emplace(row.host, static_cast<MemberId>(host_names_.size()));
-    if (fresh) host_names_.push_back(row.host);
+  for (const auto& row : rows) {
+    auto [host, is_new] = hosts_.try_emplace(row.host, static_cast<MemberId>(host_names_.size()));
+    if (is_new) host_names_.push_back(row.host);
     list.entries.push_back(row.entry);
-    list.entries.back().member = it->second;
+    list.entries.back().member = host->second;
   }
   return list;
 }
 
 Request Names::request(const Line& line) {
-  Request r;
+  Request request;
   auto ticket = std::string(line.text("Ticket"));
   auto request_class = classes_.find(line.text("Kind"));
   if (request_class == classes_.end()) line.fail("unknown class");
-  r.request_class = static_cast<std::size_t>(request_class->second);
-  r.group = line.integer("DbNo", INT64_MIN, INT64_MAX);
-  r.expires = line.millis("ExpiresMs");
-  std::int64_t bits = line.has("Opts") ? line.integer("Opts", 0, 1 << 30) : 0;
-  r.retry = bits & 2;
-  if (line.has("Key")) r.key = static_cast<std::uint64_t>(line.integer("Key", 0, std::int64_t{1} << 53));
-  if (line.has("TokenMs")) r.write_age = line.millis("TokenMs");
+  request.request_class = static_cast<std::size_t>(request_class->second);
+  request.group = line.integer("DbNo", INT64_MIN, INT64_MAX);
+  request.expires = line.millis("ExpiresMs");
+  std::int64_t bits = line.has("Opts") ? line.integer("Opts", 0, kMostSmallNumber) : 0;
+  request.retry = (bits & kRetryBit) != 0;
+  if (line.has("Key")) request.key = static_cast<std::uint64_t>(line.integer("Key", 0, kMostKey));
+  if (line.has("TokenMs")) request.write_age = line.millis("TokenMs");
   if (line.has("ClientGroup")) {
     auto tenant = tenants_.find(line.text("ClientGroup"));
-    if (tenant != tenants_.end()) r.tenant = tenant->second;
+    if (tenant != tenants_.end()) request.tenant = tenant->second;
   }
   if (tickets_.count(ticket)) line.fail("a request id came twice");
-  r.id = next_++;
-  tickets_[ticket] = r.id;
-  open_[r.id] = {std::move(ticket), 0, false};
-  return r;
+  request.id = next_++;
+  tickets_[ticket] = request.id;
+  open_[request.id] = {std::move(ticket), 0, false};
+  return request;
 }
 
-RequestId Names::known(const Line& line) const {
+RequestId Names::known_request(const Line& line) const {
   auto it = tickets_.find(std::string(line.text("Ticket")));
   return it == tickets_.end() ? 0 : it->second;  // 0: never given out, so the router knows nothing of it
 }
@@ -159,7 +176,7 @@
     if (pair == "-") continue;
     auto at = pair.find(':');
     auto value = at == std::string_view::npos ? std::nullopt : to_number(pair.substr(at + 1));
-    if (!value || std::abs(*value) > 9e12) line.fail("a load report that is no list of name:number");
+    if (!value || std::abs(*value) > kMostReported) line.fail("a load report that is no list of name:number");
     auto name = pair.substr(0, at);
     if (name == "x0") report.position = zero_ + Micros(std::llround(*value * 1e6));
     if (name == "x1") report.primary = *value == 1;
@@ -187,63 +204,65 @@
 }
 
 Outcome Names::outcome(const Line& line) {
-  Outcome o;
-  o.id = known(line);
-  o.attempt = static_cast<int>(line.integer("Hop", 0, 1 << 30));
-  o.member = host(line);
-  o.status = one_of<Status>(line, "Code", line.text("Code"),
-                            {{"success", Status::kSuccess},
-                             {"failure", Status::kFailure},
-                             {"overloaded", Status::kOverloaded},
-                             {"timed_out", Status::kTimedOut},
-                             {"unreachable", Status::kUnreachable},
-                             {"broken", Status::kBroken},
-                             {"withdrawn", Status::kCancelled},
-                             {"void", Status::kNotStarted},
-                             {"absent", Status::kDeclined}});
-  o.taken = line.has("TimeTakenMs") ? line.millis("TimeTakenMs") : Micros(0);
-  o.closed = line.has("Last") && line.flag("Last");
+  Outcome outcome;
+  outcome.id = known_request(line);
+  outcome.attempt = static_cast<int>(line.integer("Hop", 0, kMostSmallNumber));
+  outcome.member = host(line);
+  outcome.status = one_of<Status>(line, "Code", line.text("Code"),
+                                  {{"success", Status::kSuccess},
+                                   {"failure", Status::kFailure},
+                                   {"overloaded", Status::kOverloaded},
+                                   {"timed_out", Status::kTimedOut},
+                                   {"unreachable", Status::kUnreachable},
+                                   {"broken", Status::kBroken},
+                                   {"withdrawn", Status::kCancelled},
+                                   {"void", Status::kNotStarted},
+                                   {"absent", Status::kDeclined}});
+  outcome.taken = line.has("TimeTakenMs") ? line.millis("TimeTakenMs") : Micros(0);
+  outcome.closed = line.has("Last") && line.flag("Last");
   if (line.has("Stand")) {
-    auto record_position = line.integer("Stand", 0, INT64_MAX);
-    if (record_position % 4 == 1) o.role = Role::kPrimary;
-    if (record_position % 4 == 2) o.role = Role::kReplica;
-    if (record_position / 4 > 0) o.position = zero_ + Micros(record_position / 4 * 1000);
+    auto stand = line.integer("Stand", 0, INT64_MAX);
+    auto role = stand % kStandRoles;
+    auto position_ms = stand / kStandRoles;
+    if (role == 1) outcome.role = Role::kPrimary;
+    if (role == 2) outcome.role = Role::kReplica;
+    if (position_ms > 0) outcome.position = zero_ + Micros(position_ms * 1000);
   }
-  o.report = report(line);
-  auto it = open_.find(o.id);
-  if (it != open_.end()) {
-    --it->second.out;
-    if (o.closed || it->second.closed) close(o.id);
+  outcome.report = report(line);
+  auto known = open_.find(outcome.id);
+  if (known != open_.end()) {
+    --known->second.out;
+    if (outcome.closed || known->second.closed) close(outcome.id);
   }
-  return o;
+  return outcome;
 }
 
 ProbeResult Names::probe_result(const Line& line) {
-  ProbeResult p;
-  p.member = host(line);
-  p.ok = line.text("Code") == "success";
-  p.taken = line.has("TimeTakenMs") ? line.millis("TimeTakenMs") : Micros(0);
-  p.report = report(line);
-  return p;
+  ProbeResult result;
+  result.member = host(line);
+  result.ok = line.text("Code") == "success";
+  result.taken = line.has("TimeTakenMs") ? line.millis("TimeTakenMs") : Micros(0);
+  result.report = report(line);
+  return result;
 }
 
 StreamStarted Names::started(const Line& line) {
-  return {known(line), static_cast<int>(line.integer("Hop", 0, 1 << 30))};
+  return {known_request(line), static_cast<int>(line.integer("Hop", 0, kMostSmallNumber))};
 }
 
 ClientGone Names::client_gone(const Line& line) {
-  ClientGone on_client_disconnected{known(line)};
-  close(on_client_disconnected.id);
-  return on_client_disconnected;
+  ClientGone gone{known_request(line)};
+  close(gone.id);
+  return gone;
 }
 
 namespace {
 
 void append_millis(std::string& out, std::string_view name, Micros value) {
-  char digits[40];
-  auto [end, error] =
-      std::to_chars(digits, digits + sizeof digits, value.count() / 1000.0, std::chars_format::fixed, 3);
-  out.append(" ").append(name).append("=").append(digits, end);
+  std::array<char, 40> digits;
+  auto [end, error] = std::to_chars(digits.data(), digits.data() + digits.size(), value.count() / 1000.0,
+                                    std::chars_format::fixed, 3);
+  out.append(" ").append(name).append("=").append(digits.data(), end);
 }
 
 }  // namespace
@@ -253,36 +272,38 @@
     Names& names;
     std::string& out;
     void ticket(RequestId id) { out.append(" Ticket=").append(names.open_.at(id).text); }
-    void operator()(const Send& a) {
+    void operator()(const Send& action) {
       out.append("DELIVER");
-      ticket(a.id);
-      out.append(" Host=").append(names.host_names_.at(a.member));
-      if (a.timeout.count() != 0) append_millis(out, "TryForMs", a.timeout);
-      ++names.open_.at(a.id).out;
+      ticket(action.id);
+      out.append(" Host=").append(names.host_names_.at(action.member));
+      if (action.timeout.count() != 0) append_millis(out, "TryForMs", action.timeout);
+      ++names.open_.at(action.id).out;
     }
-    void operator()(const Cancel& a) {
+    void operator()(const Cancel& action) {
       out.append("STOP_ATTEMPT");
-      ticket(a.id);
-      out.append(" Hop=").append(std::to_string(a.attempt));
+      ticket(action.id);
+      out.append(" Hop=").append(std::to_string(action.attempt));
     }
-    void operator()(const Reject& a) {
+    void operator()(const Reject& action) {
       out.append("PUSH_BACK");
-      ticket(a.id);
-      if (a.retry_after.count() > 0) append_millis(out, "RetryInMs", a.retry_after);
-      names.close(a.id);
+      ticket(action.id);
+      if (action.retry_after.count() > 0) append_millis(out, "RetryInMs", action.retry_after);
+      names.close(action.id);
     }
-    void operator()(const Fail& a) {
+    void operator()(const Fail& action) {
       out.append("END_FAILED");
-      ticket(a.id);
-      names.close(a.id);
+      ticket(action.id);
+      names.close(action.id);
+    }
+    void operator()(const Probe& action) {
+      out.append("CHECK Host=").append(names.host_names_.at(action.member));
     }
-    void operator()(const Probe& a) { out.append("CHECK Host=").append(names.host_names_.at(a.member)); }
-    void operator()(const SetTimer& a) {
-      out.append("WAKE_ME KeyBack=").append(std::to_string(a.key));
-      append_millis(out, "AfterMs", a.after);
+    void operator()(const SetTimer& action) {
+      out.append("WAKE_ME KeyBack=").append(std::to_string(action.key));
+      append_millis(out, "AfterMs", action.after);
     }
     void operator()(const Subscribe&) { out.append("TAIL Enable=1"); }
-    void operator()(const Log& a) { out.append("EMIT NoteText=").append(a.text); }
+    void operator()(const Log& action) { out.append("EMIT NoteText=").append(action.text); }
   };
   std::visit(Printer{*this, out}, action);
   out.push_back('\n');
--- a/src/simulator_adapter/wire.h
+++ b/src/simulator_adapter/wire.h
@@ -18,7 +18,8 @@
   using std::runtime_error::runtime_error;
 };
 
-// One line: its first word, and its name=value fields.
+// One line: its first word, and its name=value fields. Look-ups throw Malformed where a field is missing or
+// impossible.
 class Line {
  public:
   explicit Line(std::string_view text);
@@ -37,15 +38,16 @@
   std::vector<std::pair<std::string_view, std::string_view>> fields_;
 };
 
-// One row of a SNAPSHOT_ROWS list; its host is still a word, since numbers are given by each instance.
+// One row of a SNAPSHOT_ROWS list; its host is still a name, because each instance gives its own numbers.
 struct Row {
   std::string host;
   MemberEntry entry;
 };
 
+// Reads a ROW line.
 Row parse_row(const Line& line);
 
-// The words of one instance and the numbers its router knows them by.
+// The names of one instance and the numbers that its router knows them by.
 class Names {
  public:
   explicit Names(const Line& spawn);
@@ -58,7 +60,7 @@
   StreamStarted started(const Line& line);
   ClientGone client_gone(const Line& line);
   void print(const Action& action, std::string& out);
-  void forget_closed();  // drops the ids of requests that are closed and have no attempt out
+  void forget_closed();  // drops the ids of requests that are closed and have no attempt in flight
 
  private:
   struct Ticket {
@@ -66,7 +68,7 @@
     int out = 0;
     bool closed = false;
   };
-  RequestId known(const Line& line) const;
+  RequestId known_request(const Line& line) const;
   MemberId host(const Line& line) const;
   Report report(const Line& line) const;
   void close(RequestId id);
--- a/tests/simulator_adapter/wire_test.cpp
+++ b/tests/simulator_adapter/wire_test.cpp
@@ -8,7 +8,7 @@
 
 using namespace std::chrono_literals;
 
-const char* kSpawn =
+constexpr const char* kSpawn =
     "SPAWN RngSeed=5 FamilyInfo.Behind=reject FamilyInfo.CountedFromMs=1000.5 "
     "FamilyInfo.OldestDataMs=200.0,0.0 "
     "FamilyInfo.Positions=true FamilyInfo.ReadLevel=recent,update FamilyInfo.WriteMarks=client "
@@ -28,38 +28,39 @@
   void SetUp() override { names.member_list(Line("ROSTER_CHANGE Form=2 Generation=1 Ref=0"), rows); }
 };
 
-TEST_F(Wire, SettingsAreRead) {
-  auto& s = names.settings();
-  ASSERT_EQ(s.classes.size(), 2u);
-  EXPECT_EQ(s.classes[0].level, ReadLevel::kBounded);
-  EXPECT_EQ(s.classes[0].bound, 200ms);
-  EXPECT_EQ(s.classes[1].effect, Effect::kKeyed);
-  EXPECT_EQ(s.classes[1].scope, KeyScope::kGroup);
-  EXPECT_EQ(s.classes[1].key_window, 2s);
-  EXPECT_EQ(s.checks, Checks::kReject);
-  EXPECT_TRUE(s.client_carries_write_age && s.positions && s.report_position && s.report_role && s.probes);
+TEST_F(Wire, SettingsOfASpawnLineAreRead) {
+  const auto& settings = names.settings();
+  ASSERT_EQ(settings.classes.size(), 2U);
+  EXPECT_EQ(settings.classes[0].level, ReadLevel::kBounded);
+  EXPECT_EQ(settings.classes[0].bound, 200ms);
+  EXPECT_EQ(settings.classes[1].effect, Effect::kKeyed);
+  EXPECT_EQ(settings.classes[1].scope, KeyScope::kGroup);
+  EXPECT_EQ(settings.classes[1].key_window, 2s);
+  EXPECT_EQ(settings.checks, Checks::kReject);
+  EXPECT_TRUE(settings.client_carries_write_age && settings.positions && settings.report_position &&
+              settings.report_role && settings.probes);
   EXPECT_EQ(rows[0].entry.started_at, Micros(7250));
 }
 
-TEST_F(Wire, ARequestAndItsOutcomeKeepTheirTicket) {
-  auto r = names.request(Line("ORDER Ticket=abc Key=9 ExpiresMs=2000.25 Opts=6 DbNo=4 Kind=put Odd=1"));
-  EXPECT_EQ(r.request_class, 1u);
-  EXPECT_EQ(r.expires, Micros(2000250));
-  EXPECT_TRUE(r.retry);
+TEST_F(Wire, ARequestItsAttemptAndItsOutcomeHaveOneTicket) {
+  auto request = names.request(Line("ORDER Ticket=abc Key=9 ExpiresMs=2000.25 Opts=6 DbNo=4 Kind=put Odd=1"));
+  EXPECT_EQ(request.request_class, 1U);
+  EXPECT_EQ(request.expires, Micros(2000250));
+  EXPECT_TRUE(request.retry);
   std::string out;
-  names.print(Send{r.id, 0, Micros(80500)}, out);
+  names.print(Send{request.id, 0, Micros(80500)}, out);
   EXPECT_EQ(out, "DELIVER Ticket=abc Host=h1 TryForMs=80.500\n");
-  auto o = names.outcome(
+  auto ended = names.outcome(
       Line("RETURNED Ticket=abc Hop=0 Host=h1 Code=success Last=1 Stand=25485 ServerStats=x0:6.204,x1:1"));
-  EXPECT_EQ(o.id, r.id);
-  EXPECT_EQ(o.role, Role::kPrimary);
-  EXPECT_EQ(*o.position, Micros(1000500 + 6371000));
-  EXPECT_EQ(*o.report.position, Micros(1000500 + 6204000));
-  EXPECT_TRUE(*o.report.primary);
+  EXPECT_EQ(ended.id, request.id);
+  EXPECT_EQ(ended.role, Role::kPrimary);
+  EXPECT_EQ(*ended.position, Micros(1000500 + 6371000));
+  EXPECT_EQ(*ended.report.position, Micros(1000500 + 6204000));
+  EXPECT_TRUE(*ended.report.primary);
 }
 
-TEST_F(Wire, MalformedLinesAreNamed) {
-  for (auto* bad :
+TEST_F(Wire, MalformedLinesAreRejectedAndQuoted) {
+  for (const auto* bad :
        {"ORDER Ticket=a ExpiresMs=x DbNo=4 Kind=put", "ORDER Ticket=a DbNo=4 Kind=put",
         "ORDER Ticket=a ExpiresMs=5 DbNo=4 Kind=other", "ORDER Ticket=a ExpiresMs=1e300 DbNo=4 Kind=put",
         "ORDER Ticket=a ExpiresMs=5 DbNo=4 Kind=put Key=-1"})
