--- a/src/request_router/member_state.cpp
+++ b/src/request_router/member_state.cpp
@@ -69,10 +69,6 @@
          state.now - member.notified_at < state.settings.drain_grace / kDrainGraceDivisor;
 }
 
-bool is_usable(const RouterState& state, const Member& member, Duty duty) {
-  return !member.liveness.is_unresponsive() && may_use(state, member, duty);
-}
-
 void on_member_list(RouterState& state, const MemberList& list) {
   if (list.kind == ListKind::kFailed) {
     state.subscribed = false;
--- a/src/request_router/member_state.h
+++ b/src/request_router/member_state.h
@@ -73,7 +73,9 @@
 bool may_use(const RouterState& state, const Member& member, Duty duty);
 
 // Whether the member takes new requests for this duty and answers, as far as is known.
-bool is_usable(const RouterState& state, const Member& member, Duty duty);
+inline bool is_usable(const RouterState& state, const Member& member, Duty duty) {
+  return !member.liveness.is_unresponsive() && may_use(state, member, duty);
+}
 
 // Takes in a member list: new members, zones, restarts and conditions. Members that a list leaves out are
 // gone, unless it only tells differences.
--- a/src/request_router/pending_request.h
+++ b/src/request_router/pending_request.h
@@ -1,6 +1,7 @@
 // A request that has not had its final answer, with its attempts.
 #pragma once
 
+#include <algorithm>
 #include <vector>
 
 #include "request_router/router.h"
@@ -31,6 +32,13 @@
   int in_flight_count = 0;
   ZoneAssignment zones;
 
+  // Whether the member has answered it with an error.
+  bool has_failed_at(MemberId member) const {
+    return std::any_of(attempts.begin(), attempts.end(), [&](const Attempt& attempt) {
+      return attempt.has_failed && attempt.member == member;
+    });
+  }
+
   // Whether only the primary can serve it.
   bool needs_primary() const {
     return request_class->level == ReadLevel::kWrite || request_class->level == ReadLevel::kFresh;
--- a/src/request_router/replica_selection.cpp
+++ b/src/request_router/replica_selection.cpp
@@ -83,7 +83,8 @@
 
  private:
   bool is_replica_candidate(const Member& member) const {
-    return &member != primary_ && is_usable(state_, member, Duty::kReads) && !has_failed_at(pending_, member);
+    return &member != primary_ && is_usable(state_, member, Duty::kReads) &&
+           !pending_.has_failed_at(member.id);
   }
 
   bool is_long_read() const {
--- a/src/request_router/retry_policy.cpp
+++ b/src/request_router/retry_policy.cpp
@@ -63,12 +63,6 @@
 
 bool CancellationPolicy::cancels_late_attempts() const { return lost_share_ >= kLossThreshold; }
 
-bool has_failed_at(const PendingRequest& pending, const Member& member) {
-  return std::any_of(pending.attempts.begin(), pending.attempts.end(), [&](const Attempt& attempt) {
-    return attempt.has_failed && attempt.member == member.id;
-  });
-}
-
 bool may_send(const RouterState& state, const PendingRequest& pending) {
   if (pending.in_flight_count > 0) return false;
   if (static_cast<int>(pending.attempts.size()) >= state.settings.max_attempts) return false;
--- a/src/request_router/retry_policy.h
+++ b/src/request_router/retry_policy.h
@@ -32,9 +32,6 @@
   double lost_share_ = 0;  // smoothed, of all attempts
 };
 
-// Whether the member has answered this request with an error.
-bool has_failed_at(const PendingRequest& pending, const Member& member);
-
 // Whether the request may be sent (again): the rule on effects, kept here and in `may_reject`.
 bool may_send(const RouterState& state, const PendingRequest& pending);
 
--- a/tests/request_router/admission_test.cpp
+++ b/tests/request_router/admission_test.cpp
@@ -86,7 +86,7 @@
   std::size_t answers = 0;
   for (Micros at = 10s + 10ms; at < 10s + 400ms; at += 25ms) {
     std::vector<Event> events{TimerFired{1}};
-    if (at == 10s + 10ms) events.push_back(request);
+    if (at == 10s + 10ms) events.emplace_back(request);
     answers += actions_of<Reject>(router.handle(at, events)).size();
   }
   EXPECT_EQ(answers, 1U);
--- a/tests/request_router/concurrency_limit_test.cpp
+++ b/tests/request_router/concurrency_limit_test.cpp
@@ -86,7 +86,7 @@
         ASSERT_EQ(probe.member, 1U);
         auto answer = make_probe_result(1, at, true);
         answer.report.held = 110;
-        events.push_back(answer);
+        events.emplace_back(answer);
       }
       next = router.handle(at, events);
       EXPECT_TRUE(actions_of<Send>(next).empty());
--- a/tests/request_router/decision_fingerprint.cpp
+++ b/tests/request_router/decision_fingerprint.cpp
@@ -151,13 +151,13 @@
     if (chore == Chore::kArrive) {
       bool burst = random_.permille(8);
       for (auto count = burst ? random_.between(5, 60) : 1; count > 0; --count)
-        batch.push_back(new_request(false));
+        batch.emplace_back(new_request(false));
       plan(now_ + Micros(1) + mean_gap_ * load_ * random_.between(0, 2000) / 100000, Chore::kArrive);
     } else if (chore == Chore::kChangeWorld) {
       change_world(batch);
       plan(now_ + Micros(1) + mean_change_ * random_.between(100, 1900) / 1000, Chore::kChangeWorld);
     } else if (chore == Chore::kSendList) {
-      batch.push_back(next_list());
+      batch.emplace_back(next_list());
     }
   }
 
--- a/tests/request_router/primary_discovery_test.cpp
+++ b/tests/request_router/primary_discovery_test.cpp
@@ -63,7 +63,7 @@
     settings.routers = 300;
     Router router(settings, 1);
     std::size_t probes = 0;
-    auto feed = [&](Micros at, std::vector<Event> events) {
+    auto feed = [&](Micros at, const std::vector<Event>& events) {
       probes += actions_of<Probe>(router.handle(at, events)).size();
     };
     feed(10s, {make_list(ListKind::kFull, {make_entry(1), make_entry(2), make_entry(3), make_entry(4)})});
@@ -87,7 +87,7 @@
     settings.list_role = ListRole::kOff;
     Router router(settings, 1);
     std::vector<Send> sends;
-    auto feed = [&](Micros at, std::vector<Event> events) {
+    auto feed = [&](Micros at, const std::vector<Event>& events) {
       for (auto& send : actions_of<Send>(router.handle(at, events))) sends.push_back(send);
     };
     feed(10s, {make_list(ListKind::kFull, {make_entry(1), make_entry(2), make_entry(3)})});
--- a/tests/request_router/retry_policy_test.cpp
+++ b/tests/request_router/retry_policy_test.cpp
@@ -49,7 +49,7 @@
   router.handle(10s, {make_list(ListKind::kFull, {make_entry(1, true), make_entry(2), make_entry(3),
                                                   make_entry(4), make_entry(5)})});
   int attempts = 0;
-  auto feed = [&](Micros at, std::vector<Event> events) {
+  auto feed = [&](Micros at, const std::vector<Event>& events) {
     auto sends = actions_of<Send>(router.handle(at, events));
     while (!sends.empty()) {
       auto declined = make_outcome(sends.front(), attempts++, Status::kDeclined, Role::kReplica);
@@ -60,7 +60,7 @@
   for (Micros at = 10s + 20ms; at < 59s; at += 25ms) {
     std::vector<Event> events{TimerFired{1}, TimerFired{2}};
     for (MemberId member = 1; member <= 5; ++member)
-      events.push_back(make_probe_result(member, at - 5ms, false));
+      events.emplace_back(make_probe_result(member, at - 5ms, false));
     feed(at, events);
   }
   EXPECT_GE(attempts, 4);
--- a/tests/request_router/slow_start_test.cpp
+++ b/tests/request_router/slow_start_test.cpp
@@ -115,7 +115,7 @@
   for (Micros at = 10s + 700ms; at < 13s; at += 25ms) {
     std::vector<Event> events{TimerFired{1}, make_probe_result(2, 10s, false),
                               make_probe_result(3, 10s, false)};
-    if (at < 12s) events.push_back(make_request(id++, kKeyedWrite, at + 2s));
+    if (at < 12s) events.emplace_back(make_request(id++, kKeyedWrite, at + 2s));
     for (auto& send : actions_of<Send>(router.handle(at, events))) {
       ++tried[send.member];
       router.handle(at, {make_outcome(send, 0, Status::kDeclined, Role::kReplica)});
@@ -190,6 +190,7 @@
   std::vector<Micros> play(std::uint64_t seed) {
     random_.seed(seed);
     std::vector<Router> fleet;
+    fleet.reserve(static_cast<std::size_t>(settings_.routers));
     for (int index = 0; index < settings_.routers; ++index) fleet.push_back(start_router(10s));
     std::vector<Micros> calls;
     bool notified = false;
--- a/tests/request_router/zone_routing_test.cpp
+++ b/tests/request_router/zone_routing_test.cpp
@@ -33,7 +33,7 @@
       router.handle(at, {make_probe_result(member, at - 5ms, member == 1)});
   }
   // So many reads, each answered at once; the sends by zone, and under "" the rejections.
-  std::map<std::string, int> reads(int count, Class request_class, std::set<std::string> silent = {}) {
+  std::map<std::string, int> reads(int count, Class request_class, const std::set<std::string>& silent = {}) {
     std::map<std::string, int> went;
     for (int i = 0; i < count; ++i) {
       now += 5ms;
