--- /dev/null
+++ b/src/consensus/output.h
@@ -0,0 +1,55 @@
+// What Raft::step() asks its driver to do.
+#pragma once
+
+#include <cstdint>
+#include <optional>
+#include <vector>
+
+#include "consensus/messages.h"
+#include "consensus/role.h"
+#include "consensus/types.h"
+
+namespace database_proxy::consensus {
+
+// One transaction of the store. Its parts are carried out in this order, all or none.
+struct Write {
+  std::uint64_t number = 0;  // rises by one with each write
+  std::optional<HardState> hard;
+  SnapshotPtr snapshot;     // null: unchanged
+  Index truncate_from = 0;  // entries at this index and later are removed; 0: none
+  Index drop_before = 0;    // entries before this index are removed; 0: none
+  std::vector<Entry> append;
+};
+
+// A message for another node.
+struct Outgoing {
+  Message message;
+  std::uint64_t after = 0;  // it is sent once the write of this number is durable; 0: at once
+};
+
+// The answer to a Proposal or a MembershipChange.
+struct ProposalResult {
+  std::uint64_t ticket = 0;
+  Index index = 0;       // 0: rejected, nothing was changed
+  Term term = 0;         // it is in force once the entry of this term is committed at `index`
+  const char* why = "";  // rejected: a sentence for the operator
+};
+
+// The answer to a ReadRequest.
+struct ReadResult {
+  std::uint64_t ticket = 0;
+  bool confirmed = false;  // false: this node does not lead, or leads no longer
+};
+
+// All that one step asks for.
+struct Output {
+  std::vector<Write> writes;
+  std::vector<Outgoing> messages;
+  SnapshotPtr restored;  // not null: it replaces the state machine, before `committed` is applied
+  std::vector<Entry> committed;
+  std::vector<ProposalResult> proposed;
+  std::vector<ReadResult> reads;
+  std::vector<RoleChange> role_changes;
+};
+
+}  // namespace database_proxy::consensus
--- /dev/null
+++ b/src/consensus/raft_requests.cpp
@@ -0,0 +1,124 @@
+// What a leader is asked for by clients and operators: proposals, changes of members, confirmed reads, and
+// the transfer of leadership.
+#include <utility>
+
+#include "consensus/raft.h"
+
+namespace database_proxy::consensus {
+namespace {
+
+constexpr const char* kNotRejected = "";
+
+bool is_rejected(const char* why) { return *why != '\0'; }
+
+}  // namespace
+
+void Raft::on(Proposal& proposal) {
+  ProposalResult result;
+  result.ticket = proposal.ticket;
+  result.why = proposal_rejection();
+  if (!is_rejected(result.why)) {
+    result.index = append_as_leader(EntryType::kCommand, std::move(proposal.data));
+    result.term = hard_state_.term;
+    send_to_all(false);
+  }
+  output_.proposed.push_back(result);
+}
+
+const char* Raft::proposal_rejection() const {
+  if (!is_leader()) return "this node does not lead";
+  if (transfer_.is_active()) return "leadership is being handed over";
+  if (last_index() - commit_ >= options_.uncommitted) return "too much is not committed yet";
+  return kNotRejected;
+}
+
+void Raft::on(const MembershipChange& change) {
+  ProposalResult result;
+  result.ticket = change.ticket;
+  result.why = membership_change_rejection(change);
+  if (!is_rejected(result.why)) {
+    result.index = append_as_leader(EntryType::kMembers, members_after(change).encode());
+    result.term = hard_state_.term;
+    replication_.update_members(members(), last_index(), now_);
+    send_to_all(false);
+  }
+  output_.proposed.push_back(result);
+}
+
+const char* Raft::membership_change_rejection(const MembershipChange& change) const {
+  if (!is_leader()) return "this node does not lead";
+  if (transfer_.is_active()) return "leadership is being handed over";
+  // Without a committed entry of its own term, a leader may overlook a change that its predecessor began.
+  if (membership_.has_uncommitted_change(commit_) || !has_committed_in_current_term())
+    return "another change of members is under way";
+  if (const char* why = member_rejection(change); is_rejected(why)) return why;
+  // A majority of the voters that are left must respond. Otherwise this change would be the last one ever.
+  const auto remaining = members_after(change);
+  if (replication_.responsive_voters(remaining, now_, options_.election_max) < remaining.majority())
+    return "too few of the voters that would be left are heard of";
+  return kNotRejected;
+}
+
+const char* Raft::member_rejection(const MembershipChange& change) const {
+  using What = MembershipChange::What;
+  const bool is_member = members().has(change.node);
+  const bool is_voter = members().votes(change.node);
+  if (change.node == kNobody || (change.what == What::kAddLearner && is_member))
+    return "it is a member already";
+  if (change.what != What::kAddLearner && !is_member) return "it is no member";
+  if (change.what == What::kPromote) {
+    if (is_voter) return "it votes already";
+    const auto* peer = replication_.find(change.node);
+    if (!peer || peer->match + options_.caught_up < commit_) return "it has not caught up yet";
+  }
+  if (change.what == What::kRemove && is_voter && members().voters.size() == 1) return "it is the last voter";
+  return kNotRejected;
+}
+
+Membership Raft::members_after(const MembershipChange& change) const {
+  auto changed = members();
+  switch (change.what) {
+    case MembershipChange::What::kAddLearner:
+      changed.add_learner(change.node);
+      break;
+    case MembershipChange::What::kPromote:
+      changed.add_voter(change.node);
+      break;
+    case MembershipChange::What::kRemove:
+      changed.remove(change.node);
+      break;
+  }
+  return changed;
+}
+
+void Raft::on(ReadRequest request) {
+  if (!has_committed_in_current_term()) return output_.reads.push_back({request.ticket, false});
+  reads_.add(request.ticket, replication_.round() + 1);
+}
+
+void Raft::confirm_reads() {
+  if (reads_.empty() || !is_leader()) return;
+  reads_.confirm(replication_.majority_round(members()), &output_.reads);
+}
+
+void Raft::on(LeadershipTransfer request) {
+  if (!is_leader() || transfer_.is_active()) return;
+  NodeId target = request.to;
+  if (target == kNobody) target = replication_.most_advanced_voter(members(), now_, options_.election_min);
+  if (target == kNobody || !members().votes(target) || !replication_.find(target)) return;
+  transfer_.begin(target, now_ + options_.election_max);
+  request_election_if_caught_up();
+}
+
+void Raft::request_election_if_caught_up() {
+  if (!is_leader() || !transfer_.is_catching_up()) return;
+  const auto* peer = replication_.find(transfer_.target());
+  if (!peer || peer->match < last_index()) return;
+  Message request;
+  request.type = Message::Type::kTimeoutNow;
+  request.to = transfer_.target();
+  send(std::move(request));
+  transfer_.on_election_requested();
+}
+
+}  // namespace database_proxy::consensus
--- /dev/null
+++ b/src/consensus/raft_snapshot.cpp
@@ -0,0 +1,55 @@
+// Snapshots: those of this node's own state machine, which compact its log, and those that a leader sends.
+#include <algorithm>
+#include <memory>
+#include <utility>
+
+#include "consensus/raft.h"
+
+namespace database_proxy::consensus {
+
+void Raft::on(SnapshotTaken& taken) {
+  if (taken.index <= snapshot_index() || taken.index > applied_) return;
+  auto snapshot = std::make_shared<Snapshot>();
+  snapshot->index = taken.index;
+  snapshot->term = log_.term_at(taken.index);
+  snapshot->members = membership_.at(taken.index);
+  snapshot->data = std::move(taken.data);
+  snapshot_ = std::move(snapshot);
+  membership_.compact_to(taken.index);
+  writes_.take_snapshot(snapshot_, last_index());
+  compact_log(taken.index);
+}
+
+// Some entries before the snapshot remain, so that followers a little behind need no snapshot.
+void Raft::compact_log(Index snapshot_index) {
+  if (snapshot_index <= options_.trailing) return;
+  const Index base = snapshot_index - options_.trailing;
+  if (base <= log_.base_index()) return;
+  log_.compact_to(base);
+  writes_.drop_before(base);  // the entry at the base stays in the store, since it tells the term there
+}
+
+void Raft::on_install_snapshot(const Message& message) {
+  if (message.term < hard_state_.term || !message.snapshot) return;
+  on_leader_contact(message);
+  const auto& snapshot = *message.snapshot;
+  if (snapshot.index <= commit_) {
+    verified_ = std::max(verified_, commit_);
+    return acknowledge_durable_log(leader_, 0);
+  }
+  // Entries behind it may have been acknowledged already: where they fit, they stay (chapter 5).
+  if (snapshot.index <= last_index() && log_.term_at(snapshot.index) == snapshot.term) {
+    verified_ = std::max(verified_, snapshot.index);
+    commit_to(snapshot.index);
+    return acknowledge_durable_log(leader_, 0);
+  }
+  snapshot_ = message.snapshot;
+  log_.reset(snapshot.index, snapshot.term);
+  membership_.reset(snapshot.index, snapshot.members);
+  commit_ = applied_ = verified_ = snapshot.index;
+  output_.restored = snapshot_;
+  output_.committed.clear();
+  writes_.install_snapshot(snapshot_);
+}
+
+}  // namespace database_proxy::consensus
