--- a/src/state/store_writer.cpp
+++ b/src/state/store_writer.cpp
@@ -6,48 +6,54 @@
 
 namespace database_proxy::state {
 
-StoreWriter::StoreWriter(std::unique_ptr<DurableStore> store, CompletionCallback told)
-    : store_(std::move(store)), told_(std::move(told)), thread_([this] { run(); }) {
+StoreWriter::StoreWriter(std::unique_ptr<DurableStore> store, CompletionCallback on_completion)
+    : store_(std::move(store)), on_completion_(std::move(on_completion)), thread_([this] { run(); }) {
   pthread_setname_np(thread_.native_handle(), "state");
 }
 
 StoreWriter::~StoreWriter() {
   {
     std::lock_guard lock(mutex_);
-    stopped_ = true;
+    is_stopped_ = true;
   }
-  more_.notify_one();
+  queue_changed_.notify_one();
   thread_.join();
 }
 
 void StoreWriter::write(std::uint64_t number, Batch batch) {
   {
     std::lock_guard lock(mutex_);
-    queue_.emplace_back(number, std::move(batch));
+    queue_.push_back({number, std::move(batch)});
   }
-  more_.notify_one();
+  queue_changed_.notify_one();
 }
 
 void StoreWriter::run() {
-  std::string failed;
+  std::string error;
   while (true) {
-    std::vector<std::pair<std::uint64_t, Batch>> taken;
-    {
-      std::unique_lock lock(mutex_);
-      more_.wait(lock, [this] { return stopped_ || !queue_.empty(); });
-      if (queue_.empty()) return;
-      taken.swap(queue_);
-    }
-    auto number = taken.back().first;
-    Batch all;
-    for (auto& [n, batch] : taken) all.add(std::move(batch));
-    if (failed.empty()) try {
-        store_->commit(all);
-      } catch (const StoreError& e) {
-        failed = e.what();
-      }
-    told_(number, failed);
+    auto batches = take_batches();
+    if (batches.empty()) return;
+    const auto last_number = batches.back().number;
+    if (error.empty()) error = commit(std::move(batches));
+    on_completion_(last_number, error);
   }
 }
 
+std::vector<StoreWriter::NumberedBatch> StoreWriter::take_batches() {
+  std::unique_lock lock(mutex_);
+  queue_changed_.wait(lock, [this] { return is_stopped_ || !queue_.empty(); });
+  return std::exchange(queue_, {});
+}
+
+std::string StoreWriter::commit(std::vector<NumberedBatch> batches) {
+  Batch transaction;
+  for (auto& numbered : batches) transaction.add(std::move(numbered.batch));
+  try {
+    store_->commit(transaction);
+  } catch (const StoreError& e) {
+    return e.what();
+  }
+  return "";
+}
+
 }  // namespace database_proxy::state
