--- a/src/consensus/raft.cpp
+++ b/src/consensus/raft.cpp
@@ -80,7 +80,8 @@
     if (election_timer_.has_expired(now_) && may_start_election()) start_pre_vote();
     return;
   }
-  // As patient as the followers: one that hears nobody is led by another a timeout sooner.
+  // Followers wait at least as long before they elect another leader, so that one without a majority steps
+  // down at about the same time.
   if (options_.check_quorum && !replication_.has_quorum_contact(members(), now_, options_.election_min))
     return become_follower(hard_state_.term, kNobody, RoleChangeReason::kLostQuorum);
   transfer_.expire(now_);
--- a/src/consensus/raft.h
+++ b/src/consensus/raft.h
@@ -100,7 +100,7 @@
   void save_hard_state();
   void send(Message message);
 
-  // raft_election.cpp: votes, and the changes of role that follow from them (chapter 3.4, section 9.6).
+  // raft_election.cpp: votes, and the changes of role that follow from them (sections 3.4 and 9.6).
   void on_request_vote(const Message& message);
   void answer_pre_vote(const Message& message);
   void answer_vote(const Message& message);
@@ -118,7 +118,7 @@
   void request_votes(Message::Type type, Term term, bool is_forced);
   void count_votes();
 
-  // raft_replication.cpp: the log of leader and followers (chapter 3.5).
+  // raft_replication.cpp: the log of leader and followers (section 3.5).
   void on_append_entries(Message& message);
   void on_append_entries_response(const Message& message);
   void on_leader_contact(const Message& message);
--- a/src/consensus/read_index.h
+++ b/src/consensus/read_index.h
@@ -21,7 +21,7 @@
 
   // Answers the reads that this round confirms.
   void confirm(std::uint64_t round, std::vector<ReadResult>* results);
-  // Answers all reads that they are not confirmed, because this node no longer leads.
+  // Answers all reads as not confirmed, because this node no longer leads.
   void fail_all(std::vector<ReadResult>* results);
 
   // Whether a read waits for a round that has not begun. The caller begins one.
--- a/src/consensus/replication.h
+++ b/src/consensus/replication.h
@@ -28,8 +28,8 @@
   Micros heard{0};  // when its last answer arrived; before the first one, when this leader began to track it
   std::uint64_t round = 0;  // the last heartbeat round that it has answered; 0: none
 
-  // The member rejected an append at `refused`; `hint` is where the logs may agree. Returns whether the
-  // answer is of the outstanding append, so that another one is to be sent.
+  // The member rejected an append at `refused`; `hint` is where the logs may agree. Returns whether another
+  // append is to be sent: not for an outdated answer, nor while a snapshot is outstanding.
   bool on_rejected(Index refused, Index hint);
   // The member's log matches up to `index`. `base_index` is that of the leader's log.
   void on_accepted(Index index, Index base_index);
@@ -52,7 +52,7 @@
         batch_entries_(options.batch_entries),
         batch_bytes_(options.batch_bytes) {}
 
-  // Begins anew for a leader that has just been elected; clear() is for one that no longer leads.
+  // Begins for a leader that has just been elected; clear() is for one that no longer leads.
   void start(const Membership& members, Index last_index, Micros now);
   void clear() { peers_.clear(); }
   // Tracks the members that have joined, and no longer those that have left.
