--- /dev/null
+++ b/src/ownership/lease_client.cpp
@@ -0,0 +1,99 @@
+#include "ownership/lease_client.h"
+
+#include <algorithm>
+#include <cstddef>
+#include <iterator>
+#include <string>
+#include <vector>
+
+#include "ownership/fencing_token_guard.h"
+#include "ownership/lease_messages.h"
+#include "ownership/lease_options.h"
+
+namespace database_proxy::ownership {
+namespace {
+
+// Requests whose response is still accepted. At four requests a lease or fewer, the leases that an older one
+// would grant have expired long since; the bound only keeps the map small while no leader responds.
+constexpr std::size_t kMaxOpenRequests = 16;
+
+}  // namespace
+
+LeaseRenewalRequest LeaseClient::make_renewal_request(Micros now,
+                                                      const std::vector<std::string>& eligible_jobs) {
+  LeaseRenewalRequest request;
+  request.node = node_;
+  request.number = ++last_request_number_;
+  request.eligible_jobs = eligible_jobs;
+  for (const auto& [job, lease] : leases_) request.holds.push_back({job, lease.token, lease.progress});
+  request_sent_at_[request.number] = now;
+  while (request_sent_at_.size() > kMaxOpenRequests) request_sent_at_.erase(request_sent_at_.begin());
+  return request;
+}
+
+void LeaseClient::on_renewal_response(Micros /*now*/, const LeaseRenewalResponse& response) {
+  auto sent_at = request_sent_at_.find(response.number);
+  if (sent_at == request_sent_at_.end()) return;
+  auto until = sent_at->second + std::min(response.length, options_.length);
+  request_sent_at_.erase(request_sent_at_.begin(), std::next(sent_at));
+  give_up_.clear();
+  give_up_.insert(response.give_up.begin(), response.give_up.end());
+  for (const auto& granted : response.granted) {
+    auto released = released_tokens_.find(granted.job);
+    if (released != released_tokens_.end() && granted.token <= released->second) continue;
+    auto& lease = leases_[granted.job];
+    if (granted.token < lease.token) continue;
+    if (granted.token > lease.token) lease = {granted.token, until, 0};
+    lease.until = std::max(lease.until, until);
+  }
+}
+
+bool LeaseClient::holds(const std::string& job, Micros now) const {
+  auto it = leases_.find(job);
+  return it != leases_.end() && (options_.flaw_no_check || now < it->second.until);
+}
+
+Token LeaseClient::token(const std::string& job) const {
+  auto it = leases_.find(job);
+  return it == leases_.end() ? 0 : it->second.token;
+}
+
+Micros LeaseClient::until(const std::string& job) const {
+  auto it = leases_.find(job);
+  return it == leases_.end() ? Micros(0) : it->second.until;
+}
+
+std::vector<std::string> LeaseClient::jobs() const {
+  std::vector<std::string> jobs;
+  for (const auto& [job, lease] : leases_) jobs.push_back(job);
+  return jobs;
+}
+
+void LeaseClient::record_progress(const std::string& job) {
+  if (auto it = leases_.find(job); it != leases_.end()) ++it->second.progress;
+}
+
+std::vector<std::string> LeaseClient::expire(Micros now) {
+  std::vector<std::string> expired;
+  for (auto it = leases_.begin(); it != leases_.end();) {
+    if (now < it->second.until || options_.flaw_no_check) {
+      ++it;
+      continue;
+    }
+    expired.push_back(it->first);
+    it = leases_.erase(it);
+  }
+  return expired;
+}
+
+Token LeaseClient::give_up(const std::string& job) {
+  auto it = leases_.find(job);
+  if (it == leases_.end()) return 0;
+  auto token = it->second.token;
+  released_tokens_[job] = token;
+  leases_.erase(it);
+  give_up_.erase(job);
+  return token;
+}
+
+}  // namespace database_proxy::ownership
--- /dev/null
+++ b/src/ownership/lease_manager.cpp
@@ -0,0 +1,235 @@
+#include "ownership/lease_manager.h"
+
+#include <algorithm>
+#include <cstdint>
+#include <map>
+#include <optional>
+#include <set>
+#include <string>
+#include <tuple>
+#include <utility>
+#include <vector>
+
+#include "ownership/fencing_token_guard.h"
+#include "ownership/lease_commands.h"
+#include "ownership/lease_messages.h"
+#include "ownership/lease_options.h"
+#include "ownership/lease_registry.h"
+
+namespace database_proxy::ownership {
+namespace {
+
+// Without any event, proposals are looked at so many times per lease.
+constexpr int kProposalsPerLease = 4;
+// A node that sent nothing for so many reassignment delays is forgotten; all its leases have expired by then.
+constexpr int kForgetAfterDelays = 4;
+// A job moves only between nodes whose counts differ by so much: by less, moving it would gain nothing.
+constexpr int kRebalanceDifference = 2;
+
+// FNV-1a with its 64-bit offset basis and prime: each node computes the same, unlike with std::hash.
+std::uint64_t hash_of(const std::string& job, const std::string& node) {
+  constexpr std::uint64_t kOffsetBasis = 1469598103934665603ULL;
+  constexpr std::uint64_t kPrime = 1099511628211ULL;
+  std::uint64_t hash = kOffsetBasis;
+  for (const auto* text : {&job, &node})
+    for (unsigned char byte : *text + '\0') hash = (hash ^ byte) * kPrime;
+  return hash;
+}
+
+}  // namespace
+
+void LeaseManager::on_elected(Micros now) {
+  leading_ = true;
+  elected_at_ = now;
+  last_rebalance_at_ = now;
+  due_ = now;
+  nodes_.clear();
+  leases_.clear();
+  proposed_.clear();
+  excluded_until_.clear();
+}
+
+void LeaseManager::on_renewal_request(Micros now, const LeaseRenewalRequest& request,
+                                      const LeaseRegistry& registry) {
+  if (!leading_) return;
+  auto& node = nodes_[request.node];
+  node.last_request_at = now;
+  node.eligible_jobs.clear();
+  node.eligible_jobs.insert(request.eligible_jobs.begin(), request.eligible_jobs.end());
+  due_ = std::min(due_, now);
+  for (const auto& [name, job] : registry.jobs()) {
+    // A proposed grant to another node may take effect at any moment: nobody is renewed meanwhile.
+    if (job.owner != request.node || proposed_.contains(name)) continue;
+    renew_lease(now, request, name, job.token);
+  }
+}
+
+// Returns the job's lease. One that is seen for the first time may have been granted up to now, by this
+// leader or by those before it.
+LeaseManager::Lease& LeaseManager::observe_lease(Micros now, const std::string& job, Token token) {
+  auto& lease = leases_[job];
+  if (lease.token != token) lease = {now, token, 0, now, false, false};
+  return lease;
+}
+
+// Renews the lease, or revokes it where its holder does no work or is not eligible any more.
+void LeaseManager::renew_lease(Micros now, const LeaseRenewalRequest& request, const std::string& job,
+                               Token token) {
+  auto& lease = observe_lease(now, job, token);
+  if (lease.revoked) return;
+  lease.renewed_at = now;
+  for (const auto& reported : request.holds) {
+    if (reported.job != job || reported.token != token || reported.progress == lease.progress) continue;
+    lease.progress = reported.progress;
+    lease.progressed_at = now;
+  }
+  bool is_eligible = nodes_.at(request.node).eligible_jobs.contains(job);
+  if (is_eligible && now - lease.progressed_at < options_.idle) return;
+  lease.revoked = true;
+  excluded_until_[{job, request.node}] = now + options_.exclusion;
+  reasons_.push_back("job " + job + ": " + request.node +
+                     (is_eligible ? " holds the lease but does no work" : " is no longer willing"));
+}
+
+LeaseRenewalResponse LeaseManager::renewal_response(const std::string& node, std::uint64_t number,
+                                                    const LeaseRegistry& registry) const {
+  LeaseRenewalResponse response;
+  response.number = number;
+  response.length = options_.length;
+  for (const auto& [name, job] : registry.jobs()) {
+    if (job.owner != node || proposed_.contains(name)) continue;
+    auto lease = leases_.find(name);
+    if (lease != leases_.end() && lease->second.token == job.token) {
+      if (lease->second.revoked) continue;
+      if (lease->second.release_requested) response.give_up.push_back(name);
+    }
+    response.granted.push_back({name, job.token, 0});
+  }
+  return response;
+}
+
+std::vector<Command> LeaseManager::propose(Micros now, const LeaseRegistry& registry) {
+  if (!leading_) return {};
+  due_ = now + options_.length / kProposalsPerLease;
+  auto jobs = all_eligible_jobs();
+  forget_silent_nodes(now);
+  std::erase_if(excluded_until_, [&](const auto& exclusion) { return now >= exclusion.second; });
+  std::vector<Command> commands;
+  for (const auto& job : jobs)
+    if (auto grant = propose_grant(now, job, registry)) commands.emplace_back(*std::move(grant));
+  rebalance(now, registry);
+  return commands;
+}
+
+std::set<std::string> LeaseManager::all_eligible_jobs() const {
+  std::set<std::string> jobs;
+  for (const auto& [name, node] : nodes_) jobs.insert(node.eligible_jobs.begin(), node.eligible_jobs.end());
+  return jobs;
+}
+
+void LeaseManager::forget_silent_nodes(Micros now) {
+  auto longest_silence = options_.safe_reassignment_delay() * kForgetAfterDelays;
+  std::erase_if(nodes_,
+                [&](const auto& node) { return now - node.second.last_request_at > longest_silence; });
+}
+
+// Returns the grant of a job that nobody holds any more, and sets due() where it has to wait for that.
+std::optional<Grant> LeaseManager::propose_grant(Micros now, const std::string& job,
+                                                 const LeaseRegistry& registry) {
+  if (proposed_.contains(job)) return std::nullopt;
+  const auto* state = registry.job(job);
+  std::string previous_owner = state ? state->owner : "";
+  // A job without owner waits until all nodes had time to tell the new leader that they are eligible.
+  auto assignable_at = previous_owner.empty() ? elected_at_ + options_.length / 2
+                                              : observe_lease(now, job, state->token).renewed_at +
+                                                    options_.safe_reassignment_delay();
+  if (now < assignable_at) {
+    due_ = std::min(due_, assignable_at);
+    return std::nullopt;
+  }
+  auto assignee = choose_assignee(now, job, registry, previous_owner);
+  if (assignee.empty()) return std::nullopt;
+  proposed_[job] = assignee;
+  reasons_.push_back(
+      "job " + job + " goes to " + assignee +
+      (previous_owner.empty() ? ": nobody owned it" : ": the lease of " + previous_owner + " has run out"));
+  return Grant{job, assignee, state ? state->token : 0};
+}
+
+// Returns the node with the fewest jobs among those that are eligible and sent a request within a lease's
+// length, empty if there is none. Ties are broken by a hash, so that the same job goes to the same node
+// again. Excluded nodes and the previous holder are the last choice.
+std::string LeaseManager::choose_assignee(Micros now, const std::string& job, const LeaseRegistry& registry,
+                                          const std::string& previous_owner) const {
+  std::string assignee;
+  std::tuple<bool, int, std::uint64_t> lowest_rank;
+  for (const auto& [name, count] : job_counts(now, registry)) {
+    if (!nodes_.at(name).eligible_jobs.contains(job)) continue;
+    auto excluded_until = excluded_until_.find({job, name});
+    bool is_excluded = excluded_until != excluded_until_.end() && now < excluded_until->second;
+    std::tuple rank(name == previous_owner || is_excluded, count, hash_of(job, name));
+    if (!assignee.empty() && !(rank < lowest_rank)) continue;
+    assignee = name;
+    lowest_rank = rank;
+  }
+  return assignee;
+}
+
+// Returns how many jobs each node that sent a request within a lease's length has, or is about to get.
+LeaseManager::JobCounts LeaseManager::job_counts(Micros now, const LeaseRegistry& registry) const {
+  JobCounts counts;
+  for (const auto& [name, node] : nodes_)
+    if (now - node.last_request_at < options_.length) counts[name] = 0;
+  for (const auto& [name, job] : registry.jobs())
+    if (auto it = counts.find(job.owner); it != counts.end() && !proposed_.contains(name)) ++it->second;
+  for (const auto& [job, assignee] : proposed_)
+    if (auto it = counts.find(assignee); it != counts.end()) ++it->second;
+  return counts;
+}
+
+bool LeaseManager::is_rebalancing(Micros now) const {
+  if (now >= last_rebalance_at_ + options_.safe_reassignment_delay()) return false;
+  return std::any_of(leases_.begin(), leases_.end(),
+                     [](auto& lease) { return lease.second.release_requested; });
+}
+
+// Asks for one job at a time back from a node that has more than another that is eligible for it.
+void LeaseManager::rebalance(Micros now, const LeaseRegistry& registry) {
+  if (now < last_rebalance_at_ + options_.rebalance_interval || !proposed_.empty()) return;
+  if (is_rebalancing(now)) return;
+  auto counts = job_counts(now, registry);
+  for (const auto& [name, job] : registry.jobs()) {
+    auto lease = leases_.find(name);
+    if (lease == leases_.end() || lease->second.token != job.token || lease->second.revoked) continue;
+    const auto* receiver = find_less_loaded_node(name, job.owner, counts);
+    if (!receiver) continue;
+    lease->second.release_requested = true;
+    last_rebalance_at_ = now;
+    reasons_.push_back("job " + name + " is asked back from " + job.owner + ": " + *receiver + " has fewer");
+    return;
+  }
+}
+
+const std::string* LeaseManager::find_less_loaded_node(const std::string& job, const std::string& owner,
+                                                       const JobCounts& counts) const {
+  auto owner_count = counts.find(owner);
+  if (owner_count == counts.end()) return nullptr;
+  for (const auto& [name, count] : counts) {
+    if (count + kRebalanceDifference > owner_count->second) continue;
+    if (!nodes_.at(name).eligible_jobs.contains(job) || excluded_until_.contains({job, name})) continue;
+    return &name;
+  }
+  return nullptr;
+}
+
+std::string LeaseManager::fingerprint() const {
+  std::string text = leading_ ? "L" + std::to_string(elected_at_.count()) : "-";
+  for (const auto& [job, lease] : leases_)
+    text += job + std::to_string(lease.renewed_at.count()) + "," + std::to_string(lease.token) +
+            (lease.revoked ? "r" : "") + (lease.release_requested ? "m" : "");
+  for (const auto& [job, assignee] : proposed_) text.append(job).append(">").append(assignee);
+  for (const auto& [name, node] : nodes_) text += name + "@" + std::to_string(node.last_request_at.count());
+  return text;
+}
+
+}  // namespace database_proxy::ownership
--- a/src/ownership/lease_registry.h
+++ b/src/ownership/lease_registry.h
@@ -1,89 +1,64 @@
-// Who owns which job of the fleet, as the group's log has it: the replicated half of ownership. Each command
-// of the log is applied at every node in the same order, so all agree. No clock, no I/O, no thread.
+// Who owns which job of the fleet, as the group's log has it: the replicated half of ownership. Each node
+// applies every command of the log in the same order, so all registries agree. Pure: no clock, I/O or thread.
 //
-// A grant's fencing token is the index of the entry that made it, so tokens of a job only rise, over all
-// leaders and restarts. What an owner publishes carries its token; a lower one than the newest grant's is
-// turned down and counted.
+// A grant's fencing token is the index of the log entry that made it, so the tokens of a job only grow, over
+// all leaders and restarts. What a holder publishes carries its token; a publication with a lower token than
+// the newest grant's is refused and counted.
 #pragma once
 
 #include <cstdint>
 #include <map>
 #include <optional>
 #include <string>
-#include <variant>
 
-namespace database_proxy::ownership {
-
-using Token = std::uint64_t;
+#include "ownership/fencing_token_guard.h"
+#include "ownership/lease_commands.h"
 
-// commands
-struct Grant {
-  std::string job, owner;
-  Token after = 0;  // the newest token that the leader saw: another grant in between voids this one
-};
-struct Release {
-  std::string job;
-  Token token = 0;
-};
-struct Publish {  // a job's result, for all to follow
-  std::string job;
-  Token token = 0;
-  std::uint64_t version = 0;  // the publisher's own count
-  std::string data;
-};
-struct SetConfigurationEntry {  // a setting of the operators, such as a node's name and address
-  std::string key, value;       // an empty value removes it
-};
-using Command = std::variant<Grant, Release, Publish, SetConfigurationEntry>;
-std::string encode(const Command& command);
-// nullopt: from a newer version, or spoilt. It is skipped alike at every node.
-std::optional<Command> decode(const std::string& text);
+namespace database_proxy::ownership {
 
+// One job's assignment and its newest published result.
 struct JobState {
-  std::string owner;       // empty: nobody
-  Token token = 0;         // of the newest grant, also where it was given back
-  Token published_by = 0;  // whose `data` this is
-  std::uint64_t version = 0;
+  std::string owner;          // empty: nobody
+  Token token = 0;            // of the newest grant, also after the job was released
+  Token published_by = 0;     // the token under which `data` was published
+  std::uint64_t version = 0;  // of `data`, by the publisher's count
   std::string data;
 };
 
+// The replicated state machine. The node applies committed entries to its copy on its event loop; copies are
+// also taken for snapshots and by the simulator.
 class LeaseRegistry {
  public:
-  enum class ApplyResult { kDone, kStale, kVoid };  // kStale: an old token; kVoid: overtaken, no effect
+  // kDone: it took effect; kStale: a publication under an old token; kVoid: overtaken, no effect.
+  enum class ApplyResult { kDone, kStale, kVoid };
+
+  // Applies the command of the log entry at `index`. Where it grants a job, `*granted` becomes its token.
   ApplyResult apply(std::uint64_t index, const Command& command, Token* granted = nullptr);
+
   const std::map<std::string, JobState>& jobs() const { return jobs_; }
+  // The state of the job, or nullptr if no command named it yet.
   const JobState* job(const std::string& name) const;
   const std::map<std::string, std::string>& settings() const { return settings_; }
-  std::uint64_t stale() const { return stale_; }  // effects turned down for their old token
+  // The number of publications refused for their old token.
+  std::uint64_t stale() const { return stale_; }
+
+  // The registry as snapshots store it (CBOR).
   std::string encode() const;
+  // The registry that `text` holds; an empty text gives an empty one. Returns nullopt if it is damaged.
   static std::optional<LeaseRegistry> decode(const std::string& text);
 
-  // Guard taken away, for the simulator's mutants only.
+  // Takes the guard against old tokens away. Only the simulator sets it, to prove that it would notice.
   bool flaw_token_not_compared = false;
 
  private:
+  ApplyResult apply_grant(std::uint64_t index, const Grant& grant, Token* granted);
+  ApplyResult apply_release(const Release& release);
+  ApplyResult apply_publish(const Publish& publish);
+  ApplyResult apply_configuration_entry(const SetConfigurationEntry& entry);
+
   std::map<std::string, JobState> jobs_;
   std::map<std::string, std::string> settings_;
   std::uint64_t stale_ = 0;
 };
 
-// What any receiver of effects keeps: the highest token it saw of each job.
-class FencingTokenGuard {
- public:
-  bool admit(const std::string& job, Token token) {
-    auto& highest = highest_[job];
-    if (token < highest) {
-      ++refused_;
-      return false;
-    }
-    highest = token;
-    return true;
-  }
-  std::uint64_t refused() const { return refused_; }
-
- private:
-  std::map<std::string, Token> highest_;
-  std::uint64_t refused_ = 0;
-};
-
 }  // namespace database_proxy::ownership
