--- a/src/app/fleet_placement.cpp
+++ b/src/app/fleet_placement.cpp
@@ -33,7 +33,8 @@
   std::string text = fmt::format("plan {}{}, owner {}\n", plan.number, plan.frozen ? " (frozen)" : "",
                                  owner.empty() ? "nobody" : owner);
   for (auto& [zone, s] : plan.zones)
-    text += fmt::format("zone {:<16} {:<10} {:3.0f} %{}{}\n", named(zone), pl::text_of(s.phase), s.part * 100,
+    text += fmt::format("zone {:<16} {:<10} {:3.0f} %{}{}\n", named(zone), pl::text_of(s.phase),
+                        s.capacity_fraction * 100,
                         s.reason == pl::PhaseReason::kNone ? "" : fmt::format("  {}", pl::text_of(s.reason)),
                         s.forced ? " (forced)" : "");
   for (auto& [key, s] : plan.links)
@@ -59,7 +60,7 @@
   for (auto& [key, most] : bears) {
     if (key.first != set) continue;
     auto it = plan.zones.find(key.second);
-    auto part = it == plan.zones.end() ? 1.0 : it->second.part;
+    auto part = it == plan.zones.end() ? 1.0 : it->second.capacity_fraction;
     text += fmt::format(
         "zone {:<16} bears {:7.0f} reads a second, may be given {:.0f}{}\n", named(key.second), most,
         most * part,
--- a/src/app/group_runner.cpp
+++ b/src/app/group_runner.cpp
@@ -72,7 +72,7 @@
                        c.level != request_router::ReadLevel::kFresh);
   }
   void list(const discovery::EndpointListUpdate& whole) {
-    std::map<std::string, placement::Place> places;
+    std::map<std::string, placement::EndpointLocation> places;
     auto unix =
         std::chrono::duration_cast<group::Micros>(std::chrono::system_clock::now().time_since_epoch());
     for (auto& m : whole.members) {
@@ -81,15 +81,15 @@
       if (m.started_at_ms > 0) warm = loop_.now() + group::Micros(m.started_at_ms * 1000) + warm_up_ - unix;
       places[m.id] = {m.cell, m.zone, warm};
     }
-    observer_.servers(std::move(places));
+    observer_.set_locations(std::move(places));
   }
   placement::ZoneHealthObserver& observer() { return observer_; }
 
   void asked(const routing::Request& r) override {
-    if (reads_[r.request_class]) observer_.asked(r.shard_group);
+    if (reads_[r.request_class]) observer_.on_read_request(r.shard_group);
   }
   void sent(const routing::Decision& d, bool waited) override {
-    observer_.sent(d.request, d.attempt, d.server, loop_.now(), waited);
+    observer_.on_attempt_sent(d.request, d.attempt, d.server, loop_.now(), waited);
   }
   void ended(const routing::AttemptResult& r) override {
     using routing::AttemptOutcome;
@@ -101,10 +101,10 @@
     if (r.outcome == AttemptOutcome::kTimedOut) how = placement::RequestOutcome::kTimedOut;
     if (r.outcome == AttemptOutcome::kError || r.outcome == AttemptOutcome::kReset)
       how = placement::RequestOutcome::kFailed;
-    if (r.role == routing::ServerRole::kPrimary) observer_.leads(r.server);
-    observer_.ended(r.request, r.attempt, r.server, how, r.duration);
+    if (r.role == routing::ServerRole::kPrimary) observer_.on_primary_observed(r.server);
+    observer_.on_attempt_ended(r.request, r.attempt, r.server, how, r.duration);
   }
-  void probed(const routing::ProbeResult& r) override { observer_.probed(r.server, r.ok); }
+  void probed(const routing::ProbeResult& r) override { observer_.on_probe_ended(r.server, r.ok); }
 
  private:
   net::Loop& loop_;
@@ -184,11 +184,12 @@
 
 void GroupRunner::look() {
   look_timer_ = loop_.at(loop_.now() + group::kObserveEvery, [this] { look(); });
-  node_->observed(zone_observer_->observer().take(
+  node_->observed(zone_observer_->observer().take_observation(
       loop_.now(), node_->following(),
       [this](const std::string& server) { return decider_.spare_capacity(server); }));
   auto draw = static_cast<std::uint64_t>(loop_.now().count()) * 0x9e3779b97f4a7c15;
-  for (auto& server : zone_observer_->observer().blind(draw >> 8)) proxy_.dispatcher().probe_now(server);
+  for (auto& server : zone_observer_->observer().choose_probe_targets(draw >> 8))
+    proxy_.dispatcher().probe_now(server);
 }
 
 GroupRunner::~GroupRunner() {
--- a/src/placement/placement_codec.cpp
+++ b/src/placement/placement_codec.cpp
@@ -1,115 +1,142 @@
 #include "placement/placement_codec.h"
 
 #include <algorithm>
+#include <cstddef>
+#include <cstdint>
+#include <map>
+#include <tuple>
+
+#include "placement/placement_plan.h"
+#include "placement/zone_observation.h"
 
 namespace database_proxy::placement {
 
 using nlohmann::json;
 
-json to_json(const Observation& o) {
-  json j = json::object();
-  for (auto& [key, s] : o.seen())
-    j["seen"].push_back({std::get<0>(key), std::get<1>(key), std::get<2>(key), s.attempts, s.refused,
-                         s.timed_out, s.failed, s.latency_us, s.postponed, s.cold, s.room, s.full});
-  for (auto& [key, v] : o.votes())
-    j["votes"].push_back({key.first, key.second, v.healthy, v.unhealthy, v.late});
-  for (auto& [key, n] : o.demand()) j["asked"].push_back({key.first, key.second, n});
-  for (auto& [key, n] : o.primaries()) j["leads"].push_back({key.first, key.second, n});
-  for (auto& [plan, n] : o.followers()) j["follow"].push_back({plan, n});
-  return j;
-}
+namespace {
 
-Observation observation_from_json(const json& j) {
-  Observation o;
-  auto rows = [&](const char* key) { return j.value(key, json::array()); };
-  for (auto& r : rows("seen")) {
-    ZoneSample s;
-    auto n = [&](std::size_t i) { return r.at(i).get<std::uint64_t>(); };
-    s.attempts = n(3), s.refused = n(4), s.timed_out = n(5), s.failed = n(6), s.latency_us = n(7);
-    s.postponed = n(8), s.cold = n(9), s.room = r.at(10).get<double>(), s.full = n(11);
-    o.record(r.at(0).get<Zone>(), r.at(1).get<SetId>(), r.at(2).get<Zone>(), s);
-  }
-  for (auto& r : rows("votes"))
-    o.voted(r.at(0).get<Zone>(), r.at(1).get<Zone>(),
-            {r.at(2).get<std::uint64_t>(), r.at(3).get<std::uint64_t>(), r.at(4).get<std::uint64_t>()});
-  for (auto& r : rows("asked"))
-    o.asked(r.at(0).get<Zone>(), r.at(1).get<SetId>(), r.at(2).get<std::uint64_t>());
-  for (auto& r : rows("leads"))
-    o.leads(r.at(0).get<SetId>(), r.at(1).get<Zone>(), r.at(2).get<std::uint64_t>());
-  for (auto& r : rows("follow")) o.follows(r.at(0).get<std::uint64_t>(), r.at(1).get<std::uint64_t>());
-  return o;
-}
+std::uint64_t number_at(const json& row, std::size_t column) { return row.at(column).get<std::uint64_t>(); }
 
-namespace {
+json rows_of(const json& json_object, const char* key) { return json_object.value(key, json::array()); }
 
-json state_json(const ZoneState& s) {
-  return {{"phase", text_of(s.phase)},
-          {"reason", static_cast<int>(s.reason)},
-          {"why", text_of(s.reason)},
-          {"since", s.since},
-          {"stepped", s.stepped},
-          {"ill_since", s.unhealthy_since},
-          {"well_since", s.healthy_since},
-          {"part", s.part},
-          {"forced", s.forced}};
+ZoneSample sample_from_row(const json& row) {
+  ZoneSample sample;
+  sample.attempts = number_at(row, 3);
+  sample.refused = number_at(row, 4);
+  sample.timed_out = number_at(row, 5);
+  sample.failed = number_at(row, 6);
+  sample.latency_us = number_at(row, 7);
+  sample.postponed = number_at(row, 8);
+  sample.warming_up = number_at(row, 9);
+  sample.spare_capacity = row.at(10).get<double>();
+  sample.full = number_at(row, 11);
+  return sample;
 }
 
-ZoneState state_of(const json& j) {
-  ZoneState s;
-  auto phase = j.value("phase", "open");
-  for (auto p : {Phase::kOpen, Phase::kClosed, Phase::kOpening, Phase::kEvacuating, Phase::kEvacuated})
-    if (phase == text_of(p)) s.phase = p;
-  s.reason = static_cast<PhaseReason>(
-      std::clamp(j.value("reason", 0), 0, static_cast<int>(PhaseReason::kChangeBudgetSpent)));
-  s.since = j.value("since", Millis{0});
-  s.stepped = j.value("stepped", Millis{0});
-  s.unhealthy_since = j.value("ill_since", Millis{0});
-  s.healthy_since = j.value("well_since", Millis{0});
-  s.part = std::clamp(j.value("part", 1.0), 0.0, 1.0);
-  s.forced = j.value("forced", false);
-  return s;
+json state_to_json(const ZoneState& state) {
+  return {{"phase", text_of(state.phase)},
+          {"reason", static_cast<int>(state.reason)},
+          {"why", text_of(state.reason)},
+          {"since", state.since},
+          {"stepped", state.stepped},
+          {"ill_since", state.unhealthy_since},
+          {"well_since", state.healthy_since},
+          {"part", state.capacity_fraction},
+          {"forced", state.forced}};
 }
 
-json shares_json(const std::map<std::pair<SetId, Zone>, std::map<Zone, double>>& all) {
-  json j = json::array();
-  for (auto& [key, shares] : all) j.push_back({key.first, key.second, shares});
-  return j;
+ZoneState state_from_json(const json& encoded) {
+  ZoneState state;
+  auto text = encoded.value("phase", "open");
+  for (auto phase : {Phase::kOpen, Phase::kClosed, Phase::kOpening, Phase::kEvacuating, Phase::kEvacuated})
+    if (text == text_of(phase)) state.phase = phase;
+  state.reason = static_cast<PhaseReason>(
+      std::clamp(encoded.value("reason", 0), 0, static_cast<int>(PhaseReason::kChangeBudgetSpent)));
+  state.since = encoded.value("since", Millis{0});
+  state.stepped = encoded.value("stepped", Millis{0});
+  state.unhealthy_since = encoded.value("ill_since", Millis{0});
+  state.healthy_since = encoded.value("well_since", Millis{0});
+  state.capacity_fraction = std::clamp(encoded.value("part", 1.0), 0.0, 1.0);
+  state.forced = encoded.value("forced", false);
+  return state;
 }
 
-std::map<std::pair<SetId, Zone>, std::map<Zone, double>> shares_of(const json& j) {
-  std::map<std::pair<SetId, Zone>, std::map<Zone, double>> all;
-  for (auto& r : j) all[{r.at(0).get<SetId>(), r.at(1).get<Zone>()}] = r.at(2).get<std::map<Zone, double>>();
-  return all;
+json shares_to_json(const Shares& shares) {
+  json rows = json::array();
+  for (const auto& [key, by_zone] : shares) rows.push_back({key.first, key.second, by_zone});
+  return rows;
+}
+
+Shares shares_from_json(const json& rows) {
+  Shares shares;
+  for (const auto& row : rows)
+    shares[{row.at(0).get<SetId>(), row.at(1).get<Zone>()}] = row.at(2).get<std::map<Zone, double>>();
+  return shares;
 }
 
 }  // namespace
 
-json to_json(const Plan& p) {
-  json zones = json::object(), links = json::array(), changes = json::array();
-  for (auto& [zone, state] : p.zones) zones[zone] = state_json(state);
-  for (auto& [key, state] : p.links) links.push_back({key.first, key.second, state_json(state)});
-  for (auto& [zone, at] : p.changes) changes.push_back({zone, at});
-  return {{"number", p.number},
+json to_json(const Observation& observation) {
+  json encoded = json::object();
+  for (const auto& [key, sample] : observation.samples())
+    encoded["seen"].push_back({std::get<0>(key), std::get<1>(key), std::get<2>(key), sample.attempts,
+                               sample.refused, sample.timed_out, sample.failed, sample.latency_us,
+                               sample.postponed, sample.warming_up, sample.spare_capacity, sample.full});
+  for (const auto& [key, votes] : observation.votes())
+    encoded["votes"].push_back({key.first, key.second, votes.healthy, votes.unhealthy, votes.late});
+  for (const auto& [key, requests] : observation.demand())
+    encoded["asked"].push_back({key.first, key.second, requests});
+  for (const auto& [key, proxies] : observation.primaries())
+    encoded["leads"].push_back({key.first, key.second, proxies});
+  for (const auto& [plan, proxies] : observation.followers()) encoded["follow"].push_back({plan, proxies});
+  return encoded;
+}
+
+Observation observation_from_json(const json& encoded) {
+  Observation observation;
+  for (const auto& row : rows_of(encoded, "seen"))
+    observation.record(row.at(0).get<Zone>(), row.at(1).get<SetId>(), row.at(2).get<Zone>(),
+                       sample_from_row(row));
+  for (const auto& row : rows_of(encoded, "votes"))
+    observation.voted(row.at(0).get<Zone>(), row.at(1).get<Zone>(),
+                      {number_at(row, 2), number_at(row, 3), number_at(row, 4)});
+  for (const auto& row : rows_of(encoded, "asked"))
+    observation.asked(row.at(0).get<Zone>(), row.at(1).get<SetId>(), number_at(row, 2));
+  for (const auto& row : rows_of(encoded, "leads"))
+    observation.leads(row.at(0).get<SetId>(), row.at(1).get<Zone>(), number_at(row, 2));
+  for (const auto& row : rows_of(encoded, "follow"))
+    observation.follows(number_at(row, 0), number_at(row, 1));
+  return observation;
+}
+
+json to_json(const Plan& plan) {
+  json zones = json::object();
+  json links = json::array();
+  json changes = json::array();
+  for (const auto& [zone, state] : plan.zones) zones[zone] = state_to_json(state);
+  for (const auto& [key, state] : plan.links) links.push_back({key.first, key.second, state_to_json(state)});
+  for (const auto& [zone, at] : plan.changes) changes.push_back({zone, at});
+  return {{"number", plan.number},
           {"zones", zones},
           {"links", links},
-          {"shares", shares_json(p.shares)},
-          {"spares", shares_json(p.surplus_capacity)},
+          {"shares", shares_to_json(plan.shares)},
+          {"spares", shares_to_json(plan.surplus_capacity)},
           {"changes", changes},
-          {"frozen", p.frozen}};
+          {"frozen", plan.frozen}};
 }
 
-Plan plan_from_json(const json& j) {
-  Plan p;
-  p.number = j.at("number").get<std::uint64_t>();
-  for (auto& [zone, state] : j.at("zones").items()) p.zones[zone] = state_of(state);
-  for (auto& r : j.value("links", json::array()))
-    p.links[{r.at(0).get<Zone>(), r.at(1).get<Zone>()}] = state_of(r.at(2));
-  p.shares = shares_of(j.at("shares"));
-  p.surplus_capacity = shares_of(j.value("spares", json::array()));
-  for (auto& r : j.value("changes", json::array()))
-    p.changes.emplace_back(r.at(0).get<Zone>(), r.at(1).get<Millis>());
-  p.frozen = j.value("frozen", false);
-  return p;
+Plan plan_from_json(const json& encoded) {
+  Plan plan;
+  plan.number = encoded.at("number").get<std::uint64_t>();
+  for (const auto& [zone, state] : encoded.at("zones").items()) plan.zones[zone] = state_from_json(state);
+  for (const auto& row : rows_of(encoded, "links"))
+    plan.links[{row.at(0).get<Zone>(), row.at(1).get<Zone>()}] = state_from_json(row.at(2));
+  plan.shares = shares_from_json(encoded.at("shares"));
+  plan.surplus_capacity = shares_from_json(rows_of(encoded, "spares"));
+  for (const auto& row : rows_of(encoded, "changes"))
+    plan.changes.emplace_back(row.at(0).get<Zone>(), row.at(1).get<Millis>());
+  plan.frozen = encoded.value("frozen", false);
+  return plan;
 }
 
 }  // namespace database_proxy::placement
--- a/src/placement/placement_codec.h
+++ b/src/placement/placement_codec.h
@@ -1,17 +1,21 @@
-// Observations and plans between processes and in the group's log. Keys that are not known are passed over,
-// those that are absent have their defaults. No I/O.
+// The JSON form of observations and plans, between processes and in the group's log. Unknown keys are
+// ignored, and absent ones have their defaults, so that nodes of different versions understand each other. No
+// I/O.
 #pragma once
 
 #include <nlohmann/json.hpp>
-#include <string>
 
-#include "placement/plan.h"
+#include "placement/placement_plan.h"
+#include "placement/zone_observation.h"
 
 namespace database_proxy::placement {
 
 nlohmann::json to_json(const Observation& observation);
-Observation observation_from_json(const nlohmann::json& json);  // throws nlohmann::json::exception
+// Throws nlohmann::json::exception if `encoded` is malformed.
+Observation observation_from_json(const nlohmann::json& encoded);
+
 nlohmann::json to_json(const Plan& plan);
-Plan plan_from_json(const nlohmann::json& json);  // the same
+// Throws nlohmann::json::exception if `encoded` is malformed.
+Plan plan_from_json(const nlohmann::json& encoded);
 
 }  // namespace database_proxy::placement
--- /dev/null
+++ b/src/placement/traffic_split.cpp
@@ -0,0 +1,200 @@
+#include "placement/traffic_split.h"
+
+#include <algorithm>
+#include <cmath>
+#include <map>
+#include <set>
+#include <utility>
+
+#include "placement/placement_plan.h"
+#include "placement/planner_input.h"
+#include "placement/surplus_split.h"
+#include "placement/zone_observation.h"
+#include "placement/zone_topology.h"
+
+namespace database_proxy::placement {
+namespace {
+
+// Requests a second below which there is no demand or capacity, but the rounding of sums.
+constexpr double kNegligible = 1e-9;
+// Shares that differ by less stay as they were: demand within a second swings by some 3 % both ways, which is
+// no reason for a new plan.
+constexpr double kSameShare = 0.06;
+constexpr double kSharePrecision = 1e6;  // shares are multiples of its inverse
+
+using FlowRates = std::map<std::pair<Zone, Zone>, double>;  // from clients' zone, to servers' zone
+
+// The traffic of one set. The steps are to be called in their order.
+class SetTraffic {
+ public:
+  SetTraffic(const SetDemand& set, const ZoneTopology& topology, const Options& options, const Plan& last,
+             const Plan& plan)
+      : set_(set), topology_(topology), options_(options), last_(last), plan_(plan) {}
+
+  void assign_near_first();
+  void fit_beside_last_plan();
+  void return_rest_to_last_plan();
+  std::map<Zone, double> shares(const Zone& from, double demand) const;
+
+ private:
+  void assign_at_distance(double utilization, int distance, const Zone& from, double* unassigned);
+  bool is_candidate(const Zone& from, const Zone& to, int distance) const {
+    return topology_.distance(from, to) == distance && plan_.link_is_open(from, to);
+  }
+  double last_share(const Zone& from, const Zone& to) const {
+    return options_.flaw_no_overlap ? 0 : share_of(last_.shares, set_.id, from, to);
+  }
+  double new_share(const Zone& from, const Zone& to, double demand) const;
+  bool may_keep_last_shares(const Zone& from, double demand) const;
+  const Zone* nearest_open_zone(const Zone& from) const;
+
+  const SetDemand& set_;
+  const ZoneTopology& topology_;
+  const Options& options_;
+  const Plan& last_;
+  const Plan& plan_;                  // its phases; its shares are not read
+  FlowRates desired_;                 // where demand and capacity alone would put the traffic
+  std::map<Zone, double> assigned_;   // of each servers' zone, in desired_
+  std::map<Zone, double> last_load_;  // of each servers' zone, with the present demand by the last plan
+  FlowRates next_;                    // as far as it fits beside the last plan
+  std::map<Zone, double> next_load_;
+};
+
+// Fills near zones to their target first, then near zones to their limit: in this order clients from afar
+// take no capacity that a zone's own clients need.
+void SetTraffic::assign_near_first() {
+  auto unassigned = set_.demand;
+  for (double utilization : {options_.target_utilization, options_.hard_utilization_limit})
+    for (int distance = ZoneTopology::kSameZone; distance <= ZoneTopology::kFar; ++distance)
+      for (auto& [from, rate] : unassigned) assign_at_distance(utilization, distance, from, &rate);
+}
+
+void SetTraffic::assign_at_distance(double utilization, int distance, const Zone& from, double* unassigned) {
+  auto free_capacity = [&](const Zone& to, double capacity) {
+    return std::max(0.0, capacity * utilization - assigned_[to]);
+  };
+  double available = 0;
+  for (const auto& [to, capacity] : set_.capacity)
+    if (is_candidate(from, to, distance)) available += free_capacity(to, capacity);
+  if (available <= kNegligible || *unassigned <= kNegligible) return;
+  double fraction = std::min(1.0, *unassigned / available);
+  for (const auto& [to, capacity] : set_.capacity) {
+    if (!is_candidate(from, to, distance)) continue;
+    double rate = free_capacity(to, capacity) * fraction;
+    desired_[{from, to}] += rate;
+    assigned_[to] += rate;
+    *unassigned -= rate;
+  }
+}
+
+// Half of the proxies may still follow the last plan: what a zone gets more of must fit beside all that the
+// last plan sends there.
+void SetTraffic::fit_beside_last_plan() {
+  std::map<Zone, double> added;
+  for (const auto& [from, demand] : set_.demand)
+    for (const auto& [to, capacity] : set_.capacity) {
+      double last_rate = demand * last_share(from, to);
+      last_load_[to] += last_rate;
+      added[to] += std::max(0.0, desired_[{from, to}] - last_rate);
+    }
+  for (const auto& [from, demand] : set_.demand)
+    for (const auto& [to, capacity] : set_.capacity) {
+      double last_rate = demand * last_share(from, to);
+      double desired = desired_[{from, to}];
+      double growth =
+          added[to] > kNegligible ? std::clamp((capacity - last_load_[to]) / added[to], 0.0, 1.0) : 0;
+      double rate = std::min(desired, last_rate) + std::max(0.0, desired - last_rate) * growth;
+      next_[{from, to}] = rate;
+      next_load_[to] += rate;
+    }
+}
+
+// What does not fit yet stays where the last plan sent it, as far as that may still be used.
+void SetTraffic::return_rest_to_last_plan() {
+  for (const auto& [from, demand] : set_.demand) {
+    double assigned = 0;
+    for (const auto& [to, capacity] : set_.capacity) assigned += next_[{from, to}];
+    for (const auto& [to, capacity] : set_.capacity) {
+      if (!plan_.link_is_open(from, to)) continue;
+      double last_rate = demand * last_share(from, to);
+      double returned =
+          std::min({last_rate - next_[{from, to}], demand - assigned, capacity - next_load_[to]});
+      if (returned <= kNegligible) continue;
+      next_[{from, to}] += returned;
+      next_load_[to] += returned;
+      assigned += returned;
+    }
+  }
+}
+
+// The shares of the demand from `from`. Without any demand, the nearest zone gets whoever comes first.
+std::map<Zone, double> SetTraffic::shares(const Zone& from, double demand) const {
+  std::map<Zone, double> shares;
+  if (demand <= kNegligible) {
+    if (const auto* nearest = nearest_open_zone(from)) shares[*nearest] = 1;
+    return shares;
+  }
+  auto last = last_.shares.find({set_.id, from});
+  if (last != last_.shares.end() && may_keep_last_shares(from, demand)) return last->second;
+  for (const auto& [to, capacity] : set_.capacity)
+    if (double share = new_share(from, to, demand); share > 0) shares[to] = share;
+  return shares;
+}
+
+// Rounded down: never more than there is capacity for.
+double SetTraffic::new_share(const Zone& from, const Zone& to, double demand) const {
+  return std::floor(next_.at({from, to}) / demand * kSharePrecision) / kSharePrecision;
+}
+
+bool SetTraffic::may_keep_last_shares(const Zone& from, double demand) const {
+  return std::all_of(set_.capacity.begin(), set_.capacity.end(), [&](const auto& entry) {
+    const auto& [to, capacity] = entry;
+    bool is_close = std::abs(new_share(from, to, demand) - last_share(from, to)) < kSameShare;
+    return is_close && last_load_.at(to) <= capacity + kNegligible;
+  });
+}
+
+const Zone* SetTraffic::nearest_open_zone(const Zone& from) const {
+  const Zone* nearest = nullptr;
+  for (const auto& [to, capacity] : set_.capacity) {
+    if (capacity <= 0 || !plan_.link_is_open(from, to)) continue;
+    if (!nearest || topology_.distance(from, to) < topology_.distance(from, *nearest)) nearest = &to;
+  }
+  return nearest;
+}
+
+// Returns the demand and usable capacity of each set for which there is demand, or may be at any moment:
+// every zone with proxies has its place in the plan, for every set that has servers.
+std::map<SetId, SetDemand> demand_by_set(const Input& input, const Plan& plan) {
+  std::map<SetId, SetDemand> sets;
+  for (const auto& [key, rate] : current_demand(input)) sets[key.second].demand[key.first] = rate;
+  std::set<Zone> proxy_zones;
+  for (const auto& [key, votes] : input.seen.votes()) proxy_zones.insert(key.first);
+  for (const auto& [key, supply] : input.supply) {
+    for (const auto& zone : proxy_zones) sets[key.first].demand.try_emplace(zone, 0);
+    auto set = sets.find(key.first);
+    if (set == sets.end()) continue;
+    set->second.capacity[key.second] = supply.warm * plan.capacity_fraction(key.second);
+    if (supply.warming_up) set->second.warming_up.insert(key.second);
+  }
+  for (auto& [id, set] : sets) set.id = id;
+  return sets;
+}
+
+}  // namespace
+
+void split_traffic(const ZoneTopology& topology, const Options& options, const Input& input, const Plan& last,
+                   Plan* plan) {
+  plan->shares.clear();
+  plan->surplus_capacity.clear();
+  for (const auto& [id, set] : demand_by_set(input, *plan)) {
+    SetTraffic traffic(set, topology, options, last, *plan);
+    traffic.assign_near_first();
+    traffic.fit_beside_last_plan();
+    traffic.return_rest_to_last_plan();
+    for (const auto& [from, demand] : set.demand) plan->shares[{id, from}] = traffic.shares(from, demand);
+    split_surplus_capacity(set, topology, options, last, plan);
+  }
+}
+
+}  // namespace database_proxy::placement
--- /dev/null
+++ b/src/placement/traffic_split.h
@@ -0,0 +1,16 @@
+// Splits the demand of each zone of clients among the zones of servers. Pure.
+#pragma once
+
+#include "placement/placement_plan.h"
+#include "placement/planner_input.h"
+#include "placement/zone_topology.h"
+
+namespace database_proxy::placement {
+
+// Replaces the shares and the surplus capacity of `*plan` by those for the present demand. Near zones are
+// used first. Half of the proxies may still follow `last`: a zone gets more only as far as it fits beside all
+// that `last` sends there. Shares that would hardly change stay as they were.
+void split_traffic(const ZoneTopology& topology, const Options& options, const Input& input, const Plan& last,
+                   Plan* plan);
+
+}  // namespace database_proxy::placement
--- /dev/null
+++ b/src/placement/zone_health_agreement.cpp
@@ -0,0 +1,112 @@
+#include "placement/zone_health_agreement.h"
+
+#include <algorithm>
+#include <cstdint>
+#include <map>
+#include <set>
+#include <tuple>
+
+#include "placement/planner_input.h"
+#include "placement/zone_observation.h"
+
+namespace database_proxy::placement {
+namespace {
+
+// A zone that answers so much of its capacity is late because of its load.
+constexpr double kNearCapacity = 0.5;
+// A zone that loses so much of what it is sent serves nobody by staying open.
+constexpr double kFailedFraction = 0.9;
+// One proxy of so many or more that finds a zone unhealthy, alone, does not keep it closed.
+constexpr std::uint64_t kReportersToOutvoteOne = 3;
+
+struct Attempts {
+  std::uint64_t sent = 0, lost = 0;
+};
+
+}  // namespace
+
+bool ZoneHealthAgreement::is_mostly_healthy(const HealthVotes& votes) const {
+  return static_cast<double>(votes.healthy) >= options_.healthy_fraction * static_cast<double>(votes.all());
+}
+
+Agreement ZoneHealthAgreement::of_link(const Zone& from, const Zone& to) const {
+  auto it = input_.seen.votes().find({from, to});
+  if (it == input_.seen.votes().end()) return Agreement::kNothing;
+  const auto& votes = it->second;
+  auto all = votes.all();
+  if (all < (options_.flaw_single_reporter ? 1 : options_.min_reporters)) return Agreement::kNothing;
+  // A zone that is late while it serves near its capacity is overloaded: closing it would help nobody.
+  bool is_late_for_load = serves_near_capacity(to) || !finds_any_healthy(from);
+  auto unhealthy = votes.unhealthy + (is_late_for_load ? 0 : votes.late);
+  if (static_cast<double>(unhealthy) >= options_.unhealthy_fraction * static_cast<double>(all))
+    return Agreement::kUnhealthy;
+  if (unhealthy == 1 && votes.late <= 1 && all >= kReportersToOutvoteOne) return Agreement::kHealthy;
+  return is_mostly_healthy(votes) ? Agreement::kHealthy : Agreement::kNothing;
+}
+
+Agreement ZoneHealthAgreement::of_zone(const Zone& zone) const {
+  // Where the proxies in the zone itself are served well by it, only the links to it fail.
+  if (!options_.flaw_single_reporter && of_link(zone, zone) == Agreement::kHealthy)
+    return Agreement::kHealthy;
+  int unhealthy = 0;
+  int healthy = 0;
+  int reporters = 0;  // zones of proxies
+  for (const auto& [key, votes] : input_.seen.votes()) {
+    if (key.second != zone) continue;
+    auto agreement = of_link(key.first, zone);
+    if (agreement == Agreement::kNothing && votes.all() < options_.min_reporters) continue;
+    ++reporters;
+    unhealthy += agreement == Agreement::kUnhealthy;
+    healthy += agreement == Agreement::kHealthy;
+  }
+  if (options_.flaw_single_reporter && unhealthy > 0) return Agreement::kUnhealthy;
+  if (unhealthy >= zones_needed() && unhealthy * 2 > reporters) return Agreement::kUnhealthy;
+  return reporters > 0 && healthy * 2 > reporters ? Agreement::kHealthy : Agreement::kNothing;
+}
+
+// Returns how many zones of proxies must agree. Where all proxies are in one zone, that one decides.
+int ZoneHealthAgreement::zones_needed() const {
+  std::set<Zone> reporters;
+  for (const auto& [key, votes] : input_.seen.votes())
+    if (votes.all() >= options_.min_reporters) reporters.insert(key.first);
+  return std::min(options_.min_zones, std::max(1, static_cast<int>(reporters.size())));
+}
+
+// Whether the proxies in `from` find any zone healthy. If all zones are late to them, they are slow
+// themselves.
+bool ZoneHealthAgreement::finds_any_healthy(const Zone& from) const {
+  return std::any_of(input_.seen.votes().begin(), input_.seen.votes().end(), [&](const auto& entry) {
+    const auto& [key, votes] = entry;
+    return key.first == from && votes.all() > 0 && is_mostly_healthy(votes);
+  });
+}
+
+bool ZoneHealthAgreement::serves_near_capacity(const Zone& zone) const {
+  double served = 0;
+  double capacity = 0;
+  for (const auto& [key, sample] : input_.seen.samples()) {
+    if (std::get<2>(key) != zone) continue;
+    auto not_served = sample.refused + sample.timed_out + sample.failed + sample.full;
+    served += static_cast<double>(sample.attempts - std::min(sample.attempts, not_served));
+  }
+  for (const auto& [key, supply] : input_.supply)
+    if (key.second == zone) capacity += supply.warm;
+  return capacity > 0 && served / input_.seconds >= kNearCapacity * capacity;
+}
+
+bool ZoneHealthAgreement::has_failed(const Zone& zone) const {
+  std::map<Zone, Attempts> attempts_from;  // by zone of proxies
+  for (const auto& [key, sample] : input_.seen.samples()) {
+    if (std::get<2>(key) != zone || sample.attempts == 0) continue;
+    auto& attempts = attempts_from[std::get<0>(key)];
+    attempts.sent += sample.attempts;
+    attempts.lost += sample.refused + sample.timed_out + sample.failed;  // a server that is full is alive
+  }
+  return !attempts_from.empty() &&
+         std::all_of(attempts_from.begin(), attempts_from.end(), [](const auto& entry) {
+           const auto& attempts = entry.second;
+           return static_cast<double>(attempts.lost) >= kFailedFraction * static_cast<double>(attempts.sent);
+         });
+}
+
+}  // namespace database_proxy::placement
--- a/src/placement/zone_health_observer.cpp
+++ b/src/placement/zone_health_observer.cpp
@@ -1,134 +1,167 @@
 #include "placement/zone_health_observer.h"
 
 #include <algorithm>
+#include <cstddef>
+#include <cstdint>
+#include <functional>
+#include <map>
+#include <set>
+#include <string>
 #include <utility>
+#include <vector>
+
+#include "placement/zone_observation.h"
 
 namespace database_proxy::placement {
 namespace {
 
-// An attempt that is out for so many times the usual, and for so long at least, is as good as lost: a server
-// that hangs answers nothing, and its clients wait for seconds.
-constexpr double kOverdueTimes = 8;
-constexpr Micros kOverdueLeast{150'000};
-constexpr double kUsualStep = 0.1;                    // weight of a span in the usual latency
-constexpr std::size_t kProbes = 3;                    // of a zone: the fewest attempts that make an opinion
-constexpr unsigned kLookEvery = 2;                    // spans between two probes of a zone that is well
-constexpr std::size_t kSpans = kProbes * kLookEvery;  // that make one opinion at most
+// An attempt that is out for so many times the usual latency, and for so long at least, is counted as timed
+// out: a server that hangs does not answer at all, and clients wait for seconds before they give up.
+constexpr double kOverdueFactor = 8;
+constexpr Micros kMinOverdue{150'000};
+constexpr double kLatencySmoothing = 0.1;       // weight of a span in the usual latency
+constexpr std::size_t kAttemptsForOpinion = 3;  // the fewest that make an opinion of a zone
+constexpr unsigned kSpansPerProbe = 2;          // of a healthy zone
+constexpr std::size_t kMaxSpansForOpinion = kAttemptsForOpinion * kSpansPerProbe;
+
+void count_attempt(ZoneSample* sample, RequestOutcome outcome) {
+  if (outcome == RequestOutcome::kNothing) return;
+  ++sample->attempts;
+  sample->refused += outcome == RequestOutcome::kRefused;
+  sample->timed_out += outcome == RequestOutcome::kTimedOut;
+  sample->failed += outcome == RequestOutcome::kFailed;
+  sample->full += outcome == RequestOutcome::kFull;
+}
 
 }  // namespace
 
-const Place* ZoneHealthObserver::place(const std::string& server) const {
-  auto it = places_.find(server);
-  return it == places_.end() ? nullptr : &it->second;
+const EndpointLocation* ZoneHealthObserver::location_of(const std::string& server) const {
+  auto it = locations_.find(server);
+  return it == locations_.end() ? nullptr : &it->second;
+}
+
+void ZoneHealthObserver::on_attempt_sent(std::uint64_t request, int attempt, const std::string& server,
+                                         Micros now, bool waited) {
+  open_attempts_[{request, attempt}] = {server, now};
+  const auto* location = location_of(server);
+  if (location && waited) ++zones_[location->zone].sample.postponed;
 }
 
-void ZoneHealthObserver::count(ZoneSample* s, RequestOutcome how) const {
-  if (how == RequestOutcome::kNothing) return;
-  ++s->attempts;
-  s->refused += how == RequestOutcome::kRefused;
-  s->timed_out += how == RequestOutcome::kTimedOut;
-  s->failed += how == RequestOutcome::kFailed;
-  s->full += how == RequestOutcome::kFull;
+void ZoneHealthObserver::on_attempt_ended(std::uint64_t request, int attempt, const std::string& server,
+                                          RequestOutcome outcome, Micros latency) {
+  auto it = open_attempts_.find({request, attempt});
+  bool counted = it != open_attempts_.end() && it->second.counted;
+  if (it != open_attempts_.end()) open_attempts_.erase(it);
+  const auto* location = location_of(server);
+  if (!location || counted) return;
+  auto& sample = zones_[location->zone].sample;
+  count_attempt(&sample, outcome);
+  if (outcome == RequestOutcome::kServed)
+    sample.latency_us += static_cast<std::uint64_t>(std::max<std::int64_t>(0, latency.count()));
 }
 
-void ZoneHealthObserver::sent(std::uint64_t request, int attempt, const std::string& server, Micros now,
-                              bool waited) {
-  out_[{request, attempt}] = {server, now};
-  if (auto* p = place(server); p && waited) ++zones_[p->zone].seen.postponed;
+void ZoneHealthObserver::on_primary_observed(const std::string& server) {
+  if (const auto* location = location_of(server)) primaries_[location->set] = location->zone;
 }
 
-void ZoneHealthObserver::ended(std::uint64_t request, int attempt, const std::string& server,
-                               RequestOutcome how, Micros took) {
-  auto it = out_.find({request, attempt});
-  bool counted = it != out_.end() && it->second.counted;
-  if (it != out_.end()) out_.erase(it);
-  auto* p = place(server);
-  if (!p || counted) return;
-  auto& seen = zones_[p->zone].seen;
-  count(&seen, how);
-  if (how == RequestOutcome::kServed)
-    seen.latency_us += static_cast<std::uint64_t>(std::max<std::int64_t>(0, took.count()));
+void ZoneHealthObserver::on_probe_ended(const std::string& server, bool ok) {
+  const auto* location = location_of(server);
+  if (!location) return;
+  auto& health = zones_[location->zone];
+  count_attempt(&health.sample, ok ? RequestOutcome::kServed : RequestOutcome::kTimedOut);
+  ++health.probes;
+  if (!ok) health.suspected = true;
+  // A probe tells that the server lives, and nothing of the latency of requests: it counts as the usual one.
+  if (ok) health.sample.latency_us += static_cast<std::uint64_t>(health.usual_latency_us);
 }
 
-void ZoneHealthObserver::leads(const std::string& server) {
-  if (auto* p = place(server)) leads_[p->set] = p->zone;
+Observation ZoneHealthObserver::take_observation(
+    Micros now, std::uint64_t followed_plan,
+    const std::function<double(const std::string&)>& spare_capacity) {
+  count_overdue_attempts(now);
+  count_server_states(now, spare_capacity);
+  forget_unlisted_zones();
+  Observation observation;
+  observation.follows(followed_plan);
+  for (const auto& [set, requests] : requests_) observation.asked(own_zone_, set, requests);
+  for (const auto& [set, zone] : primaries_) observation.leads(set, zone);
+  for (auto& [zone, health] : zones_) close_span(zone, &health, &observation);
+  requests_.clear();
+  return observation;
 }
 
-void ZoneHealthObserver::probed(const std::string& server, bool ok) {
-  auto* p = place(server);
-  if (!p) return;
-  auto& z = zones_[p->zone];
-  count(&z.seen, ok ? RequestOutcome::kServed : RequestOutcome::kTimedOut);
-  ++z.probes;
-  if (!ok) z.doubted = true;
-  // A probe is no request: it says that the server lives, and nothing of how slow it is.
-  if (ok) z.seen.latency_us += static_cast<std::uint64_t>(z.usual_us);
+void ZoneHealthObserver::count_overdue_attempts(Micros now) {
+  for (auto& [key, attempt] : open_attempts_) {
+    const auto* location = location_of(attempt.server);
+    if (!location || attempt.counted) continue;
+    auto& health = zones_[location->zone];
+    Micros overdue_after(static_cast<std::int64_t>(health.usual_latency_us * kOverdueFactor));
+    if (now - attempt.sent_at <= std::max(kMinOverdue, overdue_after)) continue;
+    attempt.counted = true;
+    count_attempt(&health.sample, RequestOutcome::kTimedOut);
+  }
 }
 
-Observation ZoneHealthObserver::take(Micros now, std::uint64_t follows,
-                                     const std::function<double(const std::string&)>& room) {
-  for (auto& [key, o] : out_) {
-    auto* p = place(o.server);
-    if (!p || o.counted) continue;
-    auto& z = zones_[p->zone];
-    auto most = std::max(kOverdueLeast, Micros(static_cast<std::int64_t>(z.usual_us * kOverdueTimes)));
-    if (now - o.at <= most) continue;
-    o.counted = true;
-    count(&z.seen, RequestOutcome::kTimedOut);
+void ZoneHealthObserver::count_server_states(
+    Micros now, const std::function<double(const std::string&)>& spare_capacity) {
+  for (const auto& [server, location] : locations_) {
+    auto& sample = zones_[location.zone].sample;
+    sample.warming_up += location.warm_at > now;
+    sample.spare_capacity += spare_capacity(server);
   }
-  for (auto& [server, p] : places_) {
-    auto& seen = zones_[p.zone].seen;
-    seen.cold += p.warm_at > now;
-    seen.room += room(server);
+}
+
+void ZoneHealthObserver::forget_unlisted_zones() {
+  std::set<Zone> listed;
+  for (const auto& [server, location] : locations_) listed.insert(location.zone);
+  std::erase_if(zones_, [&](const auto& zone) { return !listed.contains(zone.first); });
+}
+
+// Adds the zone's sample of this span, and the opinion on it, to the observation, and begins the next span.
+void ZoneHealthObserver::close_span(const Zone& zone, ZoneHealth* health, Observation* observation) const {
+  auto& sample = health->sample;
+  // Where few requests go, the opinion is of several spans: of as few as will do.
+  auto sum = sample;
+  for (const auto& previous : health->previous_samples) {
+    if (sum.attempts >= kAttemptsForOpinion) break;
+    sum.add(previous);
   }
-  Observation o;
-  o.follows(follows);
-  for (auto& [set, requests] : asked_) o.asked(own_, set, requests);
-  for (auto& [set, zone] : leads_) o.leads(set, zone);
-  std::map<Zone, bool> listed;
-  for (auto& [server, p] : places_) listed[p.zone] = true;
-  std::erase_if(zones_, [&](auto& z) { return !listed.count(z.first); });
-  for (auto& [zone, z] : zones_) {
-    auto& s = z.seen;
-    // Where few go, several spans make one opinion: as few as will do.
-    auto sum = s;
-    for (auto it = z.before.begin(); sum.attempts < kProbes && it != z.before.end(); ++it) sum.add(*it);
-    auto opinion = assess(sum, static_cast<std::uint64_t>(z.usual_us));
-    z.doubted = z.doubted || opinion == Opinion::kUnhealthy || opinion == Opinion::kLate;
-    if (opinion == Opinion::kHealthy && s.attempts >= kProbes) z.doubted = false;
-    if (opinion != Opinion::kNone)
-      o.voted(own_, zone,
-              {opinion == Opinion::kHealthy, opinion == Opinion::kUnhealthy, opinion == Opinion::kLate});
-    o.record(own_, 0, zone, s);
-    auto answered = s.attempts - s.refused - s.timed_out - s.failed - s.full;
-    if (opinion == Opinion::kHealthy && answered > z.probes) {
-      double mean = static_cast<double>(s.latency_us) / static_cast<double>(answered);
-      z.usual_us = z.usual_us > 0 ? z.usual_us + kUsualStep * (mean - z.usual_us) : mean;
-    }
-    z.requests_before = s.attempts - z.probes;
-    z.probes = 0;
-    z.before.push_front(std::exchange(s, {}));
-    if (z.before.size() >= kSpans) z.before.pop_back();
+  auto opinion = assess(sum, static_cast<std::uint64_t>(health->usual_latency_us));
+  if (opinion == Opinion::kUnhealthy || opinion == Opinion::kLate) health->suspected = true;
+  if (opinion == Opinion::kHealthy && sample.attempts >= kAttemptsForOpinion) health->suspected = false;
+  if (opinion != Opinion::kNone)
+    observation->voted(
+        own_zone_, zone,
+        {opinion == Opinion::kHealthy, opinion == Opinion::kUnhealthy, opinion == Opinion::kLate});
+  observation->record(own_zone_, 0, zone, sample);
+  auto answered = sample.attempts - sample.refused - sample.timed_out - sample.failed - sample.full;
+  if (opinion == Opinion::kHealthy && answered > health->probes) {
+    double mean = static_cast<double>(sample.latency_us) / static_cast<double>(answered);
+    double& usual = health->usual_latency_us;
+    usual = usual > 0 ? usual + kLatencySmoothing * (mean - usual) : mean;
   }
-  asked_.clear();
-  return o;
+  health->previous_requests = sample.attempts - health->probes;
+  health->probes = 0;
+  health->previous_samples.push_front(std::exchange(sample, {}));
+  if (health->previous_samples.size() >= kMaxSpansForOpinion) health->previous_samples.pop_back();
 }
 
-std::vector<std::string> ZoneHealthObserver::blind(std::uint64_t draw) {
-  std::vector<std::string> all;
-  if (!watches_) return all;
-  std::map<Zone, std::vector<const std::string*>> servers;
-  for (auto& [server, p] : places_) servers[p.zone].push_back(&server);
-  for (auto& [zone, there] : servers) {
-    auto& z = zones_[zone];
-    // One now and then where all is well, and enough for an opinion at once where it may not be.
-    bool due = ++z.spans >= kLookEvery;
-    std::size_t want = z.doubted ? kProbes : due ? 1 : 0;
-    if (want > 0) z.spans = 0;
-    for (std::size_t i = 0; z.requests_before + i < want; ++i)
-      all.push_back(*there[(draw + i) % there.size()]);
+std::vector<std::string> ZoneHealthObserver::choose_probe_targets(std::uint64_t draw) {
+  std::vector<std::string> targets;
+  if (!probes_unused_zones_) return targets;
+  std::map<Zone, std::vector<const std::string*>> servers_in;
+  for (const auto& [server, location] : locations_) servers_in[location.zone].push_back(&server);
+  for (const auto& [zone, servers] : servers_in) {
+    auto& health = zones_[zone];
+    // A healthy zone gets one now and then, a suspected one enough for an opinion at once.
+    bool is_due = ++health.spans_since_probe >= kSpansPerProbe;
+    std::size_t needed = is_due ? 1 : 0;
+    if (health.suspected) needed = kAttemptsForOpinion;
+    if (needed > 0) health.spans_since_probe = 0;
+    for (std::size_t i = 0; health.previous_requests + i < needed; ++i)
+      targets.push_back(*servers[(draw + i) % servers.size()]);
   }
-  return all;
+  return targets;
 }
 
 }  // namespace database_proxy::placement
--- a/src/placement/zone_health_observer.h
+++ b/src/placement/zone_health_observer.h
@@ -1,14 +1,14 @@
-// One proxy's eyes: what becomes of its requests, summed up by zone of servers for a moment and told with an
-// opinion on each. No clock, I/O or thread; times are the caller's.
+// What one proxy observes of its own requests, summed up by zone of servers, with an opinion on each zone.
+// Pure: no clock, I/O or thread.
 #pragma once
 
 #include <chrono>
+#include <cstdint>
 #include <deque>
 #include <functional>
 #include <map>
-#include <optional>
 #include <string>
-#include <unordered_map>
+#include <utility>
 #include <vector>
 
 #include "placement/zone_observation.h"
@@ -17,63 +17,83 @@
 
 using Micros = std::chrono::microseconds;
 
-// kFull: turned away untouched, for its load; kNothing: it says nothing of the server.
+// How an attempt ended, as far as it says something of the server.
 enum class RequestOutcome {
   kServed,
-  kRefused,
-  kFull,
+  kRefused,  // no connection
+  kFull,     // rejected untouched, for its load
   kTimedOut,
   kFailed,
-  kNothing
-};  // kNothing: it says nothing of the server
+  kNothing  // it says nothing of the server
+};
 
-struct Place {
+// Where a server is.
+struct EndpointLocation {
   SetId set = 0;
   Zone zone;
-  Micros warm_at{0};  // from then on; 0: it is
+  Micros warm_at{0};  // when it has warmed up, by the caller's clock; 0: it has
 };
 
+// One proxy's observer. The proxy's event loop calls it for each request, and takes an observation from it at
+// a fixed interval, a span. All times are of one clock of the caller.
 class ZoneHealthObserver {
  public:
-  // `watches`: one of the few that look into zones where their own requests do not go.
-  ZoneHealthObserver(Zone own, bool watches) : own_(std::move(own)), watches_(watches) {}
-  void servers(std::map<std::string, Place> places) { places_ = std::move(places); }  // those that are up
-  void asked(SetId set) { ++asked_[set]; }                                            // a read came
-  void sent(std::uint64_t request, int attempt, const std::string& server, Micros now, bool waited);
-  void ended(std::uint64_t request, int attempt, const std::string& server, RequestOutcome how, Micros took);
-  void leads(const std::string& server);  // it is the primary of its set
-  void probed(const std::string& server, bool ok);
+  // `probes_unused_zones`: this is one of the few proxies that probe zones where their requests do not go.
+  ZoneHealthObserver(Zone own_zone, bool probes_unused_zones)
+      : own_zone_(std::move(own_zone)), probes_unused_zones_(probes_unused_zones) {}
+
+  // Replaces the servers that are up, by id. Events of other servers are ignored.
+  void set_locations(std::map<std::string, EndpointLocation> locations) { locations_ = std::move(locations); }
 
-  // All since the last call. `room`: requests a second that this proxy would send to a server beside those
-  // that it has out there.
-  Observation take(Micros now, std::uint64_t follows, const std::function<double(const std::string&)>& room);
-  // Servers to be probed before the next take(), of zones of which too little was seen. `draw`: any number.
-  std::vector<std::string> blind(std::uint64_t draw);
+  // A read of `set` arrived from a client.
+  void on_read_request(SetId set) { ++requests_[set]; }
+  // `waited`: it was postponed until a replica was fresh enough.
+  void on_attempt_sent(std::uint64_t request, int attempt, const std::string& server, Micros now,
+                       bool waited);
+  void on_attempt_ended(std::uint64_t request, int attempt, const std::string& server, RequestOutcome outcome,
+                        Micros latency);
+  // `server` has proved to be the primary of its set.
+  void on_primary_observed(const std::string& server);
+  void on_probe_ended(const std::string& server, bool ok);
+
+  // Returns the sum over the span since the last call. `followed_plan`: the number of the plan that this
+  // proxy follows, 0 for none. `spare_capacity`: the requests a second that this proxy would send to a server
+  // beside those that it has in flight there.
+  Observation take_observation(Micros now, std::uint64_t followed_plan,
+                               const std::function<double(const std::string&)>& spare_capacity);
+  // Returns the servers to probe before the next take_observation(), in zones of which too little was
+  // observed. `draw`, any number, picks among a zone's servers.
+  std::vector<std::string> choose_probe_targets(std::uint64_t draw);
 
  private:
-  struct Out {
+  struct OpenAttempt {
     std::string server;
-    Micros at{0};
-    bool counted = false;
+    Micros sent_at{0};
+    bool counted = false;  // already as timed out
   };
-  struct Health {
-    ZoneSample seen;                // of this span
-    std::deque<ZoneSample> before;  // of those before, the newest first
-    std::uint64_t probes = 0, requests_before = 0;
-    bool doubted = false;  // a probe failed, or the last opinion was not well: look closer
-    unsigned spans = 0;    // since it was looked at
-    double usual_us = 0;
+  struct ZoneHealth {
+    ZoneSample sample;                        // of this span
+    std::deque<ZoneSample> previous_samples;  // the newest first
+    std::uint64_t probes = 0;                 // in `sample`
+    std::uint64_t previous_requests = 0;      // attempts in the last span that were no probes
+    bool suspected = false;                   // a probe failed, or the last opinion was bad: probe more
+    unsigned spans_since_probe = 0;
+    double usual_latency_us = 0;  // of requests while the zone is healthy; 0: not known
   };
-  const Place* place(const std::string& server) const;
-  void count(ZoneSample* seen, RequestOutcome how) const;
 
-  Zone own_;
-  bool watches_;
-  std::map<std::string, Place> places_;
-  std::map<SetId, std::uint64_t> asked_;
-  std::map<SetId, Zone> leads_;
-  std::map<Zone, Health> zones_;
-  std::map<std::pair<std::uint64_t, int>, Out> out_;  // bounded by the requests that are open
+  const EndpointLocation* location_of(const std::string& server) const;
+  void count_overdue_attempts(Micros now);
+  void count_server_states(Micros now, const std::function<double(const std::string&)>& spare_capacity);
+  void forget_unlisted_zones();
+  void close_span(const Zone& zone, ZoneHealth* health, Observation* observation) const;
+
+  Zone own_zone_;
+  bool probes_unused_zones_;
+  std::map<std::string, EndpointLocation> locations_;  // by server
+  std::map<SetId, std::uint64_t> requests_;
+  std::map<SetId, Zone> primaries_;
+  std::map<Zone, ZoneHealth> zones_;
+  std::map<std::pair<std::uint64_t, int>, OpenAttempt> open_attempts_;  // by request and attempt
 };
 
 }  // namespace database_proxy::placement
--- a/src/placement/zone_observation.cpp
+++ b/src/placement/zone_observation.cpp
@@ -1,102 +1,118 @@
 #include "placement/zone_observation.h"
 
 #include <cmath>
+#include <cstddef>
+#include <cstdint>
+#include <iterator>
+#include <map>
+#include <tuple>
+#include <utility>
 
 namespace database_proxy::placement {
 namespace {
 
-// Fewer attempts in a second say nothing: one lost request is no sign of a zone.
-constexpr std::uint64_t kLeastAttempts = 3;
-constexpr double kSmooth = 0.2, kRise = 0.2, kChance = 3;  // of what is asked for: weight of the newest
-constexpr double kForgotten = 0.01;                        // requests a second: nobody asks any more
-constexpr std::uint64_t kSlowTimes = 5;  // of the usual latency; a busy hour triples it at most
+// Fewer attempts in a span make no opinion: one lost request says nothing of a zone.
+constexpr std::uint64_t kMinAttempts = 3;
+// Of the usual latency; a busy hour triples it at most.
+constexpr std::uint64_t kLateFactor = 5;
 
-// The name itself, or the unknown zone where a map of so many names is full.
+// Weight of the newest span in the demand.
+constexpr double kSmoothing = 0.2;
+// A rise by this part of the demand, and by this many standard deviations of a count, is a true one.
+constexpr double kTrueRise = 0.2, kChanceDeviations = 3;
+// Requests a second below which a demand that is not observed any more is forgotten.
+constexpr double kForgottenRate = 0.01;
+
+// Whether the map has the key or may still take it.
 template <typename Map, typename Key>
-bool fits(const Map& map, const Key& key, std::size_t most) {
-  return map.size() < most || map.count(key) > 0;
+bool has_place_for(const Map& map, const Key& key, std::size_t max_size) {
+  return map.size() < max_size || map.count(key) > 0;
 }
 
 }  // namespace
 
-void ZoneSample::add(const ZoneSample& o) {
-  attempts += o.attempts;
-  refused += o.refused;
-  timed_out += o.timed_out;
-  failed += o.failed;
-  full += o.full;
-  latency_us += o.latency_us;
-  postponed += o.postponed;
-  cold += o.cold;
-  room += o.room;
+void ZoneSample::add(const ZoneSample& other) {
+  attempts += other.attempts;
+  refused += other.refused;
+  timed_out += other.timed_out;
+  failed += other.failed;
+  full += other.full;
+  latency_us += other.latency_us;
+  postponed += other.postponed;
+  warming_up += other.warming_up;
+  spare_capacity += other.spare_capacity;
 }
 
-void Observation::record(const Zone& from, SetId set, const Zone& zone, const ZoneSample& seen) {
+void Observation::record(const Zone& from, SetId set, const Zone& zone, const ZoneSample& sample) {
   std::tuple key(from, set, zone);
-  if (!fits(seen_, key, kMostZones * kMostSets)) key = {"", 0, ""};
-  seen_[key].add(seen);
+  if (!has_place_for(samples_, key, kMostZones * kMostSets)) key = {"", 0, ""};
+  samples_[key].add(sample);
 }
 
 void Observation::voted(const Zone& from, const Zone& zone, const HealthVotes& votes) {
   std::pair key(from, zone);
-  if (fits(votes_, key, kMostZones * kMostZones)) votes_[key].add(votes);
+  if (has_place_for(votes_, key, kMostZones * kMostZones)) votes_[key].add(votes);
 }
 
 void Observation::asked(const Zone& from, SetId set, std::uint64_t requests) {
   std::pair key(from, set);
-  if (!fits(demand_, key, kMostZones * kMostSets)) key = {"", 0};
+  if (!has_place_for(demand_, key, kMostZones * kMostSets)) key = {"", 0};
   demand_[key] += requests;
 }
 
 void Observation::leads(SetId set, const Zone& zone, std::uint64_t proxies) {
   std::pair key(set, zone);
-  if (fits(primaries_, key, kMostZones * kMostSets)) primaries_[key] += proxies;
+  if (has_place_for(primaries_, key, kMostZones * kMostSets)) primaries_[key] += proxies;
 }
 
 void Observation::follows(std::uint64_t plan, std::uint64_t proxies) {
   followers_[plan] += proxies;
   if (followers_.size() <= kMostPlans) return;
-  auto oldest = followers_.begin();  // with those that are older still
+  auto oldest = followers_.begin();
   std::next(oldest)->second += oldest->second;
   followers_.erase(oldest);
 }
 
 Observation Observation::demand_only() const {
-  Observation o;
-  o.demand_ = demand_;
-  return o;
+  Observation observation;
+  observation.demand_ = demand_;
+  return observation;
 }
 
-void Observation::add(const Observation& o) {
-  for (auto& [key, n] : o.primaries_) leads(key.first, key.second, n);
-  for (auto& [plan, n] : o.followers_) follows(plan, n);
-  for (auto& [key, seen] : o.seen_) record(std::get<0>(key), std::get<1>(key), std::get<2>(key), seen);
-  for (auto& [key, votes] : o.votes_) voted(key.first, key.second, votes);
-  for (auto& [key, requests] : o.demand_) asked(key.first, key.second, requests);
+void Observation::add(const Observation& other) {
+  for (const auto& [key, proxies] : other.primaries_) leads(key.first, key.second, proxies);
+  for (const auto& [plan, proxies] : other.followers_) follows(plan, proxies);
+  for (const auto& [key, sample] : other.samples_)
+    record(std::get<0>(key), std::get<1>(key), std::get<2>(key), sample);
+  for (const auto& [key, votes] : other.votes_) voted(key.first, key.second, votes);
+  for (const auto& [key, requests] : other.demand_) asked(key.first, key.second, requests);
 }
 
-void Demand::debounce(const Observation& seen, double seconds) {
-  std::erase_if(rates_, [&](auto& r) { return r.second < kForgotten && !seen.demand().count(r.first); });
+void Demand::debounce(const Observation& observation, double seconds) {
+  const auto& demand = observation.demand();
+  std::erase_if(rates_, [&](const auto& entry) {
+    return entry.second < kForgottenRate && !demand.contains(entry.first);
+  });
   for (auto& [key, rate] : rates_)
-    if (!seen.demand().count(key)) rate -= kSmooth * rate;
-  for (auto& [key, requests] : seen.demand()) {
-    double now = static_cast<double>(requests) / seconds;
-    auto [it, fresh] = rates_.try_emplace(key, now);
-    double& rate = it->second;
-    // The square root of what was counted is chance.
-    bool rise = now - rate > kRise * rate + kChance * std::sqrt(static_cast<double>(requests)) / seconds;
-    rate += (rise ? 1 : kSmooth) * (now - rate);
+    if (!demand.contains(key)) rate -= kSmoothing * rate;
+  for (const auto& [key, requests] : demand) {
+    double newest = static_cast<double>(requests) / seconds;
+    double& rate = rates_.try_emplace(key, newest).first->second;
+    // The standard deviation of a count is its square root.
+    double chance = kChanceDeviations * std::sqrt(static_cast<double>(requests)) / seconds;
+    bool is_true_rise = newest - rate > kTrueRise * rate + chance;
+    rate += (is_true_rise ? 1 : kSmoothing) * (newest - rate);
   }
 }
 
-Opinion assess(const ZoneSample& s, std::uint64_t usual) {
-  if (s.attempts < kLeastAttempts) return Opinion::kNone;
-  if ((s.refused + s.failed) * 2 >= s.attempts) return Opinion::kUnhealthy;
-  auto lost = s.refused + s.timed_out + s.failed + s.full;
-  if (lost * 2 >= s.attempts) return Opinion::kLate;
-  auto answered = s.attempts - lost;
-  bool slow = usual > 0 && s.latency_us > usual * kSlowTimes * answered;
-  return slow ? Opinion::kLate : Opinion::kHealthy;
+Opinion assess(const ZoneSample& sample, std::uint64_t usual_latency_us) {
+  if (sample.attempts < kMinAttempts) return Opinion::kNone;
+  if ((sample.refused + sample.failed) * 2 >= sample.attempts) return Opinion::kUnhealthy;
+  auto lost = sample.refused + sample.timed_out + sample.failed + sample.full;
+  if (lost * 2 >= sample.attempts) return Opinion::kLate;
+  auto answered = sample.attempts - lost;
+  bool is_slow = usual_latency_us > 0 && sample.latency_us > usual_latency_us * kLateFactor * answered;
+  return is_slow ? Opinion::kLate : Opinion::kHealthy;
 }
 
 }  // namespace database_proxy::placement
--- a/src/placement/zone_observation.h
+++ b/src/placement/zone_observation.h
@@ -1,5 +1,6 @@
-// What proxies saw of zones of data servers, summed up. Summing is associative and commutative, so it can be
-// done on the way; a sum's size is bounded by zones and sets, whatever the fleet's. No clock, I/O or thread.
+// What proxies observed of zones of data servers, summed up. Sums are associative and commutative, so they
+// can be made on the way to the owner of the placement job; their size is bounded by zones and sets, whatever
+// the size of the fleet. Pure: no clock, I/O or thread.
 #pragma once
 
 #include <cstddef>
@@ -7,85 +8,116 @@
 #include <map>
 #include <string>
 #include <tuple>
+#include <utility>
 
 namespace database_proxy::placement {
 
-using Zone = std::string;  // of data servers, clients and proxies; empty: not known, and far from all
+// Of data servers, clients and proxies. Empty: not known, and far from all others.
+using Zone = std::string;
+// A set of servers with the same data (a cell of the endpoint list).
 using SetId = std::int64_t;
 
-// More are summed into the unknown zone and set 0, so that nobody's list makes a sum grow without bound.
+// Entries beyond these are summed up under the unknown zone and set 0, so that no list can make a sum grow
+// without bound.
 constexpr std::size_t kMostZones = 32, kMostSets = 256;
-constexpr std::size_t kMostPlans = 8;  // told apart among those that are followed; the newest
+// The newest plans that are told apart among those that proxies follow.
+constexpr std::size_t kMostPlans = 8;
 
-// One second of one proxy, or of many, for one set and one zone of its servers.
+// What became of the attempts of one proxy, or of many, in one span of time at one zone of servers.
 struct ZoneSample {
-  // refused: no connection; full: turned away untouched, for its load.
-  std::uint64_t attempts = 0, refused = 0, timed_out = 0, failed = 0, full = 0;
-  std::uint64_t latency_us = 0;  // of those that were answered, in all
+  std::uint64_t attempts = 0;
+  std::uint64_t refused = 0;  // no connection
+  std::uint64_t timed_out = 0;
+  std::uint64_t failed = 0;
+  std::uint64_t full = 0;        // rejected untouched, for the server's load
+  std::uint64_t latency_us = 0;  // sum over those that were answered
   std::uint64_t postponed = 0;   // reads that waited for a fresh replica
-  std::uint64_t cold = 0;        // servers seen warming up
-  double room = 0;               // requests a second that more could be sent
+  std::uint64_t warming_up = 0;  // servers
+  double spare_capacity = 0;     // requests a second that proxies would send there beside these
+
   void add(const ZoneSample& other);
   bool operator==(const ZoneSample&) const = default;
 };
 
-// How many proxies of one zone found a zone of servers well, ill, or late: a zone that answers late, or that
-// turns requests away, may be ill and may have too much to do, which no proxy can tell alone. One that asked
-// nothing there says nothing: a network card that sees all as dead is one voice.
+// How many proxies of one zone found a zone of servers healthy, unhealthy or late. A zone that answers late,
+// or that rejects requests, may be unhealthy or overloaded, which no proxy can tell by itself. A proxy that
+// sent nothing there does not vote. One with a fault of its own, to which all zones seem unhealthy, is one
+// vote.
 struct HealthVotes {
   std::uint64_t healthy = 0, unhealthy = 0, late = 0;
+
   void add(const HealthVotes& other) {
-    healthy += other.healthy, unhealthy += other.unhealthy, late += other.late;
+    healthy += other.healthy;
+    unhealthy += other.unhealthy;
+    late += other.late;
   }
   std::uint64_t all() const { return healthy + unhealthy + late; }
   bool operator==(const HealthVotes&) const = default;
 };
 
+// The sum of what proxies observed in one span of time. Each proxy makes one of its own, voters add them up.
 class Observation {
  public:
-  // By a proxy in `from`, of servers of `set` in `zone`.
-  void record(const Zone& from, SetId set, const Zone& zone, const ZoneSample& seen);
+  // By proxies in `from`, of servers of `set` in `zone`.
+  void record(const Zone& from, SetId set, const Zone& zone, const ZoneSample& sample);
+  // By one proxy in `from`.
   void vote(const Zone& from, const Zone& zone, bool healthy) {
     voted(from, zone, healthy ? HealthVotes{1, 0} : HealthVotes{0, 1});
   }
-  void voted(const Zone& from, const Zone& zone, const HealthVotes& votes);  // by many
-  void asked(const Zone& from, SetId set, std::uint64_t requests);           // by its clients
-  void leads(SetId set, const Zone& zone, std::uint64_t proxies = 1);        // so many saw its primary there
-  void follows(std::uint64_t plan, std::uint64_t proxies = 1);  // so many follow this plan; 0: none
+  // By many proxies in `from`.
+  void voted(const Zone& from, const Zone& zone, const HealthVotes& votes);
+  // Adds requests by clients in `from` to the demand.
+  void asked(const Zone& from, SetId set, std::uint64_t requests);
+  // So many proxies observed the primary of `set` in `zone`.
+  void leads(SetId set, const Zone& zone, std::uint64_t proxies = 1);
+  // So many proxies follow the plan of this number; 0: none.
+  void follows(std::uint64_t plan, std::uint64_t proxies = 1);
   void add(const Observation& other);
 
-  const std::map<std::tuple<Zone, SetId, Zone>, ZoneSample>& seen() const { return seen_; }
+  // By proxies' zone, set and servers' zone.
+  const std::map<std::tuple<Zone, SetId, Zone>, ZoneSample>& samples() const { return samples_; }
+  // The earlier name of samples(): tests/group/zones_test.cpp still uses it.
+  const std::map<std::tuple<Zone, SetId, Zone>, ZoneSample>& seen() const { return samples_; }
+  // By proxies' zone and servers' zone.
   const std::map<std::pair<Zone, Zone>, HealthVotes>& votes() const { return votes_; }
+  // By clients' zone and set: requests in this span.
   const std::map<std::pair<Zone, SetId>, std::uint64_t>& demand() const { return demand_; }
+  // By set and zone: proxies that observed the set's primary there.
   const std::map<std::pair<SetId, Zone>, std::uint64_t>& primaries() const { return primaries_; }
+  // By plan: proxies that follow it. The oldest entry also counts all older plans.
   const std::map<std::uint64_t, std::uint64_t>& followers() const { return followers_; }
-  // Of what is old only this is worth anything: what is asked for changes slowly, health does not.
+
+  // The part of an old observation that is still of use: demand changes slowly, health does not.
   Observation demand_only() const;
   bool operator==(const Observation&) const = default;
 
  private:
-  std::map<std::tuple<Zone, SetId, Zone>, ZoneSample> seen_;  // from, set, of
-  std::map<std::pair<Zone, Zone>, HealthVotes> votes_;        // from, of
-  std::map<std::pair<Zone, SetId>, std::uint64_t> demand_;    // from, set: requests of this second
+  std::map<std::tuple<Zone, SetId, Zone>, ZoneSample> samples_;
+  std::map<std::pair<Zone, Zone>, HealthVotes> votes_;
+  std::map<std::pair<Zone, SetId>, std::uint64_t> demand_;
   std::map<std::pair<SetId, Zone>, std::uint64_t> primaries_;
-  std::map<std::uint64_t, std::uint64_t> followers_;  // by plan
+  std::map<std::uint64_t, std::uint64_t> followers_;
 };
 
-// What is asked for, requests a second, without the swings of single halves of a second; a true rise counts
-// at once.
+// The demand without the random swings of short spans; a true rise counts at once. The owner of the placement
+// job keeps one.
 class Demand {
  public:
-  using Rates = std::map<std::pair<Zone, SetId>, double>;
-  void debounce(const Observation& seen, double seconds);
+  using Rates = std::map<std::pair<Zone, SetId>, double>;  // requests a second, by clients' zone and set
+
+  // Takes in the next span of `seconds`.
+  void debounce(const Observation& observation, double seconds);
   const Rates& rates() const { return rates_; }
 
  private:
   Rates rates_;
 };
 
-// What one proxy makes of its own span. Half of all attempts refused or failed is ill; half of them out for
-// too long, or all of them five times as slow as usual, is late; a few that failed are neither.
+// One proxy's opinion of a zone, from its own span.
 enum class Opinion { kNone, kHealthy, kUnhealthy, kLate };
-Opinion assess(const ZoneSample& seen, std::uint64_t usual_latency_us);
+
+// kUnhealthy: half of all attempts were refused or failed. kLate: half of them were lost otherwise, or all
+// are five times as slow as usual. kNone: too few attempts. `usual_latency_us` 0: not known.
+Opinion assess(const ZoneSample& sample, std::uint64_t usual_latency_us);
 
 }  // namespace database_proxy::placement
--- a/src/testbench/simulation/placement.cpp
+++ b/src/testbench/simulation/placement.cpp
@@ -101,7 +101,7 @@
     f.length = std::min(f.length, kFaultsUntil - at);
     faults_.push_back(f);
   }
-  options_.flaw_one_voice = mutant_ == PlanMutant::kOneVoice;
+  options_.flaw_single_reporter = mutant_ == PlanMutant::kOneVoice;
   options_.flaw_no_capacity_check = mutant_ == PlanMutant::kInsufficientCapacity;
   options_.flaw_no_minimum_duration = mutant_ == PlanMutant::kNoMinimumDuration;
   options_.flaw_no_budget = mutant_ == PlanMutant::kNoBudget;
@@ -195,7 +195,7 @@
       alone += d * b;
     }
     auto& state = plan.zones.at(to);
-    double capacity = supply.warm * state.part;
+    double capacity = supply.warm * state.capacity_fraction;
     if (mixed > std::max(before, capacity) * 1.001 + 1)
       throw fmt::format(
           "set {} of {}: {:.0f} by half of the proxies on plan {} and half on {}, it bears {:.0f}", set, to,
@@ -207,7 +207,7 @@
   // The loss of any one zone, with half of the proxies on each plan: its clients may all use what is spare.
   for (auto& [key, supply] : input.supply) {
     auto& [set, to] = key;
-    if (plan.zones.at(to).phase != pl::Phase::kOpen || supply.cold) {
+    if (plan.zones.at(to).phase != pl::Phase::kOpen || supply.warming_up) {
       for (auto& from : zones_)
         if (one(plan.surplus_capacity, set, from, to) > 0)
           throw fmt::format("set {} of {}: it is not whole, and spare by plan {}", set, to, plan.number);
@@ -260,7 +260,8 @@
           double asked = 0, borne = 0;
           for (auto& from : zones_) asked += demand(set, from);
           for (auto& other : zones_)
-            if (other != zone) borne += input.supply.at({set, other}).warm * plan.zones.at(other).part;
+            if (other != zone)
+              borne += input.supply.at({set, other}).warm * plan.zones.at(other).capacity_fraction;
           if (asked > borne * 1.02)
             throw fmt::format("{} is closed, set {} asks for {:.0f}, the rest bears {:.0f}", zone, set, asked,
                               borne);
@@ -272,8 +273,8 @@
     if (phase == pl::Phase::kOpening && !by_hand && now_ - closed_at_[zone] < 10'000)
       throw fmt::format("{} is opened {} ms after it was closed", zone, now_ - closed_at_[zone]);
     if (phase == pl::Phase::kOpening && old == pl::Phase::kClosed &&
-        plan.zones.at(zone).part > options_.first_part * 1.01)
-      throw fmt::format("{} opens with {:.2f} at once", zone, plan.zones.at(zone).part);
+        plan.zones.at(zone).capacity_fraction > options_.initial_fraction * 1.01)
+      throw fmt::format("{} opens with {:.2f} at once", zone, plan.zones.at(zone).capacity_fraction);
   }
 }
 
@@ -440,7 +441,7 @@
     auto& from = names[static_cast<std::size_t>(i % zones)];
     for (auto& to : names) {
       pl::ZoneSample s;
-      s.attempts = 40, s.latency_us = 123456, s.room = 77.5;
+      s.attempts = 40, s.latency_us = 123456, s.spare_capacity = 77.5;
       o.record(from, 0, to, s);
       o.vote(from, to, true);
     }
--- a/src/testbench/simulation/placement.h
+++ b/src/testbench/simulation/placement.h
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "placement/plan.h"
+#include "placement/planner.h"
 
 namespace database_proxy::testbench::simulation {
 
