--- a/src/endpoint_list/endpoint_list_selector.cpp
+++ b/src/endpoint_list/endpoint_list_selector.cpp
@@ -1,31 +1,39 @@
 #include "endpoint_list/endpoint_list_selector.h"
 
 #include <algorithm>
+#include <array>
+#include <cstddef>
+#include <cstdint>
+#include <string>
+#include <utility>
+
+#include "discovery/endpoint_list_codec.h"
 
 namespace database_proxy::endpoint_list {
 
 const char* text_of(Source source) {
-  constexpr const char* kTexts[] = {"none", "own copy", "a voter's copy", "the list service", "the group"};
-  return kTexts[static_cast<std::size_t>(source)];
+  constexpr std::array kTexts{"none", "own copy", "a voter's copy", "the list service", "the group"};
+  return kTexts.at(static_cast<std::size_t>(source));
 }
 
 bool EndpointListSelector::consider(Source source, const std::string& installation,
-                                    discovery::EndpointListUpdate whole, std::int64_t said_ms) {
-  bool in_order = source == Source::kGroup && source_ == Source::kGroup;
-  if (installation != installation_ || source == Source::kNone ||
-      (any() && !in_order && whole.generation < list_.generation)) {
-    ++turned_down_;
+                                    discovery::EndpointListUpdate list, std::int64_t published_at_ms) {
+  bool is_in_log_order = source == Source::kGroup && source_ == Source::kGroup;
+  bool is_older = any() && !is_in_log_order && list.generation < list_.generation;
+  if (installation != installation_ || source == Source::kNone || is_older) {
+    ++rejected_;
     return false;
   }
-  if (any() && whole.generation == list_.generation && !in_order) {  // the same once more
-    said_ms_ = std::max(said_ms_, said_ms);
+  bool is_in_effect = any() && !is_in_log_order && list.generation == list_.generation;
+  if (is_in_effect) {
+    published_at_ms_ = std::max(published_at_ms_, published_at_ms);
     source_ = std::max(source_, source);
     return false;
   }
-  whole.reset = true;
-  list_ = std::move(whole);
+  list.reset = true;
+  list_ = std::move(list);
   source_ = source;
-  said_ms_ = said_ms;
+  published_at_ms_ = published_at_ms;
   return true;
 }
 
--- a/tests/group/parts_test.cpp
+++ b/tests/group/parts_test.cpp
@@ -400,35 +400,35 @@
   bad(R"([[{"do": "wait", "ms": 6000000}]])", "more than 600000 ms");
 }
 
-TEST(EndpointListSelector, AnOlderOneNeverReplacesANewerButTheGroupsOrderDoes) {
+TEST(EndpointListSelector, AnOlderListReplacesANewerOneOnlyInTheOrderOfTheGroupsLog) {
   using endpoint_list::EndpointListSelector, endpoint_list::Source;
   auto list = [](std::int64_t generation, discovery::Lifecycle first = discovery::Lifecycle::kUp) {
-    discovery::EndpointListUpdate u;
-    u.generation = generation;
-    discovery::Endpoint m;
-    m.id = "s1";
-    m.lifecycle = first;
-    u.members = {m};
-    return u;
+    discovery::EndpointListUpdate update;
+    update.generation = generation;
+    discovery::Endpoint endpoint;
+    endpoint.id = "s1";
+    endpoint.lifecycle = first;
+    update.members = {endpoint};
+    return update;
   };
-  EndpointListSelector l("lab");
-  EXPECT_FALSE(l.consider(Source::kPeer, "elsewhere", list(9), 100));
-  EXPECT_FALSE(l.any());
-  EXPECT_TRUE(l.consider(Source::kOwnCopy, "lab", list(3), 0));
-  EXPECT_TRUE(l.consider(Source::kService, "lab", list(7, discovery::Lifecycle::kDraining), 500));
-  // A neighbour's copy is a week old: the drain stands.
-  EXPECT_FALSE(l.consider(Source::kPeer, "lab", list(5), 100));
-  EXPECT_EQ(l.list().members[0].lifecycle, discovery::Lifecycle::kDraining);
-  EXPECT_EQ(l.turned_down(), 2u);
-  EXPECT_FALSE(l.consider(Source::kGroup, "lab", list(5), 0));  // the group has not caught up yet
-  // The same once more: only younger, and known from the better source.
-  EXPECT_FALSE(l.consider(Source::kGroup, "lab", list(7, discovery::Lifecycle::kDraining), 900));
-  EXPECT_EQ(l.said_ms(), 900);
-  EXPECT_EQ(l.source(), Source::kGroup);
-  // The service was reset; the owner published what it says now.
-  EXPECT_TRUE(l.consider(Source::kGroup, "lab", list(1), 0));
-  EXPECT_EQ(l.list().generation, 1);
-  EXPECT_TRUE(l.list().reset);
+  EndpointListSelector selector("lab");
+  EXPECT_FALSE(selector.consider(Source::kPeer, "elsewhere", list(9), 100));
+  EXPECT_FALSE(selector.any());
+  EXPECT_TRUE(selector.consider(Source::kOwnCopy, "lab", list(3), 0));
+  EXPECT_TRUE(selector.consider(Source::kService, "lab", list(7, discovery::Lifecycle::kDraining), 500));
+  // A peer's copy is a week old: the server stays draining.
+  EXPECT_FALSE(selector.consider(Source::kPeer, "lab", list(5), 100));
+  EXPECT_EQ(selector.list().members[0].lifecycle, discovery::Lifecycle::kDraining);
+  EXPECT_EQ(selector.rejected(), 2u);
+  EXPECT_FALSE(selector.consider(Source::kGroup, "lab", list(5), 0));  // the group has not caught up yet
+  // The same list again: only its publication time and source change.
+  EXPECT_FALSE(selector.consider(Source::kGroup, "lab", list(7, discovery::Lifecycle::kDraining), 900));
+  EXPECT_EQ(selector.published_at_ms(), 900);
+  EXPECT_EQ(selector.source(), Source::kGroup);
+  // The service was reset; the owner published its present list.
+  EXPECT_TRUE(selector.consider(Source::kGroup, "lab", list(1), 0));
+  EXPECT_EQ(selector.list().generation, 1);
+  EXPECT_TRUE(selector.list().reset);
 }
 
 }  // namespace
