--- a/src/discovery/discovery_watch.cpp
+++ b/src/discovery/discovery_watch.cpp
@@ -1,35 +1,55 @@
 #include "discovery/discovery_watch.h"
 
 #include <fmt/format.h>
-
-#include <algorithm>
-#include <cstring>
-
+#include <sys/epoll.h>
+
+#include <chrono>
+#include <cstddef>
+#include <cstdint>
+#include <optional>
+#include <stdexcept>
+#include <string>
+#include <system_error>
+#include <utility>
+
+#include "discovery/endpoint_list_codec.h"
 #include "discovery/http.h"
+#include "discovery/polling_schedule.h"
+#include "net/buffer.h"
+#include "net/log.h"
+#include "net/loop.h"
+#include "net/socket.h"
 
 namespace database_proxy::discovery {
 namespace {
 
 using namespace std::chrono_literals;
 
-constexpr std::size_t kCap = 2 * 1024 * 1024;
+// Bytes of a response that are kept until it is complete: parse_response() rejects heads over 16 KiB and
+// bodies over 1 MiB, to which the framing of chunks adds.
+constexpr std::size_t kMaxBufferedResponse = 2 * 1024 * 1024;
+
+constexpr int kHttpOk = 200, kHttpTooManyRequests = 429, kHttpServerErrors = 500;
+
+std::string error_text(int error) { return std::generic_category().message(error); }
 
 }  // namespace
 
-Watch::Watch(net::Loop& loop, net::Address address, std::string host, std::optional<std::int64_t> generation,
-             PollingSchedule schedule, Told told, net::Log log)
+DiscoveryWatch::DiscoveryWatch(net::Loop& loop, net::Address address, std::string host,
+                               std::optional<std::int64_t> generation, const PollingSchedule& schedule,
+                               UpdateHandler on_update, net::Log log)
     : loop_(loop),
       address_(address),
       host_(std::move(host)),
       generation_(generation.value_or(0)),
-      told_(std::move(told)),
+      on_update_(std::move(on_update)),
       log_(std::move(log)),
-      schedule_(std::move(schedule)),
-      whole_(!generation) {}
+      schedule_(schedule),
+      needs_full_list_(!generation) {}
 
-Watch::~Watch() { disconnect(); }
+DiscoveryWatch::~DiscoveryWatch() { disconnect(); }
 
-void Watch::disconnect() {
+void DiscoveryWatch::disconnect() {
   loop_.cancel(&timer_);
   if (fd_) loop_.remove(fd_.get(), this);
   fd_.reset();
@@ -38,90 +58,98 @@
   connected_ = false;
 }
 
-void Watch::connect() {
+void DiscoveryWatch::connect() {
   disconnect();
   int error = 0;
   fd_ = net::start_connect(address_, &error);
   if (!fd_ || !loop_.add(fd_.get(), this)) {
     fd_.reset();
-    return broken(std::strerror(error));
+    return on_failure(error_text(error));
   }
-  timer_ =
-      loop_.at(loop_.now() + PollingSchedule::kConnectTimeout, [this] { broken("no connection in time"); });
+  timer_ = loop_.at(loop_.now() + PollingSchedule::kConnectTimeout,
+                    [this] { on_failure("no connection in time"); });
 }
 
-void Watch::ask() {
-  auto path = whole_ ? std::string("/catalog/members")
-                     : fmt::format("/catalog/members?after={}&wait_ms={}", generation_,
-                                   PollingSchedule::kWatchWait / 1ms);
+void DiscoveryWatch::connect_after(net::Micros delay) {
+  if (delay.count() == 0) return connect();
+  timer_ = loop_.at(loop_.now() + delay, [this] { connect(); });
+}
+
+void DiscoveryWatch::send_request() {
+  auto path = needs_full_list_ ? std::string("/catalog/members")
+                               : fmt::format("/catalog/members?after={}&wait_ms={}", generation_,
+                                             PollingSchedule::kWatchWait / 1ms);
   auto request = fmt::format("GET {} HTTP/1.1\r\nHost: {}\r\nAccept: application/json\r\n\r\n", path, host_);
   loop_.cancel(&timer_);
-  auto timeout = whole_ ? schedule_.list_timeout() : schedule_.watch_timeout();
-  timer_ = loop_.at(loop_.now() + timeout, [this] { broken("no answer in time"); });
-  if (!out_.write(fd_.get(), {request})) broken("the connection broke");
+  auto timeout = needs_full_list_ ? schedule_.list_timeout() : schedule_.watch_timeout();
+  timer_ = loop_.at(loop_.now() + timeout, [this] { on_failure("no answer in time"); });
+  if (!out_.write(fd_.get(), {request})) on_failure("the connection broke");
 }
 
-void Watch::on_ready(std::uint32_t events) {
+void DiscoveryWatch::on_ready(std::uint32_t events) {
   if (!connected_) {
-    if (int error = net::socket_error(fd_.get())) return broken(std::strerror(error));
+    if (int error = net::socket_error(fd_.get())) return on_failure(error_text(error));
     if (!(events & EPOLLOUT)) return;
     connected_ = true;
-    return ask();
-  }
-  if ((events & EPOLLOUT) && !out_.flush(fd_.get())) return broken("the connection broke");
-  if (events & (EPOLLIN | EPOLLRDHUP | EPOLLHUP | EPOLLERR)) {
-    auto end = in_.fill(fd_.get(), kCap);
-    if (end == net::IoEnd::kFull) return broken("the answer is too long");
-    read(end == net::IoEnd::kClosed);
-    // A reset is no end: a body of no stated length that it cuts off is not whole.
-    if (end == net::IoEnd::kReset && fd_) broken("the connection was reset");
+    return send_request();
   }
+  if ((events & EPOLLOUT) && !out_.flush(fd_.get())) return on_failure("the connection broke");
+  if (!(events & (EPOLLIN | EPOLLRDHUP | EPOLLHUP | EPOLLERR))) return;
+  auto end = in_.fill(fd_.get(), kMaxBufferedResponse);
+  if (end == net::IoEnd::kFull) return on_failure("the answer is too long");
+  read_responses(end == net::IoEnd::kClosed);
+  // A reset is no regular end: a body without a stated length that it cuts off is not complete.
+  if (end == net::IoEnd::kReset && fd_) on_failure("the connection was reset");
 }
 
-void Watch::read(bool ended) {
+void DiscoveryWatch::read_responses(bool ended) {
   while (fd_ && !in_.view().empty()) {
     HttpResponse response;
     auto parse = parse_response(in_.view(), ended, &response);
     if (parse == HttpParse::kMore) break;
-    if (parse == HttpParse::kBad) return broken("the answer is no HTTP");
+    if (parse == HttpParse::kBad) return on_failure("the answer is no HTTP");
     in_.consume(response.size);
-    if (response.status < 200) continue;  // an interim answer
-    if (response.status != 200) {
-      // A service at its limit knows our version as before, and the whole list is the dearest thing to ask of
-      // it; any other refusal may mean that it does not.
-      bool refused = response.status >= 500 || response.status == 429;
-      whole_ = whole_ || !refused;
-      return broken(fmt::format("it answered with status {}", response.status), refused);
-    }
-    try {
-      auto update = parse_endpoint_list(response.body);
-      update.reset = update.reset || whole_;
-      generation_ = update.generation;
-      whole_ = false;
-      if (failing_) log_(net::Level::kInfo, "discovery answers again");
-      failing_ = false;
-      schedule_.answered();
-      told_(std::move(update));
-    } catch (const std::invalid_argument& e) {
-      whole_ = true;
-      return broken(fmt::format("it sent a list that cannot be read: {}", e.what()));
-    }
+    if (response.status < kHttpOk) continue;  // an interim response
+    if (response.status != kHttpOk) return on_error_status(response.status);
+    if (!apply_update(response.body)) return;
     if (!response.keep_alive) return connect();
-    ask();
+    send_request();
   }
-  if (ended && fd_) broken("the connection ended");
+  if (ended && fd_) on_failure("the connection ended");
 }
 
-void Watch::broken(const std::string& why, bool refused) {
-  if (!failing_) log_(net::Level::kWarning, fmt::format("discovery does not answer: {}", why));
-  failing_ = true;
-  disconnect();
-  pause(refused ? schedule_.after_refused_call() : schedule_.after_broken_call());
+// A service at its limit knows our generation as before, and the full list is the most expensive request to
+// it. Any other status may mean that it does not know the generation.
+void DiscoveryWatch::on_error_status(int status) {
+  bool is_at_limit = status >= kHttpServerErrors || status == kHttpTooManyRequests;
+  if (!is_at_limit) needs_full_list_ = true;
+  on_failure(fmt::format("it answered with status {}", status),
+             is_at_limit ? Failure::kRefused : Failure::kBroken);
+}
+
+// Reports the update. Returns false, after on_failure(), if it is malformed.
+bool DiscoveryWatch::apply_update(const std::string& body) try {
+  auto update = parse_endpoint_list(body);
+  update.reset = update.reset || needs_full_list_;
+  generation_ = update.generation;
+  needs_full_list_ = false;
+  if (failing_) log_(net::Level::kInfo, "discovery answers again");
+  failing_ = false;
+  schedule_.on_answered();
+  on_update_(std::move(update));
+  return true;
+} catch (const std::invalid_argument& e) {
+  needs_full_list_ = true;
+  on_failure(fmt::format("it sent a list that cannot be read: {}", e.what()));
+  return false;
 }
 
-void Watch::pause(net::Micros time) {
-  if (time.count() == 0) return connect();
-  timer_ = loop_.at(loop_.now() + time, [this] { connect(); });
+void DiscoveryWatch::on_failure(const std::string& reason, Failure failure) {
+  if (!failing_) log_(net::Level::kWarning, fmt::format("discovery does not answer: {}", reason));
+  failing_ = true;
+  disconnect();
+  connect_after(failure == Failure::kRefused ? schedule_.after_refused_call()
+                                             : schedule_.after_broken_call());
 }
 
 }  // namespace database_proxy::discovery
--- a/src/discovery/discovery_watch.h
+++ b/src/discovery/discovery_watch.h
@@ -1,6 +1,7 @@
-// Keeps one watch on the list of data servers alive.
+// Keeps one long-polling call to the discovery service open, and reports each update of the endpoint list.
 #pragma once
 
+#include <cstdint>
 #include <functional>
 #include <optional>
 #include <string>
@@ -14,39 +15,56 @@
 
 namespace database_proxy::discovery {
 
-class Watch : public net::Handler {
+// One address of the discovery service. After any failure it connects anew, as the schedule says, without
+// end; it logs the first failure and the recovery. All calls, and the handler, are on the loop's thread.
+class DiscoveryWatch : public net::Handler {
  public:
-  using Told = std::function<void(EndpointListUpdate)>;
-  // `host` is what the Host field says; `generation` is the version that is known already. Without one, the
-  // whole list comes first: what another discovery counts says nothing here.
-  Watch(net::Loop& loop, net::Address address, std::string host, std::optional<std::int64_t> generation,
-        PollingSchedule schedule, Told told, net::Log log);
-  ~Watch() override;
-  void start() { pause(schedule_.before_first_call()); }
+  using UpdateHandler = std::function<void(EndpointListUpdate)>;
+
+  // `host` is the value of the Host field. `generation` is the generation that is known already; without one,
+  // the full list is requested first, since the counts of two discovery services are not comparable.
+  DiscoveryWatch(net::Loop& loop, net::Address address, std::string host,
+                 std::optional<std::int64_t> generation, const PollingSchedule& schedule,
+                 UpdateHandler on_update, net::Log log);
+  ~DiscoveryWatch() override;
+  DiscoveryWatch(const DiscoveryWatch&) = delete;
+  DiscoveryWatch& operator=(const DiscoveryWatch&) = delete;
+
+  // Connects after the schedule's delay for a first call.
+  void start() { connect_after(schedule_.before_first_call()); }
   void start_now() { connect(); }
   void on_ready(std::uint32_t events) override;
 
  private:
+  // kRefused: the service answered that it cannot serve now. kBroken: any other failure.
+  enum class Failure { kBroken, kRefused };
+
   void connect();
-  void ask();
-  void read(bool ended);
-  void broken(const std::string& why, bool refused = false);
-  void pause(net::Micros time);
+  void connect_after(net::Micros delay);
   void disconnect();
+  void send_request();
+  void read_responses(bool ended);
+  void on_error_status(int status);
+  bool apply_update(const std::string& body);
+  void on_failure(const std::string& reason, Failure failure = Failure::kBroken);
 
   net::Loop& loop_;
   net::Address address_;
   std::string host_;
   std::int64_t generation_;
-  Told told_;
+  UpdateHandler on_update_;
   net::Log log_;
   net::Fd fd_;
   net::InBuffer in_;
   net::OutBuffer out_;
-  net::Loop::TimerId timer_ = net::Loop::kNoTimer;  // of the answer that is due, or of the next try
+  net::Loop::TimerId timer_ = net::Loop::kNoTimer;  // the timeout of the call, or the next attempt
   PollingSchedule schedule_;
-  bool whole_;  // the next call asks for all of the list
-  bool connected_ = false, failing_ = false;
+  bool needs_full_list_;    // the next call requests it
+  bool connected_ = false;  // the connection is established
+  bool failing_ = false;    // the last call failed, which was logged
 };
 
+// The class's earlier name: src/group still uses it.
+using Watch = DiscoveryWatch;
+
 }  // namespace database_proxy::discovery
--- a/src/discovery/endpoint_list_codec.cpp
+++ b/src/discovery/endpoint_list_codec.cpp
@@ -1,17 +1,45 @@
 #include "discovery/endpoint_list_codec.h"
 
 #include <algorithm>
+#include <cstdint>
 #include <nlohmann/json.hpp>
 #include <stdexcept>
+#include <string>
+#include <string_view>
+#include <utility>
 
 namespace database_proxy::discovery {
 namespace {
 
-Lifecycle lifecycle(const std::string& word) {
-  if (word == "up") return Lifecycle::kUp;
-  if (word == "draining") return Lifecycle::kDraining;
-  if (word == "removed") return Lifecycle::kRemoved;
-  throw std::invalid_argument("unknown lifecycle '" + word + "'");
+// Start times are cut off here, in the year 5138: a double of any size must become an integer.
+constexpr double kMaxStartedAtMs = 1e14;
+
+Lifecycle lifecycle_from_text(const std::string& text) {
+  if (text == "up") return Lifecycle::kUp;
+  if (text == "draining") return Lifecycle::kDraining;
+  if (text == "removed") return Lifecycle::kRemoved;
+  throw std::invalid_argument("unknown lifecycle '" + text + "'");
+}
+
+const char* text_of(Lifecycle lifecycle) {
+  if (lifecycle == Lifecycle::kUp) return "up";
+  return lifecycle == Lifecycle::kDraining ? "draining" : "removed";
+}
+
+Endpoint endpoint_from_json(const nlohmann::json& json) {
+  Endpoint endpoint;
+  endpoint.id = json.at("instanceId").get<std::string>();
+  endpoint.lifecycle = lifecycle_from_text(json.value("lifecycle", "up"));
+  endpoint.address = json.value("hostPort", "");
+  bool needs_address = endpoint.lifecycle != Lifecycle::kRemoved;
+  if (endpoint.id.empty() || (endpoint.address.empty() && needs_address))
+    throw std::invalid_argument("an entry without instanceId or hostPort");
+  endpoint.zone = json.value("zone", "");
+  endpoint.cell = json.value("cell", std::int64_t{0});
+  endpoint.weight = json.value("weight", 1.0);
+  endpoint.started_at_ms =
+      static_cast<std::int64_t>(std::clamp(json.value("startedAtMs", 0.0), 0.0, kMaxStartedAtMs));
+  return endpoint;
 }
 
 }  // namespace
@@ -20,19 +48,7 @@
   EndpointListUpdate update;
   update.generation = json.at("generation").get<std::int64_t>();
   update.reset = json.value("reset", false);
-  for (auto& entry : json.at("instances")) {
-    Endpoint m;
-    m.id = entry.at("instanceId").get<std::string>();
-    m.lifecycle = lifecycle(entry.value("lifecycle", "up"));
-    m.address = entry.value("hostPort", "");
-    if (m.id.empty() || (m.address.empty() && m.lifecycle != Lifecycle::kRemoved))
-      throw std::invalid_argument("an entry without instanceId or hostPort");
-    m.zone = entry.value("zone", "");
-    m.cell = entry.value("cell", std::int64_t{0});
-    m.weight = entry.value("weight", 1.0);
-    m.started_at_ms = static_cast<std::int64_t>(std::clamp(entry.value("startedAtMs", 0.0), 0.0, 1e14));
-    update.members.push_back(std::move(m));
-  }
+  for (const auto& entry : json.at("instances")) update.members.push_back(endpoint_from_json(entry));
   return update;
 } catch (const nlohmann::json::exception& e) {
   throw std::invalid_argument(e.what());
@@ -46,16 +62,14 @@
 
 nlohmann::json endpoint_list_to_json(const EndpointListUpdate& update) {
   auto instances = nlohmann::json::array();
-  for (auto& m : update.members)
-    instances.push_back({{"instanceId", m.id},
-                         {"hostPort", m.address},
-                         {"zone", m.zone},
-                         {"cell", m.cell},
-                         {"lifecycle", m.lifecycle == Lifecycle::kUp         ? "up"
-                                       : m.lifecycle == Lifecycle::kDraining ? "draining"
-                                                                             : "removed"},
-                         {"weight", m.weight},
-                         {"startedAtMs", m.started_at_ms}});
+  for (const auto& endpoint : update.members)
+    instances.push_back({{"instanceId", endpoint.id},
+                         {"hostPort", endpoint.address},
+                         {"zone", endpoint.zone},
+                         {"cell", endpoint.cell},
+                         {"lifecycle", text_of(endpoint.lifecycle)},
+                         {"weight", endpoint.weight},
+                         {"startedAtMs", endpoint.started_at_ms}});
   return {{"generation", update.generation}, {"reset", update.reset}, {"instances", std::move(instances)}};
 }
 
--- a/src/discovery/endpoint_list_codec.h
+++ b/src/discovery/endpoint_list_codec.h
@@ -1,4 +1,4 @@
-// The list of data servers, as discovery and the configuration give it.
+// The list of data servers, as the discovery service and the configuration give it. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -9,26 +9,30 @@
 
 namespace database_proxy::discovery {
 
+// kDraining: it gets no new requests. kRemoved: only in a list of changes.
 enum class Lifecycle { kUp, kDraining, kRemoved };
 
+// One data server.
 struct Endpoint {
   std::string id, address, zone;
-  std::int64_t cell = 0;
+  std::int64_t cell = 0;  // servers of one cell have the same data
   Lifecycle lifecycle = Lifecycle::kUp;
-  double weight = 1;
+  double weight = 1;               // of its capacity, relative to others
   std::int64_t started_at_ms = 0;  // Unix milliseconds; 0: long ago
 };
 
+// A list, or the changes since the one that the receiver has.
 struct EndpointListUpdate {
-  std::int64_t generation = 0;
-  bool reset = false;  // the whole list, not only what changed
+  std::int64_t generation = 0;  // by the count of the discovery service
+  bool reset = false;           // the full list, not only what changed
   std::vector<Endpoint> members;
 };
 
-// Throw std::invalid_argument, telling what is wrong.
+// Throw std::invalid_argument with a text that says what is wrong.
 EndpointListUpdate endpoint_list_from_json(const nlohmann::json& json);
 EndpointListUpdate parse_endpoint_list(std::string_view text);
-// The same form again.
+
+// Returns the form that endpoint_list_from_json() reads.
 nlohmann::json endpoint_list_to_json(const EndpointListUpdate& update);
 
 }  // namespace database_proxy::discovery
