--- a/tests/placement/placement_test.cpp
+++ b/tests/placement/placement_test.cpp
@@ -150,31 +150,31 @@
 }
 
 struct ZoneHealthObserverTest : ::testing::Test {
-  ZoneHealthObserverTest() : watcher("a", true) {
-    watcher.set_locations({{"a1", {1, "a", 0s}}, {"a2", {1, "a", 0s}}, {"b1", {1, "b", 5s}}});
+  ZoneHealthObserverTest() : observer("a", true) {
+    observer.set_locations({{"a1", {1, "a", 0s}}, {"a2", {1, "a", 0s}}, {"b1", {1, "b", 5s}}});
   }
   Observation take() {
     now += 500ms;
-    return watcher.take_observation(now, 3, [](const std::string&) { return 2.0; });
+    return observer.take_observation(now, 3, [](const std::string&) { return 2.0; });
   }
   void serve(int count, const std::string& server, RequestOutcome how = RequestOutcome::kServed,
              Micros took = 2ms) {
     for (int i = 0; i < count; ++i) {
-      watcher.on_attempt_sent(++id, 0, server, now, false);
-      watcher.on_attempt_ended(id, 0, server, how, took);
+      observer.on_attempt_sent(++id, 0, server, now, false);
+      observer.on_attempt_ended(id, 0, server, how, took);
     }
   }
-  ZoneHealthObserver watcher;
+  ZoneHealthObserver observer;
   Micros now = 1s;
   std::uint64_t id = 0;
 };
 
 TEST_F(ZoneHealthObserverTest, SumsUpTheOutcomesOfRequests) {
-  watcher.on_read_request(1);
-  watcher.on_read_request(1);
+  observer.on_read_request(1);
+  observer.on_read_request(1);
   serve(4, "a1");
   serve(1, "a2", RequestOutcome::kFailed);
-  watcher.on_primary_observed("a1");
+  observer.on_primary_observed("a1");
   auto observation = take();
   EXPECT_EQ(observation.demand().at({"a", 1}), 2u);
   EXPECT_EQ(observation.primaries().at({1, "a"}), 1u);
@@ -193,39 +193,39 @@
   serve(5, "a1");
   take();
   for (int i = 0; i < 5; ++i)
-    watcher.on_attempt_sent(100 + static_cast<std::uint64_t>(i), 0, "a1", now, false);
+    observer.on_attempt_sent(100 + static_cast<std::uint64_t>(i), 0, "a1", now, false);
   auto observation = take();
   EXPECT_EQ(observation.votes().at({"a", "a"}), (HealthVotes{0, 0, 1}));
-  // Its end, whenever it comes, is not counted once more.
+  // When they end later, they are not counted again.
   for (int i = 0; i < 5; ++i)
-    watcher.on_attempt_ended(100 + static_cast<std::uint64_t>(i), 0, "a1", RequestOutcome::kTimedOut, 2s);
+    observer.on_attempt_ended(100 + static_cast<std::uint64_t>(i), 0, "a1", RequestOutcome::kTimedOut, 2s);
   EXPECT_EQ(take().samples().at({"a", 0, "a"}).attempts, 0u);
 }
 
 TEST_F(ZoneHealthObserverTest, ProbesZonesThatGetNoRequests) {
   serve(5, "a1");
   take();
-  EXPECT_TRUE(watcher.choose_probe_targets(7).empty());  // not each time
+  EXPECT_TRUE(observer.choose_probe_targets(7).empty());  // not each time
   for (int round = 0; round < 3; ++round) {
     serve(5, "a1");
     EXPECT_FALSE(take().votes().count({"a", "b"}));
-    ASSERT_EQ(watcher.choose_probe_targets(7), std::vector<std::string>{"b1"});
-    watcher.on_probe_ended("b1", true);
+    ASSERT_EQ(observer.choose_probe_targets(7), std::vector<std::string>{"b1"});
+    observer.on_probe_ended("b1", true);
     auto observation = take();
-    ASSERT_EQ(observation.votes().count({"a", "b"}), round == 2);  // three make an opinion
+    ASSERT_EQ(observation.votes().count({"a", "b"}), round == 2);  // three attempts make an opinion
     serve(5, "a1");
-    EXPECT_TRUE(watcher.choose_probe_targets(7).empty());
+    EXPECT_TRUE(observer.choose_probe_targets(7).empty());
   }
   serve(5, "a1");
   take();
-  ASSERT_EQ(watcher.choose_probe_targets(7).size(), 1u);
-  watcher.on_probe_ended("b1", false);
+  ASSERT_EQ(observer.choose_probe_targets(7).size(), 1u);
+  observer.on_probe_ended("b1", false);
   serve(5, "a1");
   take();
-  // One that failed: enough for an opinion of its own at once.
-  auto closer = watcher.choose_probe_targets(7);
+  // After a failed probe, enough probes follow at once for an opinion.
+  auto closer = observer.choose_probe_targets(7);
   ASSERT_EQ(closer.size(), 3u);
-  for (auto& server : closer) watcher.on_probe_ended(server, false);
+  for (auto& server : closer) observer.on_probe_ended(server, false);
   EXPECT_EQ(take().votes().at({"a", "b"}), (HealthVotes{0, 0, 1}));
   ZoneHealthObserver other("a", false);
   other.set_locations({{"b1", {1, "b", 0s}}});
@@ -236,7 +236,7 @@
   Planner planner(three());
   auto input = calm(300, 1000);
   input.seen = input.seen.demand_only();
-  // The proxies' own machines stand still now and then; a little is asked for, and answered late everywhere.
+  // The proxies themselves are slow: there is little demand, and all answers are late.
   for (Zone from : {"a", "b", "c"})
     for (Zone to : {"a", "b", "c"}) input.seen.voted(from, to, {0, 0, 4});
   auto plan = settle(planner, {}, input, 20'000);
@@ -248,7 +248,8 @@
   Planner planner(three());
   auto input = calm(300, 1000);
   input.seen = input.seen.demand_only();
-  // No zone sees another, all are well by their own eyes: closing any would serve fewer.
+  // Every link between zones is cut, and each zone is healthy to its own proxies: closing one would help
+  // nobody.
   for (Zone from : {"a", "b", "c"})
     for (Zone to : {"a", "b", "c"})
       input.seen.voted(from, to, from == to ? HealthVotes{4, 0, 0} : HealthVotes{0, 4, 0});
@@ -271,7 +272,7 @@
   }
   ZoneSample busy;
   busy.attempts = 900;
-  input.seen.record("b", 0, "b", busy);  // it answers nine tenths of what it bears
+  input.seen.record("b", 0, "b", busy);  // it answers nine tenths of its capacity
   EXPECT_EQ(settle(planner, {}, input, 10'000).zones.at("b").phase, Phase::kOpen);
   input.seen = [&] {
     auto observation = input.seen.demand_only();
@@ -292,16 +293,16 @@
     auto it = plan.surplus_capacity.find({1, from});
     return it == plan.surplus_capacity.end() || !it->second.count(to) ? 0.0 : it->second.at(to);
   };
-  EXPECT_EQ(surplus_share("a", "a"), 0);    // all of its reads go there anyway
+  EXPECT_EQ(surplus_share("a", "a"), 0);    // all of its reads are served there anyway
   EXPECT_EQ(surplus_share("a", "b"), 1.0);  // 300 fit beside 300 in 950
   input = calm(600, 1000);
   plan = settle(planner, {}, input, 10'000);
   EXPECT_NEAR(surplus_share("a", "b"), 350.0 / 600, 0.02);
   EXPECT_NEAR(surplus_share("a", "c"), 1 - 350.0 / 600,
-              0.02);  // the far one gets what the near one cannot take
+              0.02);  // the far zone takes what the near one has no capacity for
   for (auto& [key, supply] : input.supply) supply.warming_up = key.second == "b";
   plan = settle(planner, {}, input, 10'000);
-  EXPECT_EQ(surplus_share("a", "b"), 0);  // a cold zone has nothing to spare
+  EXPECT_EQ(surplus_share("a", "b"), 0);  // a zone that is warming up has no surplus
 }
 
 TEST(Plan, TrafficStaysNearWhileThereIsCapacity) {
@@ -309,13 +310,13 @@
   auto plan = settle(planner, {}, calm(700, 1000), 5000);
   for (Zone zone : {"a", "b", "c"}) EXPECT_NEAR(plan.shares.at({1, zone}).at(zone), 1, 1e-5) << zone;
   auto again = planner.next(plan, calm(705, 1000, 1'010'000));
-  EXPECT_EQ(again.number, plan.number);  // noise makes no new plan
+  EXPECT_EQ(again.number, plan.number);  // random swings make no new plan
 }
 
 TEST(Plan, TrafficGoesNoFurtherThanNeeded) {
   Planner planner(three());
   auto input = calm(300, 1000);
-  input.seen.asked("a", 1, 700);  // 1000 of its own, of which it takes 800
+  input.seen.asked("a", 1, 700);  // a demand of 1000, of which it may serve 800
   auto plan = settle(planner, {}, input, 10'000);
   EXPECT_NEAR(plan.shares.at({1, "a"}).at("a"), 0.8, 0.01);
   EXPECT_NEAR(plan.shares.at({1, "a"}).at("b"), 0.2, 0.01);  // the same region first
@@ -365,14 +366,15 @@
 TEST(Plan, AZoneStaysOpenWithoutCapacityElsewhereAndRefusalsAreNearHome) {
   Planner planner(three());
   auto plan = settle(planner, {}, calm(900, 1000), 5000);
-  auto grey = found_unhealthy(calm(900, 1000, 1'010'000), "a", {"a", "b", "c"}, 3);  // ill, and still serving
-  auto still_open = settle(planner, plan, grey, 10'000);
+  auto partly_failed =
+      found_unhealthy(calm(900, 1000, 1'010'000), "a", {"a", "b", "c"}, 3);  // unhealthy, still serving
+  auto still_open = settle(planner, plan, partly_failed, 10'000);
   EXPECT_EQ(still_open.zones.at("a").phase, Phase::kOpen);
   EXPECT_EQ(still_open.zones.at("a").reason, PhaseReason::kInsufficientCapacity);
   auto dead =
       settle(planner, plan, found_unhealthy(calm(900, 1000, 1'010'000), "a", {"a", "b", "c"}), 10'000);
   EXPECT_EQ(dead.zones.at("a").phase, Phase::kClosed);
-  // Nobody pushes the others over: what has no room is refused, by a's clients.
+  // The other zones are not overloaded: zone a's clients refuse what there is no capacity for.
   EXPECT_GT(dead.refused(1, "a"), 0.7);
   EXPECT_LT(dead.refused(1, "b"), 0.05);
 }
@@ -407,7 +409,7 @@
   EXPECT_EQ(planner.unknown(input), std::vector<Zone>{"x"});
   input.supply[{1, "a"}] = {0};
   auto plan = settle(planner, {}, input, 5000);
-  EXPECT_EQ(plan.shares.at({1, "a"}).count("x"), 0u);  // b first
+  EXPECT_EQ(plan.shares.at({1, "a"}).count("x"), 0u);  // b is nearer
 }
 
 TEST(Plan, AFrozenPlanDoesNotChange) {
