--- a/src/peers/codec.cpp
+++ b/src/peers/codec.cpp
@@ -3,42 +3,81 @@
 #include <utility>
 #include <vector>
 
+#include "peers/message_keys.h"
+
 namespace database_proxy::peers {
 namespace {
 
-namespace rc = consensus;
+using consensus::Entry;
+using consensus::EntryType;
+using consensus::Index;
+using consensus::Membership;
+using consensus::Message;
+using consensus::NodeId;
+using consensus::Snapshot;
+using consensus::SnapshotPtr;
+using consensus::Term;
+
+constexpr std::size_t kLengthBytes = 4;
+
+// Keys of consensus messages: short, since these are most of what goes between voters.
+constexpr const char* kMessageKind = "k";
+constexpr const char* kFrom = "from";
+constexpr const char* kTo = "to";
+constexpr const char* kMessageTerm = "term";
+constexpr const char* kMessageIndex = "i";
+constexpr const char* kLogTerm = "lt";
+constexpr const char* kCommit = "c";
+constexpr const char* kRefusedIndex = "ri";
+constexpr const char* kReject = "no";
+constexpr const char* kForced = "f";
+constexpr const char* kRound = "r";
+constexpr const char* kLogEntries = "e";
+constexpr const char* kSnapshot = "s";
 
-json entry_json(const rc::Entry& e) {
-  return json::array({e.term, e.index, static_cast<int>(e.type), bytes_of(e.data)});
+json entry_to_json(const Entry& entry) {
+  return json::array({entry.term, entry.index, static_cast<int>(entry.type), bytes_of(entry.data)});
 }
-rc::Entry entry_of(const json& j) {
-  rc::Entry e;
-  e.term = j.at(0).get<rc::Term>();
-  e.index = j.at(1).get<rc::Index>();
-  int kind = j.at(2).get<int>();
-  if (kind < 0 || kind > static_cast<int>(rc::EntryType::kCommand))
-    kind = 0;  // of a newer version: does nothing
-  e.type = static_cast<rc::EntryType>(kind);
-  e.data = text_of_bytes(j.at(3));
-  return e;
+
+// A type of a newer version is read as kNoOp, which does nothing.
+EntryType entry_type(int number) {
+  bool is_known = number >= 0 && number <= static_cast<int>(EntryType::kCommand);
+  return is_known ? static_cast<EntryType>(number) : EntryType::kNoOp;
 }
-json snapshot_json(const rc::Snapshot& s) {
-  return json::array({s.index, s.term, s.members.encode(), bytes_of(s.data)});
+
+Entry entry_from_json(const json& array) {
+  Entry entry;
+  entry.term = array.at(0).get<Term>();
+  entry.index = array.at(1).get<Index>();
+  entry.type = entry_type(array.at(2).get<int>());
+  entry.data = text_of_bytes(array.at(3));
+  return entry;
 }
-rc::SnapshotPtr snapshot_of(const json& j) {
-  auto s = std::make_shared<rc::Snapshot>();
-  s->index = j.at(0).get<rc::Index>();
-  s->term = j.at(1).get<rc::Term>();
-  auto members = rc::Membership::decode(j.at(2).get<std::string>());
+
+json snapshot_to_json(const Snapshot& snapshot) {
+  return json::array({snapshot.index, snapshot.term, snapshot.members.encode(), bytes_of(snapshot.data)});
+}
+
+SnapshotPtr snapshot_from_json(const json& array) {
+  auto snapshot = std::make_shared<Snapshot>();
+  snapshot->index = array.at(0).get<Index>();
+  snapshot->term = array.at(1).get<Term>();
+  auto members = Membership::decode(array.at(2).get<std::string>());
   if (!members) return nullptr;
-  s->members = *members;
-  s->data = text_of_bytes(j.at(3));
-  return s;
+  snapshot->members = *members;
+  snapshot->data = text_of_bytes(array.at(3));
+  return snapshot;
 }
-std::string cbor(const json& j) {
-  std::string out;
-  json::to_cbor(j, out);
-  return out;
+
+std::string to_cbor(const json& value) {
+  std::string bytes;
+  json::to_cbor(value, bytes);
+  return bytes;
+}
+
+template <class Value>
+void add_unless_zero(json* object, const char* name, Value value) {
+  if (value) (*object)[name] = value;
 }
 
 }  // namespace
@@ -46,93 +85,103 @@
 json bytes_of(std::string_view text) {
   return json::binary(std::vector<std::uint8_t>(text.begin(), text.end()));
 }
-std::string text_of_bytes(const json& j) {
-  auto& b = j.get_binary();
-  return std::string(b.begin(), b.end());
+
+std::string text_of_bytes(const json& value) {
+  auto& bytes = value.get_binary();
+  return {bytes.begin(), bytes.end()};
 }
 
-FrameParse parse_frame(std::string_view in, json* message, std::size_t* size) {
-  if (in.size() < 4) return FrameParse::kMore;
+FrameParse parse_frame(std::string_view input, json* message, std::size_t* size) {
+  if (input.size() < kLengthBytes) return FrameParse::kMore;
   std::size_t length = 0;
-  for (int i = 0; i < 4; ++i)
-    length = length << 8 | static_cast<unsigned char>(in[static_cast<std::size_t>(i)]);
+  for (std::size_t i = 0; i < kLengthBytes; ++i) length = length << 8 | static_cast<unsigned char>(input[i]);
   if (length == 0 || length > kLongestFrame) return FrameParse::kBad;
-  if (in.size() < 4 + length) return FrameParse::kMore;
-  auto body = in.substr(4, length);
+  if (input.size() < kLengthBytes + length) return FrameParse::kMore;
+  auto body = input.substr(kLengthBytes, length);
   *message = json::from_cbor(body.begin(), body.end(), true, false);
-  if (message->is_discarded() || !message->is_object() || !message->contains("t") ||
-      !message->at("t").is_string())
-    return FrameParse::kBad;
-  *size = 4 + length;
+  bool names_its_type = !message->is_discarded() && message->is_object() && message->contains(key::kType) &&
+                        message->at(key::kType).is_string();
+  if (!names_its_type) return FrameParse::kBad;
+  *size = kLengthBytes + length;
   return FrameParse::kOk;
 }
 
 std::string frame(const json& message) {
-  std::string out(4, '\0');
-  json::to_cbor(message, out);
-  auto length = out.size() - 4;
-  for (int i = 0; i < 4; ++i)
-    out[static_cast<std::size_t>(i)] = static_cast<char>(length >> (24 - 8 * i) & 0xff);
-  return out;
+  std::string bytes(kLengthBytes, '\0');
+  json::to_cbor(message, bytes);
+  auto length = bytes.size() - kLengthBytes;
+  for (std::size_t i = 0; i < kLengthBytes; ++i)
+    bytes[i] = static_cast<char>(length >> (8 * (kLengthBytes - 1 - i)) & 0xff);
+  return bytes;
 }
 
-std::string encode_entry(const rc::Entry& entry) { return cbor(entry_json(entry)); }
-std::optional<rc::Entry> decode_entry(std::string_view text) try {
-  return entry_of(json::from_cbor(text.begin(), text.end()));
-} catch (const json::exception&) {
-  return std::nullopt;
+std::string encode_entry(const Entry& entry) { return to_cbor(entry_to_json(entry)); }
+
+std::optional<Entry> decode_entry(std::string_view text) {
+  try {
+    return entry_from_json(json::from_cbor(text.begin(), text.end()));
+  } catch (const json::exception&) {
+    return std::nullopt;
+  }
 }
-std::string encode_snapshot(const rc::Snapshot& snapshot) { return cbor(snapshot_json(snapshot)); }
-rc::SnapshotPtr decode_snapshot(std::string_view text) try {
-  return snapshot_of(json::from_cbor(text.begin(), text.end()));
-} catch (const json::exception&) {
-  return nullptr;
+
+std::string encode_snapshot(const Snapshot& snapshot) { return to_cbor(snapshot_to_json(snapshot)); }
+
+SnapshotPtr decode_snapshot(std::string_view text) {
+  try {
+    return snapshot_from_json(json::from_cbor(text.begin(), text.end()));
+  } catch (const json::exception&) {
+    return nullptr;
+  }
 }
 
-json raft_to_json(const rc::Message& m) {
-  json j = {{"t", "raft"}, {"k", static_cast<int>(m.type)}, {"from", m.from}, {"to", m.to}, {"term", m.term}};
-  auto add = [&](const char* key, auto value) {
-    if (value) j[key] = value;
-  };
-  add("i", m.index);
-  add("lt", m.log_term);
-  add("c", m.commit);
-  add("ri", m.refused);
-  add("no", m.reject);
-  add("f", m.forced);
-  add("r", m.round);
-  if (!m.entries.empty()) {
-    auto& list = j["e"] = json::array();
-    for (auto& e : m.entries) list.push_back(entry_json(e));
+json raft_to_json(const Message& message) {
+  json object = {{key::kType, wire_name(MessageType::kConsensus)},
+                 {kMessageKind, static_cast<int>(message.type)},
+                 {kFrom, message.from},
+                 {kTo, message.to},
+                 {kMessageTerm, message.term}};
+  add_unless_zero(&object, kMessageIndex, message.index);
+  add_unless_zero(&object, kLogTerm, message.log_term);
+  add_unless_zero(&object, kCommit, message.commit);
+  add_unless_zero(&object, kRefusedIndex, message.refused);
+  add_unless_zero(&object, kReject, message.reject);
+  add_unless_zero(&object, kForced, message.forced);
+  add_unless_zero(&object, kRound, message.round);
+  if (!message.entries.empty()) {
+    auto& entries = object[kLogEntries] = json::array();
+    for (auto& entry : message.entries) entries.push_back(entry_to_json(entry));
   }
-  if (m.snapshot) j["s"] = snapshot_json(*m.snapshot);
-  return j;
+  if (message.snapshot) object[kSnapshot] = snapshot_to_json(*message.snapshot);
+  return object;
 }
 
-std::optional<rc::Message> raft_from_json(const json& j) try {
-  rc::Message m;
-  int kind = j.at("k").get<int>();
-  if (kind < 0 || kind > static_cast<int>(rc::Message::Type::kTimeoutNow)) return std::nullopt;
-  m.type = static_cast<rc::Message::Type>(kind);
-  m.from = j.at("from").get<rc::NodeId>();
-  m.to = j.at("to").get<rc::NodeId>();
-  m.term = j.at("term").get<rc::Term>();
-  m.index = j.value("i", rc::Index{0});
-  m.log_term = j.value("lt", rc::Term{0});
-  m.commit = j.value("c", rc::Index{0});
-  m.refused = j.value("ri", rc::Index{0});
-  m.reject = j.value("no", false);
-  m.forced = j.value("f", false);
-  m.round = j.value("r", std::uint64_t{0});
-  if (j.contains("e"))
-    for (auto& e : j.at("e")) m.entries.push_back(entry_of(e));
-  if (j.contains("s")) {
-    m.snapshot = snapshot_of(j.at("s"));
-    if (!m.snapshot) return std::nullopt;
+std::optional<Message> raft_from_json(const json& object) {
+  try {
+    Message message;
+    int kind = object.at(kMessageKind).get<int>();
+    if (kind < 0 || kind > static_cast<int>(Message::Type::kTimeoutNow)) return std::nullopt;
+    message.type = static_cast<Message::Type>(kind);
+    message.from = object.at(kFrom).get<NodeId>();
+    message.to = object.at(kTo).get<NodeId>();
+    message.term = object.at(kMessageTerm).get<Term>();
+    message.index = object.value(kMessageIndex, Index{0});
+    message.log_term = object.value(kLogTerm, Term{0});
+    message.commit = object.value(kCommit, Index{0});
+    message.refused = object.value(kRefusedIndex, Index{0});
+    message.reject = object.value(kReject, false);
+    message.forced = object.value(kForced, false);
+    message.round = object.value(kRound, std::uint64_t{0});
+    if (object.contains(kLogEntries))
+      for (auto& entry : object.at(kLogEntries)) message.entries.push_back(entry_from_json(entry));
+    if (object.contains(kSnapshot)) {
+      message.snapshot = snapshot_from_json(object.at(kSnapshot));
+      if (!message.snapshot) return std::nullopt;
+    }
+    return message;
+  } catch (const json::exception&) {
+    return std::nullopt;
   }
-  return m;
-} catch (const json::exception&) {
-  return std::nullopt;
 }
 
 }  // namespace database_proxy::peers
--- a/src/peers/codec.h
+++ b/src/peers/codec.h
@@ -1,6 +1,6 @@
-// Messages between daemons: frames of a length (4 bytes, big-endian) and an object in CBOR. The object's "t"
-// says what it is. Unknown kinds and unknown keys are passed over, so that two versions can stand side by
-// side. No I/O.
+// Frames between daemons, and the transfer form of consensus, which is also what the log on disk holds. A
+// frame is a length (4 bytes, big-endian) and an object in CBOR; the object's "t" names the message's type.
+// Unknown types and keys are ignored, so that two versions can run side by side. No I/O.
 #pragma once
 
 #include <cstddef>
@@ -16,25 +16,31 @@
 
 using nlohmann::json;
 
-// Raised where a change is not understood by those before; a greeting tells ours and the least we speak.
-constexpr int kVersion = 1, kLeastVersion = 1;
-// Of one frame: a list of 10,000 servers is 2 MB; whoever announces more is no peer.
+// Of messages between daemons. kVersion is raised where a change is not understood by older nodes;
+// kLeastVersion is the oldest that this one still speaks. Both go out in the greeting.
+constexpr int kVersion = 1;
+constexpr int kLeastVersion = 1;
+// Bytes of one frame: a list of 10,000 servers has 2 MB. Whoever announces more is no peer.
 constexpr std::size_t kLongestFrame = 16 << 20;
 
 enum class FrameParse { kOk, kMore, kBad };
-// On kOk `size` bytes of the input are done with.
-FrameParse parse_frame(std::string_view in, json* message, std::size_t* size);
+// On kOk the frame is the first `size` bytes of the input, and `message` has a string under "t".
+FrameParse parse_frame(std::string_view input, json* message, std::size_t* size);
 std::string frame(const json& message);
 
-json bytes_of(std::string_view text);         // as a CBOR byte string
-std::string text_of_bytes(const json& json);  // throws json::exception
+// A CBOR byte string, and its content; the latter throws json::exception for anything else.
+json bytes_of(std::string_view text);
+std::string text_of_bytes(const json& value);
 
 std::string encode_entry(const consensus::Entry& entry);
+// nullopt: malformed.
 std::optional<consensus::Entry> decode_entry(std::string_view text);
 std::string encode_snapshot(const consensus::Snapshot& snapshot);
-consensus::SnapshotPtr decode_snapshot(std::string_view text);  // nullptr: spoilt
+// nullptr: malformed.
+consensus::SnapshotPtr decode_snapshot(std::string_view text);
 
 json raft_to_json(const consensus::Message& message);
-std::optional<consensus::Message> raft_from_json(const json& json);
+// nullopt: malformed, or of a kind that a newer version knows.
+std::optional<consensus::Message> raft_from_json(const json& object);
 
 }  // namespace database_proxy::peers
