--- a/src/app/group_runner.cpp
+++ b/src/app/group_runner.cpp
@@ -21,21 +21,24 @@
 constexpr group::Micros kPollSpacing{10'000};
 constexpr group::Micros kNoBound{500'000}, kLeastProbeEvery{20'000};
 
-// The owner's probes go over connections of their own, in the group's thread.
-class PoolHealthChecker : public group::Prober, private proxy::ServerEvents {
+// A lease holder's health checks go over connections of their own, in the group's thread.
+class PoolHealthChecker : public group::HealthChecker, private proxy::ServerEvents {
  public:
-  PoolHealthChecker(net::Loop& loop, proxy::PoolLimits limits, net::Log log, group::Probed probed)
-      : probed_(std::move(probed)), pool_(loop, limits, *this, std::move(log)) {}
-  void servers(const discovery::EndpointListUpdate& list) override { pool_.update(list); }
-  void probe(const std::string& server) override { pool_.probe(server); }
-  void sweep() override { pool_.sweep(); }
+  PoolHealthChecker(net::Loop& loop, proxy::PoolLimits limits, net::Log log,
+                    group::HealthCheckCallback on_result)
+      : on_result_(std::move(on_result)), pool_(loop, limits, *this, std::move(log)) {}
+  void update_endpoints(const discovery::EndpointListUpdate& list) override { pool_.update(list); }
+  void check(const std::string& server) override { pool_.probe(server); }
+  void end_loop_iteration() override { pool_.sweep(); }
 
  private:
   void attempt_ended(proxy::AttemptEnd) override {}
-  void probe_ended(routing::ProbeResult r) override { probed_(r.server, r.ok, r.duration, r.load_report); }
+  void probe_ended(routing::ProbeResult result) override {
+    on_result_({result.server, result.ok, result.duration, result.load_report});
+  }
   proxy::ClientPort* client_of(routing::RequestId) override { return nullptr; }
 
-  group::Probed probed_;
+  group::HealthCheckCallback on_result_;
   proxy::ServerPool pool_;
 };
 
@@ -116,7 +119,13 @@
 GroupRunner::GroupRunner(net::Loop& loop, proxy::Proxy& proxy, routing::Decider& decider,
                          group::Options options, const proxy::ProxyOptions& of,
                          const request_router::Settings& settings, std::uint64_t seed, net::Log log)
-    : loop_(loop), proxy_(proxy), decider_(decider), tasks_(loop) {
+    : loop_(loop),
+      proxy_(proxy),
+      decider_(decider),
+      tasks_(loop),
+      own_zone_(settings.zone),
+      health_check_limits_(of.pool),
+      log_(log) {
   signal(SIGXFSZ, SIG_IGN);  // a limit on files is a full disk, not the end
   rlimit limit{};
   if (getrlimit(RLIMIT_NOFILE, &limit) == 0) {
@@ -145,36 +154,45 @@
     zone_observer_->list(of.known);
     proxy.dispatcher().watch(zone_observer_.get());
   }
-  group::Hooks hooks;
-  hooks.plan = [this, zone = settings.zone](std::optional<placement::Plan> plan) {
-    auto own = plan ? for_zone(*plan, zone) : request_router::Plan{};
-    tasks_.post([this, own = std::move(own)] { proxy_.dispatcher().plan(own); });
-  };
-  hooks.list = [this](discovery::EndpointListUpdate update, bool anew) {
-    tasks_.post([this, anew, update = std::move(update)] {
-      if (zone_observer_) zone_observer_->list(update);
-      proxy_.dispatcher().expect_load_reports(true);
-      proxy_.given(update, anew);
-    });
-  };
-  hooks.facts = [this](std::vector<group::Fact> facts) {
-    tasks_.post([this, facts = std::move(facts)] {
-      for (auto& f : facts) proxy_.dispatcher().on_load_report({f.server, true, f.taken, f.load}, f.age);
-    });
-  };
-  hooks.alone = [this](bool alone, bool ask) {
-    tasks_.post([this, alone, ask] {
-      proxy_.dispatcher().expect_load_reports(!alone);
-      proxy_.watch_discovery(alone && ask);
-    });
-  };
-  hooks.prober = [limits = of.pool, log](net::Loop& group_loop, group::Probed probed) {
-    return std::make_unique<PoolHealthChecker>(group_loop, limits, log, std::move(probed));
-  };
-  proxy.dispatcher().use_load_reports([this](const std::string& server) { node_->want(server); });
+  proxy.dispatcher().use_load_reports(
+      [this](const std::string& server) { node_->subscribe_to_load(server); });
   proxy.before_iteration_end = [this] { tasks_.drain(); };
-  node_ = std::make_unique<group::Node>(std::move(options), of.discovery, of.schedule, of.known,
-                                        std::move(hooks), std::move(log));
+  group::NodeHost& host = *this;
+  node_ = std::make_unique<group::Node>(std::move(options), of.discovery, of.schedule, of.known, host,
+                                        std::move(log));
+}
+
+void GroupRunner::on_effective_endpoint_list(const discovery::EndpointListUpdate& list, bool is_restart) {
+  tasks_.post([this, list, is_restart] {
+    if (zone_observer_) zone_observer_->list(list);
+    proxy_.dispatcher().expect_load_reports(true);
+    proxy_.given(list, is_restart);
+  });
+}
+
+void GroupRunner::on_load_reports(std::vector<group::LoadReport> reports) {
+  tasks_.post([this, reports = std::move(reports)] {
+    for (auto& report : reports)
+      proxy_.dispatcher().on_load_report({report.server, true, report.check_duration, report.load},
+                                         report.age);
+  });
+}
+
+void GroupRunner::on_group_unavailable(group::EndpointListFallback fallback) {
+  tasks_.post([this, fallback] {
+    proxy_.dispatcher().expect_load_reports(fallback == group::EndpointListFallback::kNone);
+    proxy_.watch_discovery(fallback == group::EndpointListFallback::kProcessPolls);
+  });
+}
+
+void GroupRunner::on_plan_adopted(const std::optional<placement::Plan>& plan) {
+  auto own_plan = plan ? for_zone(*plan, own_zone_) : request_router::Plan{};
+  tasks_.post([this, own_plan = std::move(own_plan)] { proxy_.dispatcher().plan(own_plan); });
+}
+
+std::unique_ptr<group::HealthChecker> GroupRunner::make_health_checker(net::Loop& loop,
+                                                                       group::HealthCheckCallback on_result) {
+  return std::make_unique<PoolHealthChecker>(loop, health_check_limits_, log_, std::move(on_result));
 }
 
 void GroupRunner::start() {
@@ -184,8 +202,8 @@
 
 void GroupRunner::look() {
   look_timer_ = loop_.at(loop_.now() + group::kObserveEvery, [this] { look(); });
-  node_->observed(zone_observer_->observer().take_observation(
-      loop_.now(), node_->following(),
+  node_->submit_observation(zone_observer_->observer().take_observation(
+      loop_.now(), node_->adopted_plan_number(),
       [this](const std::string& server) { return decider_.spare_capacity(server); }));
   auto draw = static_cast<std::uint64_t>(loop_.now().count()) * 0x9e3779b97f4a7c15;
   for (auto& server : zone_observer_->observer().choose_probe_targets(draw >> 8))
--- /dev/null
+++ b/src/group/admin_commands.cpp
@@ -0,0 +1,205 @@
+#include "group/admin_commands.h"
+
+#include <fmt/format.h>
+
+#include <optional>
+#include <utility>
+
+#include "peers/admin_codec.h"
+#include "peers/message_codec.h"
+
+namespace database_proxy::group {
+namespace {
+
+using consensus::MembershipChange;
+using net::Level;
+using peers::AdminAnswer;
+using peers::AdminCommand;
+
+// Of one setting that operators keep in the group: every node has all of them in memory.
+constexpr std::size_t kLongestSettingName = 256;
+constexpr std::size_t kLongestSettingValue = 65536;
+
+AdminAnswer to_answer(const std::optional<std::string>& failure) {
+  return {!failure.has_value(), failure, {}};
+}
+
+}  // namespace
+
+// ---- At any node
+
+void AdminCommands::on_command(peers::Link& link, const peers::EncodedMessage& message) {
+  auto answer = [&](const AdminAnswer& content) { link.send(peers::encode(content)); };
+  switch (peers::admin_command(peers::decode_admin_command_name(message))) {
+    case AdminCommand::kPlacement:
+      return placement_.on_admin_command(link, message);
+    case AdminCommand::kStatus:
+      return answer({true, std::nullopt, status_source_.node_status()});
+    case AdminCommand::kMembers:
+      return answer(answer_members());
+    case AdminCommand::kOwners:
+      return answer({true, std::nullopt, list_owners()});
+    case AdminCommand::kIdentify:
+      return answer({true, std::nullopt, identify()});
+    case AdminCommand::kBootstrap:
+      return answer(bootstrap(message));
+    case AdminCommand::kRecover:
+      return answer(recover(message));
+    default:
+      pass_to_leader(link, message);
+  }
+}
+
+void AdminCommands::pass_to_leader(peers::Link& link, const peers::EncodedMessage& message) {
+  auto routed = peers::with_type_and_route(message, peers::MessageType::kForwardedCommand,
+                                           forwarding_.route_below(link));
+  if (!forwarding_.send_to_leader(routed))
+    link.send(peers::encode(AdminAnswer{false, "no leader is known", {}}));
+}
+
+AdminAnswer AdminCommands::answer_members() const {
+  auto* raft = consensus_.raft();
+  if (!raft) return {false, "a follower does not know the voters; ask one of them", {}};
+  peers::MemberList list;
+  for (auto id : raft->members().voters) list.members.push_back(make_member_status(id, false));
+  for (auto id : raft->members().learners) list.members.push_back(make_member_status(id, true));
+  return {true, std::nullopt, std::move(list)};
+}
+
+peers::MemberStatus AdminCommands::make_member_status(consensus::NodeId id, bool is_learner) const {
+  auto* raft = consensus_.raft();
+  peers::MemberStatus member;
+  member.id = id;
+  member.name = connections_.name_of(id);
+  member.is_learner = is_learner;
+  member.is_leader = raft->leader() == id;
+  auto peer = raft->peers().find(id);
+  if (peer != raft->peers().end()) {
+    auto last_contact = net::monotonic_now() - peer->second.heard;
+    member.progress = {peer->second.match, last_contact.count() / 1000};
+  } else if (id == consensus_.id()) {
+    member.progress = {raft->durable(), 0};
+  }
+  return member;
+}
+
+peers::OwnerList AdminCommands::list_owners() const {
+  peers::OwnerList list;
+  for (auto& [job, state] : state_.registry().jobs()) list.owners.push_back({job, state});
+  list.rejected_effects = state_.rejected_effects();
+  return list;
+}
+
+peers::NodeIdentity AdminCommands::identify() const {
+  auto* raft = consensus_.raft();
+  bool is_initialised = raft && !raft->members().voters.empty();
+  return {consensus_.id(), context_.name(), is_initialised, raft != nullptr};
+}
+
+AdminAnswer AdminCommands::bootstrap(const peers::EncodedMessage& message) {
+  if (!consensus_.raft()) return to_answer(consensus_.bootstrap({}));
+  consensus::Membership members;
+  members.voters = peers::decode_bootstrap_request(message).voters;
+  return to_answer(consensus_.bootstrap(std::move(members)));
+}
+
+AdminAnswer AdminCommands::recover(const peers::EncodedMessage& message) {
+  if (!consensus_.raft()) return to_answer(consensus_.recover(""));
+  return to_answer(consensus_.recover(peers::decode_recover_request(message).consequence));
+}
+
+// ---- At the leader
+
+void AdminCommands::on_leader_command(const peers::EncodedMessage& message) {
+  auto name = peers::decode_admin_command_name(message);
+  switch (peers::admin_command(name)) {
+    case AdminCommand::kTransferLeadership:
+    case AdminCommand::kStepDown:
+      return transfer_leadership(message);
+    case AdminCommand::kAddLearner:
+      return change_members(message, MembershipChange::What::kAddLearner);
+    case AdminCommand::kPromoteLearner:
+      return change_members(message, MembershipChange::What::kPromote);
+    case AdminCommand::kRemoveMember:
+      return change_members(message, MembershipChange::What::kRemove);
+    case AdminCommand::kPutSetting:
+      return put_setting(message);
+    case AdminCommand::kGetSetting:
+      return get_setting(message);
+    default:
+      return_outcome(peers::decode_route(message), {0, fmt::format("'{}' is not known", name)});
+  }
+}
+
+void AdminCommands::return_outcome(const peers::Route& route, const ProposalOutcome& outcome) {
+  AdminAnswer answer;
+  answer.ok = !outcome.failure.has_value();
+  answer.reason = outcome.failure.value_or("");
+  answer.result = peers::AppliedIndex{outcome.index};
+  forwarding_.return_response(peers::encode(answer, route));
+}
+
+void AdminCommands::transfer_leadership(const peers::EncodedMessage& message) {
+  auto route = peers::decode_route(message);
+  auto voter = peers::decode_leadership_transfer_request(message).voter;
+  auto target = consensus::kNobody;
+  if (!voter.empty()) {
+    for (auto& [id, name] : connections_.names())
+      if (name == voter && consensus_.raft()->members().votes(id)) target = id;
+    if (target == consensus::kNobody) return return_outcome(route, {0, fmt::format("{} is no voter", voter)});
+    if (target == consensus_.id()) {
+      // The leader's reason is no failure: the operator has what he asked for.
+      AdminAnswer answer{true, "it leads already", peers::AppliedIndex{}};
+      return forwarding_.return_response(peers::encode(answer, route));
+    }
+  }
+  auto named_target = target == consensus::kNobody ? "" : " to " + connections_.name_of(target);
+  context_.log(Level::kInfo, fmt::format("hands leadership over{}: asked by the operator", named_target));
+  consensus_.transfer_leadership(target);
+  return_outcome(route, {});
+}
+
+void AdminCommands::change_members(const peers::EncodedMessage& message, MembershipChange::What what) {
+  auto route = peers::decode_route(message);
+  auto request = peers::decode_membership_change_request(message);
+  auto id = request.id;
+  if (id == consensus::kNobody) {
+    bool may_be_new = what == MembershipChange::What::kAddLearner;
+    for (auto& [known_id, name] : connections_.names())
+      if (name == request.node && (may_be_new || consensus_.raft()->members().has(known_id))) id = known_id;
+  }
+  if (id == consensus::kNobody)
+    return return_outcome(route, {0, fmt::format("nothing is known of '{}'", request.node)});
+  consensus_.change_members(
+      what, id, [this, route](const ProposalOutcome& outcome) { return_outcome(route, outcome); });
+}
+
+void AdminCommands::put_setting(const peers::EncodedMessage& message) {
+  auto route = peers::decode_route(message);
+  auto [setting, value] = peers::decode_put_setting_request(message);
+  if (setting.empty() || setting.size() > kLongestSettingName || value.size() > kLongestSettingValue)
+    return return_outcome(route, {0, "a key of 1 to 256 bytes and a value of 65536 at most"});
+  consensus_.propose(ownership::encode(ownership::SetConfigurationEntry{setting, value}),
+                     [this, route](const ProposalOutcome& outcome) { return_outcome(route, outcome); });
+}
+
+void AdminCommands::get_setting(const peers::EncodedMessage& message) {
+  auto route = peers::decode_route(message);
+  if (!consensus_.may_answer_as_leader())
+    return return_outcome(route, {0, "the leader has just been elected"});
+  auto setting = peers::decode_get_setting_request(message).setting;
+  consensus_.confirm_leadership([this, route, setting](bool is_confirmed) {
+    AdminAnswer answer;
+    answer.ok = is_confirmed;
+    if (is_confirmed) {
+      auto& settings = state_.registry().settings();
+      auto found = settings.find(setting);
+      answer.result = peers::SettingValue{found == settings.end() ? "" : found->second};
+    } else {
+      answer.reason = "leadership was lost";
+    }
+    forwarding_.return_response(peers::encode(answer, route));
+  });
+}
+
+}  // namespace database_proxy::group
--- /dev/null
+++ b/src/group/consensus_driver.h
@@ -0,0 +1,134 @@
+// Drives a voter's consensus: collects inputs, steps consensus/raft.h, and carries out what it returns.
+// Writes go to the storage, messages to the peers once the writes that they depend on are durable, committed
+// commands to the replicated state. A follower has no consensus; for it nothing here happens.
+//
+// Belongs to the group's thread. When the disk fails, this voter promises nothing any more: it steps down and
+// stays halted until the process is restarted.
+#pragma once
+
+#include <cstdint>
+#include <functional>
+#include <map>
+#include <memory>
+#include <optional>
+#include <string>
+#include <tuple>
+#include <vector>
+
+#include "consensus/raft.h"
+#include "group/node_context.h"
+#include "group/peer_connections.h"
+#include "group/raft_storage.h"
+#include "group/replicated_state.h"
+
+namespace database_proxy::group {
+
+// Told by a voter that begins or ceases to lead.
+class LeadershipObserver {
+ public:
+  virtual ~LeadershipObserver() = default;
+  virtual void on_elected() = 0;
+  virtual void on_leadership_lost() = 0;
+};
+
+// What became of a command, or of a change of the members.
+struct ProposalOutcome {
+  consensus::Index index = 0;          // where it is committed; 0: it is not, as far as this node knows
+  std::optional<std::string> failure;  // a sentence for the operator
+};
+
+// A voter's consensus; idle at a follower.
+class ConsensusDriver {
+ public:
+  using CompletionCallback = std::function<void(const ProposalOutcome& outcome)>;
+  // `is_confirmed`: this node led after the request was made.
+  using LeadershipCallback = std::function<void(bool is_confirmed)>;
+
+  ConsensusDriver(NodeContext& context, RaftStorage& storage, PeerConnections& connections,
+                  ReplicatedState& state, LeadershipObserver& observer)
+      : context_(context), storage_(storage), connections_(connections), state_(state), observer_(observer) {}
+
+  // A voter's; before the group's thread starts. Returns the entries of the log that it found. Throws
+  // std::runtime_error with one line.
+  std::vector<consensus::Entry> open();
+  // Processes all inputs. To be called in each turn of the loop; it wakes the loop when the next step is due.
+  void step();
+  bool has_inputs() const { return !inputs_.empty(); }
+
+  void receive(consensus::Message message);
+  void propose(const std::string& command, CompletionCallback on_completion);
+  void change_members(consensus::MembershipChange::What what, consensus::NodeId node,
+                      CompletionCallback on_completion);
+  void confirm_leadership(LeadershipCallback on_result);
+  // kNobody: whoever has the most of the log.
+  void transfer_leadership(consensus::NodeId voter);
+
+  // Makes this node a member of a new group. Every member is given the same command; repeating it is
+  // harmless. Returns why it is not possible.
+  std::optional<std::string> bootstrap(consensus::Membership members);
+  // Goes on as the only voter, with everything in the own log. What the others had committed without this
+  // node is lost. Returns why it is not possible.
+  std::optional<std::string> recover(const std::string& consequence);
+
+  // nullptr at followers.
+  const consensus::Raft* raft() const { return raft_.get(); }
+  bool is_leader() const { return raft_ && raft_->is_leader(); }
+  // A new leader knows what is committed only once it has committed an entry of its own.
+  bool may_answer_as_leader() const { return raft_ && raft_->has_committed_in_current_term(); }
+  consensus::NodeId id() const { return id_; }
+  const std::string& disk_error() const { return disk_error_; }  // empty: none
+
+ private:
+  struct EntryPosition {
+    consensus::Index index = 0;
+    consensus::Term term = 0;
+    bool operator<(const EntryPosition& other) const {
+      return std::tie(index, term) < std::tie(other.index, other.term);
+    }
+  };
+  struct UnsentMessage {
+    std::uint64_t after_write = 0;
+    consensus::Message message;
+  };
+
+  void start(consensus::PersistentState stored);
+  void restart(const consensus::Write& first_write);
+  void on_written(std::uint64_t number, const std::string& error);
+
+  void carry_out(consensus::Output output);
+  void log_role_change(const consensus::RoleChange& change);
+  void send_when_durable(std::vector<consensus::Outgoing> messages);
+  void apply_committed(const std::vector<consensus::Entry>& entries);
+  void log_members(const consensus::Membership& members) const;
+  void take_snapshot_if_due();
+  void report_leadership();
+  void assign_positions(const std::vector<consensus::ProposalResult>& results);
+  void complete_reads(const std::vector<consensus::ReadResult>& results);
+
+  NodeContext& context_;
+  RaftStorage& storage_;
+  PeerConnections& connections_;
+  ReplicatedState& state_;
+  LeadershipObserver& observer_;
+
+  consensus::NodeId id_ = consensus::kNobody;
+  std::unique_ptr<consensus::Raft> raft_;
+  std::vector<consensus::Input> inputs_;
+  net::Loop::TimerId step_timer_ = net::Loop::kNoTimer;
+  consensus::Role last_role_ = consensus::Role::kFollower;
+  std::optional<consensus::Term> last_campaign_logged_;
+  consensus::Index snapshot_index_ = 0;
+
+  // Raft numbers its writes from 1 when it is started; the storage's numbers go on.
+  std::uint64_t write_number_base_ = 0;
+  std::uint64_t durable_write_ = 0;
+  std::vector<UnsentMessage> unsent_;
+  std::string disk_error_;
+
+  std::uint64_t last_ticket_ = 0;
+  std::map<std::uint64_t, CompletionCallback> proposals_by_ticket_;  // not in the log yet
+  std::map<EntryPosition, CompletionCallback> proposals_in_log_;     // not committed yet
+  std::map<std::uint64_t, LeadershipCallback> reads_;
+};
+
+}  // namespace database_proxy::group
--- /dev/null
+++ b/src/group/health_check_job.cpp
@@ -0,0 +1,137 @@
+#include "group/health_check_job.h"
+
+#include <algorithm>
+#include <chrono>
+#include <set>
+#include <utility>
+
+#include "group/jobs.h"
+#include "peers/message_codec.h"
+
+namespace database_proxy::group {
+namespace {
+
+using namespace std::chrono_literals;
+
+// A check that has not ended by then never will.
+constexpr Micros kCheckLost = 2s;
+// A primary's data is never old, so it is only asked whether it still is the primary.
+constexpr Micros kPrimaryCheckInterval = 1s;
+// Of one shard group, between two rounds.
+constexpr std::size_t kMostUnsentReports = 256;
+// In a server's load report, in either of the forms that servers write: it is the primary.
+constexpr const char* kPrimaryMark = "x1=1";
+constexpr const char* kOtherPrimaryMark = "x1:1";
+
+bool is_primary(const std::string& load) {
+  return load.find(kPrimaryMark) != std::string::npos || load.find(kOtherPrimaryMark) != std::string::npos;
+}
+
+}  // namespace
+
+void HealthCheckJob::start(std::unique_ptr<HealthChecker> checker) {
+  checker_ = std::move(checker);
+  checker_->update_endpoints(subscriber_.effective_endpoint_list());
+}
+
+void HealthCheckJob::on_effective_endpoint_list(const discovery::EndpointListUpdate& list) {
+  if (checker_) checker_->update_endpoints(list);
+  primaries_.clear();
+}
+
+void HealthCheckJob::end_loop_iteration() {
+  if (checker_) checker_->end_loop_iteration();
+}
+
+std::vector<std::string> HealthCheckJob::job_names() const {
+  std::set<std::int64_t> shard_groups;
+  for (auto& endpoint : subscriber_.effective_endpoint_list().members) shard_groups.insert(endpoint.cell);
+  std::vector<std::string> names;
+  names.reserve(shard_groups.size());
+  for (auto shard_group : shard_groups) names.push_back(health_check_job_name(shard_group));
+  return names;
+}
+
+void HealthCheckJob::run(Micros now) {
+  for (auto& job : leases_.jobs()) {
+    auto shard_group = health_checked_shard_group(job);
+    if (!shard_group || !leases_.holds(job, now)) continue;
+    if (gossip_.is_subscribed(*shard_group))
+      check_shard_group(*shard_group, now);
+    else
+      leases_.record_progress(job);  // to be ready is all there is to do
+  }
+  send_reports();
+}
+
+// Replicas take turns, so that the newest report of a shard group is never older than a fraction of the
+// interval at which each single replica is checked.
+void HealthCheckJob::check_shard_group(std::int64_t shard_group, Micros now) {
+  auto job = health_check_job_name(shard_group);
+  std::erase_if(pending_checks_, [&](auto& check) { return now - check.second > kCheckLost; });
+  std::vector<std::string> replicas;
+  for (auto& endpoint : subscriber_.effective_endpoint_list().members) {
+    if (endpoint.cell != shard_group || endpoint.lifecycle != discovery::Lifecycle::kUp) continue;
+    auto primary = primaries_.find(endpoint.id);
+    if (primary == primaries_.end())
+      replicas.push_back(endpoint.id);
+    else if (now - primary->second >= kPrimaryCheckInterval)
+      check_server(job, endpoint.id, now);
+  }
+  if (replicas.empty()) return;
+  auto& round_robin = round_robins_[shard_group];
+  for (auto due = count_due_checks(&round_robin, replicas.size(), now); due > 0; --due)
+    check_server(job, replicas[round_robin.next_replica++ % replicas.size()], now);
+}
+
+std::int64_t HealthCheckJob::count_due_checks(RoundRobin* round_robin, std::size_t replicas,
+                                              Micros now) const {
+  auto count = static_cast<std::int64_t>(replicas);
+  // A single replica is checked twice as often, since no other one's report comes in between.
+  auto interval = context_.options.probe_every / std::max<std::int64_t>(2, count);
+  auto due = (now - round_robin->last_due) / interval;
+  if (due > count) {  // the first time, or after a pause: all at once
+    round_robin->last_due = now;
+    return count;
+  }
+  round_robin->last_due += interval * due;
+  return due;
+}
+
+void HealthCheckJob::check_server(const std::string& job, const std::string& server, Micros now) {
+  if (!leases_.holds_now(job)) return;  // right before the effect
+  if (pending_checks_.emplace(server, now).second) checker_->check(server);
+}
+
+void HealthCheckJob::on_result(const HealthCheckResult& result) {
+  auto& endpoints = subscriber_.effective_endpoint_list().members;
+  auto endpoint = std::find_if(endpoints.begin(), endpoints.end(),
+                               [&](auto& candidate) { return candidate.id == result.server; });
+  pending_checks_.erase(result.server);
+  if (endpoint == endpoints.end() || !result.ok) return;
+  auto& reports = unsent_reports_[endpoint->cell];
+  if (reports.size() >= kMostUnsentReports) return;
+  if (is_primary(result.load))
+    primaries_[result.server] = net::monotonic_now();
+  else
+    primaries_.erase(result.server);
+  // The server measured its load at the latest when the check began.
+  auto measured_at = unix_ms() - result.duration / Micros(1000);
+  reports.push_back({result.server, result.load, result.duration, measured_at});
+}
+
+void HealthCheckJob::send_reports() {
+  for (auto& [shard_group, unsent] : unsent_reports_) {
+    if (unsent.empty()) continue;
+    auto job = health_check_job_name(shard_group);
+    peers::LoadReports reports;
+    reports.header = {job, leases_.token(job)};
+    reports.sent_at_unix_ms = unix_ms();
+    reports.loads = std::exchange(unsent, {});
+    if (!leases_.holds_now(job)) continue;  // right before the effect
+    leases_.record_progress(job);
+    gossip_.on_job_report(peers::encode(reports), nullptr);
+  }
+}
+
+}  // namespace database_proxy::group
--- /dev/null
+++ b/src/group/lease_session.h
@@ -0,0 +1,75 @@
+// Leases on jobs, at this node: the side that holds them (ownership::LeaseClient), which renews them with the
+// leader, and the leader's side (ownership::LeaseManager), which grants them through the log.
+//
+// Belongs to the group's thread. Whoever does a job asks holds() right before each effect, and sends the
+// lease's token with it. A lease that is not renewed runs out by this node's own clock; LeaseEvents tells so.
+#pragma once
+
+#include <string>
+#include <vector>
+
+#include "group/consensus_driver.h"
+#include "group/leader_forwarding.h"
+#include "group/node_context.h"
+#include "group/replicated_state.h"
+#include "ownership/lease.h"
+
+namespace database_proxy::group {
+
+// What leases depend on, and what depends on them.
+class LeaseEvents {
+ public:
+  virtual ~LeaseEvents() = default;
+  // Jobs that this node would do, by its options and what it knows of the fleet.
+  virtual std::vector<std::string> eligible_jobs() const = 0;
+  // The lease ran out or was released.
+  virtual void on_lease_lost(const std::string& job) = 0;
+};
+
+// Both sides of this node's leases.
+class LeaseSession {
+ public:
+  LeaseSession(NodeContext& context, ConsensusDriver& consensus, ReplicatedState& state,
+               LeaderForwarding& forwarding, LeaseEvents& events);
+
+  // The holder's side. Renewals go out eight times in the length of a lease, from a random time on.
+  void start_renewing();
+  // Releases every lease and takes none any more.
+  void release_all();
+  void on_renewal_response(const peers::EncodedMessage& message);
+  // Ends leases that have run out.
+  void expire(Micros now);
+
+  bool holds(const std::string& job, Micros now) const { return client_.holds(job, now); }
+  bool holds_now(const std::string& job) const { return client_.holds(job, net::monotonic_now()); }
+  ownership::Token token(const std::string& job) const { return client_.token(job); }
+  std::vector<std::string> jobs() const { return client_.jobs(); }
+  // A lease without progress passes to another node.
+  void record_progress(const std::string& job) { client_.record_progress(job); }
+
+  // The leader's side.
+  void on_elected() { manager_.on_elected(net::monotonic_now()); }
+  void on_leadership_lost() { manager_.on_leadership_lost(); }
+  void on_grant_applied(const std::string& job) { manager_.on_proposal_finished(job); }
+  void on_renewal_request(const peers::EncodedMessage& message);
+  // Proposes what is due. To be called in each turn of the loop.
+  void run_lease_manager();
+
+ private:
+  void request_renewal();
+  void release(const std::string& job);
+  void answer_renewal(const std::string& node, std::uint64_t number, const std::string& via);
+
+  NodeContext& context_;
+  ConsensusDriver& consensus_;
+  ReplicatedState& state_;
+  LeaderForwarding& forwarding_;
+  LeaseEvents& events_;
+  ownership::LeaseManager manager_;
+  ownership::LeaseClient client_;
+  net::Loop::TimerId renewal_timer_ = net::Loop::kNoTimer;
+  net::Loop::TimerId manager_timer_ = net::Loop::kNoTimer;
+  bool is_leaving_ = false;
+};
+
+}  // namespace database_proxy::group
--- /dev/null
+++ b/src/group/node_host.h
@@ -0,0 +1,39 @@
+// What a node needs of the process that it runs in, and what it tells it.
+//
+// All calls are made in the group's thread, except that the first endpoint list may come from the thread that
+// constructs the node. The host outlives the node.
+#pragma once
+
+#include <memory>
+#include <optional>
+#include <vector>
+
+#include "discovery/endpoint_list_codec.h"
+#include "group/endpoint_list_subscriber.h"
+#include "group/health_checker.h"
+#include "group/load_report.h"
+#include "net/loop.h"
+#include "placement/plan.h"
+
+namespace database_proxy::group {
+
+// Implemented by the daemon.
+class NodeHost {
+ public:
+  virtual ~NodeHost() = default;
+
+  // Complete; in effect from now on. `is_restart`: its generation is lower than that of the last one, since
+  // the list service was reset.
+  virtual void on_effective_endpoint_list(const discovery::EndpointListUpdate& list, bool is_restart) = 0;
+  virtual void on_load_reports(std::vector<LoadReport> reports) = 0;
+  // Whether the group provides the endpoint list, and who polls the list service where it does not.
+  virtual void on_group_unavailable(EndpointListFallback fallback) = 0;
+  // The plan to follow from now on; nullopt: the process decides for itself.
+  virtual void on_plan_adopted(const std::optional<placement::Plan>& plan) = 0;
+
+  // Called once, while the node is constructed.
+  virtual std::unique_ptr<HealthChecker> make_health_checker(net::Loop& loop,
+                                                             HealthCheckCallback on_result) = 0;
+};
+
+}  // namespace database_proxy::group
--- /dev/null
+++ b/src/group/options.cpp
@@ -0,0 +1,75 @@
+#include "group/options.h"
+
+#include <fmt/format.h>
+
+#include <algorithm>
+#include <set>
+#include <stdexcept>
+
+#include "net/socket.h"
+
+namespace database_proxy::group {
+namespace {
+
+void require(bool holds, const std::string& complaint) {
+  if (!holds) throw std::invalid_argument(complaint);
+}
+
+void check_nodes(const std::vector<NodeAddress>& nodes) {
+  auto count = nodes.size();
+  require(count == 1 || count == 3 || count == 5,
+          fmt::format("group.nodes names {} voters; 3 or 5 can lose one or two (1 for a trial)", count));
+  std::set<std::string> names;
+  std::set<std::string> addresses;
+  for (auto& node : nodes) {
+    require(!node.name.empty() && names.insert(node.name).second,
+            fmt::format("group.nodes names '{}' twice, or not at all", node.name));
+    require(net::parse_address(node.address).has_value(),
+            fmt::format("group.nodes: '{}' of {} is no address", node.address, node.name));
+    require(addresses.insert(node.address).second,
+            fmt::format("group.nodes: {} has the address of another", node.name));
+  }
+}
+
+void check_own_place(const Options& options) {
+  if (!options.voter()) {
+    require(options.listen.empty(),
+            fmt::format("group.listen: {} is none of group.nodes, and only voters listen", options.name));
+    return;
+  }
+  require(!options.listen.empty() && net::parse_address(options.listen).has_value(),
+          fmt::format("group.listen '{}' of the voter {} is no address", options.listen, options.name));
+  require(!options.directory.empty(),
+          fmt::format("group.directory of the voter {} is missing", options.name));
+}
+
+void check_placement(const Options& options) {
+  bool runs_placement = std::count(options.jobs.begin(), options.jobs.end(), "placement") > 0;
+  require(!runs_placement || options.placement, "group.jobs: placement needs the section group.placement");
+  require(!runs_placement || options.voter(), "group.jobs: placement is a voter's");
+  if (!options.placement) return;
+  require(!options.placement->regions.empty(), "group.placement.regions names no zone");
+  require(options.placement->requests_per_weight > 0, "group.placement.requests_per_weight is missing");
+  require(options.placement->keep > options.election_max,
+          "group.placement.keep_ms must be longer than an election");
+}
+
+}  // namespace
+
+bool Options::voter() const {
+  return std::any_of(nodes.begin(), nodes.end(), [&](auto& node) { return node.name == name; });
+}
+
+void check(const Options& options) {
+  require(!options.installation.empty(), "group.installation is missing");
+  require(!options.name.empty(), "group.name, this node's own, is missing");
+  check_nodes(options.nodes);
+  check_own_place(options);
+  require(
+      options.heartbeat * 4 <= options.election_min && options.election_min * 3 <= options.election_max * 2,
+      "group.election_ms must be four heartbeats at least, its end half as much again");
+  require(options.lease > options.election_max, "group.lease_ms must be longer than an election");
+  check_placement(options);
+}
+
+}  // namespace database_proxy::group
--- a/src/group/options.h
+++ b/src/group/options.h
@@ -12,6 +12,7 @@
 
 using Micros = std::chrono::microseconds;
 
+// A voter, as the operator's file names it.
 struct NodeAddress {
   std::string name, address;
   bool operator==(const NodeAddress&) const = default;
@@ -24,6 +25,7 @@
 constexpr Micros kListKnown{7'000'000};
 constexpr std::size_t kMostPlaced = 4096;  // proxies below one voter
 
+// The section group.placement.
 struct PlacementOptions {
   std::map<std::string, std::string> regions;  // by zone
   // Requests a second that a warm data server of weight 1 bears; what the plan sends to a zone stays below.
@@ -39,6 +41,7 @@
   bool operator==(const PlacementOptions&) const = default;
 };
 
+// The section group.
 struct Options {
   std::string installation;        // who speaks of another one is a stranger
   std::string name;                // of this process, once in the installation
--- a/src/group/placement_job.h
+++ b/src/group/placement_job.h
@@ -1,61 +1,96 @@
-// The job `placement` of one node: gathers what the proxies below it saw, sums it up, and where this node
-// owns the job turns all sums into the next plan. Pure but for what is handed in; the node does all talking.
+// The job `placement`: observations on their way to the lease holder, its plans on their way into the log,
+// and what operators ask about them. What is decided is decided in placement/plan.h; when a plan may follow
+// another, in PlanBuilder. Only voters with Options::placement take part; a follower sends its observation to
+// its voter.
+//
+// Belongs to the group's thread. A plan is proposed again until it is committed or overtaken. Operators'
+// changes wait for the plan that is on its way, in the order in which they came; at most kMostWaiting do.
 #pragma once
 
-#include <map>
+#include <cstdint>
 #include <optional>
+#include <set>
 #include <string>
 #include <vector>
 
-#include "discovery/endpoint_list_codec.h"
-#include "group/options.h"
-#include "placement/plan.h"
+#include "group/endpoint_list_subscriber.h"
+#include "group/leader_forwarding.h"
+#include "group/lease_session.h"
+#include "group/load_report_gossip.h"
+#include "group/node_context.h"
+#include "group/peer_connections.h"
+#include "group/plan_builder.h"
+#include "group/plan_subscriber.h"
+#include "group/replicated_state.h"
+#include "peers/admin_messages.h"
 
 namespace database_proxy::group {
 
+// Every node's part in the plan of zones.
 class PlacementJob {
  public:
-  explicit PlacementJob(const PlacementOptions& options);
-
-  // Of a proxy that tells this voter, its own included. `age`: since it was taken, by the clocks of both.
-  void heard(const std::string& proxy, placement::Observation seen, Micros age, Micros now);
-  void left(const std::string& proxy);
-  // All of them: health of those that told lately, what is asked for of those that told at all.
-  placement::Observation sum(Micros now);
-
-  // The owner's: sums by voter, then the next plan. `known`: the plan that is committed.
-  void collected(const std::string& voter, placement::Observation sum, Micros now);
-  std::optional<placement::Plan> next(const placement::Plan& known, const discovery::EndpointListUpdate& list,
-                                      Micros now, placement::Millis unix_ms);
-  // By hand: the plan that does it, or why not.
-  std::optional<placement::Plan> evacuate(const placement::Plan& known, const placement::Zone& zone,
-                                          bool force, std::string* why);
-  std::optional<placement::Plan> restore(const placement::Plan& known, const placement::Zone& zone,
-                                         std::string* why);
-  placement::Millis takes(bool opening) const { return planner_.expected_duration(opening); }
-  void owns_no_more();  // what it remembers beside the plan is its successor's to find out
-  const placement::Input& input() const { return input_; }
-  const placement::ZoneTopology& places() const { return places_; }
-  std::vector<placement::Zone> unknown() const { return planner_.unknown(input_); }
+  PlacementJob(NodeContext& context, PeerConnections& connections, ReplicatedState& state,
+               LeaderForwarding& forwarding, LeaseSession& leases, EndpointListSubscriber& subscriber,
+               PlanSubscriber& plans, LoadReportGossip& gossip);
+
+  bool is_enabled() const { return builder_.has_value(); }
+  // Rounds follow each other every kObserveEvery, from a random time on; none where it is not enabled.
+  void start();
+
+  // What this process observed, taken at this time of its own wall clock.
+  void submit_observation(const placement::Observation& observation, std::int64_t taken_at_unix_ms);
+  // From a proxy below this voter, and from another voter.
+  void on_observation(const peers::Link& link, const peers::EncodedMessage& message);
+  void on_observation_sum(const peers::Link& link, const peers::EncodedMessage& message);
+  void on_downstream_closed(const std::string& name);
+
+  // An operator's command at any node: answered here, or passed to the lease holder.
+  void on_admin_command(peers::Link& link, const peers::EncodedMessage& message);
+  // The same at the lease holder; the answer goes back by the message's route.
+  void on_routed_command(const peers::EncodedMessage& message);
+
+  void on_plan_committed(const placement::Plan& plan);
 
  private:
-  struct Told {
-    placement::Observation seen;
-    Micros taken{0}, heard{0};
+  struct RoutedRequest {
+    peers::PlacementRequest request;
+    peers::Route route;
   };
-  void drop_old(std::map<std::string, Told>* all, Micros now) const;
-  placement::Input make_input(const discovery::EndpointListUpdate& list, Micros now,
-                              placement::Millis unix_ms);
-
-  PlacementOptions options_;
-  placement::ZoneTopology places_;
-  placement::Planner planner_;
-  std::map<std::string, Told> below_, sums_;
-  placement::Demand demand_;
-  placement::Input input_;
-  std::optional<placement::Plan>
-      working_;  // the committed one, with what is seen since but changes nothing yet
-  Micros changed_{0};
+  struct UncommittedRequest {
+    std::uint64_t plan_number = 0;
+    RoutedRequest routed;
+  };
+
+  void run_placement();
+  void send_sum(const placement::Observation& sum);
+  void end_ownership();
+  void log_unknown_zones();
+  void send_status();
+  void publish_plan();
+  void propose_plan();
+  void handle_request(const RoutedRequest& routed);
+  void change_plan(RoutedRequest routed);
+  std::optional<placement::Plan> make_requested_plan(peers::PlacementRequest* request, std::string* reason);
+  peers::PlanReport make_report(const peers::PlacementRequest& request) const;
+  void answer(const peers::Route& route, const peers::AdminAnswer& answer);
+  void refuse(const peers::Route& route, const std::string& reason);
+
+  NodeContext& context_;
+  PeerConnections& connections_;
+  ReplicatedState& state_;
+  LeaderForwarding& forwarding_;
+  LeaseSession& leases_;
+  EndpointListSubscriber& subscriber_;
+  PlanSubscriber& plans_;
+  LoadReportGossip& gossip_;
+
+  std::optional<PlanBuilder> builder_;
+  net::Loop::TimerId round_timer_ = net::Loop::kNoTimer;
+  std::optional<placement::Plan> next_plan_;  // of the lease holder, not committed yet
+  Micros last_proposed_{0};
+  std::set<placement::Zone> logged_unknown_zones_;
+  std::vector<RoutedRequest> waiting_requests_;           // until next_plan_ is committed
+  std::vector<UncommittedRequest> uncommitted_requests_;  // until their own plan is
 };
 
 }  // namespace database_proxy::group
--- a/src/peers/admin_codec.cpp
+++ b/src/peers/admin_codec.cpp
@@ -87,7 +87,7 @@
                  {"upstream", status.upstream},
                  {"followers", status.followers},
                  {"clock_us", status.clock_us}};
-  auto& leases = object[key::kHeldLeases] = json::array();
+  auto& leases = object[key::kLeases] = json::array();
   for (auto& lease : status.leases) leases.push_back(json::array({lease.job, lease.token}));
   if (!status.voter) return object;
   object["role"] = consensus::text_of(status.voter->role);
--- a/src/peers/admin_messages.h
+++ b/src/peers/admin_messages.h
@@ -16,6 +16,7 @@
 
 namespace database_proxy::peers {
 
+// What an operator may ask; kUnknown is answered with an error by the leader.
 enum class AdminCommand {
   kUnknown,
   kStatus,
@@ -34,28 +35,35 @@
   kPlacement,  // PlacementRequest tells the rest
 };
 
+// The first members of a new group, the same at each of them.
 struct BootstrapRequest {
   std::vector<consensus::NodeId> voters;
 };
+// To go on without a majority that is lost for good.
 struct RecoverRequest {
   std::string consequence;  // spelled out by the operator
 };
+// To another voter.
 struct LeadershipTransferRequest {
   std::string voter;  // empty: any
 };
+// The member is named, or given by its id where nobody knows its name.
 struct MembershipChangeRequest {
   std::string node;
   consensus::NodeId id = consensus::kNobody;  // kNobody: found by the name
 };
+// A setting that the group keeps for operators.
 struct PutSettingRequest {
   std::string setting, value;
 };
+// Read from the confirmed leader.
 struct GetSettingRequest {
   std::string setting;
 };
 
 enum class PlacementAction { kUnknown, kShow, kExplain, kEvacuate, kRestore, kFreeze, kResume };
 
+// Everything that operators ask of the job `placement`.
 struct PlacementRequest {
   PlacementAction action = PlacementAction::kUnknown;
   std::string action_name;  // as the operator wrote it
@@ -66,11 +74,13 @@
   placement::Millis expected_duration_ms = 0;
 };
 
-struct HeldLeaseStatus {
+// A lease that the node holds at this moment.
+struct LeaseStatus {
   std::string job;
   ownership::Token token = 0;
 };
 
+// What only a voter knows of itself.
 struct VoterStatus {
   consensus::Role role = consensus::Role::kFollower;
   consensus::Term term = 0;
@@ -79,6 +89,7 @@
   std::string disk_error;    // empty: none
 };
 
+// One node, as it sees itself.
 struct NodeStatus {
   std::string name, installation;
   PeerRole role = PeerRole::kFollower;
@@ -94,11 +105,12 @@
   std::int64_t state_age_ms = 0;          // of a follower: since it last heard of a leader
   std::string upstream;                   // of a follower: its voter
   std::int64_t followers = 0;
-  std::vector<HeldLeaseStatus> leases;
+  std::vector<LeaseStatus> leases;
   std::int64_t clock_us = 0;  // monotonic
   std::optional<VoterStatus> voter;
 };
 
+// Of a node that may not belong to a group yet.
 struct NodeIdentity {
   consensus::NodeId id = consensus::kNobody;
   std::string name;
@@ -106,6 +118,7 @@
   bool is_voter = false;
 };
 
+// One member of the consensus group.
 struct MemberStatus {
   consensus::NodeId id = consensus::kNobody;
   std::string name;
@@ -118,22 +131,27 @@
   };
   std::optional<Progress> progress;
 };
+// Voters, then learners.
 struct MemberList {
   std::vector<MemberStatus> members;
 };
 
+// One job of the lease registry.
 struct JobOwner {
   std::string job;
   ownership::JobState state;
 };
+// All jobs that were ever granted.
 struct OwnerList {
   std::vector<JobOwner> owners;
   std::uint64_t rejected_effects = 0;
 };
 
+// Where a command was committed.
 struct AppliedIndex {
   consensus::Index index = 0;  // 0: nothing was appended
 };
+// Empty: there is no such setting.
 struct SettingValue {
   std::string value;
 };
@@ -145,6 +163,7 @@
   std::optional<std::int64_t> shard_group;
   std::optional<placement::Input> input;
 };
+// A plan that an operator asked for is committed.
 struct PlanChange {
   std::uint64_t plan_number = 0;
   placement::Millis expected_duration_ms = 0;
@@ -153,6 +172,7 @@
 using AdminResult = std::variant<std::monostate, NodeStatus, NodeIdentity, MemberList, OwnerList,
                                  AppliedIndex, SettingValue, PlanReport, PlanChange>;
 
+// One for each command.
 struct AdminAnswer {
   bool ok = true;
   std::optional<std::string> reason;
--- a/src/peers/link.cpp
+++ b/src/peers/link.cpp
@@ -3,15 +3,27 @@
 #include <netinet/in.h>
 #include <netinet/tcp.h>
 
-#include <cstring>
+#include <system_error>
+
+#include "peers/message_codec.h"
 
 namespace database_proxy::peers {
+namespace {
+
+std::string error_text(int error) { return std::generic_category().message(error); }
+
+}  // namespace
 
 Link::Link(net::Loop& loop, Owner& owner, const net::Address& address, LinkTimes times)
-    : loop_(loop), owner_(owner), address_(address), times_(times), dialed_(true) {}
+    : loop_(loop), owner_(owner), address_(address), times_(times), is_dialed_(true) {}
 
 Link::Link(net::Loop& loop, Owner& owner, net::Fd accepted, LinkTimes times)
-    : loop_(loop), owner_(owner), times_(times), dialed_(false), connected_(true), fd_(std::move(accepted)) {}
+    : loop_(loop),
+      owner_(owner),
+      times_(times),
+      is_dialed_(false),
+      is_connected_(true),
+      fd_(std::move(accepted)) {}
 
 Link::~Link() {
   loop_.cancel(&timer_);
@@ -19,92 +31,91 @@
 }
 
 bool Link::start() {
-  if (dialed_) {
+  if (is_dialed_) {
     int error = 0;
     fd_ = net::start_connect(address_, &error);
   }
   if (!fd_ || !loop_.add(fd_.get(), this)) {
     fd_.reset();
-    closed_ = true;
+    is_closed_ = true;
     return false;
   }
-  int one = 1;  // a vote must not wait for a fuller packet
-  setsockopt(fd_.get(), IPPROTO_TCP, TCP_NODELAY, &one, sizeof one);
-  heard_ = loop_.now();
-  if (dialed_)
+  int enabled = 1;  // a vote must not wait for a fuller packet
+  setsockopt(fd_.get(), IPPROTO_TCP, TCP_NODELAY, &enabled, sizeof enabled);
+  last_received_ = loop_.now();
+  if (is_dialed_)
     timer_ = loop_.at(loop_.now() + times_.connect, [this] { close("no connection in time"); });
   else
-    watch();
+    check_last_received();
   return true;
 }
 
-void Link::watch() {
+void Link::check_last_received() {
   loop_.cancel(&timer_);
-  if (closed_) return;
-  if (loop_.now() - heard_ >= times_.silence) return close("nothing was heard for too long");
-  if (dialed_) send({{"t", "ping"}});
-  if (!closed_) timer_ = loop_.at(loop_.now() + times_.ping, [this] { watch(); });
+  if (is_closed_) return;
+  if (loop_.now() - last_received_ >= times_.silence) return close("nothing was heard for too long");
+  if (is_dialed_) send(encode_ping());
+  if (!is_closed_) timer_ = loop_.at(loop_.now() + times_.ping, [this] { check_last_received(); });
 }
 
-bool Link::send_frame(const std::string& bytes) {
-  if (closed_ || !connected_) return false;
-  if (out_.size() > 0 && out_.size() + bytes.size() > kMostQueued) {
-    ++dropped_;
+bool Link::send_frame(const std::string& frame) {
+  if (is_closed_ || !is_connected_) return false;
+  if (out_.size() > 0 && out_.size() + frame.size() > kMostQueued) {
+    ++dropped_frames_;
     return false;
   }
-  if (out_.write(fd_.get(), {bytes})) return true;
-  // Not within a caller's own loop over its links.
+  if (out_.write(fd_.get(), {frame})) return true;
+  // A caller may be in a loop over its links, which on_link_down would change: close in the next turn.
   loop_.cancel(&timer_);
   timer_ = loop_.at(loop_.now(), [this] { close("the connection broke"); });
   return false;
 }
 
-void Link::close(const std::string& why) {
-  if (closed_) return;
-  closed_ = true;
-  connected_ = false;
+void Link::close(const std::string& reason) {
+  if (is_closed_) return;
+  is_closed_ = true;
+  is_connected_ = false;
   loop_.cancel(&timer_);
   if (fd_) loop_.remove(fd_.get(), this);
   fd_.reset();
-  owner_.link_down(*this, why);
+  owner_.on_link_down(*this, reason);
 }
 
 void Link::on_ready(std::uint32_t events) {
-  if (closed_) return;
-  if (!connected_) {
-    if (int error = net::socket_error(fd_.get())) return close(std::strerror(error));
+  if (is_closed_) return;
+  if (!is_connected_) {
+    if (int error = net::socket_error(fd_.get())) return close(error_text(error));
     if (!(events & EPOLLOUT)) return;
-    connected_ = true;
-    heard_ = loop_.now();
-    owner_.link_up(*this);
-    watch();
+    is_connected_ = true;
+    last_received_ = loop_.now();
+    owner_.on_link_up(*this);
+    check_last_received();
   }
-  if (closed_) return;
+  if (is_closed_) return;
   if ((events & EPOLLOUT) && !out_.flush(fd_.get())) return close("the connection broke");
   if (!(events & (EPOLLIN | EPOLLRDHUP | EPOLLHUP | EPOLLERR))) return;
-  // Bounded a turn, so that one peer that floods does not keep the others from being heard.
+  // Bounded in each turn, so that one peer that floods this node does not starve the others.
   auto end = in_.fill(fd_.get(), kLongestFrame + 4, kLongestFrame + 4);
-  read(net::is_over(end));
-  if (!closed_ && end == net::IoEnd::kFull) loop_.again(this);
+  read_messages(net::is_over(end));
+  if (!is_closed_ && end == net::IoEnd::kFull) loop_.again(this);
 }
 
-void Link::read(bool ended) {
-  heard_ = loop_.now();
-  while (!closed_) {
-    json message;
+void Link::read_messages(bool connection_ended) {
+  last_received_ = loop_.now();
+  while (!is_closed_) {
+    nlohmann::json object;
     std::size_t size = 0;
-    auto parse = parse_frame(in_.view(), &message, &size);
+    auto parse = parse_frame(in_.view(), &object, &size);
     if (parse == FrameParse::kBad) return close("it sent what is no message");
     if (parse == FrameParse::kMore) break;
     in_.consume(size);
-    auto& kind = message.at("t").get_ref<const std::string&>();
-    if (kind == "ping") {
-      send({{"t", "pong"}});
-    } else if (kind != "pong") {
-      owner_.link_said(*this, message);
-    }
+    EncodedMessage message(std::move(object));
+    if (message.type() == MessageType::kPing)
+      send(encode_pong());
+    else if (message.type() != MessageType::kPong)
+      owner_.on_message(*this, message);
   }
-  if (ended) close("the connection ended");
+  if (connection_ended) close("the connection ended");
 }
 
 }  // namespace database_proxy::peers
--- a/src/peers/message_codec.cpp
+++ b/src/peers/message_codec.cpp
@@ -117,7 +117,7 @@
   set_route(&object, {routed.request.node, routed.via});
   object[key::kRequestNumber] = routed.request.number;
   object[key::kEligibleJobs] = routed.request.eligible_jobs;
-  auto& leases = object[key::kHeldLeases] = json::array();
+  auto& leases = object[key::kLeases] = json::array();
   for (auto& lease : routed.request.holds)
     leases.push_back(json::array({lease.job, lease.token, lease.progress}));
   return EncodedMessage(std::move(object));
@@ -132,7 +132,7 @@
     routed.request.node = std::move(route.node);
     routed.request.number = object.at(key::kRequestNumber).get<std::uint64_t>();
     routed.request.eligible_jobs = object.at(key::kEligibleJobs).get<std::vector<std::string>>();
-    for (auto& lease : object.at(key::kHeldLeases))
+    for (auto& lease : object.at(key::kLeases))
       routed.request.holds.push_back({lease.at(0).get<std::string>(), lease.at(1).get<ownership::Token>(),
                                       lease.at(2).get<std::uint64_t>()});
     return routed;
@@ -181,9 +181,7 @@
   });
 }
 
-bool carries_command(const EncodedMessage& proposal) {
-  return proposal.object().contains(key::kCommandBytes);
-}
+bool has_command(const EncodedMessage& proposal) { return proposal.object().contains(key::kCommandBytes); }
 
 std::uint64_t decode_proposal_ticket(const EncodedMessage& proposal) {
   return decode_guarded([&] { return proposal.object().at(key::kTicket).get<std::uint64_t>(); });
--- a/src/peers/message_codec.h
+++ b/src/peers/message_codec.h
@@ -39,7 +39,7 @@
 RoutedLeaseRenewalResponse decode_lease_renewal_response(const EncodedMessage& message);
 EncodedMessage encode(const Proposal& proposal);
 Proposal decode_proposal(const EncodedMessage& message);
-bool carries_command(const EncodedMessage& proposal);
+bool has_command(const EncodedMessage& proposal);
 std::uint64_t decode_proposal_ticket(const EncodedMessage& proposal);
 EncodedMessage encode(const ProposalResult& result);
 
--- a/src/peers/message_keys.h
+++ b/src/peers/message_keys.h
@@ -35,7 +35,7 @@
 // Leases.
 constexpr const char* kRequestNumber = "n";
 constexpr const char* kEligibleJobs = "willing";
-constexpr const char* kHeldLeases = "holds";
+constexpr const char* kLeases = "holds";
 constexpr const char* kLeaseLength = "length";
 constexpr const char* kGrantedLeases = "granted";
 constexpr const char* kJobsToGiveUp = "give_up";
--- a/src/peers/messages.h
+++ b/src/peers/messages.h
@@ -17,6 +17,7 @@
 
 namespace database_proxy::peers {
 
+// What a peer is to the group.
 enum class PeerRole {
   kVoter,
   kFollower,
@@ -53,6 +54,7 @@
   std::string command;       // ownership::encode
 };
 
+// What became of a proposal.
 struct ProposalResult {
   Route route;
   std::uint64_t ticket = 0;
@@ -61,11 +63,13 @@
   std::optional<consensus::Index> index;  // absent where no leader had it
 };
 
+// A renewal request with its route.
 struct RoutedLeaseRenewalRequest {
   std::string via;  // the node is in the request
   ownership::LeaseRenewalRequest request;
 };
 
+// A renewal response with its route.
 struct RoutedLeaseRenewalResponse {
   Route route;
   ownership::LeaseRenewalResponse response;
@@ -86,6 +90,7 @@
   std::int64_t measured_at_unix_ms = 0;
 };
 
+// The reports of one health check job since the last message.
 struct LoadReports {
   JobReportHeader header;
   std::int64_t sent_at_unix_ms = 0;
@@ -143,11 +148,13 @@
   consensus::Index applied = 0;
 };
 
+// The complete replicated state at an index.
 struct StateTransfer {
   consensus::Index index = 0;
   std::string lease_registry;  // ownership::LeaseRegistry::encode
 };
 
+// One command of the log.
 struct CommittedCommand {
   consensus::Index index = 0;
   std::string command;  // ownership::encode
--- a/tests/formats/peer_messages_test.cpp
+++ b/tests/formats/peer_messages_test.cpp
@@ -184,10 +184,10 @@
   auto all = json::parse(R"([["list",5],["probe 7",7]])");
   answer(ask, all, json::array());
   messages->add("facts.list", voter.next("facts", [](const json& m) { return m.at("job") == "list"; }));
-  node.node().want("s1");
+  node.node().subscribe_to_load("s1");
   messages->add("want", voter.next("want"));
   messages->add("facts.probe", voter.next("facts", [](const json& m) { return m.at("job") == "probe 7"; }));
-  node.node().observed(observation());
+  node.node().submit_observation(observation());
   messages->add("seen", voter.next("seen"));
   auto holding = voter.next("ask", [](const json& m) { return m.at("holds").size() == 2; });
   for (auto& held : holding["holds"]) held[2] = 0;  // work done so far
@@ -258,7 +258,7 @@
   leader.send(append_of({nothing, grant}, 1, 1));
   // Told once what was sent is durable.
   messages->add("raft.append_reply", dialed.next("raft", [](const json& m) { return m.value("i", 0) == 3; }));
-  node.node().observed(observation());
+  node.node().submit_observation(observation());
   messages->add("sum", dialed.next("sum", [](const json& m) { return m.at("o").contains("seen"); }));
   tool.send({{"t", "tool"}, {"do", "placement"}, {"what", "evacuate"}, {"zone", "z1"}, {"force", false}});
   messages->add("placement", dialed.next("placement"));
--- a/tests/formats/stored_format_test.cpp
+++ b/tests/formats/stored_format_test.cpp
@@ -149,7 +149,7 @@
   EXPECT_EQ(members.at(0).at("kind"), "voter");
   EXPECT_EQ(members.at(1).at("id"), 77);
   EXPECT_EQ(members.at(1).at("kind"), "learner");
-  EXPECT_EQ(voter.node().following(), 12u);
+  EXPECT_EQ(voter.node().adopted_plan_number(), 12u);
   // It was the only voter: its first election, in the next term, goes to itself.
   auto term = json::parse(before.at("hard")).at(0).get<std::uint64_t>() + 1;
   EXPECT_EQ(tool.ask_tool({{"do", "status"}}).at("status").at("term"), term);
--- a/tests/formats/test_node.h
+++ b/tests/formats/test_node.h
@@ -34,17 +34,17 @@
 };
 
 // Answers each probe at once, with the same report.
-class InstantProber : public group::Prober {
+class InstantHealthChecker : public group::HealthChecker {
  public:
-  explicit InstantProber(group::Probed probed) : probed_(std::move(probed)) {}
-  void servers(const discovery::EndpointListUpdate&) override {}
-  void probe(const std::string& server) override { due_.push_back(server); }
-  void sweep() override {
-    for (auto& server : std::exchange(due_, {})) probed_(server, true, group::Micros(1500), "x2=3");
+  explicit InstantHealthChecker(group::HealthCheckCallback on_result) : on_result_(std::move(on_result)) {}
+  void update_endpoints(const discovery::EndpointListUpdate&) override {}
+  void check(const std::string& server) override { due_.push_back(server); }
+  void end_loop_iteration() override {
+    for (auto& server : std::exchange(due_, {})) on_result_({server, true, group::Micros(1500), "x2=3"});
   }
 
  private:
-  group::Probed probed_;
+  group::HealthCheckCallback on_result_;
   std::vector<std::string> due_;
 };
 
@@ -74,25 +74,17 @@
   return options;
 }
 
-class TestNode {
+class TestNode : public group::NodeHost {
  public:
   explicit TestNode(group::Options options) {
-    group::Hooks hooks;
-    hooks.list = [](discovery::EndpointListUpdate, bool) {};
-    hooks.facts = [](std::vector<group::Fact>) {};
-    hooks.alone = [](bool, bool) {};
-    hooks.plan = [](std::optional<placement::Plan>) {};
-    hooks.prober = [](net::Loop&, group::Probed probed) {
-      return std::make_unique<InstantProber>(std::move(probed));
-    };
     node_ = std::make_unique<group::Node>(std::move(options), "127.0.0.1:1", discovery::PollingSchedule(),
-                                          discovery::EndpointListUpdate(), std::move(hooks),
+                                          discovery::EndpointListUpdate(), *this,
                                           [this](net::Level, const std::string& line) {
                                             std::lock_guard lock(mutex_);
                                             lines_.push_back(line);
                                           });
   }
-  ~TestNode() {
+  ~TestNode() override {
     node_->stop();
     if (!testing::Test::HasFailure() && std::uncaught_exceptions() == 0) return;
     for (auto& line : lines_) std::cout << line << '\n';
@@ -105,6 +97,15 @@
   }
 
  private:
+  void on_effective_endpoint_list(const discovery::EndpointListUpdate&, bool) override {}
+  void on_load_reports(std::vector<group::LoadReport>) override {}
+  void on_group_unavailable(group::EndpointListFallback) override {}
+  void on_plan_adopted(const std::optional<placement::Plan>&) override {}
+  std::unique_ptr<group::HealthChecker> make_health_checker(net::Loop&,
+                                                            group::HealthCheckCallback on_result) override {
+    return std::make_unique<InstantHealthChecker>(std::move(on_result));
+  }
+
   std::mutex mutex_;
   std::vector<std::string> lines_;
   std::unique_ptr<group::Node> node_;
