--- a/src/group/options.h
+++ b/src/group/options.h
@@ -1,7 +1,9 @@
-// What the operator's file says of the group (section `group`), and what of it cannot be.
+// The operator's file on the group (section `group`), and the check of what cannot be. The fields are named
+// like their keys; what a key means to operators is in docs/operations/group.md.
 #pragma once
 
 #include <chrono>
+#include <cstddef>
 #include <cstdint>
 #include <map>
 #include <optional>
@@ -12,30 +14,33 @@
 
 using Micros = std::chrono::microseconds;
 
+// Between two observations of a proxy, two sums of a voter, and two rounds of planning.
+constexpr Micros kObserveEvery{500'000};
+// The list service may keep a poll open for 5 s, and an answer is given 1 s more: whoever has had none for 7
+// s does not know the current endpoint list any more.
+constexpr Micros kListKnown{7'000'000};
+// Proxies whose observations one voter keeps; more are ignored.
+constexpr std::size_t kMostPlaced = 4096;
+
 // A voter, as the operator's file names it.
 struct NodeAddress {
-  std::string name, address;
+  std::string name;
+  std::string address;
   bool operator==(const NodeAddress&) const = default;
 };
 
-// Proxies tell what they saw so often, voters sum it up, and the owner plans.
-constexpr Micros kObserveEvery{500'000};
-// The list service lets a call wait for 5 s and is given 1 s more: who heard nothing in 7 does not know the
-// list any more.
-constexpr Micros kListKnown{7'000'000};
-constexpr std::size_t kMostPlaced = 4096;  // proxies below one voter
-
 // The section group.placement.
 struct PlacementOptions {
   std::map<std::string, std::string> regions;  // by zone
-  // Requests a second that a warm data server of weight 1 bears; what the plan sends to a zone stays below.
+  // Requests a second that a warm data server of weight 1 can serve; the plan sends a zone less than that.
   double requests_per_weight = 0;
-  // As placement::Options has them: in a phase before the opposite one, seen well before it is opened,
-  // between two steps.
-  Micros minimum_phase_duration{10'000'000}, open_after{5'000'000}, step{2'000'000};
-  // Without word of the group for so long, a proxy leaves the plan and goes on alone.
+  // As in placement::Options.
+  Micros minimum_phase_duration{10'000'000};
+  Micros open_after{5'000'000};
+  Micros step{2'000'000};
+  // A proxy that has no contact with the group for this long leaves the plan and decides for itself.
   Micros keep{10'000'000};
-  // Of the platform's settings.
+  // From the platform's settings.
   Micros warm_up{0};
   double initial_capacity_share = 1;
   bool operator==(const PlacementOptions&) const = default;
@@ -43,20 +48,27 @@
 
 // The section group.
 struct Options {
-  std::string installation;        // who speaks of another one is a stranger
-  std::string name;                // of this process, once in the installation
-  std::string listen;              // for the other daemons; a voter's
+  std::string installation;        // a peer of another one is refused
+  std::string name;                // of this process; unique in the installation
+  std::string listen;              // a voter's, for the other daemons
   std::string directory;           // a voter's log and identity
-  std::vector<NodeAddress> nodes;  // the voters; whoever is not among them follows
-  std::vector<std::string> jobs;   // of the fleet's work, what this node would do: list, probe, placement
-  Micros heartbeat{100'000}, election_min{600'000}, election_max{1'200'000};
+  std::vector<NodeAddress> nodes;  // the voters; a process that is not among them follows
+  std::vector<std::string> jobs;   // that this node is eligible for: list, probe, placement
+  Micros heartbeat{100'000};
+  Micros election_min{600'000};
+  Micros election_max{1'200'000};
   Micros lease{2'000'000};
-  Micros fallback{3'000'000};  // without word of the list for so long, a proxy asks by itself
-  Micros probe_every{0};  // each replica, by the owner of its set; 0: two thirds of the tightest bound on age
-  Micros spread{1'000'000};  // over which all proxies, left alone together, begin to ask
+  // Without contact with the owner of the endpoint list for this long, and a random part of `spread` more,
+  // the group counts as unavailable. The random part keeps proxies that lose it together from polling
+  // together.
+  Micros fallback{3'000'000};
+  Micros spread{1'000'000};
+  // Between two health checks of one replica; 0: two thirds of the tightest bound on the age of reads.
+  Micros probe_every{0};
   std::uint64_t seed = 0;
-  std::optional<PlacementOptions> placement;  // none: each proxy decides alone where its reads go
+  std::optional<PlacementOptions> placement;  // none: each proxy decides for itself where its reads go
 
+  // Whether this process is one of `nodes`.
   bool voter() const;
 };
 
--- a/src/group/peer_connections.cpp
+++ b/src/group/peer_connections.cpp
@@ -4,6 +4,7 @@
 
 #include <algorithm>
 #include <chrono>
+#include <optional>
 #include <stdexcept>
 #include <utility>
 
@@ -204,8 +205,9 @@
   return peers::encode(greeting);
 }
 
-// Why the peer is not accepted; empty: it is.
-std::string PeerConnections::find_objection(const peers::Link& link, const peers::Greeting& greeting) const {
+// Why the peer is not accepted; nullopt: it is.
+std::optional<std::string> PeerConnections::find_objection(const peers::Link& link,
+                                                           const peers::Greeting& greeting) const {
   if (greeting.installation != context_.options.installation)
     return fmt::format("it is of the installation '{}'", greeting.installation);
   if (greeting.least_version > peers::kVersion || greeting.version < peers::kLeastVersion)
@@ -214,19 +216,19 @@
   auto& name = *greeting.node_name;
   if (link.is_dialed() && name != link.peer().name)
     return fmt::format("it is {}, where {} was dialed", name, link.peer().name);
-  if (greeting.role != PeerRole::kVoter) return "";
+  if (greeting.role != PeerRole::kVoter) return std::nullopt;
   if (greeting.id == consensus::kNobody || greeting.id == own_id_) return "it has no id of its own";
   if (!find_node(name)) return "it is none of group.nodes";
-  return "";
+  return std::nullopt;
 }
 
 bool PeerConnections::accept_greeting(peers::Link& link, const peers::Greeting& greeting) {
   auto objection = find_objection(link, greeting);
-  if (!objection.empty()) {
+  if (objection) {
     context_.log(Level::kWarning,
-                 fmt::format("turned away {}: {}", greeting.node_name.value_or("a peer"), objection));
-    link.send(peers::encode(peers::Refusal{objection}));
-    link.close(objection);
+                 fmt::format("turned away {}: {}", greeting.node_name.value_or("a peer"), *objection));
+    link.send(peers::encode(peers::Refusal{*objection}));
+    link.close(*objection);
     return false;
   }
   auto& name = *greeting.node_name;
--- a/src/group/peer_connections.h
+++ b/src/group/peer_connections.h
@@ -12,6 +12,7 @@
 #include <cstdint>
 #include <map>
 #include <memory>
+#include <optional>
 #include <string>
 #include <vector>
 
@@ -107,7 +108,7 @@
 
   void handle_message(peers::Link& link, const peers::EncodedMessage& message);
   bool accept_greeting(peers::Link& link, const peers::Greeting& greeting);
-  std::string find_objection(const peers::Link& link, const peers::Greeting& greeting) const;
+  std::optional<std::string> find_objection(const peers::Link& link, const peers::Greeting& greeting) const;
   void add_downstream(peers::Link& link);
   void on_dialed_link_down(peers::Link& link, const std::string& reason);
   void on_accepted_link_down(peers::Link& link, const std::string& reason);
