--- a/src/group/endpoint_list_subscriber.cpp
+++ b/src/group/endpoint_list_subscriber.cpp
@@ -6,7 +6,6 @@
 #include <cstdint>
 #include <limits>
 #include <optional>
-#include <ranges>
 #include <stdexcept>
 #include <utility>
 
@@ -93,8 +92,9 @@
 }
 
 void EndpointListSubscriber::restore_from_log(const std::vector<consensus::Entry>& entries) {
-  for (auto& entry : std::ranges::reverse_view(entries))
-    if (restore_from_entry(entry)) return;
+  // The newest entry that can be restored is enough.
+  for (auto i = entries.size(); i > 0; --i)
+    if (restore_from_entry(entries[i - 1])) return;
 }
 
 void EndpointListSubscriber::on_endpoint_list_published() {
