--- a/src/app/group_runner.cpp
+++ b/src/app/group_runner.cpp
@@ -166,7 +166,7 @@
   tasks_.post([this, list, is_restart] {
     if (zone_observer_) zone_observer_->list(list);
     proxy_.dispatcher().expect_load_reports(true);
-    proxy_.given(list, is_restart);
+    proxy_.apply_endpoint_list(list, is_restart);
   });
 }
 
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -42,8 +42,8 @@
 
 }  // namespace
 
-Proxy::Proxy(net::Loop& loop, routing::Decider& decider, ProxyOptions options, net::Log log)
-    : Proxy(loop, decider, std::move(options), std::move(log), nullptr) {
+Proxy::Proxy(net::Loop& loop, routing::Decider& decider, ProxyOptions options, const net::Log& log)
+    : Proxy(loop, decider, std::move(options), log, nullptr) {
   generation_ = options_.known.generation;
   if (options_.watches) watch_discovery(true);
 }
@@ -61,15 +61,15 @@
   if (running_) discovery_->start();
 }
 
-void Proxy::given(discovery::EndpointListUpdate update, bool anew) {
-  if (update.generation < generation_ && !anew) return;
+void Proxy::apply_endpoint_list(discovery::EndpointListUpdate update, bool is_restart) {
+  if (update.generation < generation_ && !is_restart) return;
   generation_ = update.generation;
   dispatcher_.list(std::move(update));
 }
 
-Proxy::Proxy(net::Loop& loop, routing::Decider& decider, ProxyOptions options, net::Log log,
+Proxy::Proxy(net::Loop& loop, routing::Decider& decider, ProxyOptions options, const net::Log& log,
              SiblingWorkers& siblings)
-    : Proxy(loop, decider, std::move(options), std::move(log), &siblings) {}
+    : Proxy(loop, decider, std::move(options), log, &siblings) {}
 
 Proxy::Proxy(net::Loop& loop, routing::Decider& decider, ProxyOptions options, const net::Log& log,
              SiblingWorkers* siblings)
--- a/src/proxy/proxy.h
+++ b/src/proxy/proxy.h
@@ -36,9 +36,9 @@
  public:
   // By itself: it watches discovery and logs its own start and end. Throws std::runtime_error when it cannot
   // listen.
-  Proxy(net::Loop& loop, routing::Decider& decider, ProxyOptions options, net::Log log);
+  Proxy(net::Loop& loop, routing::Decider& decider, ProxyOptions options, const net::Log& log);
   // One of several: lists come by list(), and the pool of workers logs.
-  Proxy(net::Loop& loop, routing::Decider& decider, ProxyOptions options, net::Log log,
+  Proxy(net::Loop& loop, routing::Decider& decider, ProxyOptions options, const net::Log& log,
         SiblingWorkers& siblings);
   ~Proxy() override;
 
@@ -51,8 +51,8 @@
   // Asks discovery itself, or no longer: for one whose lists are given to it.
   void watch_discovery(bool watched);
   // For one that does not watch, in its own thread. A list that is older than what is known changes nothing,
-  // unless the service was reset and counts `anew`.
-  void given(discovery::EndpointListUpdate update, bool anew = false);
+  // unless the service was reset and counts anew (`is_restart`).
+  void apply_endpoint_list(discovery::EndpointListUpdate update, bool is_restart = false);
   // For one of several, all in its own thread.
   void list(discovery::EndpointListUpdate update, bool cached) {
     dispatcher_.list(std::move(update), cached);
