--- a/tests/formats/peer_connection.h
+++ b/tests/formats/peer_connection.h
@@ -21,11 +21,12 @@
 
 using nlohmann::json;
 
+// A blocking connection to a node, by which a test plays one of its peers.
 class PeerConnection {
  public:
   explicit PeerConnection(net::Fd socket) : socket_(std::move(socket)) {
-    timeval patience{10, 0};
-    setsockopt(socket_.get(), SOL_SOCKET, SO_RCVTIMEO, &patience, sizeof patience);
+    timeval timeout{10, 0};
+    setsockopt(socket_.get(), SOL_SOCKET, SO_RCVTIMEO, &timeout, sizeof timeout);
   }
   static PeerConnection dial(int port) {
     net::Fd socket(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
@@ -63,7 +64,7 @@
     send(hello);
     return next_message("an answer to its greeting");
   }
-  json ask_tool(json request) {
+  json run_admin_command(json request) {
     request["t"] = "tool";
     send(request);
     return next("answer");
@@ -111,8 +112,8 @@
   }
   std::string address() const { return "127.0.0.1:" + std::to_string(port_); }
   PeerConnection accept_peer() {
-    timeval patience{10, 0};
-    setsockopt(socket_.get(), SOL_SOCKET, SO_RCVTIMEO, &patience, sizeof patience);
+    timeval timeout{10, 0};
+    setsockopt(socket_.get(), SOL_SOCKET, SO_RCVTIMEO, &timeout, sizeof timeout);
     net::Fd accepted(accept4(socket_.get(), nullptr, nullptr, SOCK_CLOEXEC));
     if (!accepted) throw std::runtime_error("the node did not dial");
     return PeerConnection(std::move(accepted));
--- a/tests/formats/peer_messages_test.cpp
+++ b/tests/formats/peer_messages_test.cpp
@@ -113,24 +113,26 @@
   voter.node().start();
   auto stranger = PeerConnection::dial(voter.port());
   messages->add("no", stranger.greet(hello_of("x", "follower", 0, "other")));
-  auto tool = PeerConnection::dial(voter.port());
-  messages->add("welcome", tool.greet(hello_of("fleet", "tool")));
-  tool.send({{"t", "ping"}});
-  messages->add("pong", tool.next("pong"));
-  messages->add("answer.identify", tool.ask_tool({{"do", "identify"}}));
-  messages->add("answer.no_leader", tool.ask_tool({{"do", "put"}, {"key", "k"}, {"value", "v"}}));
+  auto operator_link = PeerConnection::dial(voter.port());
+  messages->add("welcome", operator_link.greet(hello_of("fleet", "tool")));
+  operator_link.send({{"t", "ping"}});
+  messages->add("pong", operator_link.next("pong"));
+  messages->add("answer.identify", operator_link.run_admin_command({{"do", "identify"}}));
+  messages->add("answer.no_leader",
+                operator_link.run_admin_command({{"do", "put"}, {"key", "k"}, {"value", "v"}}));
   auto early = dial_as(voter.port(), "early", "follower");
   early.send(
       {{"t", "propose"}, {"ticket", 4}, {"cmd", command_of(ownership::SetConfigurationEntry{"k", "v"})}});
   messages->add("done.no_leader", early.next("done"));
-  messages->add("answer.bootstrap", tool.ask_tool({{"do", "bootstrap"}, {"voters", {kOwnId}}}));
-  while (!tool.ask_tool({{"do", "get"}, {"key", "k"}}).at("ok")) {
+  messages->add("answer.bootstrap",
+                operator_link.run_admin_command({{"do", "bootstrap"}, {"voters", {kOwnId}}}));
+  while (!operator_link.run_admin_command({{"do", "get"}, {"key", "k"}}).at("ok")) {
   }
-  messages->add("answer.put", tool.ask_tool({{"do", "put"}, {"key", "k"}, {"value", "v"}}));
-  messages->add("answer.get", tool.ask_tool({{"do", "get"}, {"key", "k"}}));
-  messages->add("answer.members", tool.ask_tool({{"do", "members"}}));
-  messages->add("answer.unknown", tool.ask_tool({{"do", "fly"}}));
-  messages->add("answer.placement", tool.ask_tool({{"do", "placement"}, {"what", "show"}}));
+  messages->add("answer.put", operator_link.run_admin_command({{"do", "put"}, {"key", "k"}, {"value", "v"}}));
+  messages->add("answer.get", operator_link.run_admin_command({{"do", "get"}, {"key", "k"}}));
+  messages->add("answer.members", operator_link.run_admin_command({{"do", "members"}}));
+  messages->add("answer.unknown", operator_link.run_admin_command({{"do", "fly"}}));
+  messages->add("answer.placement", operator_link.run_admin_command({{"do", "placement"}, {"what", "show"}}));
 
   auto follower = dial_as(voter.port(), "p", "follower");
   follower.send({{"t", "follow"}, {"index", 0}});
@@ -144,9 +146,9 @@
   follower.send(
       {{"t", "propose"}, {"ticket", 5}, {"cmd", command_of(ownership::SetConfigurationEntry{"k2", "v2"})}});
   messages->add("done", follower.next("done"));
-  messages->add("answer.owners", tool.ask_tool({{"do", "owners"}}));
-  messages->add("answer.status", tool.ask_tool({{"do", "status"}}));
-  messages->add("answer.step_down", tool.ask_tool({{"do", "step-down"}}));
+  messages->add("answer.owners", operator_link.run_admin_command({{"do", "owners"}}));
+  messages->add("answer.status", operator_link.run_admin_command({{"do", "status"}}));
+  messages->add("answer.step_down", operator_link.run_admin_command({{"do", "step-down"}}));
 }
 
 // A follower below a voter that this test plays.
@@ -171,7 +173,7 @@
   voter.send({{"t", "apply"}, {"from", 100}, {"index", 101}, {"entries", json::array()}});
   messages->add("follow.after_a_gap", voter.next("follow"));
   auto of_probes = [](const json& m) { return m.at("willing").size() == 2; };
-  auto ask = messages->add("ask", voter.next("ask", of_probes));
+  auto query = messages->add("ask", voter.next("ask", of_probes));
   auto answer = [&](const json& question, const json& granted, const json& give_up) {
     voter.send({{"t", "told"},
                 {"node", "p"},
@@ -182,7 +184,7 @@
                 {"give_up", give_up}});
   };
   auto all = json::parse(R"([["list",5],["probe 7",7]])");
-  answer(ask, all, json::array());
+  answer(query, all, json::array());
   messages->add("facts.list", voter.next("facts", [](const json& m) { return m.at("job") == "list"; }));
   node.node().subscribe_to_load("s1");
   messages->add("want", voter.next("want"));
@@ -250,8 +252,8 @@
   welcome["t"] = "welcome";
   dialed.send(welcome);
   auto leader = dial_as(node.port(), "b", "voter", 2);
-  auto tool = dial_as(node.port(), "fleet", "tool");
-  ASSERT_TRUE(tool.ask_tool({{"do", "bootstrap"}, {"voters", {kOwnId, 2, 3}}}).at("ok"));
+  auto operator_link = dial_as(node.port(), "fleet", "tool");
+  ASSERT_TRUE(operator_link.run_admin_command({{"do", "bootstrap"}, {"voters", {kOwnId, 2, 3}}}).at("ok"));
   consensus::Entry nothing{50, 2, consensus::EntryType::kNoOp, ""};
   consensus::Entry grant{50, 3, consensus::EntryType::kCommand,
                          ownership::encode(ownership::Grant{"placement", "b", 0})};
@@ -260,13 +262,14 @@
   messages->add("raft.append_reply", dialed.next("raft", [](const json& m) { return m.value("i", 0) == 3; }));
   node.node().submit_observation(observation());
   messages->add("sum", dialed.next("sum", [](const json& m) { return m.at("o").contains("seen"); }));
-  tool.send({{"t", "tool"}, {"do", "placement"}, {"what", "evacuate"}, {"zone", "z1"}, {"force", false}});
+  operator_link.send(
+      {{"t", "tool"}, {"do", "placement"}, {"what", "evacuate"}, {"zone", "z1"}, {"force", false}});
   messages->add("placement", dialed.next("placement"));
-  tool.send({{"t", "tool"}, {"do", "get"}, {"key", "k"}});
+  operator_link.send({{"t", "tool"}, {"do", "get"}, {"key", "k"}});
   auto forward = dialed.next("forward");
-  auto tool_name = forward.at("node");
-  leader.send({{"t", "answer"}, {"ok", true}, {"value", "v"}, {"node", tool_name}, {"via", "a"}});
-  auto answer = tool.next("answer");
+  auto operator_name = forward.at("node");
+  leader.send({{"t", "answer"}, {"ok", true}, {"value", "v"}, {"node", operator_name}, {"via", "a"}});
+  auto answer = operator_link.next("answer");
   messages->add("forward.get", forward);
   messages->add("answer.from_leader", answer);
   talk_through_a_voter(messages, node.port(), &dialed, &leader);
@@ -280,14 +283,16 @@
   options.jobs = {"placement"};
   TestNode voter(options);
   voter.node().start();
-  auto tool = dial_as(voter.port(), "fleet", "tool");
-  ASSERT_TRUE(tool.ask_tool({{"do", "bootstrap"}, {"voters", {kOwnId}}}).at("ok"));
+  auto operator_link = dial_as(voter.port(), "fleet", "tool");
+  ASSERT_TRUE(operator_link.run_admin_command({{"do", "bootstrap"}, {"voters", {kOwnId}}}).at("ok"));
   auto follower = dial_as(voter.port(), "p", "follower");
   follower.send({{"t", "follow"}, {"index", 0}});
   messages->add("facts.placement", follower.next("facts"));
-  messages->add("answer.placement.show", tool.ask_tool({{"do", "placement"}, {"what", "show"}}));
-  messages->add("answer.placement.refused",
-                tool.ask_tool({{"do", "placement"}, {"what", "evacuate"}, {"zone", "nowhere"}}));
+  messages->add("answer.placement.show",
+                operator_link.run_admin_command({{"do", "placement"}, {"what", "show"}}));
+  messages->add(
+      "answer.placement.refused",
+      operator_link.run_admin_command({{"do", "placement"}, {"what", "evacuate"}, {"zone", "nowhere"}}));
 }
 
 }  // namespace
--- a/tests/formats/stored_format_test.cpp
+++ b/tests/formats/stored_format_test.cpp
@@ -57,10 +57,10 @@
 void write_directory(const std::string& directory) {
   TestNode voter(lone_voter_options(directory));
   voter.node().start();
-  auto tool = dial_as(voter.port(), "fleet", "tool");
-  auto id = tool.ask_tool({{"do", "identify"}}).at("id");
-  ASSERT_TRUE(tool.ask_tool({{"do", "bootstrap"}, {"voters", {id}}}).at("ok"));
-  while (!tool.ask_tool({{"do", "put"}, {"key", "name"}, {"value", "first"}}).at("ok")) {
+  auto operator_link = dial_as(voter.port(), "fleet", "tool");
+  auto id = operator_link.run_admin_command({{"do", "identify"}}).at("id");
+  ASSERT_TRUE(operator_link.run_admin_command({{"do", "bootstrap"}, {"voters", {id}}}).at("ok"));
+  while (!operator_link.run_admin_command({{"do", "put"}, {"key", "name"}, {"value", "first"}}).at("ok")) {
   }
   auto owner = dial_as(voter.port(), "owner", "follower");
   auto token = be_granted(&owner, {"list"});
@@ -71,10 +71,11 @@
   auto prober = dial_as(voter.port(), "prober", "follower");
   be_granted(&prober, {"probe 7"});  // publishes nothing: its token is not that of its data
   for (int i = 0; i < kSettings; ++i)
-    ASSERT_TRUE(
-        tool.ask_tool({{"do", "put"}, {"key", fmt::format("k{}", i % 40)}, {"value", fmt::format("{}", i)}})
-            .at("ok"));
-  ASSERT_TRUE(tool.ask_tool({{"do", "add"}, {"name", "learner"}, {"id", 77}}).at("ok"));
+    ASSERT_TRUE(operator_link
+                    .run_admin_command(
+                        {{"do", "put"}, {"key", fmt::format("k{}", i % 40)}, {"value", fmt::format("{}", i)}})
+                    .at("ok"));
+  ASSERT_TRUE(operator_link.run_admin_command({{"do", "add"}, {"name", "learner"}, {"id", 77}}).at("ok"));
   propose(&planner, ownership::Release{"placement", token});
 }
 
@@ -125,25 +126,27 @@
   auto identity = json::parse(before.at("identity"));
   TestNode voter(lone_voter_options(directory));
   voter.node().start();
-  auto tool = dial_as(voter.port(), "fleet", "tool");
-  auto status = tool.ask_tool({{"do", "status"}}).at("status");
+  auto operator_link = dial_as(voter.port(), "fleet", "tool");
+  auto status = operator_link.run_admin_command({{"do", "status"}}).at("status");
   EXPECT_EQ(status.at("id"), identity.at("id"));
   EXPECT_EQ(status.at("name"), "a");
   EXPECT_TRUE(status.at("initialised"));
   EXPECT_EQ(status.at("list_generation"), 9);
   EXPECT_EQ(status.at("list_from"), "the group");
-  while (!tool.ask_tool({{"do", "get"}, {"key", "name"}}).at("ok")) {  // until it leads again
+  while (
+      !operator_link.run_admin_command({{"do", "get"}, {"key", "name"}}).at("ok")) {  // until it leads again
   }
-  EXPECT_EQ(tool.ask_tool({{"do", "get"}, {"key", "name"}}).at("value"), "first");
-  EXPECT_EQ(tool.ask_tool({{"do", "get"}, {"key", "k39"}}).at("value"), std::to_string(kSettings - 21));
-  auto owners = tool.ask_tool({{"do", "owners"}}).at("owners");
+  EXPECT_EQ(operator_link.run_admin_command({{"do", "get"}, {"key", "name"}}).at("value"), "first");
+  EXPECT_EQ(operator_link.run_admin_command({{"do", "get"}, {"key", "k39"}}).at("value"),
+            std::to_string(kSettings - 21));
+  auto owners = operator_link.run_admin_command({{"do", "owners"}}).at("owners");
   EXPECT_EQ(owners.size(), 3u);
   EXPECT_EQ(owners.at(0).at("job"), "list");
   EXPECT_EQ(owners.at(0).at("owner"), "owner");
   EXPECT_EQ(owners.at(0).at("token"), ledger.job("list")->token);
   EXPECT_EQ(owners.at(1).at("job"), "placement");
   EXPECT_EQ(owners.at(1).at("token"), ledger.job("placement")->token);
-  auto members = tool.ask_tool({{"do", "members"}}).at("members");
+  auto members = operator_link.run_admin_command({{"do", "members"}}).at("members");
   EXPECT_EQ(members.size(), 2u);
   EXPECT_EQ(members.at(0).at("id"), identity.at("id"));
   EXPECT_EQ(members.at(0).at("kind"), "voter");
@@ -152,7 +155,7 @@
   EXPECT_EQ(voter.node().adopted_plan_number(), 12u);
   // It was the only voter: its first election, in the next term, goes to itself.
   auto term = json::parse(before.at("hard")).at(0).get<std::uint64_t>() + 1;
-  EXPECT_EQ(tool.ask_tool({{"do", "status"}}).at("status").at("term"), term);
+  EXPECT_EQ(operator_link.run_admin_command({{"do", "status"}}).at("status").at("term"), term);
   voter.node().stop();
   return json::array({term, identity.at("id")}).dump();
 }
@@ -218,7 +221,7 @@
   EXPECT_EQ(after.at("snapshot"), before.at("snapshot"));
 }
 
-TEST_F(StoredFormat, AnEntryCutShortSetsTheDirectoryAside) {
+TEST_F(StoredFormat, AnEntryCutShortQuarantinesTheDirectory) {
   {
     auto store = state::open_store(directory(), "group", kStoreVersion);
     auto [key, value] = store->scan("raft/log/", "raft/log0").back();
@@ -242,7 +245,7 @@
   EXPECT_EQ(torn.substr(torn.size() - kEnd.size()), kEnd);
 }
 
-TEST_F(StoredFormat, ADirectoryOfAnotherInstallationIsTurnedDown) {
+TEST_F(StoredFormat, ADirectoryOfAnotherInstallationIsRejected) {
   auto options = lone_voter_options(directory());
   options.installation = "other";
   try {
@@ -255,7 +258,7 @@
   }
 }
 
-TEST_F(StoredFormat, ADirectoryOfANewerVersionIsTurnedDown) {
+TEST_F(StoredFormat, ADirectoryOfANewerVersionIsRejected) {
   state::open_store(directory(), "group", kStoreVersion + 1).reset();
   try {
     TestNode voter(lone_voter_options(directory()));
--- a/tests/formats/test_node.h
+++ b/tests/formats/test_node.h
@@ -17,6 +17,7 @@
 
 namespace database_proxy::test {
 
+// A directory of its own, removed at the end.
 class TemporaryDirectory {
  public:
   TemporaryDirectory() {
@@ -74,6 +75,7 @@
   return options;
 }
 
+// A node of the group in this process, whose host only remembers what it was given.
 class TestNode : public group::NodeHost {
  public:
   explicit TestNode(group::Options options) {
--- a/tests/proxy/crossings_test.cpp
+++ b/tests/proxy/crossings_test.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 // What a data server was told to wait at most, in milliseconds.
-int told_wait(const std::string& statement) {
+int forwarded_timeout(const std::string& statement) {
   auto at = statement.find(",d=");
   REQUIRE(at != std::string::npos);
   return std::stoi(statement.substr(at + 3));
@@ -40,7 +40,7 @@
 void leave_idle_connections(Rig& rig, int count) {
   {
     Client client(rig.port);
-    REQUIRE(client.ask(write_sql("v")).row);  // the primary is known from now on
+    REQUIRE(client.query(write_sql("v")).row);  // the primary is known from now on
   }
   Gate gate;
   rig.primary.reply = gate.before(Reply{});
@@ -56,7 +56,7 @@
 }
 
 // All that was ready before has had its turn of the proxy's loop.
-void let_it_turn(Rig& rig) {
+void let_it_run(Rig& rig) {
   for (int i = 0; i < 2; ++i) {
     std::promise<void> turned;
     rig.with_proxy([&](proxy::Proxy&) { turned.set_value(); });
@@ -72,7 +72,7 @@
   });
 }
 
-void turn_discovery_to(Rig& rig, const std::string& address) {
+void move_discovery_to(Rig& rig, const std::string& address) {
   rig.with_proxy([&rig, address](proxy::Proxy& p) {
     proxy::ProxyOptions options{rig.config.listen, address,         rig.config.sockets,
                                 rig.config.memory, rig.config.pool, {}};
@@ -87,7 +87,7 @@
   int number = 0;
   bool used = soon(
       [&] {
-        client.ask(read_sql("u" + std::to_string(++number), 300));
+        client.query(read_sql("u" + std::to_string(++number), 300));
         return server.count() > 0;
       },
       12s);
@@ -137,7 +137,7 @@
   wait_long_for_connections(rig);
   Gate gate;
   Client first(rig.port), second(rig.port);
-  REQUIRE(first.ask(write_sql("a0")).row);  // the primary is known from now on
+  REQUIRE(first.query(write_sql("a0")).row);  // the primary is known from now on
   rig.primary.reply = gate.before(Reply{});
   first.send(pg::simple_query(write_sql("a1", 9000)));
   REQUIRE(soon([&] { return rig.primary.count() == 2; }));
@@ -146,7 +146,7 @@
   second.send(pg::simple_query(write_sql("a2", 9000)));
   REQUIRE(soon([&] { return rig.primary.open == open + 1; }));
   {
-    Rig::StandStill still(rig);
+    Rig::HeldLoop still(rig);
     rig.primary.hold_greeting = false;
     REQUIRE(soon([&] { return rig.primary.greeted == greeted + 1; }));
     second.close();
@@ -161,7 +161,7 @@
   Rig rig;
   Gate gate;
   Client client(rig.port), other(rig.port);
-  REQUIRE(client.ask(read_sql("b0")).row);
+  REQUIRE(client.query(read_sql("b0")).row);
   auto miss = gate.before(Reply{Reply::kError, "72000", 0});
   rig.primary.reply = rig.replica.reply = miss;
   auto before = rig.primary.count() + rig.replica.count();
@@ -169,14 +169,14 @@
   client.send(pg::simple_query(read_sql("b1", 9000)));
   REQUIRE(soon([&] { return rig.primary.count() + rig.replica.count() == before + 1; }));
   {
-    Rig::StandStill still(rig);
+    Rig::HeldLoop still(rig);
     gate.open();
     REQUIRE(soon([&] { return rig.primary.answered + rig.replica.answered == answered + 1; }));
     client.close();
   }
-  let_it_turn(rig);
+  let_it_run(rig);
   rig.primary.reply = rig.replica.reply = [](const std::string&) { return Reply{}; };
-  CHECK(other.ask(write_sql("b2", 1900)).row);
+  CHECK(other.query(write_sql("b2", 1900)).row);
   CHECK(rig.primary.count() + rig.replica.count() == before + 2);  // b2 alone came after b1's first attempt
 }
 
@@ -189,12 +189,12 @@
   for (int i = 1; many.size() < 100'000; ++i)
     many += pg::simple_query(long_write_sql("c" + std::to_string(i), "c" + std::to_string(i), 8, 9000));
   {
-    Rig::StandStill still(rig);
+    Rig::HeldLoop still(rig);
     REQUIRE(client.send(many));
     client.close();
   }
-  let_it_turn(rig);
-  CHECK(other.ask(write_sql("cw", 1900)).row);
+  let_it_run(rig);
+  CHECK(other.query(write_sql("cw", 1900)).row);
   CHECK(rig.primary.count() + rig.replica.count() == before + 1);
 }
 
@@ -204,9 +204,10 @@
   Client client(rig.port), other(rig.port);
   // Each server has an idle connection, so that nothing has to come up first.
   REQUIRE(soon([&] {
-    return other.ask(read_sql("d" + std::to_string(rig.replica.count()), 900)).row && rig.replica.count() > 0;
+    return other.query(read_sql("d" + std::to_string(rig.replica.count()), 900)).row &&
+           rig.replica.count() > 0;
   }));
-  REQUIRE(other.ask(write_sql("d", 9000)).row);
+  REQUIRE(other.query(write_sql("d", 9000)).row);
   Gate gate;
   rig.primary.reply = rig.replica.reply = gate.before(Reply{Reply::kError, "72000", 0});
   auto before = rig.primary.count() + rig.replica.count();
@@ -215,7 +216,7 @@
   REQUIRE(soon([&] { return rig.primary.count() + rig.replica.count() == before + 1; }));
   std::promise<void> fetched, on_client_disconnected;
   {
-    Rig::StandStill still(rig, [&](proxy::Proxy& p) {
+    Rig::HeldLoop still(rig, [&](proxy::Proxy& p) {
       p.before_iteration_end = [&, turn = 0]() mutable {
         if (++turn != 2) return;  // the first is the turn that stands still
         fetched.set_value();
@@ -228,11 +229,11 @@
   fetched.get_future().wait();
   client.close();
   on_client_disconnected.set_value();
-  let_it_turn(rig);
+  let_it_run(rig);
   rig.with_proxy([](proxy::Proxy& p) { p.before_iteration_end = [] {}; });
-  let_it_turn(rig);
+  let_it_run(rig);
   rig.primary.reply = rig.replica.reply = [](const std::string&) { return Reply{}; };
-  CHECK(other.ask(write_sql("d2", 9000)).row);
+  CHECK(other.query(write_sql("d2", 9000)).row);
   CHECK(rig.primary.count() + rig.replica.count() == before + 2);  // d2 alone came after d1's first attempt
 }
 
@@ -244,7 +245,7 @@
   client.send(pg::simple_query(write_sql("e1", 60000)));
   REQUIRE(soon([&] { return rig.primary.count() == 1; }));
   {
-    Rig::StandStill still(rig);
+    Rig::HeldLoop still(rig);
     Client canceller(rig.port, false);
     canceller.send(cancel_request(key));
     canceller.close();
@@ -261,7 +262,7 @@
     config.pool.connect_timeout = 10s;
   });
   Client client(rig.port);
-  REQUIRE(client.ask(write_sql("m0")).row);
+  REQUIRE(client.query(write_sql("m0")).row);
   rig.primary.reply = [](const std::string&) { return Reply{Reply::kReset, "", 0}; };
   auto before = rig.primary.count();
   auto connections = rig.primary.connections.load();
@@ -281,15 +282,15 @@
 // ---- the proxy's own closing of a connection -----------------------------------------------------------
 
 TEST_CASE("crossing: a request arrives as its connection is to be closed for being idle") {
-  constexpr std::size_t kDescriptors = 64, kKept = kDescriptors / 4;
+  constexpr std::size_t kDescriptors = 64, kRetained = kDescriptors / 4;
   Rig rig(kDescriptors);
   std::vector<std::unique_ptr<Client>> clients;
   std::promise<void> fetched, asked;
   {
-    std::optional<Rig::StandStill> still;
-    for (std::size_t i = 0; i < kKept + 1; ++i) {  // one more than are kept
+    std::optional<Rig::HeldLoop> still;
+    for (std::size_t i = 0; i < kRetained + 1; ++i) {  // one more than are kept
       clients.push_back(std::make_unique<Client>(rig.port));
-      REQUIRE(clients.back()->ask(read_sql("x" + std::to_string(i))).row);
+      REQUIRE(clients.back()->query(read_sql("x" + std::to_string(i))).row);
     }
     still.emplace(rig, [&](proxy::Proxy& p) {
       p.before_iteration_end = [&, turn = 0]() mutable {
@@ -307,7 +308,7 @@
   asked.set_value();
   for (auto& client : clients) CHECK(client->answer().row);
   rig.with_proxy([](proxy::Proxy& p) { p.before_iteration_end = [] {}; });
-  let_it_turn(rig);
+  let_it_run(rig);
 }
 
 // ---- how long a client still waits --------------------------------------------------------------------
@@ -315,10 +316,10 @@
 TEST_CASE("crossing: a request that waited to be accepted passes on what its client has left") {
   Rig rig;
   Client known(rig.port);
-  REQUIRE(known.ask(read_sql("f0")).row);
+  REQUIRE(known.query(read_sql("f0")).row);
   std::unique_ptr<Client> late;
   {
-    Rig::StandStill still(rig);
+    Rig::HeldLoop still(rig);
     late = std::make_unique<Client>(rig.port, false);
     late->send(pg::startup_message("backend", "store") + pg::simple_query(write_sql("f1", 1500)));
     known.send(pg::simple_query(write_sql("f2", 1500)));
@@ -330,7 +331,7 @@
   std::size_t checked = 0;
   for (auto& statement : rig.primary.statements()) {
     if (!statement.starts_with("INSERT")) continue;
-    CHECK(told_wait(statement) <= 1500 - 500 + 150);
+    CHECK(forwarded_timeout(statement) <= 1500 - 500 + 150);
     ++checked;
   }
   CHECK(checked == 2);
@@ -339,7 +340,7 @@
 TEST_CASE("crossing: a request that waited unread behind a large one passes on what its client has left") {
   Rig rig;
   Client client(rig.port);
-  REQUIRE(client.ask(write_sql("g0")).row);
+  REQUIRE(client.query(write_sql("g0")).row);
   Gate gate;
   rig.primary.reply = gate.before(Reply{});
   auto before = rig.primary.count();
@@ -353,7 +354,7 @@
   CHECK(client.answer().row);
   auto statements = rig.primary.statements();
   REQUIRE(statements.size() == before + 2);
-  CHECK(told_wait(statements.back()) <= 3000 - 600 + 150);
+  CHECK(forwarded_timeout(statements.back()) <= 3000 - 600 + 150);
   CHECK(Clock::now() - sent < 3s);
 }
 
@@ -362,7 +363,7 @@
 TEST_CASE("crossing: what is read after the end of service is refused at once and not sent on") {
   Rig rig;
   Client pipelining(rig.port), half(rig.port);
-  REQUIRE(half.ask(write_sql("h0")).row);
+  REQUIRE(half.query(write_sql("h0")).row);
   Gate gate;
   rig.primary.reply = gate.before(Reply{});
   auto before = rig.primary.count() + rig.replica.count();
@@ -391,7 +392,7 @@
 TEST_CASE("crossing: a watch that has fallen silent is opened anew before its news counts as told") {
   Rig rig;
   Client client(rig.port);
-  REQUIRE(client.ask(read_sql("i0")).row);
+  REQUIRE(client.query(read_sql("i0")).row);
   REQUIRE(soon([&] { return rig.discovery.calls >= 2; }));
   Server fresh(true);
   rig.discovery.silence_open_connections();
@@ -402,7 +403,7 @@
 TEST_CASE("crossing: a watch that trickles byte by byte is opened anew before its news counts as told") {
   Rig rig;
   Client client(rig.port);
-  REQUIRE(client.ask(read_sql("j0")).row);
+  REQUIRE(client.query(read_sql("j0")).row);
   rig.discovery.trickle = true;
   auto calls = rig.discovery.calls.load();
   REQUIRE(soon([&] { return rig.discovery.calls > calls; }));
@@ -416,12 +417,12 @@
 TEST_CASE("crossing: after SIGHUP a first call that is lost leaves time for a second") {
   Rig rig;
   Client client(rig.port);
-  REQUIRE(client.ask(read_sql("k0")).row);
+  REQUIRE(client.query(read_sql("k0")).row);
   Discovery next;
   Server fresh(true);
   next.set(entry("s-n", fresh));
   next.silent = true;
-  turn_discovery_to(rig, next.address());
+  move_discovery_to(rig, next.address());
   REQUIRE(soon([&] { return next.calls == 1; }));
   next.silence_open_connections();
   next.silent = false;
@@ -431,7 +432,7 @@
 TEST_CASE("crossing: a list without a length that a reset cuts off is no list") {
   Rig rig;
   Client client(rig.port);
-  REQUIRE(client.ask(read_sql("l0")).row);
+  REQUIRE(client.query(read_sql("l0")).row);
   Server wrong(true);
   std::atomic<int> calls{0};
   // The body is a whole list, and the reset comes behind it: nobody can tell what it has cut off.
@@ -442,9 +443,9 @@
               entry("s-w", wrong) + "]}");
     ++calls;
   });
-  turn_discovery_to(rig, cut.address());
+  move_discovery_to(rig, cut.address());
   REQUIRE(soon([&] { return calls >= 3; }));
-  CHECK(client.ask(write_sql("l1", 900)).row);
+  CHECK(client.query(write_sql("l1", 900)).row);
   CHECK(wrong.count() == 0);
 }
 
--- a/tests/proxy/peers_test.cpp
+++ b/tests/proxy/peers_test.cpp
@@ -29,7 +29,7 @@
   Client client(rig.port);
   auto before = Clock::now();
   for (int i = 0; i < 3; ++i) {
-    auto answer = client.ask(read_sql("g" + std::to_string(i), 9000));
+    auto answer = client.query(read_sql("g" + std::to_string(i), 9000));
     CHECK(answer.row);
     CHECK(answer.value == "value");
   }
@@ -42,7 +42,7 @@
   rig.primary.reply = [&](const std::string&) { return Reply{Reply::kRaw, error_53300() + "\x01noise", 0}; };
   rig.replica.reply = [](const std::string&) { return Reply{Reply::kError, "25006", 0}; };
   Client client(rig.port);
-  auto answer = client.ask(write_sql("sw", 800));
+  auto answer = client.query(write_sql("sw", 800));
   CHECK(answer.end == 'Z');
   CHECK_FALSE(answer.row);
   CHECK_FALSE(answer.code == "53300");
@@ -57,7 +57,7 @@
     return Reply{Reply::kBehind, behind, 0};
   };
   Client client(rig.port);
-  for (int i = 0; i < 8; ++i) CHECK(client.ask(write_sql("x" + std::to_string(i))).value == "value");
+  for (int i = 0; i < 8; ++i) CHECK(client.query(write_sql("x" + std::to_string(i))).value == "value");
   CHECK(rig.primary.connections >= 8);
 }
 
@@ -66,7 +66,7 @@
   auto text = row("value") + frame('S', 9, "usage") + pg::ready_for_query();
   rig.primary.reply = rig.replica.reply = [&](const std::string&) { return Reply{Reply::kRaw, text, 0}; };
   Client client(rig.port);
-  CHECK(client.ask(write_sql("u1")).row);
+  CHECK(client.query(write_sql("u1")).row);
   CHECK(rig.primary.count() == 1);
 }
 
@@ -81,13 +81,13 @@
     clients.back()->send(sent);
   }
   Client usual(rig.port);
-  CHECK(usual.ask(read_sql("h2")).row);
+  CHECK(usual.query(read_sql("h2")).row);
   auto before = Clock::now();
   for (auto& client : clients)
     while (client->more()) {
     }
   CHECK(Clock::now() - before < 5s);
-  CHECK(usual.ask(read_sql("h3")).row);  // idle between requests is no fault
+  CHECK(usual.query(read_sql("h3")).row);  // idle between requests is no fault
 }
 
 TEST_CASE("bad clients: an error arrives although the client goes on sending what is not read") {
@@ -124,16 +124,16 @@
   Client client(rig.port), other(rig.port);
   client.send(pg::simple_query(write_sql("same", 9000)));
   REQUIRE(soon([&] { return rig.primary.count() == 1; }));
-  CHECK(other.ask(write_sql("same", 9000)).code == "42710");
+  CHECK(other.query(write_sql("same", 9000)).code == "42710");
   CHECK(rig.primary.count() == 1);
   release = true;
   CHECK(client.answer().row);
-  CHECK(other.ask(write_sql("same", 9000)).row);  // over: the name is free again
+  CHECK(other.query(write_sql("same", 9000)).row);  // over: the name is free again
 }
 
 TEST_CASE("bad clients: hundreds that say nothing cost no connection to a data server and no usual client") {
   Rig rig(64);
-  auto usual = [&](int i) { return Client(rig.port).ask(write_sql("n" + std::to_string(i))); };
+  auto usual = [&](int i) { return Client(rig.port).query(write_sql("n" + std::to_string(i))); };
   REQUIRE(usual(0).row);
   auto before = rig.primary.connections.load();
   std::vector<std::unique_ptr<Client>> silent;
@@ -184,22 +184,22 @@
 TEST_CASE("fleet: a discovery that refuses is not asked for the whole list, and the last list serves on") {
   Rig rig;
   Client client(rig.port);
-  CHECK(client.ask(read_sql("d0", 900)).row);
+  CHECK(client.query(read_sql("d0", 900)).row);
   auto wholes = rig.discovery.wholes.load();
   rig.discovery.refusals = 4;
   REQUIRE(soon([&] { return rig.discovery.refusals == 0; }));
-  CHECK(client.ask(read_sql("d1", 900)).row);
+  CHECK(client.query(read_sql("d1", 900)).row);
   Server fresh(true);
   rig.discovery.set(entry("s-n", fresh));
-  CHECK(soon([&] { return client.ask(read_sql("d2", 400)).row && fresh.count() > 0; }));
+  CHECK(soon([&] { return client.query(read_sql("d2", 400)).row && fresh.count() > 0; }));
   CHECK(rig.discovery.wholes == wholes);
 }
 
 TEST_CASE("fleet: with a discovery that is silent from the start, the known list serves") {
   Rig rig(200, "", true);
   Client client(rig.port);
-  CHECK(client.ask(read_sql("q1", 900)).row);
-  CHECK(client.ask(write_sql("q2", 900)).row);
+  CHECK(client.query(read_sql("q1", 900)).row);
+  CHECK(client.query(write_sql("q2", 900)).row);
   rig.discovery.silent = false;
 }
 
@@ -208,17 +208,17 @@
   Rig rig;
   rig.replica.full = true;
   Client client(rig.port);
-  for (int i = 0; i < 6; ++i) CHECK(client.ask(read_sql("f" + std::to_string(i), 1500)).row);
+  for (int i = 0; i < 6; ++i) CHECK(client.query(read_sql("f" + std::to_string(i), 1500)).row);
   CHECK(rig.replica.count() == 0);
   CHECK(rig.replica.connections <= 12);  // it is not stormed: one attempt a request, and probes
   rig.replica.full = false;
-  CHECK(soon([&] { return client.ask(read_sql("g", 900)).row && rig.replica.count() > 0; }));
+  CHECK(soon([&] { return client.query(read_sql("g", 900)).row && rig.replica.count() > 0; }));
 }
 
 TEST_CASE("fleet: a whole list in which most servers are new, with one that refuses, moves all work") {
   Rig rig;
   Client client(rig.port);
-  CHECK(client.ask(write_sql("w0", 900)).row);
+  CHECK(client.query(write_sql("w0", 900)).row);
   Server primary(true), one(false), two(false);
   std::string on_client_disconnected;
   {
@@ -227,11 +227,11 @@
   }
   rig.discovery.set(on_client_disconnected + "," + entry("s-1", one) + "," + entry("s-2", two) + "," +
                     entry("s-0", primary));
-  REQUIRE(soon([&] { return client.ask(write_sql("w", 900)).row && primary.count() > 0; }));
+  REQUIRE(soon([&] { return client.query(write_sql("w", 900)).row && primary.count() > 0; }));
   auto old = rig.primary.count() + rig.replica.count();
   for (int i = 0; i < 10; ++i) {
-    CHECK(client.ask(write_sql("w" + std::to_string(i + 1), 1500)).row);
-    CHECK(client.ask(read_sql("r" + std::to_string(i), 1500)).row);
+    CHECK(client.query(write_sql("w" + std::to_string(i + 1), 1500)).row);
+    CHECK(client.query(read_sql("r" + std::to_string(i), 1500)).row);
   }
   CHECK(rig.primary.count() + rig.replica.count() == old);
 }
--- a/tests/proxy/rig.h
+++ b/tests/proxy/rig.h
@@ -37,8 +37,8 @@
 }
 
 // True once `good` holds; false after a time that only a fault can take.
-inline bool soon(const std::function<bool()>& good, Clock::duration patience = 8s) {
-  for (auto end = Clock::now() + patience; Clock::now() < end; std::this_thread::sleep_for(2ms))
+inline bool soon(const std::function<bool()>& good, Clock::duration timeout = 8s) {
+  for (auto end = Clock::now() + timeout; Clock::now() < end; std::this_thread::sleep_for(2ms))
     if (good()) return true;
   return good();
 }
@@ -130,6 +130,7 @@
   std::thread accepting_;
 };
 
+// What a fake data server answers to one statement.
 struct Reply {
   // kRaw: `text` as it is, and no more. kBehind: a good row "value", and `text` right behind it.
   enum What { kRow, kError, kSilence, kReset, kHalf, kRaw, kBehind } what = kRow;
@@ -334,6 +335,7 @@
          extra + "}}";
 }
 
+// What a client got for one statement.
 struct Answer {
   char end = 0;  // Z, or 0 when the connection ended first
   bool row = false;
@@ -345,6 +347,7 @@
   return std::string("\0\0\0\x10\x04\xd2\x16\x2e", 8) + key;
 }
 
+// A blocking client of the proxy.
 class Client : public Peer {
  public:
   explicit Client(int port, bool greeted = true) : Peer(Peer::to(port)) {
@@ -384,7 +387,7 @@
       a.detail = fields->detail;
     }
   }
-  Answer ask(const std::string& sql) {
+  Answer query(const std::string& sql) {
     send(pg::simple_query(sql));
     return answer();
   }
@@ -424,7 +427,7 @@
       options.known = config.known;
       routing::LocalDecider decider(facade);
       proxy::Proxy proxy(loop, decider, options, [](net::Level, const std::string&) {});
-      struct Told : net::Handler {
+      struct StopHandler : net::Handler {
         std::function<void()> call;
         void on_ready(std::uint32_t events) override {
           if (events & EPOLLIN) call();
@@ -470,10 +473,10 @@
     }));
   }
   // The proxy's loop stands still while this lives: all that happens meanwhile is ready in its next turn.
-  class StandStill {
+  class HeldLoop {
    public:
     // `first` runs in the proxy's own thread before it stands still.
-    explicit StandStill(
+    explicit HeldLoop(
         Rig& rig, std::function<void(proxy::Proxy&)> first = [](proxy::Proxy&) {}) {
       auto state = state_;
       rig.with_proxy([state, first](proxy::Proxy& proxy) {
@@ -483,7 +486,7 @@
       });
       state->standing.get_future().wait();
     }
-    ~StandStill() { state_->released.set_value(); }
+    ~HeldLoop() { state_->released.set_value(); }
 
    private:
     struct State {
--- a/tests/proxy/rules_test.cpp
+++ b/tests/proxy/rules_test.cpp
@@ -105,7 +105,7 @@
                           "SELECT content FROM kv WHERE name = 'k1' /* id=1,c=book,d=9,k=1,cluster=2 */",
                           "INSERT INTO kv (name, content) VALUES ('k', 'v') RETURNING content /* "
                           "id=1,c=book,d=9,cluster=2 */"}) {
-    auto answer = client.ask(sql);
+    auto answer = client.query(sql);
     CHECK(answer.end == 'Z');
     CHECK(answer.code.size() == 5);
     CHECK_FALSE(answer.code == "08P01");
@@ -119,14 +119,14 @@
   auto last = client.answer();
   CHECK(last.code == "08P01");
   CHECK(last.end == 0);
-  CHECK(other.ask(read_sql("b1")).row);
+  CHECK(other.query(read_sql("b1")).row);
   CHECK(rig.primary.count() + rig.replica.count() == 1);
 }
 
 TEST_CASE("servers: statement, id and k pass on unchanged, d tells our own wait") {
   Rig rig;
   Client client(rig.port);
-  CHECK(client.ask(write_sql("w1", 1500)).row);
+  CHECK(client.query(write_sql("w1", 1500)).row);
   REQUIRE(rig.primary.count() == 1);
   auto got = rig.primary.statements()[0], sent = write_sql("w1", 1500);
   auto at = sent.find("d=1500") + 2;
@@ -141,8 +141,8 @@
 TEST_CASE("servers: a client that waits for a short while has nearly all of it") {
   Rig rig;
   Client client(rig.port);
-  REQUIRE(client.ask(write_sql("w0")).row);
-  client.ask(write_sql("w1", 40));  // served or not: the machine may be slow
+  REQUIRE(client.query(write_sql("w0")).row);
+  client.query(write_sql("w1", 40));  // served or not: the machine may be slow
   for (auto& sql : rig.primary.statements())
     if (auto at = sql.find("id=w1,c=book,d="); at != std::string::npos)
       CHECK(std::stoi(sql.substr(at + 15)) >= 36);
@@ -153,7 +153,7 @@
   rig.primary.reply = [](const std::string&) { return Reply{Reply::kReset, "", 0}; };
   rig.replica.reply = [](const std::string&) { return Reply{Reply::kError, "25006", 0}; };
   Client client(rig.port);
-  auto answer = client.ask(write_sql("w2", 800));
+  auto answer = client.query(write_sql("w2", 800));
   CHECK(answer.end == 'Z');
   CHECK_FALSE(answer.row);
   CHECK_FALSE(answer.code == "53300");
@@ -168,7 +168,7 @@
   rig.discovery.set("");  // every server is gone
   Client client(rig.port);
   REQUIRE(soon([&] { return rig.discovery.calls >= 2; }));
-  auto answer = client.ask(read_sql("r1", 1900));
+  auto answer = client.query(read_sql("r1", 1900));
   CHECK(answer.code == "53300");
   CHECK(std::stoi(answer.detail) > 0);
   CHECK(rig.primary.count() + rig.replica.count() == 0);
@@ -179,7 +179,7 @@
   rig.primary.reply = rig.replica.reply = [](const std::string&) { return Reply{Reply::kSilence, "", 0}; };
   Client client(rig.port);
   auto before = Clock::now();
-  auto answer = client.ask(read_sql("s1", 1500));
+  auto answer = client.query(read_sql("s1", 1500));
   CHECK(Clock::now() - before < 1500ms);
   CHECK(answer.end == 'Z');
   CHECK_FALSE(answer.code.empty());
@@ -212,14 +212,14 @@
   }
   CHECK(client.answer().code == "57014");
   CHECK(soon([&] { return rig.primary.out == 0; }));
-  CHECK(client.ask("SET a = 1").tag == "SET");
+  CHECK(client.query("SET a = 1").tag == "SET");
 }
 
 TEST_CASE("reads: one turned away as too far behind goes on to another server") {
   Rig rig;
   rig.replica.reply = [](const std::string&) { return Reply{Reply::kError, "72000", unix_ms() - 5000}; };
   Client client(rig.port);
-  auto answer = client.ask(read_sql("f1", 1900));
+  auto answer = client.query(read_sql("f1", 1900));
   CHECK(answer.row);
   CHECK(rig.primary.count() == 1);
 }
@@ -227,13 +227,13 @@
 TEST_CASE("draining: no new work later than 1 s after word of it") {
   Rig rig;
   Client client(rig.port);
-  REQUIRE(client.ask(read_sql("d0")).row);
+  REQUIRE(client.query(read_sql("d0")).row);
   rig.discovery.set(entry("s-p", rig.primary) + "," + entry("s-r", rig.replica, "draining"));
   auto told = rig.discovery.calls.load();
   REQUIRE(soon([&] { return rig.discovery.calls >= told + 2; }));
   std::this_thread::sleep_for(1s);
   auto before = rig.replica.count();
-  for (int i = 1; i <= 5; ++i) CHECK(client.ask(read_sql("d" + std::to_string(i), 1900)).row);
+  for (int i = 1; i <= 5; ++i) CHECK(client.query(read_sql("d" + std::to_string(i), 1900)).row);
   CHECK(rig.replica.count() == before);
 }
 
@@ -254,7 +254,7 @@
   }
   std::string big = "INSERT INTO kv (name, content) VALUES ('k1', '\\x" + std::string(131072, 'a') +
                     "') RETURNING content /* id=v1,c=book,d=4000,k=7,cluster=2 */";
-  CHECK(client.ask(big).value == value);
+  CHECK(client.query(big).value == value);
 }
 
 TEST_CASE("values: one that breaks off halfway never reaches the client, a read goes on to another server") {
@@ -264,7 +264,7 @@
   rig.primary.reply = [&](const std::string&) { return Reply{Reply::kRow, value, 0}; };
   Client client(rig.port);
   for (int i = 0; i < 3; ++i) {
-    auto answer = client.ask(read_sql("h" + std::to_string(i), 1900));
+    auto answer = client.query(read_sql("h" + std::to_string(i), 1900));
     CHECK(answer.end == 'Z');
     CHECK((answer.row ? answer.value == value : !answer.code.empty()));
   }
@@ -312,7 +312,7 @@
 TEST_CASE("long days: servers that come and go leave nothing behind") {
   Rig rig;
   Client client(rig.port);
-  REQUIRE(client.ask(write_sql("l0")).row);
+  REQUIRE(client.query(write_sql("l0")).row);
   net::Loop loop;
   routing::DecisionFacade facade(rig.config.settings, 1, routing::UnixClock::measured(),
                                  [](const std::string&) {});
@@ -354,7 +354,7 @@
 TEST_CASE("connections: reused between requests, and closed before the server's idle limit") {
   Rig rig(200, R"(,"Extra":{"New":1})");
   Client client(rig.port);
-  for (int i = 0; i < 6; ++i) REQUIRE(client.ask(write_sql("c" + std::to_string(i))).row);
+  for (int i = 0; i < 6; ++i) REQUIRE(client.query(write_sql("c" + std::to_string(i))).row);
   CHECK(rig.primary.connections <= 2);  // a probe may have needed the second
   CHECK(rig.config.pool.idle < 30s);
 }
@@ -366,7 +366,7 @@
   Server fresh(true);
   rig.discovery.set(entry("s-n", fresh));
   Client client(rig.port);
-  CHECK(soon([&] { return client.ask(read_sql("n1", 400)).row && fresh.count() > 0; }));
+  CHECK(soon([&] { return client.query(read_sql("n1", 400)).row && fresh.count() > 0; }));
 }
 
 TEST_CASE("discovery: a new address takes over once it has told its list, whatever version it counts from") {
@@ -377,27 +377,27 @@
   Server fresh(true);
   next.set(entry("s-n", fresh));  // its version is far lower than the old one's
   mute.breaks = 1 << 20;
-  auto turn_to = [&](const std::string& address) {
+  auto move_to = [&](const std::string& address) {
     rig.with_proxy([&](proxy::Proxy& p) {
       proxy::ProxyOptions options{rig.config.listen, address,         rig.config.sockets,
                                   rig.config.memory, rig.config.pool, {}};
       p.reconfigure(options);
     });
   };
-  turn_to(mute.address());  // it tells nothing: the old one stays in force
+  move_to(mute.address());  // it tells nothing: the old one stays in force
   REQUIRE(soon([&] { return mute.calls >= 2; }));
   Server later(true);
   rig.discovery.set(entry("s-l", later));
-  CHECK(soon([&] { return client.ask(read_sql("o1", 400)).row && later.count() > 0; }));
-  turn_to(next.address());
-  CHECK(soon([&] { return client.ask(read_sql("o2", 400)).row && fresh.count() > 0; }));
+  CHECK(soon([&] { return client.query(read_sql("o1", 400)).row && later.count() > 0; }));
+  move_to(next.address());
+  CHECK(soon([&] { return client.query(read_sql("o2", 400)).row && fresh.count() > 0; }));
   auto old_calls = rig.discovery.calls.load();
-  turn_to(next.address());  // nothing new: the watch goes on
+  move_to(next.address());  // nothing new: the watch goes on
   Server last(true);
   next.set(entry("s-q", last));  // as a change of the same watch
-  CHECK(soon([&] { return client.ask(read_sql("o3", 400)).row && last.count() > 0; }));
+  CHECK(soon([&] { return client.query(read_sql("o3", 400)).row && last.count() > 0; }));
   CHECK(rig.discovery.calls == old_calls);
-  turn_to(rig.discovery.address());  // and back again
+  move_to(rig.discovery.address());  // and back again
   CHECK(soon([&] { return rig.discovery.calls > old_calls; }));
 }
 
@@ -405,7 +405,7 @@
   Rig rig(40);
   std::vector<std::unique_ptr<Client>> idle;
   for (int i = 0; i < 40; ++i) idle.push_back(std::make_unique<Client>(rig.port));
-  CHECK(idle.back()->ask(read_sql("e1", 1900)).row);
+  CHECK(idle.back()->query(read_sql("e1", 1900)).row);
 }
 
 TEST_CASE("descriptors: clients that asked once and stay give way long before the limit, oldest first") {
@@ -413,18 +413,18 @@
   std::vector<std::unique_ptr<Client>> asked;
   for (int i = 0; i < 60; ++i) {
     asked.push_back(std::make_unique<Client>(rig.port));
-    REQUIRE(asked.back()->ask(read_sql("k" + std::to_string(i), 1900)).row);
+    REQUIRE(asked.back()->query(read_sql("k" + std::to_string(i), 1900)).row);
   }
   std::this_thread::sleep_for(100ms);
   Client last(rig.port);
-  REQUIRE(last.ask(read_sql("k60", 1900)).row);
+  REQUIRE(last.query(read_sql("k60", 1900)).row);
   auto ended = [](Client& client) {
     pollfd p{client.fd(), POLLIN, 0};
     return poll(&p, 1, 0) == 1;
   };
   CHECK(soon([&] { return ended(*asked[0]) && ended(*asked[5]); }));
   CHECK_FALSE(ended(*asked[59]));
-  CHECK(last.ask(read_sql("k61", 1900)).row);
+  CHECK(last.query(read_sql("k61", 1900)).row);
 }
 
 TEST_CASE("stopping: what was taken is answered, new connections too, then it ends by itself") {
@@ -439,7 +439,7 @@
   REQUIRE(soon([&] { return rig.primary.count() == 1; }));
   rig.stop_gently();
   Client late(rig.port);
-  CHECK(late.ask(read_sql("t2")).row);
+  CHECK(late.query(read_sql("t2")).row);
   CHECK_FALSE(idle.more());  // closed between requests
   CHECK_FALSE(rig.ended);
   release = true;
--- a/tests/testbench/lab_test.cpp
+++ b/tests/testbench/lab_test.cpp
@@ -124,18 +124,18 @@
     return "SELECT content FROM kv WHERE name = 'k' /* id=" + id + ",c=own-view,d=900,cluster=1" + rest +
            " */";
   };
-  CHECK(replica.ask(sql("a", "")).value == "a");
+  CHECK(replica.query(sql("a", "")).value == "a");
   CHECK(stand_in.rules().total() == 0);
-  CHECK(replica.ask(sql("b", ",after=" + std::to_string(test::unix_ms() + 5000))).row);
+  CHECK(replica.query(sql("b", ",after=" + std::to_string(test::unix_ms() + 5000))).row);
   CHECK(count(stand_in.rules(), Rule::kStale) == 1);
-  CHECK(primary.ask(test::write_sql("w1")).row);
-  CHECK(primary.ask(test::write_sql("w2")).row);  // the same key within its window
+  CHECK(primary.query(test::write_sql("w1")).row);
+  CHECK(primary.query(test::write_sql("w2")).row);  // the same key within its window
   CHECK(count(stand_in.rules(), Rule::kKey) == 0);
   std::this_thread::sleep_for(std::chrono::milliseconds(80));
-  CHECK(primary.ask(test::write_sql("w3")).row);
+  CHECK(primary.query(test::write_sql("w3")).row);
   CHECK(count(stand_in.rules(), Rule::kKey) == 1);
-  CHECK(replica.ask(test::write_sql("w4")).code == "25006");
-  CHECK(replica.ask("DROP TABLE kv").code == "08P01");
+  CHECK(replica.query(test::write_sql("w4")).code == "25006");
+  CHECK(replica.query("DROP TABLE kv").code == "08P01");
   CHECK_THROWS_WITH(stand_in.steer({{"do", "explode"}}), Catch::Contains("explode"));
   CHECK_THROWS_WITH(stand_in.steer({{"do", "drain"}, {"server", "s9-9"}}), Catch::Contains("s9-9"));
   CHECK_THROWS_WITH(FakeServersOptions::parse({{"sest", 1}}), Catch::Contains("sest"));
@@ -163,12 +163,12 @@
     return std::stoi(a.substr(a.rfind(':') + 1));
   };
   test::Client old(port(0)), next(port(1));
-  CHECK(test::soon([&] { return next.ask(test::write_sql("h" + std::to_string(rand()))).row; }));
-  CHECK(old.ask(test::write_sql("x")).code == "25006");
+  CHECK(test::soon([&] { return next.query(test::write_sql("h" + std::to_string(rand()))).row; }));
+  CHECK(old.query(test::write_sql("x")).code == "25006");
   CHECK(steer(R"({"do":"kill","server":"s1-1"})").at("ok") == true);
   CHECK_FALSE(old.more());
   CHECK(steer(R"({"do":"start","server":"s1-1"})").at("ok") == true);
-  CHECK(test::Client(port(0)).ask("").tag == "empty");
+  CHECK(test::Client(port(0)).query("").tag == "empty");
   CHECK(stand_in.members().at("instances").at(0).at("startedAtMs") > 0);
   CHECK(steer("no JSON").at("ok") == false);
   CHECK(steer(R"({"do":"report"})").at("servers").contains("s1-1"));
--- a/tests/workers/worker_parts_test.cpp
+++ b/tests/workers/worker_parts_test.cpp
@@ -43,54 +43,55 @@
 }  // namespace
 
 TEST_CASE("fence: a send decided before the word of a drain goes back, one decided in its knowledge passes") {
-  DecisionStalenessCheck fence;
-  fence.on_endpoint_list(Micros(0), update(true, {{"a", Lifecycle::kUp}, {"b", Lifecycle::kUp}}));
-  REQUIRE(fence.version() == 1);
+  DecisionStalenessCheck staleness_check;
+  staleness_check.on_endpoint_list(Micros(0), update(true, {{"a", Lifecycle::kUp}, {"b", Lifecycle::kUp}}));
+  REQUIRE(staleness_check.version() == 1);
   Micros now(1000);
-  CHECK(fence.check(now, send_to("a", 1, now)) == DecisionStalenessCheck::Verdict::kCurrent);
-  CHECK(fence.check(now, send_to("a", 2, now)) == DecisionStalenessCheck::Verdict::kAhead);
-  fence.on_endpoint_list(now, update(false, {{"a", Lifecycle::kDraining}}));
-  CHECK(fence.check(now, send_to("a", 1, now)) == DecisionStalenessCheck::Verdict::kClosed);
-  CHECK(fence.check(now, send_to("b", 1, now)) == DecisionStalenessCheck::Verdict::kCurrent);
-  CHECK(fence.check(now, send_to("a", 2, now)) ==
+  CHECK(staleness_check.check(now, send_to("a", 1, now)) == DecisionStalenessCheck::Verdict::kCurrent);
+  CHECK(staleness_check.check(now, send_to("a", 2, now)) == DecisionStalenessCheck::Verdict::kAhead);
+  staleness_check.on_endpoint_list(now, update(false, {{"a", Lifecycle::kDraining}}));
+  CHECK(staleness_check.check(now, send_to("a", 1, now)) == DecisionStalenessCheck::Verdict::kClosed);
+  CHECK(staleness_check.check(now, send_to("b", 1, now)) == DecisionStalenessCheck::Verdict::kCurrent);
+  CHECK(staleness_check.check(now, send_to("a", 2, now)) ==
         DecisionStalenessCheck::Verdict::kCurrent);  // a primary that hands over
   // The same word again does not turn back what was decided after the first.
-  fence.on_endpoint_list(now, update(false, {{"a", Lifecycle::kDraining}}));
-  CHECK(fence.check(now, send_to("a", 2, now)) == DecisionStalenessCheck::Verdict::kCurrent);
-  CHECK(fence.check(now, send_to("a", 1, now)) == DecisionStalenessCheck::Verdict::kClosed);
+  staleness_check.on_endpoint_list(now, update(false, {{"a", Lifecycle::kDraining}}));
+  CHECK(staleness_check.check(now, send_to("a", 2, now)) == DecisionStalenessCheck::Verdict::kCurrent);
+  CHECK(staleness_check.check(now, send_to("a", 1, now)) == DecisionStalenessCheck::Verdict::kClosed);
   // Removal closes too, told or by its absence from a whole list; up again opens.
-  fence.on_endpoint_list(now, update(false, {{"b", Lifecycle::kRemoved}}));
-  CHECK(fence.check(now, send_to("b", 3, now)) == DecisionStalenessCheck::Verdict::kClosed);
-  fence.on_endpoint_list(now, update(true, {{"c", Lifecycle::kUp}}));
-  CHECK(fence.check(now, send_to("a", 4, now)) == DecisionStalenessCheck::Verdict::kClosed);
-  CHECK(fence.check(now, send_to("c", 4, now)) == DecisionStalenessCheck::Verdict::kCurrent);
+  staleness_check.on_endpoint_list(now, update(false, {{"b", Lifecycle::kRemoved}}));
+  CHECK(staleness_check.check(now, send_to("b", 3, now)) == DecisionStalenessCheck::Verdict::kClosed);
+  staleness_check.on_endpoint_list(now, update(true, {{"c", Lifecycle::kUp}}));
+  CHECK(staleness_check.check(now, send_to("a", 4, now)) == DecisionStalenessCheck::Verdict::kClosed);
+  CHECK(staleness_check.check(now, send_to("c", 4, now)) == DecisionStalenessCheck::Verdict::kCurrent);
 }
 
 TEST_CASE("fence: what was decided long ago, or has no time left, goes back, cancels always pass") {
-  DecisionStalenessCheck fence;
-  fence.on_endpoint_list(Micros(0), update(true, {{"a", Lifecycle::kUp}}));
+  DecisionStalenessCheck staleness_check;
+  staleness_check.on_endpoint_list(Micros(0), update(true, {{"a", Lifecycle::kUp}}));
   Micros made(5000);
-  CHECK(fence.check(made + kLongestDecisionAge, send_to("a", 1, made)) ==
+  CHECK(staleness_check.check(made + kLongestDecisionAge, send_to("a", 1, made)) ==
         DecisionStalenessCheck::Verdict::kCurrent);
-  CHECK(fence.check(made + kLongestDecisionAge + Micros(1), send_to("a", 1, made)) ==
+  CHECK(staleness_check.check(made + kLongestDecisionAge + Micros(1), send_to("a", 1, made)) ==
         DecisionStalenessCheck::Verdict::kTooOld);
-  CHECK(fence.check(made + Micros(3000), send_to("a", 1, made, Micros(3000))) ==
+  CHECK(staleness_check.check(made + Micros(3000), send_to("a", 1, made, Micros(3000))) ==
         DecisionStalenessCheck::Verdict::kTooOld);
   Decision cancel = send_to("a", 1, made);
   cancel.kind = Decision::Kind::kCancel;
-  CHECK(fence.check(made + Micros(10'000'000), cancel) == DecisionStalenessCheck::Verdict::kCurrent);
+  CHECK(staleness_check.check(made + Micros(10'000'000), cancel) ==
+        DecisionStalenessCheck::Verdict::kCurrent);
 }
 
 TEST_CASE("fence: it forgets closings that no decision can be older than, however many servers come and go") {
-  DecisionStalenessCheck fence;
+  DecisionStalenessCheck staleness_check;
   Micros now(0);
   for (int i = 0; i < 5000; ++i) {
     now += Micros(50'000);
     auto id = "s" + std::to_string(i);
-    fence.on_endpoint_list(now, update(false, {{id, Lifecycle::kUp}}));
-    fence.on_endpoint_list(now, update(false, {{id, Lifecycle::kRemoved}}));
+    staleness_check.on_endpoint_list(now, update(false, {{id, Lifecycle::kUp}}));
+    staleness_check.on_endpoint_list(now, update(false, {{id, Lifecycle::kRemoved}}));
   }
-  CHECK(fence.kept() <= 25);
+  CHECK(staleness_check.kept() <= 25);
 }
 
 TEST_CASE(
--- a/tests/workers/worker_pool_test.cpp
+++ b/tests/workers/worker_pool_test.cpp
@@ -87,7 +87,7 @@
     config.sockets = descriptors;
     running.emplace(config, o);
     port = running->port;
-    REQUIRE(soon([&] { return Client(port).ask(read_sql("first")).row; }));
+    REQUIRE(soon([&] { return Client(port).query(read_sql("first")).row; }));
   }
   std::string list(const std::string& of_second) {
     return entry("s-p", primary) + "," + entry("s-r", replica) + "," + entry("s-q", second, of_second);
@@ -152,8 +152,8 @@
       GroupRig rig(o);
       auto placed = one_on_each(rig.port, 3);
       for (std::size_t w = 0; w < 3; ++w) {
-        CHECK(placed[w]->client.ask(read_sql("r" + std::to_string(w))).value == "value");
-        CHECK(placed[w]->client.ask(write_sql("w" + std::to_string(w))).row);
+        CHECK(placed[w]->client.query(read_sql("r" + std::to_string(w))).value == "value");
+        CHECK(placed[w]->client.query(write_sql("w" + std::to_string(w))).row);
       }
       rig.running->stop_gently();
       CHECK(rig.running->counters.served == 7);
@@ -203,10 +203,10 @@
     auto before = rig.primary.count() + rig.replica.count() + rig.second.count();
     placed[0]->client.send(pg::simple_query(read_sql("same", 1900)));
     REQUIRE(soon([&] { return rig.primary.count() + rig.replica.count() + rig.second.count() > before; }));
-    CHECK(placed[1]->client.ask(read_sql("same", 1900)).code == "42710");
+    CHECK(placed[1]->client.query(read_sql("same", 1900)).code == "42710");
     release = true;
     CHECK(placed[0]->client.answer().row);
-    CHECK(placed[1]->client.ask(read_sql("same", 1900)).row);  // it is free again
+    CHECK(placed[1]->client.query(read_sql("same", 1900)).row);  // it is free again
   }
 }
 
@@ -258,7 +258,7 @@
   }
   std::this_thread::sleep_for(200ms);
   auto placed = one_on_each(rig.port, 2);
-  for (auto& p : placed) CHECK(p->client.ask(read_sql("m" + std::to_string(p->worker))).row);
+  for (auto& p : placed) CHECK(p->client.query(read_sql("m" + std::to_string(p->worker))).row);
   CHECK(rig.primary.count() + rig.replica.count() + rig.second.count() == before + 2);
   rig.running->stop_gently();
   CHECK(rig.running->counters.on_client_disconnected == 2);
@@ -296,7 +296,7 @@
   CHECK(failed > 0);
   CHECK(refused + failed == 120);
   std::this_thread::sleep_for(600ms);
-  CHECK(placed[0]->client.ask(read_sql("after")).row);
+  CHECK(placed[0]->client.query(read_sql("after")).row);
   rig.running->stop_gently();
   balances(rig.running->counters);
 }
@@ -316,10 +316,10 @@
   std::this_thread::sleep_for(20ms);
   release = true;
   auto began = Clock::now();
-  for (int i = 0; i < 5; ++i) CHECK(placed[1]->client.ask(read_sql("o" + std::to_string(i))).row);
+  for (int i = 0; i < 5; ++i) CHECK(placed[1]->client.query(read_sql("o" + std::to_string(i))).row);
   CHECK(Clock::now() - began < 250ms);
   for (int i = 0; i < 6; ++i) CHECK(placed[0]->client.answer().row);
-  CHECK(placed[0]->client.ask(read_sql("again")).row);
+  CHECK(placed[0]->client.query(read_sql("again")).row);
   CHECK(rig.replica.most_out <= 6);
   rig.running->stop_gently();
   balances(rig.running->counters);
@@ -346,7 +346,7 @@
       auto began = Clock::now();
       Placed usual(rig.port, 2);  // waits for its greeting: worker 1 has to have one of worker 0 closed
       if (usual.worker == 1) longest = std::max(longest, Clock::now() - began);
-      if (usual.worker == 1) served += usual.client.ask(read_sql("u" + std::to_string(i))).row;
+      if (usual.worker == 1) served += usual.client.query(read_sql("u" + std::to_string(i))).row;
     }
     CHECK(served == 5);
     CHECK(longest < 1500ms);  // it did not have to wait until the silent ones were closed for their silence
@@ -427,7 +427,7 @@
   std::this_thread::sleep_for(100ms);
   Client late(rig.port);  // new connections keep coming for a while
   release = true;
-  CHECK(late.ask(read_sql("late")).row);
+  CHECK(late.query(read_sql("late")).row);
   for (auto& p : placed) CHECK(p->client.answer().row);
   stopping.join();
   CHECK(rig.running->counters.served == rig.running->counters.taken);
