--- a/src/proxy/client_eviction.h
+++ b/src/proxy/client_eviction.h
@@ -1,4 +1,5 @@
-// Which client gives way where a descriptor is needed. Pure: no I/O, no clock.
+// Which client gives way where a descriptor is needed. Pure: no I/O, no clock. All clients are looked at for
+// each one that is to be accepted at the limit, so everything here is inline.
 #pragma once
 
 #include <chrono>
@@ -11,32 +12,37 @@
 // A client that has sent a command so lately may be about to send another, and its answer may still be on the
 // way.
 constexpr Micros kRecentlyActive = std::chrono::milliseconds(50);
+// A client that has been idle for so long, or has sent nothing for so long since it came, gives way to
+// another one.
+constexpr Micros kLongIdle = std::chrono::seconds(2), kLongSilent = std::chrono::seconds(1);
 
 // In the order in which clients give way: the first has nothing to lose.
 enum class EvictionRank {
-  kLingering,     // it has had its last answer
-  kLongSilent,    // it has never sent a command, for 1 s at least
-  kLongIdle,      // between commands, for 2 s at least
-  kIdle,          // between commands
-  kJustConnected  // it has never sent a command and has come just now
+  kLingering,      // it has had its last answer
+  kLongSilent,     // it has never sent a command, for kLongSilent at least
+  kLongIdle,       // between commands, for kLongIdle at least
+  kIdle,           // between commands
+  kJustConnected,  // it has never sent a command and has come just now
+  kStays,
 };
-constexpr std::size_t kEvictionRanks = 5;
+constexpr std::size_t kEvictionRanks = static_cast<std::size_t>(EvictionRank::kStays);
 
 // Whether only clients with nothing to lose may give way, or also those that a usual client may be: it needs
 // a moment to send its first command.
 enum class EvictionScope { kNothingToLose, kAnyIdle };
 
-// What is known of one client.
-struct EvictionCandidate {
-  bool is_lingering = false;
-  bool is_unused = false;
-  bool is_mid_command = false;
-  bool is_idle = false;
-  Micros quiet_for{0};  // since it last sent a command, or came
-};
+// The rank of a client that has never sent a command. Whoever came in this very iteration has had no chance
+// to.
+constexpr EvictionRank rank_unused(Micros quiet_for, bool is_mid_command) {
+  if (quiet_for >= kLongSilent && !is_mid_command) return EvictionRank::kLongSilent;
+  return quiet_for.count() > 0 ? EvictionRank::kJustConnected : EvictionRank::kStays;
+}
 
-// How easily the client can be missed; kEvictionRanks: it must stay.
-std::size_t eviction_rank(const EvictionCandidate& client);
+// The rank of a client that has sent commands.
+constexpr EvictionRank rank_used(Micros quiet_for, bool is_idle) {
+  if (!is_idle || quiet_for < kRecentlyActive) return EvictionRank::kStays;
+  return quiet_for >= kLongIdle ? EvictionRank::kLongIdle : EvictionRank::kIdle;
+}
 
 // So many ranks give way.
 constexpr std::size_t ranks_in(EvictionScope scope) {
--- a/src/proxy/client_session.cpp
+++ b/src/proxy/client_session.cpp
@@ -49,23 +49,6 @@
   return loop_.add(fd_.get(), this);
 }
 
-bool ClientSession::is_idle() const {
-  return queue_.empty() && !awaits_ready() && input_.view().empty() && unsent() == 0;
-}
-
-bool ClientSession::has_started() const {
-  return state_ == State::kServing || state_ == State::kAwaitingReady || state_ == State::kSkippingToSync ||
-         state_ == State::kFinishing;
-}
-
-bool ClientSession::takes_commands() const {
-  return state_ == State::kStartup || state_ == State::kServing || state_ == State::kSkippingToSync;
-}
-
-bool ClientSession::is_mid_command() const {
-  return queue_.empty() && has_started() && !input_.view().empty();
-}
-
 // The one place where a connection ends. What is answered already goes out as far as the socket takes it.
 void ClientSession::close() {
   if (!fd_) return;
--- a/src/proxy/client_session.h
+++ b/src/proxy/client_session.h
@@ -62,7 +62,7 @@
   bool poll_input();
 
   // Between requests: nothing taken, nothing half read, nothing left to write.
-  bool is_idle() const;
+  bool is_idle() const { return queue_.empty() && !awaits_ready() && input_.view().empty() && unsent() == 0; }
   // Something is still to be answered or written.
   bool is_busy() const { return !is_lingering() && (!queue_.empty() || unsent() > 0); }
   bool owes_answers() const { return !queue_.empty(); }
@@ -71,7 +71,7 @@
   // It has never sent a command.
   bool is_unused() const { return queue_.empty() && !has_sent_command_ && !awaits_ready(); }
   // A command has begun to arrive and is not complete.
-  bool is_mid_command() const;
+  bool is_mid_command() const { return queue_.empty() && has_started() && !input_.view().empty(); }
   Micros idle_since() const { return idle_since_; }
   std::uint32_t number() const { return number_; }
   std::uint32_t secret() const { return secret_; }
@@ -115,8 +115,13 @@
   };
 
   bool awaits_ready() const { return state_ == State::kAwaitingReady; }
-  bool takes_commands() const;
-  bool has_started() const;
+  bool takes_commands() const {
+    return state_ == State::kStartup || state_ == State::kServing || state_ == State::kSkippingToSync;
+  }
+  bool has_started() const {
+    return state_ == State::kServing || state_ == State::kAwaitingReady || state_ == State::kSkippingToSync ||
+           state_ == State::kFinishing;
+  }
 
   // lifetime
   void on_peer_closed();
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -250,24 +250,30 @@
   return has_fair_share ? EvictionScope::kAnyIdle : EvictionScope::kNothingToLose;
 }
 
+namespace {
+
+EvictionRank eviction_rank(const ClientSession& session, Micros now) {
+  if (session.is_lingering()) return EvictionRank::kLingering;
+  auto quiet_for = now - session.idle_since();
+  if (session.is_unused()) return rank_unused(quiet_for, session.is_mid_command());
+  return rank_used(quiet_for, session.is_idle());
+}
+
+}  // namespace
+
 // Closes the client that can be missed most easily, the longest quiet one of its rank; false: all must stay.
 bool Proxy::close_client(EvictionScope scope) {
   std::array<ClientSession*, kEvictionRanks> candidates{};
+  auto now = loop_.now();
   for (auto& [session, owned] : sessions_) {
-    EvictionCandidate client;
-    client.is_lingering = session->is_lingering();
-    client.is_unused = session->is_unused();
-    client.is_mid_command = session->is_mid_command();
-    client.is_idle = session->is_idle();
-    client.quiet_for = loop_.now() - session->idle_since();
-    auto rank = eviction_rank(client);
+    auto rank = static_cast<std::size_t>(eviction_rank(*session, now));
     if (rank >= kEvictionRanks) continue;
-    auto*& candidate = candidates.at(rank);
+    auto*& candidate = candidates[rank];
     if (!candidate || session->idle_since() < candidate->idle_since()) candidate = session;
   }
   for (std::size_t rank = 0; rank < ranks_in(scope); ++rank) {
-    if (!candidates.at(rank)) continue;
-    candidates.at(rank)->close();
+    if (!candidates[rank]) continue;
+    candidates[rank]->close();
     return true;
   }
   return false;
