--- a/src/request_router/health_check_scheduler.cpp
+++ b/src/request_router/health_check_scheduler.cpp
@@ -107,7 +107,7 @@
 
 void probe_unresponsive(RouterState& state, Group& group) {
   for (Member* member : group.members) {
-    if (!member->liveness.is_unresponsive() || !may_use(state, *member, Duty::kPrimary)) continue;
+    if (!member->liveness.is_unresponsive() || !may_use(state, *member, MemberUse::kPrimary)) continue;
     MemberProbing& probing = member->probing;
     if (state.now - probing.last_sent_at < probing.interval) continue;
     probing.interval = std::min(probing.interval * 2, state.spans.silence * kLongestIntervalSilences);
@@ -124,7 +124,7 @@
   Micros soonest = state.timers.wake_at;
   RequiredPositions required = required_positions(state, group);
   for (Member* member : group.members) {
-    if (member == primary || !is_usable(state, *member, Duty::kReads)) continue;
+    if (member == primary || !is_usable(state, *member, MemberUse::kReads)) continue;
     if (is_fresh(member->replication, required.greatest)) continue;
     if (member->probing.sent_at != kNever) return;  // its answer is awaited first
     Micros due = position_probe_due(state, *member, required.least);
--- a/src/request_router/member_state.cpp
+++ b/src/request_router/member_state.cpp
@@ -62,11 +62,11 @@
 
 }  // namespace
 
-bool may_use(const RouterState& state, const Member& member, Duty duty) {
+bool may_use(const RouterState& state, const Member& member, MemberUse use) {
   if (member.condition == Condition::kReady) return true;
   if (member.condition == Condition::kGone)
     return state.settings.removal_not_binding && !member.observed_draining;
-  return duty == Duty::kPrimary &&
+  return use == MemberUse::kPrimary &&
          state.now - member.notified_at < state.settings.drain_grace / kDrainGraceDivisor;
 }
 
--- a/src/request_router/member_state.h
+++ b/src/request_router/member_state.h
@@ -66,15 +66,15 @@
 };
 
 // What a member is wanted for; the drain rule differs.
-enum class Duty { kReads, kPrimary };
+enum class MemberUse { kReads, kPrimary };
 
 // The drain rule, kept in this one place: whether new requests may go to the member. A draining primary may
 // finish its hand-over, for half of the grace.
-bool may_use(const RouterState& state, const Member& member, Duty duty);
+bool may_use(const RouterState& state, const Member& member, MemberUse use);
 
-// Whether the member takes new requests for this duty and answers, as far as is known.
-inline bool is_usable(const RouterState& state, const Member& member, Duty duty) {
-  return !member.liveness.is_unresponsive() && may_use(state, member, duty);
+// Whether the member takes new requests for this use and answers, as far as is known.
+inline bool is_usable(const RouterState& state, const Member& member, MemberUse use) {
+  return !member.liveness.is_unresponsive() && may_use(state, member, use);
 }
 
 // Takes in a member list: new members, zones, restarts and conditions. Members that a list leaves out are
--- a/src/request_router/primary_discovery.cpp
+++ b/src/request_router/primary_discovery.cpp
@@ -38,7 +38,7 @@
 
 bool may_try_as_primary(RouterState& state, const Group& group, const PendingRequest& pending,
                         Member& member) {
-  if (!is_usable(state, member, Duty::kPrimary)) return false;
+  if (!is_usable(state, member, MemberUse::kPrimary)) return false;
   Micros quiet_for = state.now - member.liveness.last_response_at;
   if (state.probe_budget.has_surplus() && quiet_for > state.spans.silence * kProbeFirstSilences) return false;
   bool was_tried = member.role.write_tried_at != kNever;
@@ -63,7 +63,7 @@
     if (member->role.role != Role::kPrimary) continue;
     if (!newest || member->role.as_of > newest->role.as_of) newest = member;
   }
-  if (!newest || !is_usable(state, *newest, Duty::kPrimary)) return nullptr;
+  if (!newest || !is_usable(state, *newest, MemberUse::kPrimary)) return nullptr;
   return newest;
 }
 
@@ -94,7 +94,7 @@
   search.started_at = state.now;
   search.interval = std::min(search.interval * 2, state.spans.silence * kLongestSearchSilences);
   for (Member* member : group.members) {
-    if (!may_use(state, *member, Duty::kPrimary)) continue;
+    if (!may_use(state, *member, MemberUse::kPrimary)) continue;
     bool is_due = state.now - member->probing.last_sent_at > member->probing.interval;
     if (!member->liveness.is_unresponsive() || is_due) send_probe(state, *member);
   }
--- a/src/request_router/replica_selection.cpp
+++ b/src/request_router/replica_selection.cpp
@@ -83,7 +83,7 @@
 
  private:
   bool is_replica_candidate(const Member& member) const {
-    return &member != primary_ && is_usable(state_, member, Duty::kReads) &&
+    return &member != primary_ && is_usable(state_, member, MemberUse::kReads) &&
            !pending_.has_failed_at(member.id);
   }
 
