--- a/src/request_router/attempt_lifecycle.cpp
+++ b/src/request_router/attempt_lifecycle.cpp
@@ -71,15 +71,15 @@
                         const PendingRequest* pending, const Outcome& outcome) {
   if (outcome.status == Status::kDeclined) record_declined(state, member, attempt);
   bool is_client_caused = pending && is_client_timeout(state, member, *pending, attempt, outcome);
-  if (!is_client_caused && !is_lost_in_silence(state, member, attempt, outcome)) {
+  if (!is_client_caused && !is_connection_loss(state, member, attempt, outcome)) {
     record_latency(state, member, attempt, outcome);
     update_concurrency_limit(state, member, attempt, outcome);
   }
   if (!pending) return;
   bool is_success = outcome.status == Status::kSuccess;
-  if (!is_client_caused && (is_success || is_lost_in_silence(state, member, attempt, outcome)))
+  if (!is_client_caused && (is_success || is_connection_loss(state, member, attempt, outcome)))
     record_loss(state, *pending, outcome);
-  record_failure(state, member, *pending, outcome);
+  update_error_shares(state, member, *pending, outcome);
   if (is_success) record_success(state, member, *pending, attempt, outcome);
 }
 
--- a/src/request_router/failure_detection.cpp
+++ b/src/request_router/failure_detection.cpp
@@ -14,7 +14,7 @@
 
 // Where members cannot be probed, an attempt that has taken so many times its usual latency proves silence.
 // Twice the time that raises the question.
-constexpr double kSilentRatio = 4;
+constexpr double kUnresponsiveRatio = 4;
 
 // A probe that takes so many times as long as probes usually take is lost.
 constexpr double kLostProbeRatio = 4;
@@ -25,7 +25,7 @@
 // More than any latency; the least latency of no attempts.
 constexpr double kNoLatency = 1e18;
 
-double least_usual_latency(const RouterState& state, const Member& member) {
+double min_usual_latency(const RouterState& state, const Member& member) {
   double least = kNoLatency;
   for (const InFlightAttempt& attempt : member.in_flight)
     least = std::min(least, state.average_latency(member, attempt.request_class));
@@ -60,7 +60,7 @@
       state.actions.emplace_back(Cancel{attempt.id, attempt.attempt});
 }
 
-void check_for_silence(RouterState& state, Member& member) {
+void check_responsiveness(RouterState& state, Member& member) {
   if (member.probing.sent_at != kNever) {
     Micros allowed = std::max(state.spans.silence, to_micros(kLostProbeRatio * member.probing.latency));
     if (state.now - member.probing.sent_at > allowed) mark_unresponsive(state, member);
@@ -68,11 +68,11 @@
   }
   if (member.liveness.is_unresponsive() || member.in_flight.empty()) return;
   Micros waited = state.now - std::max(member.in_flight.front().sent_at, member.liveness.last_response_at);
-  double usual = least_usual_latency(state, member);
+  double usual = min_usual_latency(state, member);
   if (waited <= state.spans.silence || to_double(waited) <= usual * kOverdueRatio) return;
   if (state.settings.probes)
     send_probe(state, member);
-  else if (to_double(waited) > usual * kSilentRatio)
+  else if (to_double(waited) > usual * kUnresponsiveRatio)
     mark_unresponsive(state, member);
 }
 
@@ -87,7 +87,7 @@
   return timeout < kOverdueRatio * state.average_latency(member, attempt.request_class);
 }
 
-bool is_lost_in_silence(const RouterState& state, const Member& member, const InFlightAttempt& attempt,
+bool is_connection_loss(const RouterState& state, const Member& member, const InFlightAttempt& attempt,
                         const Outcome& outcome) {
   if (outcome.status != Status::kTimedOut) return false;
   Micros age = state.now - attempt.sent_at;
--- a/src/request_router/failure_detection.h
+++ b/src/request_router/failure_detection.h
@@ -33,7 +33,7 @@
 void mark_unresponsive(RouterState& state, Member& member);
 
 // Looks for overdue answers of this member: probes it, or takes it for silent.
-void check_for_silence(RouterState& state, Member& member);
+void check_responsiveness(RouterState& state, Member& member);
 
 // How long the attempt took, in microseconds, as told by the outcome or else by the time of the batch: this
 // router may have stood still meanwhile.
@@ -45,7 +45,7 @@
                        const InFlightAttempt& attempt, const Outcome& outcome);
 
 // Whether the attempt timed out at a member that was quick for others meanwhile.
-bool is_lost_in_silence(const RouterState& state, const Member& member, const InFlightAttempt& attempt,
+bool is_connection_loss(const RouterState& state, const Member& member, const InFlightAttempt& attempt,
                         const Outcome& outcome);
 
 }  // namespace request_router::internal
--- a/src/request_router/outlier_ejection.cpp
+++ b/src/request_router/outlier_ejection.cpp
@@ -47,8 +47,8 @@
 
 }  // namespace
 
-void record_failure(RouterState& state, Member& member, const PendingRequest& pending,
-                    const Outcome& outcome) {
+void update_error_shares(RouterState& state, Member& member, const PendingRequest& pending,
+                         const Outcome& outcome) {
   if (outcome.status == Status::kBroken) record_error(state, member);
   if (outcome.status != Status::kSuccess) return;
   member.ejection.error_share -= kErrorSmoothing * member.ejection.error_share;
--- a/src/request_router/outlier_ejection.h
+++ b/src/request_router/outlier_ejection.h
@@ -24,8 +24,8 @@
 
 // Takes in how an attempt at the member ended: its own error share, and errors of other members on the same
 // request.
-void record_failure(RouterState& state, Member& member, const PendingRequest& pending,
-                    const Outcome& outcome);
+void update_error_shares(RouterState& state, Member& member, const PendingRequest& pending,
+                         const Outcome& outcome);
 
 // Leaves the member alone for a while.
 void back_off(const RouterState& state, Member& member);
--- a/src/request_router/retry_policy.cpp
+++ b/src/request_router/retry_policy.cpp
@@ -28,13 +28,13 @@
 
 // No attempt is cancelled before it has taken so many times its usual latency: hardly any request takes so
 // long by itself, and what takes long by itself would take long again.
-constexpr double kSurelyLateRatio = 5;
+constexpr double kLateAttemptRatio = 5;
 
 // A repeat under a key is sent in the first half of the key's window, the rest is for its own way.
 constexpr int kKeyWindowDivisor = 2;
 
 // The cancelled attempt was lost if it had lasted so many times as long as the next one took.
-constexpr int kFarSoonerRatio = 2;
+constexpr int kFasterRetryRatio = 2;
 
 bool may_have_run(const PendingRequest& pending) {
   return std::any_of(pending.attempts.begin(), pending.attempts.end(),
@@ -53,7 +53,7 @@
                        Micros usual) {
   Micros until = pending.full_value_until;
   if (pending.request_class->late_weight_share > 0 && state.now >= until) until = pending.request.expires;
-  Micros from = std::max(until - scale(usual, kRetryReserveRatio), sent_at + scale(usual, kSurelyLateRatio));
+  Micros from = std::max(until - scale(usual, kRetryReserveRatio), sent_at + scale(usual, kLateAttemptRatio));
   return state.now >= from && state.now <= until - usual;
 }
 
@@ -117,7 +117,7 @@
   if (outcome.attempt > 0 && outcome.attempt < static_cast<int>(pending.attempts.size())) {
     const Attempt& previous = pending.attempts[outcome.attempt - 1];
     const Attempt& current = pending.attempts[outcome.attempt];
-    if (previous.is_cancelled && outcome.taken * kFarSoonerRatio < current.sent_at - previous.sent_at)
+    if (previous.is_cancelled && outcome.taken * kFasterRetryRatio < current.sent_at - previous.sent_at)
       lost = 1;
   }
   state.cancellation.record(lost);
--- a/src/request_router/router.cpp
+++ b/src/request_router/router.cpp
@@ -76,7 +76,7 @@
   for (Member* member : watched) {
     member->is_watched = false;
     internal::cancel_and_retry(state, *member);
-    internal::check_for_silence(state, *member);
+    internal::check_responsiveness(state, *member);
     if (member->probing.sent_at != internal::kNever || !member->in_flight.empty()) state.watch(*member);
   }
 }
