--- a/src/request_router/admission.cpp
+++ b/src/request_router/admission.cpp
@@ -71,7 +71,7 @@
       std::min(request.expires, pending.arrived_at + pending.request_class->latency_objective);
   if (pending.request_class->level == ReadLevel::kSession)
     pending.required_position = session_position(state, request);
-  state.probe_budget.earn();
+  state.probe_budget.replenish();
   PendingRequest& added = state.pending.emplace(request.id, std::move(pending)).first->second;
   auto group = state.groups.find(request.group);
   if (group == state.groups.end()) {
--- a/src/request_router/health_check_scheduler.cpp
+++ b/src/request_router/health_check_scheduler.cpp
@@ -9,26 +9,26 @@
 
 // What all probes may cost, in points of the result a request; the settings' price of a probe turns it into a
 // number of probes. Half a hundredth of a point, so that what probes bring is worth more than they cost.
-constexpr double kProbeSpendPerRequest = 0.005;
+constexpr double kProbeCostPerRequest = 0.005;
 
 // Probes that a request earns where probes are cheap or free.
-constexpr double kMostProbesPerRequest = 0.5;
+constexpr double kMaxProbesPerRequest = 0.5;
 
 // Probes saved up at most, over all routers: some for each member of a fleet of a few dozen.
 constexpr double kBurstTotal = 72;
 
 // One router holds no more than a third of the burst, also where there are fewer than three.
-constexpr double kLargestBurst = kBurstTotal / 3;
+constexpr double kMaxBurst = kBurstTotal / 3;
 
 // Up to so many routers each start with all of their part of the burst; more of them draw where in it.
-constexpr int kFewRouters = 3;
+constexpr int kMaxRoutersWithFullBurst = 3;
 
 // Weight of a probe that was quicker than the longest known one. A longer one counts at once, because a probe
 // that is wrongly taken for lost takes a member out of service.
 constexpr double kProbeLatencySmoothing = 0.2;
 
 // The longest interval between probes of a silent member, in silences: two smallest latency objectives.
-constexpr int kLongestIntervalSilences = 16;
+constexpr int kMaxIntervalSilences = 16;
 
 // Where members cannot be probed, a silent one is tried again after so many silences, four smallest latency
 // objectives: each try costs a request its time.
@@ -58,8 +58,8 @@
 
 // When a probe of this replica may first bring a position that frees a read.
 Micros position_probe_due(const RouterState& state, const Member& member, Micros least_required) {
-  Micros least_gap = std::min(state.spans.silence, state.spans.half_bound / 2) / 2;
-  Micros due = std::max(next_report_due(member), member.probing.last_sent_at + least_gap);
+  Micros min_gap = std::min(state.spans.silence, state.spans.half_bound / 2) / 2;
+  Micros due = std::max(next_report_due(member), member.probing.last_sent_at + min_gap);
   if (member.replication.position == kNever) return due;
   Micros missing = least_required - member.replication.position;
   return std::max(due, member.probing.last_sent_at + scale(missing, 1 / kCatchUpSpeed));
@@ -68,14 +68,14 @@
 }  // namespace
 
 ProbeBudget::ProbeBudget(const Settings& settings, double start_draw)
-    : most_tokens_(std::min(kLargestBurst, kBurstTotal / std::max(1, settings.routers))),
-      tokens_per_request_(kMostProbesPerRequest) {
-  tokens_ = settings.routers > kFewRouters ? most_tokens_ * (1 - 2 * start_draw) : most_tokens_;
+    : max_tokens_(std::min(kMaxBurst, kBurstTotal / std::max(1, settings.routers))),
+      tokens_per_request_(kMaxProbesPerRequest) {
+  tokens_ = settings.routers > kMaxRoutersWithFullBurst ? max_tokens_ * (1 - 2 * start_draw) : max_tokens_;
   if (settings.probe_fee > 0)
-    tokens_per_request_ = std::min(tokens_per_request_, kProbeSpendPerRequest / settings.probe_fee);
+    tokens_per_request_ = std::min(tokens_per_request_, kProbeCostPerRequest / settings.probe_fee);
 }
 
-void ProbeBudget::earn() { tokens_ = std::min(most_tokens_, tokens_ + tokens_per_request_); }
+void ProbeBudget::replenish() { tokens_ = std::min(max_tokens_, tokens_ + tokens_per_request_); }
 
 void send_probe(RouterState& state, Member& member) {
   MemberProbing& probing = member.probing;
@@ -83,7 +83,7 @@
   if (!state.probe_budget.allows_probe()) return;
   probing.sent_at = probing.last_sent_at = state.now;
   state.watch(member);
-  state.probe_budget.spend();
+  state.probe_budget.consume();
   state.actions.emplace_back(Probe{member.id});
 }
 
@@ -110,7 +110,7 @@
     if (!member->liveness.is_unresponsive() || !may_use(state, *member, MemberUse::kPrimary)) continue;
     MemberProbing& probing = member->probing;
     if (state.now - probing.last_sent_at < probing.interval) continue;
-    probing.interval = std::min(probing.interval * 2, state.spans.silence * kLongestIntervalSilences);
+    probing.interval = std::min(probing.interval * 2, state.spans.silence * kMaxIntervalSilences);
     if (state.settings.probes)
       send_probe(state, *member);
     else if (state.now - member->liveness.unresponsive_since > state.spans.silence * kRetrySilences)
--- a/src/request_router/health_check_scheduler.h
+++ b/src/request_router/health_check_scheduler.h
@@ -34,22 +34,22 @@
   ProbeBudget(const Settings& settings, double start_draw);
 
   // A request has come and earns its part of a probe.
-  void earn();
+  void replenish();
 
   // Adds probes beyond the budget.
   void grant(double probes) { tokens_ += probes; }
 
   // Whether a probe may be sent; the budget may be overdrawn by as much as it holds at most.
-  bool allows_probe() const { return tokens_ > -most_tokens_; }
+  bool allows_probe() const { return tokens_ > -max_tokens_; }
 
   // Whether a probe can be sent without overdrawing.
   bool has_surplus() const { return tokens_ > 1; }
 
-  void spend() { tokens_ -= 1; }
+  void consume() { tokens_ -= 1; }
 
  private:
   double tokens_ = 0;
-  double most_tokens_ = 0;
+  double max_tokens_ = 0;
   double tokens_per_request_ = 0;
 };
 
