--- a/src/request_router/concurrency_limit.cpp
+++ b/src/request_router/concurrency_limit.cpp
@@ -17,10 +17,10 @@
 constexpr double kPrimaryFloorTotal = 8;
 
 // The floor of any member's limit: one attempt, and a pause of four times its usual latency.
-constexpr double kLeastLimit = 0.25;
+constexpr double kMinLimit = 0.25;
 
 // The ceiling of any member's limit: far above what a member takes, it only bounds the growth.
-constexpr double kMostLimit = 256;
+constexpr double kMaxLimit = 256;
 
 // The largest change of a limit with one answer, as a fraction of the limit: one answer says little.
 constexpr double kLimitStep = 0.1;
@@ -31,14 +31,14 @@
 
 // Weight of a new latency in that smoothed latency. A plain ratio: about the last three answers count, so
 // that a queue that builds up is noticed before it is long.
-constexpr double kPressureSmoothing = 0.3;
+constexpr double kLatencyRatioSmoothing = 0.3;
 
 // One latency counts as no more than so many objectives, so that one extreme does not rule the average.
-constexpr double kMostPressure = 2;
+constexpr double kMaxLatencyRatio = 2;
 
 // The limit rises at most half as fast as it falls: too low costs a little waiting, too high costs a queue.
-constexpr double kMostDecrease = -1;
-constexpr double kMostIncrease = 0.5;
+constexpr double kMaxDecrease = -1;
+constexpr double kMaxIncrease = 0.5;
 
 // Requests of all routers that a member holds: with more it is taken to be slow. A count at the member, so it
 // does not scale with the number of routers; each of them has too few in flight to see crowding in its own.
@@ -47,14 +47,14 @@
 // An overloaded member is asked again after so many silences, half of the smallest latency objective.
 constexpr int kOverloadProbeSilences = 4;
 
-double least_limit(const RouterState& state, const Member& member) {
-  if (member.role.role != Role::kPrimary) return kLeastLimit;
-  return std::max(kLeastLimit, kPrimaryFloorTotal / std::max(1, state.settings.routers));
+double min_limit(const RouterState& state, const Member& member) {
+  if (member.role.role != Role::kPrimary) return kMinLimit;
+  return std::max(kMinLimit, kPrimaryFloorTotal / std::max(1, state.settings.routers));
 }
 
 double latency_in_objectives(const Outcome& outcome, double duration, const RequestClass& request_class) {
   if (outcome.status == Status::kOverloaded) return 1;
-  return std::min(kMostPressure, duration / to_double(request_class.latency_objective));
+  return std::min(kMaxLatencyRatio, duration / to_double(request_class.latency_objective));
 }
 
 }  // namespace
@@ -78,13 +78,14 @@
     concurrency.overloaded_at = state.now;
   if (outcome.status != Status::kSuccess && !is_slow) return;
   double observed = latency_in_objectives(outcome, duration, request_class);
-  concurrency.pressure += kPressureSmoothing * (observed - concurrency.pressure);
-  double change = std::clamp(1 - concurrency.pressure / kTargetLatencyFraction, kMostDecrease, kMostIncrease);
+  concurrency.latency_ratio += kLatencyRatioSmoothing * (observed - concurrency.latency_ratio);
+  double change =
+      std::clamp(1 - concurrency.latency_ratio / kTargetLatencyFraction, kMaxDecrease, kMaxIncrease);
   // A limit that is hardly used says nothing about a higher one.
   bool is_used = static_cast<double>(member.in_flight.size()) + 1 > concurrency.limit / 2;
   if (change >= 0 && !is_used) return;
   concurrency.limit =
-      std::clamp(concurrency.limit * (1 + kLimitStep * change), least_limit(state, member), kMostLimit);
+      std::clamp(concurrency.limit * (1 + kLimitStep * change), min_limit(state, member), kMaxLimit);
 }
 
 bool has_capacity(RouterState& state, const Group& group, Member& member, const PendingRequest& pending) {
@@ -110,7 +111,7 @@
   const Member& found = known->second;
   if (found.liveness.is_unresponsive() || found.condition != Condition::kReady) return 0;
   double unused = found.concurrency.limit - static_cast<double>(found.in_flight.size());
-  return std::max(0.0, unused) * 1e6 / state.latency.least_typical();
+  return std::max(0.0, unused) * 1e6 / state.latency.min_typical();
 }
 
 }  // namespace request_router::internal
--- a/src/request_router/concurrency_limit.h
+++ b/src/request_router/concurrency_limit.h
@@ -20,7 +20,7 @@
 // What the limit of one member rests on.
 struct MemberConcurrency {
   double limit = 1;               // attempts in flight
-  double pressure = 0;            // smoothed latency of all classes, in latency objectives
+  double latency_ratio = 0;       // smoothed latency of all classes, in latency objectives
   Micros overloaded_at = kNever;  // when it was last known to hold more requests than it serves well
 };
 
--- a/src/request_router/latency_statistics.h
+++ b/src/request_router/latency_statistics.h
@@ -37,7 +37,7 @@
   double typical(std::size_t request_class) const { return typical_[request_class]; }
 
   // The typical latency of the class that takes the least time.
-  double least_typical() const { return *std::min_element(typical_.begin(), typical_.end()); }
+  double min_typical() const { return *std::min_element(typical_.begin(), typical_.end()); }
 
   // How many times as long as the lightest class this one takes: by the answers alone, and by the objectives
   // before the first answer to it.
--- a/src/request_router/outlier_ejection.cpp
+++ b/src/request_router/outlier_ejection.cpp
@@ -19,12 +19,12 @@
 constexpr double kErrorShareAfterEjection = kEjectionErrorShare / 2;
 
 // The shortest and the longest ejection, in silences: half of the smallest latency objective, and four of it.
-constexpr int kShortestEjection = 4;
-constexpr int kLongestEjection = 32;
+constexpr int kMinEjectionSilences = 4;
+constexpr int kMaxEjectionSilences = 32;
 
 // An ejection lasts from half to one and a half of its nominal length, by the router's own order of members:
 // routers that eject a member together do not return to it together.
-constexpr double kLeastEjectionFraction = 0.5;
+constexpr double kMinEjectionFraction = 0.5;
 
 void eject_if_outlier(RouterState& state, Member& member) {
   double peer_errors = 0;
@@ -63,9 +63,9 @@
   MemberEjection& ejection = member.ejection;
   Micros silence = state.spans.silence;
   ejection.ejected_for =
-      std::clamp(ejection.ejected_for * 2, silence * kShortestEjection, silence * kLongestEjection);
+      std::clamp(ejection.ejected_for * 2, silence * kMinEjectionSilences, silence * kMaxEjectionSilences);
   ejection.ejected_until =
-      state.now + scale(ejection.ejected_for, kLeastEjectionFraction + member.preference_order);
+      state.now + scale(ejection.ejected_for, kMinEjectionFraction + member.preference_order);
 }
 
 }  // namespace request_router::internal
--- a/src/request_router/slow_start.cpp
+++ b/src/request_router/slow_start.cpp
@@ -72,9 +72,9 @@
 double burst_reduction(const RouterState& state, double own_work) {
   const WorkRate& recent = state.work_rates.recent;
   double own_level = own_work / (kLevelPerSpanWork * to_double(recent.span()));
-  double others = std::max(0.0, recent.level(state.now) - own_level);
-  if (others <= 0) return 1;
-  return std::min(1.0, state.work_rates.usual.level(state.now) / others);
+  double other_level = std::max(0.0, recent.level(state.now) - own_level);
+  if (other_level <= 0) return 1;
+  return std::min(1.0, state.work_rates.usual.level(state.now) / other_level);
 }
 
 }  // namespace
--- a/src/request_router/zone_routing.cpp
+++ b/src/request_router/zone_routing.cpp
@@ -17,7 +17,7 @@
 constexpr double kMixSmoothing = 0.01;
 
 // Keeps the rank finite before the first read.
-constexpr double kLeastMix = 1e-9;
+constexpr double kMinMixTotal = 1e-9;
 
 // Draws of a request that concern no member: ids from the top of the range stand for the member.
 constexpr MemberId kOwnZoneDraw = ~2U;
@@ -73,7 +73,7 @@
   double before = state.deterministic_fraction(pending.request.id, kRankDraw) * class_mix_[own];
   for (std::size_t other = 0; other < class_mix_.size(); ++other)
     if (class_order(state, other) < class_order(state, own)) before += class_mix_[other];
-  return before / std::max(std::accumulate(class_mix_.begin(), class_mix_.end(), 0.0), kLeastMix);
+  return before / std::max(std::accumulate(class_mix_.begin(), class_mix_.end(), 0.0), kMinMixTotal);
 }
 
 bool is_allowed_by_plan(const PendingRequest& pending, const Member& member) {
