--- a/src/request_router/latency_statistics.cpp
+++ b/src/request_router/latency_statistics.cpp
@@ -33,10 +33,10 @@
     assumed_.push_back(to_double(request_class.latency_objective) / kObjectivePerTypicalLatency);
   typical_ = assumed_;
   measured_.assign(classes.size(), 0);
-  answers_.assign(classes.size(), 0);
+  answer_counts_.assign(classes.size(), 0);
 }
 
-double LatencyStatistics::weight(std::size_t request_class) const {
+double LatencyStatistics::relative_latency(std::size_t request_class) const {
   if (!observed_[request_class])
     return assumed_[request_class] / *std::min_element(assumed_.begin(), assumed_.end());
   double least = measured_[request_class];
@@ -49,8 +49,8 @@
                                        Micros now) {
   double& typical = typical_[request_class];
   typical += kTypicalSmoothing * (duration - typical);
-  if (answers_[request_class] < kCountedAnswers) ++answers_[request_class];
-  measured_[request_class] += (duration - measured_[request_class]) / answers_[request_class];
+  if (answer_counts_[request_class] < kCountedAnswers) ++answer_counts_[request_class];
+  measured_[request_class] += (duration - measured_[request_class]) / answer_counts_[request_class];
   // The averages of all classes share one time, so all of them are faded to it.
   for (std::size_t other = 0; other < latency.average.size(); ++other)
     latency.average[other] = average(latency, other, now);
--- a/src/request_router/latency_statistics.h
+++ b/src/request_router/latency_statistics.h
@@ -41,7 +41,7 @@
 
   // How many times as long as the lightest class this one takes: by the answers alone, and by the objectives
   // before the first answer to it.
-  double weight(std::size_t request_class) const;
+  double relative_latency(std::size_t request_class) const;
 
   // Whether any answer to this class has come from any member.
   bool is_observed(std::size_t request_class) const { return observed_[request_class]; }
@@ -76,8 +76,8 @@
   // By class: the mean of the answers, of the last ones once there are many. Unlike `typical_` it holds
   // nothing of what was assumed, which fades at a class's own pace.
   std::vector<double> measured_;
-  std::vector<int> answers_;    // by class, as far as they are counted
-  std::vector<bool> observed_;  // by class
+  std::vector<int> answer_counts_;  // by class, as far as they are counted
+  std::vector<bool> observed_;      // by class
 };
 
 }  // namespace request_router::internal
--- a/src/request_router/slow_start.cpp
+++ b/src/request_router/slow_start.cpp
@@ -117,7 +117,7 @@
   if (share >= 1) return true;
   if (has_tried(pending, member)) return false;
   double own_work = state.latency.typical(pending.request.request_class);
-  if (state.latency.weight(pending.request.request_class) > kHeavyRatio) return false;
+  if (state.latency.relative_latency(pending.request.request_class) > kHeavyRatio) return false;
   if (waits_for_backlog(state, member, pending)) return false;
   double fraction = pending.needs_primary() ? primary_fraction(state, member, share)
                                             : replica_fraction(state, group, share);
--- a/src/request_router/zone_routing.cpp
+++ b/src/request_router/zone_routing.cpp
@@ -20,7 +20,7 @@
 constexpr double kMinMixTotal = 1e-9;
 
 // Draws of a request that concern no member: ids from the top of the range stand for the member.
-constexpr MemberId kOwnZoneDraw = ~2U;
+constexpr MemberId kFirstZoneDraw = ~2U;
 constexpr MemberId kSecondZoneDraw = ~3U;
 constexpr MemberId kRankDraw = ~4U;
 
@@ -52,12 +52,12 @@
   double total = 0;
   for (const ZoneShare& zone : plan->second) total += zone.share;
   if (total < kCompleteShare && pending.attempts.empty() && rank(state, pending) >= total) return false;
-  double own_draw = state.deterministic_fraction(pending.request.id, kOwnZoneDraw) * total;
+  double first_draw = state.deterministic_fraction(pending.request.id, kFirstZoneDraw) * total;
   double second_draw = state.deterministic_fraction(pending.request.id, kSecondZoneDraw);
   for (const ZoneShare& zone : plan->second) {
-    if (!pending.zones.own) {
-      own_draw -= zone.share;
-      if (own_draw < 0) pending.zones.own = &zone;
+    if (!pending.zones.first) {
+      first_draw -= zone.share;
+      if (first_draw < 0) pending.zones.first = &zone;
     }
     if (!pending.zones.second) {
       second_draw -= zone.spare;
@@ -79,7 +79,8 @@
 bool is_allowed_by_plan(const PendingRequest& pending, const Member& member) {
   const ZoneAssignment& zones = pending.zones;
   if (!zones.is_planned) return true;
-  return (zones.own && zones.own->zone == member.zone) || (zones.second && zones.second->zone == member.zone);
+  return (zones.first && zones.first->zone == member.zone) ||
+         (zones.second && zones.second->zone == member.zone);
 }
 
 void on_plan(RouterState& state, const Plan& plan) {
--- a/src/request_router/zone_routing.h
+++ b/src/request_router/zone_routing.h
@@ -22,7 +22,7 @@
 // The zones of one read. The shares belong to the plan and are looked up anew in each decision.
 struct ZoneAssignment {
   bool is_planned = false;            // its group has a plan
-  const ZoneShare* own = nullptr;     // the zone that it drew
+  const ZoneShare* first = nullptr;   // the zone that it drew
   const ZoneShare* second = nullptr;  // one that is open to it as well
 };
 
