--- a/src/request_router/concurrency_limit.cpp
+++ b/src/request_router/concurrency_limit.cpp
@@ -7,44 +7,48 @@
 namespace request_router::internal {
 namespace {
 
-// Attempts in flight at a member of which nothing is known, over all routers; one each at least. The total
-// does not depend on their number, or a new member would be flooded by hundreds of routers.
+// Attempts in flight at a new member, over all routers; at least one for each router. The total does not
+// depend on the number of routers, or hundreds of routers would flood a new member.
 constexpr double kInitialTotal = 16;
 
-// Attempts in flight that a primary always takes without crowding, over all routers. With so few in flight,
-// high latency does not come from crowding (a write may wait for a replica), and writes have nowhere else to
-// go: a limit that fell further would only make them wait here.
+// Attempts in flight that a primary always serves without congestion, over all routers. With so few in
+// flight, congestion is not the cause of high latency (a write may wait for a replica), and no other member
+// can serve writes: a lower limit would only make them wait in the router.
 constexpr double kPrimaryFloorTotal = 8;
 
-// The floor of any member's limit: one attempt, and a pause of four times its usual latency.
+// The floor of any member's limit: one attempt followed by a pause of four times its usual latency.
 constexpr double kMinLimit = 0.25;
 
-// The ceiling of any member's limit: far above what a member takes, it only bounds the growth.
+// The ceiling of any member's limit: far above the concurrency that a member can serve, it only bounds the
+// growth.
 constexpr double kMaxLimit = 256;
 
-// The largest change of a limit with one answer, as a fraction of the limit: one answer says little.
+// The largest change of a limit by one answer, as a fraction of the limit: a single answer is weak evidence.
 constexpr double kLimitStep = 0.1;
 
-// The smoothed latency that a limit steers for, as a fraction of the latency objective. It leaves room for
-// the scatter of single requests below the objective.
+// The smoothed latency that the limit is controlled towards, as a fraction of the latency objective. The
+// margin allows for the variation of single requests below the objective.
 constexpr double kTargetLatencyFraction = 0.35;
 
-// Weight of a new latency in that smoothed latency. A plain ratio: about the last three answers count, so
-// that a queue that builds up is noticed before it is long.
+// Weight of a new latency in that smoothed latency: about the last three answers count, so that a growing
+// queue is detected before it is long.
 constexpr double kLatencyRatioSmoothing = 0.3;
 
-// One latency counts as no more than so many objectives, so that one extreme does not rule the average.
+// Upper bound on a single latency, in latency objectives, so that one extreme does not dominate the average.
 constexpr double kMaxLatencyRatio = 2;
 
-// The limit rises at most half as fast as it falls: too low costs a little waiting, too high costs a queue.
+// Bounds on the change of the limit, in steps. It rises at most half as fast as it falls: a limit that is too
+// low costs a little waiting, one that is too high costs a queue at the member.
 constexpr double kMaxDecrease = -1;
 constexpr double kMaxIncrease = 0.5;
 
-// Requests of all routers that a member holds: with more it is taken to be slow. A count at the member, so it
-// does not scale with the number of routers; each of them has too few in flight to see crowding in its own.
+// The number of requests that a member holds, from all routers, above which it counts as overloaded. A count
+// at the member, so it does not scale with the number of routers; each router has too few attempts in flight
+// to detect congestion from its own.
 constexpr double kMaxRequestsAtMember = 32;
 
-// An overloaded member is asked again after so many silences, half of the smallest latency objective.
+// Minimum time between probes of an overloaded member, in silence spans: half of the smallest latency
+// objective.
 constexpr int kOverloadProbeSilences = 4;
 
 double min_limit(const RouterState& state, const Member& member) {
@@ -81,7 +85,7 @@
   concurrency.latency_ratio += kLatencyRatioSmoothing * (observed - concurrency.latency_ratio);
   double change =
       std::clamp(1 - concurrency.latency_ratio / kTargetLatencyFraction, kMaxDecrease, kMaxIncrease);
-  // A limit that is hardly used says nothing about a higher one.
+  // Latency under a limit that is mostly unused is no evidence that a higher limit would work.
   bool is_used = static_cast<double>(member.in_flight.size()) + 1 > concurrency.limit / 2;
   if (change >= 0 && !is_used) return;
   concurrency.limit =
@@ -92,7 +96,7 @@
   const MemberConcurrency& concurrency = member.concurrency;
   if (state.now < member.ejection.ejected_until) return false;
   if (static_cast<double>(member.in_flight.size()) >= concurrency.limit) return false;
-  // What one of hundreds of routers has in flight there says nothing of what the member holds.
+  // This router's own attempts in flight, one of hundreds of routers, do not show how many the member holds.
   if (state.now - concurrency.overloaded_at < state.spans.memory) {
     if (state.now - member.probing.last_sent_at > state.spans.silence * kOverloadProbeSilences)
       send_probe(state, member);
--- a/src/request_router/failure_detection.cpp
+++ b/src/request_router/failure_detection.cpp
@@ -8,21 +8,22 @@
 namespace request_router::internal {
 namespace {
 
-// An attempt that has been under way for so many times its usual latency is overdue and raises a question.
-// Twice: later than the scatter of most requests, early enough to send the request elsewhere.
+// The multiple of its usual latency after which an attempt is overdue and its member is checked. Twice is
+// beyond the variation of most requests and early enough to send the request to another member.
 constexpr double kOverdueRatio = 2;
 
-// Where members cannot be probed, an attempt that has taken so many times its usual latency proves silence.
-// Twice the time that raises the question.
+// The multiple of its usual latency after which an attempt proves its member unresponsive, where members
+// cannot be probed. Twice the time after which it is overdue.
 constexpr double kUnresponsiveRatio = 4;
 
-// A probe that takes so many times as long as probes usually take is lost.
+// The multiple of the usual probe latency after which a probe is lost.
 constexpr double kLostProbeRatio = 4;
 
-// Hardly any request takes so many times as long as its class usually does: such an attempt was lost.
+// The multiple of its usual latency after which an attempt counts as lost: hardly any request takes that
+// long.
 constexpr double kLostAttemptRatio = 5;
 
-// More than any latency; the least latency of no attempts.
+// Greater than any latency; the result of the minimum over no attempts.
 constexpr double kNoLatency = 1e18;
 
 double min_usual_latency(const RouterState& state, const Member& member) {
@@ -32,7 +33,8 @@
   return least;
 }
 
-// Between zones a slow path looks like silence, so only reads in this zone are cancelled.
+// Whether the attempt is an overdue read that may be cancelled. Only reads in this zone are: between zones, a
+// slow network path cannot be told from an unresponsive member.
 bool is_overdue_read(const RouterState& state, const Member& member, const InFlightAttempt& attempt) {
   if (!state.settings.cancel || !member.same_zone) return false;
   if (state.settings.classes[attempt.request_class].effect != Effect::kPure) return false;
--- a/src/request_router/health_check_scheduler.cpp
+++ b/src/request_router/health_check_scheduler.cpp
@@ -7,38 +7,42 @@
 namespace request_router::internal {
 namespace {
 
-// What all probes may cost, in points of the result a request; the settings' price of a probe turns it into a
-// number of probes. Half a hundredth of a point, so that what probes bring is worth more than they cost.
+// The allowed cost of all probes per request, in points of the result; the price of a probe in the settings
+// converts it to a number of probes. Half a hundredth of a point, so that the benefit of probes exceeds their
+// cost.
 constexpr double kProbeCostPerRequest = 0.005;
 
-// Probes that a request earns where probes are cheap or free.
+// The maximum number of probes that a request adds to the budget, where probes are cheap or free.
 constexpr double kMaxProbesPerRequest = 0.5;
 
-// Probes saved up at most, over all routers: some for each member of a fleet of a few dozen.
+// The maximum of the budgets of all routers together, in probes: a few for each member of a fleet of a few
+// dozen.
 constexpr double kBurstTotal = 72;
 
-// One router holds no more than a third of the burst, also where there are fewer than three.
+// The maximum budget of one router, also where there are fewer than three: a third of the burst.
 constexpr double kMaxBurst = kBurstTotal / 3;
 
-// Up to so many routers each start with all of their part of the burst; more of them draw where in it.
+// The number of routers up to which each one starts with its full part of the burst; with more routers, each
+// one draws its start value.
 constexpr int kMaxRoutersWithFullBurst = 3;
 
-// Weight of a probe that was quicker than the longest known one. A longer one counts at once, because a probe
-// that is wrongly taken for lost takes a member out of service.
+// Weight of a probe that was faster than the longest known one. A longer one counts in full at once, because
+// a probe that is wrongly considered lost takes a member out of service.
 constexpr double kProbeLatencySmoothing = 0.2;
 
-// The longest interval between probes of a silent member, in silences: two smallest latency objectives.
+// The maximum interval between probes of an unresponsive member, in silence spans: two smallest latency
+// objectives.
 constexpr int kMaxIntervalSilences = 16;
 
-// Where members cannot be probed, a silent one is tried again after so many silences, four smallest latency
-// objectives: each try costs a request its time.
+// The time after which an unresponsive member is tried again where members cannot be probed, in silence
+// spans: four smallest latency objectives, because each trial delays a request.
 constexpr int kRetrySilences = 32;
 
-// Seconds of log that a replica applies in a second while it catches up: it is not asked for a position
-// sooner than it can have reached it.
+// Seconds of log that a replica applies per second while it catches up: it is not probed for a position
+// before it can have reached it.
 constexpr double kCatchUpSpeed = 2;
 
-// The positions that would free one of the postponed reads, and all of them.
+// The positions that allow one of the postponed reads, and all of them, to be sent.
 struct RequiredPositions {
   Micros least;
   Micros greatest = kNever;
@@ -56,7 +60,7 @@
   return required;
 }
 
-// When a probe of this replica may first bring a position that frees a read.
+// The earliest time at which a probe of this replica may return a position that allows a read to be sent.
 Micros position_probe_due(const RouterState& state, const Member& member, Micros least_required) {
   Micros min_gap = std::min(state.spans.silence, state.spans.half_bound / 2) / 2;
   Micros due = std::max(next_report_due(member), member.probing.last_sent_at + min_gap);
@@ -100,7 +104,7 @@
   double& latency = member.probing.latency;
   latency = std::max(taken, latency + kProbeLatencySmoothing * (taken - latency));
   record_response(state, member);
-  // A report that does not say how many requests the member holds ends its overload too.
+  // A report without the number of requests that the member holds also ends its overloaded state.
   if (!result.report.held) member.concurrency.overloaded_at = kNever;
   record_report(state, member, result.report);
 }
@@ -126,7 +130,7 @@
   for (Member* member : group.members) {
     if (member == primary || !is_usable(state, *member, MemberUse::kReads)) continue;
     if (is_fresh(member->replication, required.greatest)) continue;
-    if (member->probing.sent_at != kNever) return;  // its answer is awaited first
+    if (member->probing.sent_at != kNever) return;  // no other probe before its answer
     Micros due = position_probe_due(state, *member, required.least);
     if (due > state.now)
       soonest = std::min(soonest, due);
--- a/src/request_router/latency_statistics.cpp
+++ b/src/request_router/latency_statistics.cpp
@@ -3,19 +3,19 @@
 namespace request_router::internal {
 namespace {
 
-// Weight of a new latency in a class's average at a member. A plain ratio: an average covers about the last
-// ten answers, enough to smooth single long requests and few enough to follow a change.
+// Weight of a new latency in a class's average at a member: about the last ten answers count, enough to
+// smooth single long requests and few enough to follow a change.
 constexpr double kMemberSmoothing = 0.1;
 
 // Weight of a new latency in a class's average over all members. A quarter of the weight at one member,
 // because answers of several members go into the same average.
 constexpr double kTypicalSmoothing = kMemberSmoothing / 4;
 
-// Answers that a class's mean is taken of; the weight of one is then as in the average above.
+// The number of answers in a class's mean; the weight of one is then the same as in the average above.
 constexpr int kCountedAnswers = 40;
 
-// Weight of a new latency in a member's recent slowdown. A plain ratio: three times the weight in the average
-// that it is compared with, so that the two differ while latency changes.
+// Weight of a new latency in a member's recent slowdown: three times the weight in the average that it is
+// compared with, so that the two differ while latency changes.
 constexpr double kSlowdownSmoothing = 0.3;
 
 // A class's latency before the first answer, as a divisor of its objective: an objective leaves room for
@@ -51,7 +51,7 @@
   typical += kTypicalSmoothing * (duration - typical);
   if (answer_counts_[request_class] < kCountedAnswers) ++answer_counts_[request_class];
   measured_[request_class] += (duration - measured_[request_class]) / answer_counts_[request_class];
-  // The averages of all classes share one time, so all of them are faded to it.
+  // The averages of all classes share one timestamp, so all of them are decayed to it.
   for (std::size_t other = 0; other < latency.average.size(); ++other)
     latency.average[other] = average(latency, other, now);
   latency.averaged_at = now;
--- a/src/request_router/member_state.cpp
+++ b/src/request_router/member_state.cpp
@@ -9,8 +9,8 @@
 namespace request_router::internal {
 namespace {
 
-// Part of the drain grace during which a draining primary is still given requests. Scales from the guarantee;
-// half, so that what is sent last still has the other half to come to its end.
+// Divisor of the drain grace period: a draining primary still receives requests during the resulting part.
+// Half of the guaranteed period, so that the last requests sent have the other half to complete.
 constexpr int kDrainGraceDivisor = 2;
 
 void initialize_member(RouterState& state, Member& member, const MemberEntry& entry) {
@@ -21,11 +21,11 @@
   member.probing.interval = state.spans.silence;
   member.concurrency.limit = initial_concurrency_limit(state.settings);
   state.groups[entry.group].members.push_back(&member);
-  // The listed role is a hint, older than any claim: it gets no time of its own.
+  // The listed role is a hint and counts as older than any reported role, so it has no timestamp.
   if (state.settings.list_role != ListRole::kOff && entry.primary) member.role.role = Role::kPrimary;
 }
 
-// A role that was claimed before the member's process started is void.
+// Records the start of the member's process. A role that was reported before the start is no longer valid.
 void record_start(Member& member, Micros started_at) {
   if (started_at <= member.started_at) return;
   bool is_claimed = member.role.as_of != kNever;
@@ -33,7 +33,8 @@
   member.started_at = started_at;
 }
 
-// `notified_at`: of a condition other than ready. Of two notices of one condition the earlier one counts.
+// Records the listed condition. `notified_at` applies to conditions other than ready; the earliest
+// notification since the member was last ready counts.
 void record_condition(RouterState& state, Member& member, Condition condition, Micros notified_at) {
   bool was_draining = condition != Condition::kReady && member.observed_draining;
   member.observed_draining = condition == Condition::kDraining || was_draining;
--- a/src/request_router/member_state.h
+++ b/src/request_router/member_state.h
@@ -1,9 +1,9 @@
-// What the router knows of each member and each group, and the rules by which a member list changes it.
+// The state of each member and each group, and the rules by which a member list changes it.
 //
 // Rule: the list names members, their zones and whether new requests may go to them (the drain rule,
 // `may_use`). It never proves that a member is alive or what its role is; only answers, reports and probes
-// do. A member that has been gone for long is forgotten, so that no choice looks through all that ever
-// existed.
+// do. A member that left the list long ago is removed from the state, so that member selection does not
+// iterate over all members that ever existed.
 #pragma once
 
 #include <cstddef>
@@ -24,26 +24,26 @@
 
 struct RouterState;
 
-// An attempt of this router that is under way at a member.
+// An attempt of this router that is in flight at a member.
 struct InFlightAttempt {
   RequestId id = 0;               // of the request
   int attempt = 0;                // which of its attempts, from 0
   std::size_t request_class = 0;  // index into the settings
   Micros sent_at{0};
-  bool cancelled = false;  // to be tried elsewhere; its outcome is still to come
+  bool cancelled = false;  // to be retried at another member; its outcome is still to come
 };
 
-// One member: what the list says of it, and the part of its state that each module owns.
+// One member: its entry in the member list, and the part of its state that each module owns.
 struct Member {
   MemberId id = 0;
   GroupId group = 0;
   std::string zone;
-  bool same_zone = true;  // as this router
+  bool same_zone = true;  // the same zone as this router
   Condition condition = Condition::kReady;
-  bool observed_draining = false;  // the list has said draining since it last said ready
-  Micros notified_at = kNever;     // when draining or gone was first notified
-  Micros started_at{0};            // when its process started, from the list; 0: long past
-  double preference_order = 0;     // 0 to 1: this router's own order among equal members
+  bool observed_draining = false;  // the list has reported draining since it last reported ready
+  Micros notified_at = kNever;     // when any process of the proxy was first notified of draining or gone
+  Micros started_at{0};            // when its process started, from the list; 0: long ago
+  double preference_order = 0;     // 0 to 1: this router's own order of members of about equal cost
   bool is_watched = false;         // listed in RouterState::watched_members
   std::vector<InFlightAttempt> in_flight;
   Micros last_sent_at = kNever;  // when an attempt was last sent to it
@@ -56,7 +56,8 @@
   MemberProbing probing;
 };
 
-// One group: a primary and its replicas, with the requests that wait for one of them.
+// One group: a primary and its replicas, and the requests that are postponed until one of them can serve
+// them.
 struct Group {
   std::vector<Member*> members;      // in the order in which the lists named them
   std::vector<RequestId> postponed;  // in the order in which they were postponed
@@ -65,23 +66,23 @@
   PrimarySearch primary_search;
 };
 
-// What a member is wanted for; the drain rule differs.
+// The purpose for which a member is considered; the drain rule differs between the two.
 enum class MemberUse { kReads, kPrimary };
 
-// The drain rule, kept in this one place: whether new requests may go to the member. A draining primary may
-// finish its hand-over, for half of the grace.
+// Whether new requests may go to the member. Only this function implements the drain rule. A draining primary
+// still receives them for half of the drain grace period, so that it can finish handing over its role.
 bool may_use(const RouterState& state, const Member& member, MemberUse use);
 
-// Whether the member takes new requests for this use and answers, as far as is known.
+// Whether new requests for this use may go to the member and it is not known to be unresponsive.
 inline bool is_usable(const RouterState& state, const Member& member, MemberUse use) {
   return !member.liveness.is_unresponsive() && may_use(state, member, use);
 }
 
-// Takes in a member list: new members, zones, restarts and conditions. Members that a list leaves out are
-// gone, unless it only tells differences.
+// Applies a member list: new members, zones, restarts and conditions. Members that the list omits are marked
+// as gone, unless the list contains changes only.
 void on_member_list(RouterState& state, const MemberList& list);
 
-// Takes in the load report that came with an answer or a probe.
+// Applies the load report that came with an answer or a probe.
 void record_report(RouterState& state, Member& member, const Report& report);
 
 }  // namespace request_router::internal
--- a/src/request_router/outlier_ejection.cpp
+++ b/src/request_router/outlier_ejection.cpp
@@ -7,23 +7,25 @@
 namespace request_router::internal {
 namespace {
 
-// Weight of one attempt in a member's error share. A plain ratio: about the last ten attempts count.
+// Weight of one attempt in a member's error share: about the last ten attempts count.
 constexpr double kErrorSmoothing = 0.1;
 
-// The error share above its peers' average at which a member is ejected. A difference of shares, so that
-// errors that all members have alike eject none; a quarter is three errors in a row at a sound member.
+// The excess of a member's error share over its peers' average at which it is ejected. A difference, so that
+// errors common to all members eject none; a quarter is reached by three errors in a row at a healthy member.
 constexpr double kEjectionErrorShare = 0.25;
 
-// What an ejection leaves of the threshold as the error share: the member is neither cleared nor ejected
-// again by its next error alone.
+// The error share of a member after its ejection: half of the threshold, so that its history is not discarded
+// and its next error alone does not eject it again.
 constexpr double kErrorShareAfterEjection = kEjectionErrorShare / 2;
 
-// The shortest and the longest ejection, in silences: half of the smallest latency objective, and four of it.
+// Bounds on the duration of an ejection, in silence spans: half of the smallest latency objective, and four
+// times that objective.
 constexpr int kMinEjectionSilences = 4;
 constexpr int kMaxEjectionSilences = 32;
 
-// An ejection lasts from half to one and a half of its nominal length, by the router's own order of members:
-// routers that eject a member together do not return to it together.
+// The shortest actual ejection, as a fraction of the nominal duration. The router's own order of members
+// varies it from a half to one and a half, so that routers that eject a member together do not return to it
+// together.
 constexpr double kMinEjectionFraction = 0.5;
 
 void eject_if_outlier(RouterState& state, Member& member) {
--- a/src/request_router/outlier_ejection.h
+++ b/src/request_router/outlier_ejection.h
@@ -1,9 +1,10 @@
-// Members that answer with errors far more often than their peers, or cannot be reached, are left alone.
+// Outlier ejection: members that answer with errors far more often than their peers, or cannot be reached,
+// are ejected for a time.
 //
-// Rule: an error of a member counts once the same request has succeeded elsewhere, so that a request that
-// fails everywhere does not condemn its members; a broken connection counts at once. An ejected member is
-// left alone for a while, longer each time until it has served again. A primary is never ejected: writes have
-// nowhere else to go.
+// Rule: an error of a member counts once the same request has succeeded at another member, so that a request
+// that fails everywhere does not cause ejections; a broken connection counts at once. Each ejection is longer
+// than the last until the member has served a request again. A primary is never ejected, because no other
+// member can serve writes.
 #pragma once
 
 #include "request_router/router.h"
@@ -15,19 +16,19 @@
 struct PendingRequest;
 struct RouterState;
 
-// What is known of the errors of one member.
+// The error share of one member and its ejection.
 struct MemberEjection {
   double error_share = 0;         // smoothed, of its attempts
-  Micros ejected_until = kNever;  // nothing is sent there before
-  Micros ejected_for{0};          // the length of its last ejection; 0: it has served since
+  Micros ejected_until = kNever;  // no request is sent to it before this time
+  Micros ejected_for{0};          // the duration of its last ejection; 0: it has served a request since
 };
 
-// Takes in how an attempt at the member ended: its own error share, and errors of other members on the same
-// request.
+// Applies an attempt's outcome to the error share of its member and, after a success, to the error shares of
+// the members at which the same request failed.
 void update_error_shares(RouterState& state, Member& member, const PendingRequest& pending,
                          const Outcome& outcome);
 
-// Leaves the member alone for a while.
+// Ejects the member, for twice the duration of its last ejection within the bounds.
 void back_off(const RouterState& state, Member& member);
 
 }  // namespace request_router::internal
--- a/src/request_router/retry_policy.cpp
+++ b/src/request_router/retry_policy.cpp
@@ -7,33 +7,34 @@
 namespace request_router::internal {
 namespace {
 
-// A read that failed at so many members is not sent again; a request that needs the primary gets one more,
-// because the primary may have changed meanwhile.
+// The number of failed attempts after which a read is not retried; a request that needs the primary gets one
+// more, because the primary may have changed in the meantime.
 constexpr int kMaxFailures = 2;
 
-// Steps that are kept free at the end of a key's window, for the time until an attempt arrives.
+// Steps reserved at the end of a key's window for the time until an attempt reaches its member.
 constexpr int kWindowReserveSteps = 2;
 
-// The share of attempts lost on their way from which late ones are cancelled. Below a hundredth, cancelling
-// would hit more attempts that are merely long than lost ones.
+// The share of attempts lost on the network from which late attempts are cancelled. Below a hundredth, more
+// attempts that merely take long would be cancelled than lost ones.
 constexpr double kLossThreshold = 0.01;
 
-// Weight of one attempt in that share. A plain ratio: about the last two hundred attempts count, or a single
-// loss would exceed the threshold for long.
+// Weight of one attempt in that share: about the last two hundred attempts count, or a single loss would keep
+// the share above the threshold for long.
 constexpr double kLossSmoothing = 0.005;
 
-// The next attempt is given so many times the usual latency before the deadline: a sound member mostly
-// answers within that.
+// The time reserved before the deadline for the next attempt, as a multiple of its usual latency: a healthy
+// member mostly answers within that time.
 constexpr double kRetryReserveRatio = 2;
 
-// No attempt is cancelled before it has taken so many times its usual latency: hardly any request takes so
-// long by itself, and what takes long by itself would take long again.
+// The multiple of its usual latency before which no attempt is cancelled: hardly any request takes longer by
+// its nature, and one that does would take as long again.
 constexpr double kLateAttemptRatio = 5;
 
-// A repeat under a key is sent in the first half of the key's window, the rest is for its own way.
+// Divisor of a key's window: a repeat is sent within the first half, the rest is for its transmission.
 constexpr int kKeyWindowDivisor = 2;
 
-// The cancelled attempt was lost if it had lasted so many times as long as the next one took.
+// A cancelled attempt counts as lost if it lasted longer than the duration of the next attempt times this
+// factor.
 constexpr int kFasterRetryRatio = 2;
 
 bool may_have_run(const PendingRequest& pending) {
@@ -48,7 +49,8 @@
   return state.now - pending.attempts[0].sent_at < request_class.key_window / kKeyWindowDivisor;
 }
 
-// Whether now is the time to cancel an attempt: after it is surely late, and while the next can be in time.
+// Whether to cancel an attempt at this time: it is certainly late, and the next attempt can still
+// complete in time.
 bool is_time_to_cancel(const RouterState& state, const PendingRequest& pending, Micros sent_at,
                        Micros usual) {
   Micros until = pending.full_value_until;
--- a/src/request_router/slow_start.cpp
+++ b/src/request_router/slow_start.cpp
@@ -8,37 +8,38 @@
 namespace request_router::internal {
 namespace {
 
-// Requests that take so many times as long as those of the lightest class are too heavy for a member that is
-// warming up. A ratio of typical latencies: a few heavy ones would use up its share at once.
+// The ratio of the usual latency of a request's class to that of the fastest class, above which a member that
+// is warming up does not receive the request: a few such requests would use up its share at once.
 constexpr double kHeavyRatio = 3;
 
-// What a replica that is warming up is given at most, as a multiple of its proportional load. The bound for
-// guarantees so wide that the next one would allow more.
+// The maximum load of a replica that is warming up, as a multiple of its proportional load. Applies where the
+// guaranteed overload multiple is so high that the next fraction would allow more.
 constexpr double kReplicaLoadMultiple = 2.2;
 
-// The same as a fraction of the guaranteed overload multiple. The rest of the guarantee is left for chance:
-// requests do not arrive evenly.
+// The same maximum as a fraction of the guaranteed overload multiple. The rest of the guarantee absorbs
+// random variation, because requests do not arrive evenly.
 constexpr double kReplicaGuaranteeFraction = 0.733;
 
-// What a primary that is warming up is given, as a fraction of the guaranteed overload multiple. Less than at
-// a replica, because writes have nowhere else to go and return after each refusal.
+// The load of a primary that is warming up, as a fraction of the guaranteed overload multiple. Less than at a
+// replica, because no other member can serve writes and they are retried after each rejection.
 constexpr double kPrimaryGuaranteeFraction = 0.6;
 
-// A member that is tried for writes without being known as the primary is given this part of a primary's.
+// The part of a primary's fraction for a member that is tried for writes without being known as the primary.
 constexpr double kUnconfirmedPrimaryFraction = 0.5;
 
-// Requests that waited for the primary are let go over so many times as long as they waited. The waiting
-// requests arrived over one such span; twice that leaves room for those that arrive meanwhile.
+// The time over which requests that waited for the primary are admitted, as a multiple of their wait. They
+// arrived over one such span; twice that leaves capacity for requests that arrive meanwhile.
 constexpr double kBacklogDrainRatio = 2;
 
-// The usual work is measured over so many overload windows: long enough that a burst of one window hardly
-// changes it.
+// The span over which the usual work is measured, in overload windows: long enough that a burst of one window
+// hardly changes it.
 constexpr int kUsualWindows = 8;
 
-// Keeps the correction for a short past from dividing by 0 at the first addition.
+// Prevents a division by 0 at the first addition, in the correction for a short observed time.
 constexpr double kLevelOffset = 1.01;
 
-// The sum of a rate that gets 1 in each span is 1 / ln 2: the level is so many times the work of a span.
+// The ratio of a level to the work of one span: a decaying sum that receives 1 in each span approaches
+// 1 / ln 2.
 constexpr double kLevelPerSpanWork = 1.44;
 
 bool has_tried(const PendingRequest& pending, const Member& member) {
@@ -46,8 +47,9 @@
                      [&](const Attempt& attempt) { return attempt.member == member.id; });
 }
 
-// What waited until the member led would all come at once; it is spread over a time that the request draws.
-// The draw is told from those for members by inverting the member's id.
+// Whether the request is delayed to spread a backlog: requests that waited until the member became primary
+// would otherwise all be sent at once, so each draws a point in a time span. The member's id is inverted so
+// that this draw differs from the draws for members.
 bool waits_for_backlog(const RouterState& state, const Member& member, const PendingRequest& pending) {
   if (!pending.needs_primary()) return false;
   double draw = state.deterministic_fraction(pending.request.id, ~member.id);
@@ -68,7 +70,7 @@
   return share * multiple / std::max(1.0, static_cast<double>(listed) - 1);
 }
 
-// At most 1: how the usual work compares with what arrives of late besides this request.
+// The ratio of the usual work to the recent work without this request; at most 1.
 double burst_reduction(const RouterState& state, double own_work) {
   const WorkRate& recent = state.work_rates.recent;
   double own_level = own_work / (kLevelPerSpanWork * to_double(recent.span()));
--- a/src/request_router/slow_start.h
+++ b/src/request_router/slow_start.h
@@ -1,9 +1,11 @@
-// The budget of a member that is warming up after its start, and the rates of work that it follows.
+// Slow start: the fraction of requests that a member receives while it warms up after its start, and the work
+// rates that this fraction depends on.
 //
-// Rule: the share of its capacity that a member has grows with its age, from the guaranteed initial share to
-// all of it at the end of the guaranteed warm-up. Until then it is open to a fraction of all requests: its
-// part of them were it warm, times that share. Fractions add up over any number of routers; they fall while
-// more work arrives than usually does. Each request tries such a member once, a heavy one not at all.
+// Rule: a member's available share of its capacity grows with its age, from the guaranteed initial share to
+// full capacity at the end of the guaranteed warm-up. Until then it is eligible for a fraction of all
+// requests: the part that it would receive when warm, times that share. The fractions add up over any number
+// of routers; they are reduced while more work arrives than usual. Each request tries a member that is
+// warming up at most once; requests of slow classes do not try it at all.
 #pragma once
 
 #include "request_router/router.h"
@@ -16,15 +18,15 @@
 struct PendingRequest;
 struct RouterState;
 
-// Work per time, over about the last `span`: a sum whose parts halve in weight with each span.
+// Work over about the last `span`: a decaying sum in which the weight of each addition halves with each span.
 class WorkRate {
  public:
   explicit WorkRate(Micros span) : span_(span) {}
 
-  // Takes in work, in microseconds of a member's time, that arrives now.
+  // Adds work that arrives now, in microseconds of a member's time.
   void add(Micros now, double work);
 
-  // The work of about the last span, corrected for a past that is shorter than that.
+  // The work of about the last span, corrected while less than that span has been observed.
   double level(Micros now) const;
 
   Micros span() const { return span_; }
@@ -38,21 +40,21 @@
   double sum_ = 0;  // as of `sum_at_`
 };
 
-// The work asked of this router.
+// The rates of the work that arrives at this router.
 struct WorkRates {
   explicit WorkRates(const Settings& settings);
 
   WorkRate recent;  // over the overload window of the guarantees
   WorkRate usual;   // over a longer time
 
-  // Takes in a request whose class usually takes `work` microseconds.
+  // Adds a request whose class usually takes `work` microseconds.
   void add(Micros now, double work);
 };
 
-// The share of its full capacity that the member has at its age; 1: it is warm.
+// The share of its full capacity that the member has at its age; 1: warm-up is complete.
 double capacity_share(const RouterState& state, const Member& member);
 
-// The slow-start budget, kept in this one place: whether the member is warm or may have this request.
+// Whether the member is warm or may receive this request. Only this function implements the slow-start rule.
 bool slow_start_admits(const RouterState& state, const Group& group, const Member& member,
                        const PendingRequest& pending);
 
--- a/src/request_router/zone_routing.cpp
+++ b/src/request_router/zone_routing.cpp
@@ -9,22 +9,22 @@
 namespace request_router::internal {
 namespace {
 
-// Shares that add up to more than this leave nothing out: they come as rounded decimal figures.
+// The sum of shares above which they count as complete: they are given as rounded decimal numbers.
 constexpr double kCompleteShare = 0.999;
 
-// Weight of one read in the smoothed shares of classes. A plain ratio: about the last hundred reads count,
-// enough that the mix is stable.
+// Weight of one read in the smoothed shares of classes: about the last hundred reads count, enough for a
+// stable mix.
 constexpr double kMixSmoothing = 0.01;
 
 // Keeps the rank finite before the first read.
 constexpr double kMinMixTotal = 1e-9;
 
-// Draws of a request that concern no member: ids from the top of the range stand for the member.
+// Member ids of the draws of a request that concern no member; they are taken from the top of the range.
 constexpr MemberId kFirstZoneDraw = ~2U;
 constexpr MemberId kSecondZoneDraw = ~3U;
 constexpr MemberId kRankDraw = ~4U;
 
-// Sorts classes by value for their work, the most valuable first; classes of equal value by their index.
+// The sort key of a class: by value for its work, the most valuable first; classes of equal value by index.
 auto class_order(const RouterState& state, std::size_t request_class) {
   double weight = state.settings.classes[request_class].priority_weight;
   return std::pair(-weight / state.latency.typical(request_class), request_class);
@@ -67,7 +67,7 @@
   return true;
 }
 
-// Where this read stands among all that come, from 0 (the most value for its work) to 1.
+// The rank of this read among all arriving reads, from 0 (the most value for its work) to 1.
 double ZoneRouting::rank(const RouterState& state, const PendingRequest& pending) const {
   std::size_t own = pending.request.request_class;
   double before = state.deterministic_fraction(pending.request.id, kRankDraw) * class_mix_[own];
--- a/src/request_router/zone_routing.h
+++ b/src/request_router/zone_routing.h
@@ -1,10 +1,10 @@
-// Where reads go by the plan of the fleet: the plan that all routers agreed on divides the reads of this
-// router's clients among zones.
+// Zone routing of reads: the plan that all routers have agreed on divides the reads of this router's clients
+// among zones.
 //
-// Rule: each read draws its own zone by the shares of the plan and, as far as there is surplus capacity, a
-// second zone; the same ones each time it is decided. What the shares of a group lack to 1 is rejected at
-// once, the reads of least value for their work first. Requests that need the primary, and groups that the
-// plan does not name, are decided without it.
+// Rule: each read draws a first zone by the shares of the plan and, as far as there is surplus capacity, a
+// second zone; repeated decisions draw the same zones. If the shares of a group add up to less than 1, the
+// remainder of its reads is rejected at once, beginning with the reads of least value for their work.
+// Requests that need the primary, and groups that the plan does not name, are decided without the plan.
 #pragma once
 
 #include <cstddef>
@@ -19,23 +19,23 @@
 struct PendingRequest;
 struct RouterState;
 
-// The zones of one read. The shares belong to the plan and are looked up anew in each decision.
+// The zones of one read. The shares are owned by the plan and are looked up again in each decision.
 struct ZoneAssignment {
-  bool is_planned = false;            // its group has a plan
-  const ZoneShare* first = nullptr;   // the zone that it drew
-  const ZoneShare* second = nullptr;  // one that is open to it as well
+  bool is_planned = false;            // the plan applies to the request
+  const ZoneShare* first = nullptr;   // the zone drawn by the shares
+  const ZoneShare* second = nullptr;  // a zone that it may use as well
 };
 
-// The plan, and the mix of classes that tells which reads are of least value.
+// The plan, and the mix of classes that determines which reads are of least value.
 class ZoneRouting {
  public:
   // Replaces the plan.
   void set_plan(const Plan& plan, std::size_t class_count);
 
-  // Takes in that a read of this class has arrived.
+  // Records the arrival of a read of this class.
   void record_read(std::size_t request_class);
 
-  // Draws the zones of the request. False: no zone is left for it.
+  // Draws the zones of the request. Returns false if the request is beyond the shares of the plan.
   bool assign(const RouterState& state, PendingRequest& pending) const;
 
  private:
@@ -48,7 +48,7 @@
 // Whether the request may go to the member by the zones that it drew.
 bool is_allowed_by_plan(const PendingRequest& pending, const Member& member);
 
-// Takes in a plan and has all groups decided by it.
+// Applies a plan and requests a decision for all groups.
 void on_plan(RouterState& state, const Plan& plan);
 
 }  // namespace request_router::internal
