--- a/src/request_router/failure_detection.cpp
+++ b/src/request_router/failure_detection.cpp
@@ -34,7 +34,7 @@
 }
 
 // Whether the attempt is an overdue read that may be cancelled. Only reads in this zone are: between zones, a
-// slow network path cannot be told from an unresponsive member.
+// slow network path cannot be distinguished from an unresponsive member.
 bool is_overdue_read(const RouterState& state, const Member& member, const InFlightAttempt& attempt) {
   if (!state.settings.cancel || !member.same_zone) return false;
   if (state.settings.classes[attempt.request_class].effect != Effect::kPure) return false;
--- a/src/request_router/failure_detection.h
+++ b/src/request_router/failure_detection.h
@@ -1,7 +1,7 @@
 // Failure detection: unresponsive members, and attempts that were lost on the network.
 //
-// Rule: any answer proves that a member is alive, whatever the list says. A member whose answer is overdue is
-// probed; if it does not answer the probe either, it is unresponsive and receives no new requests until it
+// Rule: any answer proves that a member is alive, whatever the list reports. A member whose answer is overdue
+// is probed; if it does not answer the probe either, it is unresponsive and receives no new requests until it
 // answers. The time allowed for a probe follows the measured latency of probes, because a slow network path
 // slows all of them. Where members cannot be probed, an attempt that takes much longer than usual is the
 // proof. A time-out at a member that answered other attempts quickly in the meantime is a failure of the
--- a/src/request_router/latency_statistics.cpp
+++ b/src/request_router/latency_statistics.cpp
@@ -18,7 +18,7 @@
 // compared with, so that the two differ while latency changes.
 constexpr double kSlowdownSmoothing = 0.3;
 
-// A class's latency before the first answer, as a divisor of its objective: an objective leaves room for
+// A class's latency before the first answer, as a divisor of its objective: an objective allows for
 // several times the usual latency, and an estimate that is too low is corrected by the first answers.
 constexpr double kObjectivePerTypicalLatency = 5;
 
--- a/src/request_router/slow_start.cpp
+++ b/src/request_router/slow_start.cpp
@@ -28,7 +28,7 @@
 constexpr double kUnconfirmedPrimaryFraction = 0.5;
 
 // The time over which requests that waited for the primary are admitted, as a multiple of their wait. They
-// arrived over one such span; twice that leaves capacity for requests that arrive meanwhile.
+// arrived over one such span; twice that leaves capacity for requests that arrive in the meantime.
 constexpr double kBacklogDrainRatio = 2;
 
 // The span over which the usual work is measured, in overload windows: long enough that a burst of one window
