--- a/include/request_router/router.h
+++ b/include/request_router/router.h
@@ -33,7 +33,7 @@
 enum class ReadLevel { kWrite, kFresh, kSession, kBounded, kAny };
 
 // What a member does with a read that it is too far behind for: answers it, turns it away, waits to catch up.
-enum class Checks { kOff, kReject, kHold };
+enum class LagCheck { kOff, kReject, kHold };
 
 // What the member list says about roles: nothing, the role at the start, the role with a delay.
 enum class ListRole { kOff, kInitial, kDelayed };
@@ -94,14 +94,14 @@
   int ordinal = 0;
   Micros step{1000};  // shortest time between batches
   // the family of servers
-  Checks checks = Checks::kOff;
-  Micros catch_up_timeout{0};             // Checks::kHold: how long a member waits to catch up
-  bool positions = false;                 // every answer carries a position
+  LagCheck lag_check = LagCheck::kOff;
+  Micros catch_up_timeout{0};             // LagCheck::kHold: how long a member waits to catch up
+  bool answers_carry_position = false;    // every answer carries a position
   bool client_carries_write_age = false;  // a session read says how old its last write is
   bool report_position = false;
   bool report_role = false;
   bool report_in_flight = false;  // how many requests a member holds
-  ReportMode reports = ReportMode::kOff;
+  ReportMode report_mode = ReportMode::kOff;
   ListRole list_role = ListRole::kOff;
   // limits
   bool probes = false, peers = false, cancel = false, hedged_requests = false, retry_after = false;
@@ -121,7 +121,7 @@
   std::optional<Micros> position;  // absolute, on the caller's clock
   std::optional<bool> primary;
   std::optional<double> busy;
-  std::optional<double> held;  // requests that it is working on or has in its queue
+  std::optional<double> in_flight;  // requests that it is working on or has in its queue
 };
 
 // Events.
@@ -219,9 +219,9 @@
 
 // Why a request was given up.
 enum class GiveUpReason {
-  kUnknownGroup,   // no member list has named its group
-  kBeyondPlan,     // beyond the shares of the plan of zones
-  kCannotBeInTime  // it can no longer be answered in time, or may not be sent again
+  kUnknownGroup,       // no member list has named its group
+  kBeyondPlan,         // beyond the shares of the plan of zones
+  kCannotMeetDeadline  // it can no longer be answered in time, or may not be sent again
 };
 
 // Send the request to the member.
@@ -243,12 +243,12 @@
 struct Reject {
   RequestId id;
   Micros retry_after;  // 0: no guidance
-  GiveUpReason reason = GiveUpReason::kCannotBeInTime;
+  GiveUpReason reason = GiveUpReason::kCannotMeetDeadline;
 };
 // Answer the request with a failure: it may have run.
 struct Fail {
   RequestId id;
-  GiveUpReason reason = GiveUpReason::kCannotBeInTime;
+  GiveUpReason reason = GiveUpReason::kCannotMeetDeadline;
 };
 // Probe the member.
 struct Probe {
@@ -283,8 +283,8 @@
   // session may have written through it at any moment of that time, and its reads must show that.
   void share_sessions(Micros now, bool is_shared);
 
-  std::size_t members() const;  // how many it knows, those that have gone a short time ago included
-  double room(MemberId member)
+  std::size_t member_count() const;  // how many it knows, those that have gone a short time ago included
+  double surplus_capacity(MemberId member)
       const;  // requests a second that it would send there beside those in flight (surplus capacity)
 
  private:
--- a/src/request_router/group_decision.cpp
+++ b/src/request_router/group_decision.cpp
@@ -27,7 +27,7 @@
       continue;
     }
     if (cannot_meet_deadline(state, group, pending, writes_ahead)) {
-      give_up(state, pending, GiveUpReason::kCannotBeInTime);
+      give_up(state, pending, GiveUpReason::kCannotMeetDeadline);
       continue;
     }
     admitted.push_back(&pending);
--- a/src/request_router/health_check_scheduler.cpp
+++ b/src/request_router/health_check_scheduler.cpp
@@ -101,7 +101,7 @@
   latency = std::max(taken, latency + kProbeLatencySmoothing * (taken - latency));
   record_response(state, member);
   // A report that does not say how many requests the member holds ends its overload too.
-  if (!result.report.held) member.concurrency.overloaded_at = kNever;
+  if (!result.report.in_flight) member.concurrency.overloaded_at = kNever;
   record_report(state, member, result.report);
 }
 
--- a/src/request_router/member_state.cpp
+++ b/src/request_router/member_state.cpp
@@ -94,7 +94,7 @@
 }
 
 void record_report(RouterState& state, Member& member, const Report& report) {
-  if (report.held) record_request_count(member, *report.held, state.now);
+  if (report.in_flight) record_request_count(member, *report.in_flight, state.now);
   if (report.position) record_reported_position(state, member, *report.position);
   if (report.primary) {
     Role role = *report.primary ? Role::kPrimary : Role::kReplica;
--- a/src/request_router/primary_discovery.cpp
+++ b/src/request_router/primary_discovery.cpp
@@ -69,7 +69,7 @@
 
 Member* probe_for_primary(RouterState& state, const Group& group, const PendingRequest& pending) {
   bool is_read = pending.request_class->level == ReadLevel::kFresh;
-  if (is_read && state.settings.checks == Checks::kOff) return nullptr;
+  if (is_read && state.settings.lag_check == LagCheck::kOff) return nullptr;
   if (static_cast<int>(pending.attempts.size()) >= state.settings.max_attempts - kReservedAttempts)
     return nullptr;
   if (group.members.empty()) return nullptr;  // all have gone and are forgotten
@@ -89,7 +89,7 @@
   bool is_first = search.started_at == kNever;
   if (!is_first && state.now - search.started_at < search.interval) return;
   // Where members check nothing, no write is tried out, so there a first search goes beyond the budget.
-  if (state.settings.checks == Checks::kOff && is_first)
+  if (state.settings.lag_check == LagCheck::kOff && is_first)
     state.probe_budget.grant(static_cast<double>(group.members.size()));
   search.started_at = state.now;
   search.interval = std::min(search.interval * 2, state.spans.silence * kLongestSearchSilences);
--- a/src/request_router/replication_lag.cpp
+++ b/src/request_router/replication_lag.cpp
@@ -80,7 +80,7 @@
 }
 
 bool may_try_behind(const RouterState& state, const Member& member, Micros required) {
-  if (state.settings.checks == Checks::kOff) return false;
+  if (state.settings.lag_check == LagCheck::kOff) return false;
   const MemberReplication& replication = member.replication;
   bool has_declined = replication.declined_at != kNever;
   if (has_declined && state.now - replication.declined_at < state.spans.silence) return false;
@@ -118,7 +118,7 @@
   const RequestClass& request_class = *pending.request_class;
   if (request_class.level == ReadLevel::kWrite && pending.request.key)
     state.sessions.record_write(*pending.request.key, outcome.position.value_or(state.now));
-  if (state.settings.checks == Checks::kOff || member.role.role == Role::kPrimary) return;
+  if (state.settings.lag_check == LagCheck::kOff || member.role.role == Role::kPrimary) return;
   if (request_class.level == ReadLevel::kBounded)
     record_position(state, member, attempt.sent_at - request_class.bound);
   if (pending.required_position != kNever) record_position(state, member, pending.required_position);
--- a/src/request_router/router.cpp
+++ b/src/request_router/router.cpp
@@ -132,8 +132,8 @@
   state_->sessions.set_shared(std::max(now, state_->now), is_shared);
 }
 
-std::size_t Router::members() const { return state_->members.size(); }
+std::size_t Router::member_count() const { return state_->members.size(); }
 
-double Router::room(MemberId member) const { return internal::surplus_capacity(*state_, member); }
+double Router::surplus_capacity(MemberId member) const { return internal::surplus_capacity(*state_, member); }
 
 }  // namespace request_router
--- a/src/request_router/settings.cpp
+++ b/src/request_router/settings.cpp
@@ -149,11 +149,11 @@
 }
 
 void SettingsReader::read_family(Settings& settings) const {
-  settings.checks =
-      one_of<Checks>("FamilyInfo.Behind", text("FamilyInfo.Behind", "off"),
-                     {{"off", Checks::kOff}, {"reject", Checks::kReject}, {"hold", Checks::kHold}});
+  settings.lag_check =
+      one_of<LagCheck>("FamilyInfo.Behind", text("FamilyInfo.Behind", "off"),
+                       {{"off", LagCheck::kOff}, {"reject", LagCheck::kReject}, {"hold", LagCheck::kHold}});
   settings.catch_up_timeout = millis("FamilyInfo.PatienceMs");
-  settings.positions = flag("FamilyInfo.Positions");
+  settings.answers_carry_position = flag("FamilyInfo.Positions");
   settings.client_carries_write_age =
       one_of<bool>("FamilyInfo.WriteMarks", text("FamilyInfo.WriteMarks", "router"),
                    {{"client", true}, {"router", false}});
@@ -162,7 +162,7 @@
     if (field == "x1") settings.report_role = true;
     if (field == "rif" || field == "inflight") settings.report_in_flight = true;
   }
-  settings.reports = one_of<ReportMode>(
+  settings.report_mode = one_of<ReportMode>(
       "Report.How", text("Report.How", "off"),
       {{"off", ReportMode::kOff}, {"inline", ReportMode::kInline}, {"on_probe", ReportMode::kOnProbe}});
   settings.list_role = one_of<ListRole>(
--- a/src/routing/decision_facade.cpp
+++ b/src/routing/decision_facade.cpp
@@ -90,7 +90,7 @@
       return "no server of its group is known";
     case router::GiveUpReason::kBeyondPlan:
       return "beyond the shares of the zones";
-    case router::GiveUpReason::kCannotBeInTime:
+    case router::GiveUpReason::kCannotMeetDeadline:
       return "it cannot be answered in time";
   }
   return "";
@@ -187,7 +187,7 @@
       unix_position = Micros(static_cast<std::int64_t>(std::floor(*value * kMicrosPerSecond)));
     if (name == "x1") report.primary = *value == 1;
     if (name == "util" || name == "busy") report.busy = *value;
-    if (name == "rif" || name == "inflight") report.held = *value;
+    if (name == "rif" || name == "inflight") report.in_flight = *value;
   }
   if (!unix_position) return report;
   bool is_primary = report.primary.value_or(false);
@@ -253,7 +253,7 @@
 
 double DecisionFacade::spare_capacity(const std::string& server) const {
   auto it = member_ids_.find(server);
-  return it == member_ids_.end() ? 0 : router_.room(it->second);
+  return it == member_ids_.end() ? 0 : router_.surplus_capacity(it->second);
 }
 
 void DecisionFacade::submit(Micros now, const Request& request) {
--- a/src/routing/decision_facade.h
+++ b/src/routing/decision_facade.h
@@ -135,7 +135,7 @@
 
   // How much is remembered: bounded by the servers that are listed or left the list lately.
   std::size_t servers_known() const { return servers_.size(); }
-  std::size_t members_known() const { return router_.members(); }
+  std::size_t members_known() const { return router_.member_count(); }
 
  private:
   struct Server {
--- a/src/simulator_adapter/wire.cpp
+++ b/src/simulator_adapter/wire.cpp
@@ -181,7 +181,7 @@
     if (name == "x0") report.position = zero_ + Micros(std::llround(*value * 1e6));
     if (name == "x1") report.primary = *value == 1;
     if (name == "busy") report.busy = *value;
-    if (name == "rif" || name == "inflight") report.held = *value;
+    if (name == "rif" || name == "inflight") report.in_flight = *value;
   }
   return report;
 }
--- a/tests/request_router/concurrency_limit_test.cpp
+++ b/tests/request_router/concurrency_limit_test.cpp
@@ -85,7 +85,7 @@
         ++probes;
         ASSERT_EQ(probe.member, 1U);
         auto answer = make_probe_result(1, at, true);
-        answer.report.held = 110;
+        answer.report.in_flight = 110;
         events.emplace_back(answer);
       }
       next = router.handle(at, events);
@@ -94,7 +94,7 @@
     EXPECT_GE(probes, 2U);
     EXPECT_LE(probes, 4U) << "some time lies between them";
     auto answer = make_probe_result(1, at, true);
-    answer.report.held = 9;
+    answer.report.in_flight = 9;
     EXPECT_EQ(actions_of<Send>(router.handle(at, {answer})).size(), 1U);
   }
 }
--- a/tests/request_router/decision_deployment.cpp
+++ b/tests/request_router/decision_deployment.cpp
@@ -55,7 +55,7 @@
   if (settings_.report_role) report.primary = member.primary;
   if (random_.half()) report.busy = random_.thousandths(0, 1000);
   std::int64_t others = member.in_flight * (settings_.routers > 1 ? random_.between(1, 12) : 1);
-  if (settings_.report_in_flight && random_.permille(900)) report.held = static_cast<double>(others);
+  if (settings_.report_in_flight && random_.permille(900)) report.in_flight = static_cast<double>(others);
   return report;
 }
 
--- a/tests/request_router/decision_fingerprint.cpp
+++ b/tests/request_router/decision_fingerprint.cpp
@@ -96,7 +96,7 @@
     settings_.classes[0].deadline = settings_.classes[0].latency_objective * 4;
     settings_.max_attempts = 4;
     settings_.routers = 1;
-    settings_.positions = true;
+    settings_.answers_carry_position = true;
     settings_.list_role = ListRole::kInitial;
   }
 
@@ -142,8 +142,9 @@
   }
 
   void sample() {
-    std::string line = "# " + std::to_string(router_->members());
-    for (auto& [id, member] : members_) line += " " + std::to_string(std::llround(router_->room(id)));
+    std::string line = "# " + std::to_string(router_->member_count());
+    for (auto& [id, member] : members_)
+      line += " " + std::to_string(std::llround(router_->surplus_capacity(id)));
     hash_.line(line);
   }
 
@@ -236,7 +237,7 @@
     }
     return {Status::kSuccess, takes};
   }
-  bool checked() const { return settings_.checks != Checks::kOff; }
+  bool checked() const { return settings_.lag_check != LagCheck::kOff; }
 
   void carry_out(const Cancel& action) {
     auto found = out_.find({action.id, action.attempt});
@@ -278,7 +279,8 @@
   bool occurs(Event& event) {
     if (auto* outcome = std::get_if<Outcome>(&event)) return complete(*outcome);
     if (auto* result = std::get_if<ProbeResult>(&event)) {
-      if (result->ok && settings_.reports == ReportMode::kOnProbe) result->report = report(result->member);
+      if (result->ok && settings_.report_mode == ReportMode::kOnProbe)
+        result->report = report(result->member);
     } else if (auto* gone = std::get_if<ClientGone>(&event)) {
       requests_[gone->id].client_is_gone = true;
     } else if (auto* request = std::get_if<Request>(&event)) {
@@ -301,10 +303,10 @@
     bool answered = outcome.status == Status::kSuccess || outcome.status == Status::kFailure ||
                     outcome.status == Status::kDeclined || outcome.status == Status::kOverloaded;
     if (!answered) return true;
-    if (random_.permille(settings_.positions ? 900 : 300))
+    if (random_.permille(settings_.answers_carry_position ? 900 : 300))
       outcome.role = member.primary ? Role::kPrimary : Role::kReplica;
-    if (settings_.positions) outcome.position = position(member);
-    if (settings_.reports == ReportMode::kInline && random_.permille(900))
+    if (settings_.answers_carry_position) outcome.position = position(member);
+    if (settings_.report_mode == ReportMode::kInline && random_.permille(900))
       outcome.report = report(outcome.member);
     return true;
   }
--- a/tests/request_router/decision_fingerprint.h
+++ b/tests/request_router/decision_fingerprint.h
@@ -42,8 +42,8 @@
 
 // Runs the simulation of `seed`. Where `text` is given, it gets what is hashed, one line an item: for a batch
 // `@ time events`, and for an action the index of its kind followed by its fields as integers: 0 send,
-// 1 cancel, 2 refuse, 3 fail, 4 probe, 5 set timer, 6 subscribe, 7 log. A line `# members room...` follows
-// each sample of the public queries.
+// 1 cancel, 2 refuse, 3 fail, 4 probe, 5 set timer, 6 subscribe, 7 log. A line `# member_count
+// surplus_capacity...` follows each sample of the public queries.
 DecisionFingerprint decision_fingerprint(std::uint64_t seed, std::ostream* text = nullptr);
 
 }  // namespace request_router::test
--- a/tests/request_router/decision_settings.cpp
+++ b/tests/request_router/decision_settings.cpp
@@ -28,14 +28,14 @@
 }
 
 void draw_family(Generator& random, Settings& drawn) {
-  drawn.checks = random.pick({Checks::kOff, Checks::kReject, Checks::kHold});
-  if (drawn.checks == Checks::kHold) drawn.catch_up_timeout = random.between(5ms, 200ms);
-  drawn.positions = random.permille(700);
+  drawn.lag_check = random.pick({LagCheck::kOff, LagCheck::kReject, LagCheck::kHold});
+  if (drawn.lag_check == LagCheck::kHold) drawn.catch_up_timeout = random.between(5ms, 200ms);
+  drawn.answers_carry_position = random.permille(700);
   drawn.client_carries_write_age = random.half();
   drawn.report_position = random.permille(800);
   drawn.report_role = random.permille(700);
   drawn.report_in_flight = random.half();
-  drawn.reports =
+  drawn.report_mode =
       random.pick({ReportMode::kOff, ReportMode::kInline, ReportMode::kOnProbe, ReportMode::kOnProbe});
   drawn.list_role = random.pick({ListRole::kOff, ListRole::kInitial, ListRole::kDelayed});
 }
--- a/tests/request_router/failure_detection_test.cpp
+++ b/tests/request_router/failure_detection_test.cpp
@@ -151,14 +151,14 @@
   for (MemberId member = 10; member < 500; ++member, now += 1s) {
     router.handle(now, {make_list(ListKind::kDelta, {make_entry(member)})});
     router.handle(now + 500ms, {make_list(ListKind::kDelta, {make_entry(member, false, Condition::kGone)})});
-    EXPECT_LT(router.members(), 30U);
+    EXPECT_LT(router.member_count(), 30U);
   }
   router.handle(now, {make_probe_result(2, now, false)});
   EXPECT_EQ(actions_of<Send>(router.handle(now, {make_request(1, kBounded, now + 2s)})).size(), 1U);
   // One that comes back is new.
   router.handle(now, {make_list(ListKind::kDelta, {make_entry(10)})});
   router.handle(now + 1s, {make_list(ListKind::kDelta, {make_entry(10, false, Condition::kGone)})});
-  EXPECT_LT(router.members(), 30U);
+  EXPECT_LT(router.member_count(), 30U);
 }
 
 TEST_F(GroupOfThree, EventsOfUnknownOrEndedRequestsAreIgnored) {
--- a/tests/request_router/many_routers_test.cpp
+++ b/tests/request_router/many_routers_test.cpp
@@ -11,7 +11,7 @@
 constexpr double kPerSecond = 1500;  // 15 a second at each router: it meets a group less than once a second
 
 Settings fleet_settings() {
-  Settings settings = default_settings(Checks::kReject);
+  Settings settings = default_settings(LagCheck::kReject);
   for (auto& request_class : settings.classes) {
     request_class.latency_objective = 150ms;
     request_class.deadline = 700ms;
--- a/tests/request_router/primary_discovery_test.cpp
+++ b/tests/request_router/primary_discovery_test.cpp
@@ -57,8 +57,8 @@
 // Of hundreds of routers each has a small part of the probes, too small to learn any role where nothing is
 // tried.
 TEST(PrimaryDiscovery, WhereMembersCheckNothingTheFirstSearchProbesAllMembers) {
-  for (auto checks : {Checks::kOff, Checks::kReject}) {
-    Settings settings = default_settings(checks);
+  for (auto lag_check : {LagCheck::kOff, LagCheck::kReject}) {
+    Settings settings = default_settings(lag_check);
     settings.list_role = ListRole::kOff;
     settings.routers = 300;
     Router router(settings, 1);
@@ -68,7 +68,7 @@
     };
     feed(10s, {make_list(ListKind::kFull, {make_entry(1), make_entry(2), make_entry(3), make_entry(4)})});
     feed(10s + 10ms, {make_request(1, kFresh, 12s)});
-    if (checks == Checks::kOff)
+    if (lag_check == LagCheck::kOff)
       EXPECT_EQ(probes, 4U);
     else
       EXPECT_LT(probes, 4U) << "elsewhere the budget holds";
@@ -82,8 +82,8 @@
 // Where members check nothing, a replica answers a fresh read from what it has. While no primary was known,
 // such a read was tried at members of any role, as a write is, which replicas turn away.
 TEST(PrimaryDiscovery, AFreshReadIsTriedAtMembersOfUnknownRoleOnlyWhereTheyCheckReads) {
-  for (auto checks : {Checks::kOff, Checks::kReject, Checks::kHold}) {
-    Settings settings = default_settings(checks);
+  for (auto lag_check : {LagCheck::kOff, LagCheck::kReject, LagCheck::kHold}) {
+    Settings settings = default_settings(lag_check);
     settings.list_role = ListRole::kOff;
     Router router(settings, 1);
     std::vector<Send> sends;
@@ -99,8 +99,8 @@
     }
     feed(10s + 10ms, {make_request(1, kFresh, 12s)});
     for (Micros at = 10s + 35ms; at < 10s + 200ms; at += 25ms) feed(at, {TimerFired{1}, TimerFired{2}});
-    EXPECT_EQ(sends.empty(), checks == Checks::kOff) << static_cast<int>(checks);
-    if (checks != Checks::kOff) continue;
+    EXPECT_EQ(sends.empty(), lag_check == LagCheck::kOff) << static_cast<int>(lag_check);
+    if (lag_check != LagCheck::kOff) continue;
     feed(10s + 210ms, {make_probe_result(2, 10s + 200ms, true)});
     ASSERT_EQ(sends.size(), 1U) << "the primary has made itself known";
     EXPECT_EQ(sends[0].member, 2U);
@@ -112,7 +112,7 @@
   router.handle(1s, {make_list(ListKind::kFull, {make_entry(1), make_entry(2)})});
   router.handle(2s, {make_list(ListKind::kFull, {})});
   router.handle(60s, {make_list(ListKind::kFull, {})});
-  ASSERT_EQ(router.members(), 0U);
+  ASSERT_EQ(router.member_count(), 0U);
   for (auto request_class : {kWrite, kKeyedWrite, kFresh}) {
     auto actions = router.handle(60s, {make_request(1 + request_class, request_class, 62s)});
     EXPECT_TRUE(actions_of<Send>(actions).empty());
--- a/tests/request_router/random_events_test.cpp
+++ b/tests/request_router/random_events_test.cpp
@@ -59,8 +59,8 @@
   int pick(int count) { return static_cast<int>(random_() % static_cast<unsigned>(count)); }
 
   Settings draw_settings() {
-    Settings settings = default_settings(pick(2) ? Checks::kOff : Checks::kReject);
-    settings.positions = pick(2);
+    Settings settings = default_settings(pick(2) ? LagCheck::kOff : LagCheck::kReject);
+    settings.answers_carry_position = pick(2);
     settings.probes = pick(4) != 0;
     settings.removal_not_binding = pick(4) == 0;
     settings.max_attempts = 1 + pick(6);
@@ -101,7 +101,7 @@
 
   void check_freshness(const RequestRecord& record, const MemberRecord& member) {
     const auto& request_class = settings_.classes[record.request.request_class];
-    if (settings_.checks != Checks::kOff || member.may_be_primary()) return;
+    if (settings_.lag_check != LagCheck::kOff || member.may_be_primary()) return;
     if (request_class.level == ReadLevel::kBounded) {
       ASSERT_LE(now_ - member.position, request_class.bound) << "a stale read";
     }
--- a/tests/request_router/retry_policy_test.cpp
+++ b/tests/request_router/retry_policy_test.cpp
@@ -43,7 +43,7 @@
 
 // Settings of another deployment allow more attempts than the platform's rule.
 TEST(RetryPolicy, NoRequestIsSentMoreThanEightTimesWhateverTheSettingsAllow) {
-  Settings settings = default_settings(Checks::kReject);
+  Settings settings = default_settings(LagCheck::kReject);
   settings.max_attempts = 20;
   Router router(settings, 1);
   router.handle(10s, {make_list(ListKind::kFull, {make_entry(1, true), make_entry(2), make_entry(3),
--- a/tests/request_router/slow_start_test.cpp
+++ b/tests/request_router/slow_start_test.cpp
@@ -29,7 +29,7 @@
 // Reads that warm members declined once raised the budget of a member that was warming up to several times
 // its share.
 TEST(SlowStartBudget, DeclinedReadsDoNotRaiseTheBudgetOfAMemberThatIsWarmingUp) {
-  auto router = router_of_three(default_settings(Checks::kReject));
+  auto router = router_of_three(default_settings(LagCheck::kReject));
   router.handle(10s + 20ms,
                 {make_list(ListKind::kDelta, {make_entry(2, false, Condition::kReady, 10s + 10ms)})});
   std::map<MemberId, int> count;
@@ -128,7 +128,7 @@
 // of them together overloaded it. It may lead by now, so the part of them is tried there that its budget
 // holds.
 TEST(SlowStartBudget, WithoutAPrimaryFewWritesAreTriedAtAMemberThatIsWarmingUp) {
-  auto router = router_of_three(default_settings(Checks::kReject));
+  auto router = router_of_three(default_settings(LagCheck::kReject));
   router.handle(10s + 20ms, {make_list(ListKind::kDelta, {make_entry(1, false, Condition::kGone),
                                                           make_entry(3, false, Condition::kReady, 10s)})});
   std::map<MemberId, int> tried;
@@ -186,7 +186,7 @@
   static constexpr Micros kEnd = 42s;
   static constexpr MemberId kWarmingUp = 2;
 
-  SlowStart() : settings_(default_settings(Checks::kReject)) {
+  SlowStart() : settings_(default_settings(LagCheck::kReject)) {
     settings_.routers = GetParam().routers;
     settings_.overload_multiple = GetParam().overload_multiple;
     settings_.probes = false;
--- a/tests/request_router/support.h
+++ b/tests/request_router/support.h
@@ -34,7 +34,7 @@
 }
 
 // One router with probes, cancellation and positions; each class of `Class`.
-inline Settings default_settings(Checks checks = Checks::kOff) {
+inline Settings default_settings(LagCheck lag_check = LagCheck::kOff) {
   Settings settings;
   settings.classes = {make_class("any", ReadLevel::kAny, Effect::kPure),
                       make_class("bounded", ReadLevel::kBounded, Effect::kPure),
@@ -43,11 +43,11 @@
                       make_class("write", ReadLevel::kWrite, Effect::kUnsafe),
                       make_class("keyed", ReadLevel::kWrite, Effect::kKeyed)};
   settings.step = 5ms;
-  settings.checks = checks;
-  settings.positions = true;
+  settings.lag_check = lag_check;
+  settings.answers_carry_position = true;
   settings.client_carries_write_age = true;
   settings.report_position = settings.report_role = true;
-  settings.reports = ReportMode::kOnProbe;
+  settings.report_mode = ReportMode::kOnProbe;
   settings.list_role = ListRole::kInitial;
   settings.probes = settings.cancel = settings.retry_after = true;
   settings.max_attempts = 6;
@@ -147,7 +147,7 @@
 
 // The same where members turn a read away that they are too far behind for.
 struct GroupOfThreeThatChecksReads : GroupOfThree {
-  GroupOfThreeThatChecksReads() : GroupOfThree(default_settings(Checks::kReject)) {}
+  GroupOfThreeThatChecksReads() : GroupOfThree(default_settings(LagCheck::kReject)) {}
 };
 
 }  // namespace request_router::test
--- a/tests/request_router/zone_routing_test.cpp
+++ b/tests/request_router/zone_routing_test.cpp
@@ -110,12 +110,12 @@
 
 TEST_F(ThreeZones, SurplusCapacityIsWhatTheLimitLeaves) {
   answer_probes(now);
-  auto before = router.room(4);
+  auto before = router.surplus_capacity(4);
   EXPECT_GT(before, 0);
   plan({{"b", 1, 0}});
   for (int i = 0; i < 4; ++i) router.handle(now, {make_request(next++, kBounded, now + 2s)});
-  EXPECT_LT(router.room(4) + router.room(5), 2 * before);
-  EXPECT_EQ(router.room(99), 0);
+  EXPECT_LT(router.surplus_capacity(4) + router.surplus_capacity(5), 2 * before);
+  EXPECT_EQ(router.surplus_capacity(99), 0);
 }
 
 }  // namespace
--- a/tests/simulator_adapter/wire_test.cpp
+++ b/tests/simulator_adapter/wire_test.cpp
@@ -36,9 +36,9 @@
   EXPECT_EQ(settings.classes[1].effect, Effect::kKeyed);
   EXPECT_EQ(settings.classes[1].scope, KeyScope::kGroup);
   EXPECT_EQ(settings.classes[1].key_window, 2s);
-  EXPECT_EQ(settings.checks, Checks::kReject);
-  EXPECT_TRUE(settings.client_carries_write_age && settings.positions && settings.report_position &&
-              settings.report_role && settings.probes);
+  EXPECT_EQ(settings.lag_check, LagCheck::kReject);
+  EXPECT_TRUE(settings.client_carries_write_age && settings.answers_carry_position &&
+              settings.report_position && settings.report_role && settings.probes);
   EXPECT_EQ(rows[0].entry.started_at, Micros(7250));
 }
 
