--- a/src/request_router/concurrency_limit.cpp
+++ b/src/request_router/concurrency_limit.cpp
@@ -92,8 +92,8 @@
   if (state.now < member.ejection.ejected_until) return false;
   if (static_cast<double>(member.in_flight.size()) >= concurrency.limit) return false;
   // What one of hundreds of routers has in flight there says nothing of what the member holds.
-  if (state.now - concurrency.overloaded_at < state.spans.memory) {
-    if (state.now - member.probing.last_sent_at > state.spans.silence * kOverloadProbeSilences)
+  if (state.now - concurrency.overloaded_at < state.spans.observation_half_life) {
+    if (state.now - member.probing.last_sent_at > state.spans.silence_limit * kOverloadProbeSilences)
       send_probe(state, member);
     return false;
   }
--- a/src/request_router/cost.cpp
+++ b/src/request_router/cost.cpp
@@ -19,7 +19,7 @@
 
 }  // namespace
 
-double cost1(RouterState& state, const Member& member, std::size_t request_class) {
+double expected_cost(RouterState& state, const Member& member, std::size_t request_class) {
   double load = state.load(member);
   double own = expected_time(state, member, request_class);
   double sum = own;
--- a/src/request_router/cost.h
+++ b/src/request_router/cost.h
@@ -12,12 +12,12 @@
 struct Member;
 struct RouterState;
 
-// Working memory of `cost1`, kept so that no estimate allocates.
+// Working memory of `expected_cost`, kept so that no estimate allocates.
 struct CostScratch {
   std::vector<double> average;  // by class; 0: not looked up yet
 };
 
 // The cost of a request of this class at this member.
-double cost1(RouterState& state, const Member& member, std::size_t request_class);
+double expected_cost(RouterState& state, const Member& member, std::size_t request_class);
 
 }  // namespace request_router::internal
--- a/src/request_router/failure_detection.cpp
+++ b/src/request_router/failure_detection.cpp
@@ -46,14 +46,14 @@
 void record_response(RouterState& state, Member& member) {
   member.liveness.last_response_at = state.now;
   if (std::exchange(member.liveness.unresponsive_since, kNever) == kNever) return;
-  member.probing.interval = state.spans.silence;
+  member.probing.interval = state.spans.silence_limit;
   state.request_decision(member);
 }
 
 void mark_unresponsive(RouterState& state, Member& member) {
   if (member.liveness.is_unresponsive()) return;
   member.liveness.unresponsive_since = state.now;
-  member.probing.interval = state.spans.silence;
+  member.probing.interval = state.spans.silence_limit;
   state.request_decision(member);
   for (const InFlightAttempt& attempt : member.in_flight)
     if (is_overdue_read(state, member, attempt))
@@ -62,14 +62,14 @@
 
 void check_for_silence(RouterState& state, Member& member) {
   if (member.probing.sent_at != kNever) {
-    Micros allowed = std::max(state.spans.silence, to_micros(kLostProbeRatio * member.probing.latency));
+    Micros allowed = std::max(state.spans.silence_limit, to_micros(kLostProbeRatio * member.probing.latency));
     if (state.now - member.probing.sent_at > allowed) mark_unresponsive(state, member);
     return;
   }
   if (member.liveness.is_unresponsive() || member.in_flight.empty()) return;
   Micros waited = state.now - std::max(member.in_flight.front().sent_at, member.liveness.last_response_at);
   double usual = least_usual_latency(state, member);
-  if (waited <= state.spans.silence || to_double(waited) <= usual * kOverdueRatio) return;
+  if (waited <= state.spans.silence_limit || to_double(waited) <= usual * kOverdueRatio) return;
   if (state.settings.probes)
     send_probe(state, member);
   else if (to_double(waited) > usual * kSilentRatio)
--- a/src/request_router/health_check_scheduler.cpp
+++ b/src/request_router/health_check_scheduler.cpp
@@ -58,7 +58,7 @@
 
 // When a probe of this replica may first bring a position that frees a read.
 Micros position_probe_due(const RouterState& state, const Member& member, Micros least_required) {
-  Micros least_gap = std::min(state.spans.silence, state.spans.half_bound / 2) / 2;
+  Micros least_gap = std::min(state.spans.silence_limit, state.spans.half_bound / 2) / 2;
   Micros due = std::max(next_report_due(member), member.probing.last_sent_at + least_gap);
   if (member.replication.position == kNever) return due;
   Micros missing = least_required - member.replication.position;
@@ -110,10 +110,10 @@
     if (!member->liveness.is_unresponsive() || !may_use(state, *member, Duty::kPrimary)) continue;
     MemberProbing& probing = member->probing;
     if (state.now - probing.last_sent_at < probing.interval) continue;
-    probing.interval = std::min(probing.interval * 2, state.spans.silence * kLongestIntervalSilences);
+    probing.interval = std::min(probing.interval * 2, state.spans.silence_limit * kLongestIntervalSilences);
     if (state.settings.probes)
       send_probe(state, *member);
-    else if (state.now - member->liveness.unresponsive_since > state.spans.silence * kRetrySilences)
+    else if (state.now - member->liveness.unresponsive_since > state.spans.silence_limit * kRetrySilences)
       record_response(state, *member);
   }
 }
@@ -130,7 +130,7 @@
     Micros due = position_probe_due(state, *member, required.least);
     if (due > state.now)
       soonest = std::min(soonest, due);
-    else if (!best || cost1(state, *member, 0) < cost1(state, *best, 0))
+    else if (!best || expected_cost(state, *member, 0) < expected_cost(state, *best, 0))
       best = member;
   }
   if (best)
--- a/src/request_router/member_state.cpp
+++ b/src/request_router/member_state.cpp
@@ -18,7 +18,7 @@
   member.group = entry.group;
   member.preference_order = state.deterministic_fraction(0, member.id);
   member.latency.average.assign(state.settings.classes.size(), 0.0);
-  member.probing.interval = state.spans.silence;
+  member.probing.interval = state.spans.silence_limit;
   member.concurrency.limit = initial_concurrency_limit(state.settings);
   state.groups[entry.group].members.push_back(&member);
   // The listed role is a hint, older than any claim: it gets no time of its own.
@@ -47,7 +47,7 @@
 
 bool may_forget(const RouterState& state, const Member& member) {
   if (state.settings.removal_not_binding || member.condition != Condition::kGone) return false;
-  if (state.now - member.notified_at < state.spans.memory) return false;
+  if (state.now - member.notified_at < state.spans.observation_half_life) return false;
   return !member.is_watched && member.in_flight.empty() && member.probing.sent_at == kNever;
 }
 
--- a/src/request_router/outlier_ejection.cpp
+++ b/src/request_router/outlier_ejection.cpp
@@ -61,7 +61,7 @@
 
 void back_off(const RouterState& state, Member& member) {
   MemberEjection& ejection = member.ejection;
-  Micros silence = state.spans.silence;
+  Micros silence = state.spans.silence_limit;
   ejection.ejected_for =
       std::clamp(ejection.ejected_for * 2, silence * kShortestEjection, silence * kLongestEjection);
   ejection.ejected_until =
--- a/src/request_router/primary_discovery.cpp
+++ b/src/request_router/primary_discovery.cpp
@@ -33,16 +33,18 @@
 // Known replicas are tried ever more seldom: when the next one may be.
 Micros next_replica_trial(const RouterState& state, const Group& group, const PendingRequest& pending) {
   if (pending.attempts.size() < group.members.size()) return state.now;
-  return pending.attempts.back().sent_at + state.spans.silence * (1 << pending.attempts.size());
+  return pending.attempts.back().sent_at + state.spans.silence_limit * (1 << pending.attempts.size());
 }
 
 bool may_try_as_primary(RouterState& state, const Group& group, const PendingRequest& pending,
                         Member& member) {
   if (!is_usable(state, member, Duty::kPrimary)) return false;
   Micros quiet_for = state.now - member.liveness.last_response_at;
-  if (state.probe_budget.has_surplus() && quiet_for > state.spans.silence * kProbeFirstSilences) return false;
+  if (state.probe_budget.has_surplus() && quiet_for > state.spans.silence_limit * kProbeFirstSilences)
+    return false;
   bool was_tried = member.role.write_tried_at != kNever;
-  if (was_tried && state.now - member.role.write_tried_at < state.spans.silence * kTrySilences) return false;
+  if (was_tried && state.now - member.role.write_tried_at < state.spans.silence_limit * kTrySilences)
+    return false;
   return has_capacity(state, group, member, pending);
 }
 
@@ -67,7 +69,7 @@
   return newest;
 }
 
-Member* probe_for_primary(RouterState& state, const Group& group, const PendingRequest& pending) {
+Member* select_primary_trial(RouterState& state, const Group& group, const PendingRequest& pending) {
   bool is_read = pending.request_class->level == ReadLevel::kFresh;
   if (is_read && state.settings.lag_check == LagCheck::kOff) return nullptr;
   if (static_cast<int>(pending.attempts.size()) >= state.settings.max_attempts - kReservedAttempts)
@@ -92,7 +94,7 @@
   if (state.settings.lag_check == LagCheck::kOff && is_first)
     state.probe_budget.grant(static_cast<double>(group.members.size()));
   search.started_at = state.now;
-  search.interval = std::min(search.interval * 2, state.spans.silence * kLongestSearchSilences);
+  search.interval = std::min(search.interval * 2, state.spans.silence_limit * kLongestSearchSilences);
   for (Member* member : group.members) {
     if (!may_use(state, *member, Duty::kPrimary)) continue;
     bool is_due = state.now - member->probing.last_sent_at > member->probing.interval;
@@ -101,7 +103,7 @@
 }
 
 void end_primary_search(const RouterState& state, Group& group) {
-  group.primary_search.interval = state.spans.silence;
+  group.primary_search.interval = state.spans.silence_limit;
 }
 
 }  // namespace request_router::internal
--- a/src/request_router/primary_discovery.h
+++ b/src/request_router/primary_discovery.h
@@ -38,7 +38,7 @@
 
 // The member at which a request that needs the primary is tried while none is known; null: none now. A read
 // is tried only where members check reads: elsewhere a replica answers it from what it has.
-Member* probe_for_primary(RouterState& state, const Group& group, const PendingRequest& pending);
+Member* select_primary_trial(RouterState& state, const Group& group, const PendingRequest& pending);
 
 // Probes the members of a group whose primary is not known, when that is due.
 void discover_primary(RouterState& state, Group& group);
--- a/src/request_router/replica_selection.cpp
+++ b/src/request_router/replica_selection.cpp
@@ -97,7 +97,9 @@
     return member.replication.position < state_.now - state_.spans.half_bound * kStaleHalfBounds;
   }
 
-  double cost(const Member& member) const { return cost1(state_, member, pending_.request.request_class); }
+  double cost(const Member& member) const {
+    return expected_cost(state_, member, pending_.request.request_class);
+  }
 
   // A long read that any member may serve goes where freshness is spent already, or to the same replica each
   // time: a member may apply nothing while it holds one, and spread they make all replicas lag.
@@ -198,7 +200,7 @@
 Member* select_member(RouterState& state, const Group& group, const PendingRequest& pending) {
   Member* primary = find_primary(state, group);
   if (!pending.needs_primary()) return ReadSelection(state, group, pending, primary).select();
-  if (!primary) return probe_for_primary(state, group, pending);
+  if (!primary) return select_primary_trial(state, group, pending);
   return has_capacity(state, group, *primary, pending) ? primary : nullptr;
 }
 
--- a/src/request_router/replication_lag.cpp
+++ b/src/request_router/replication_lag.cpp
@@ -71,7 +71,8 @@
     return has_written ? state.now - *request.write_age : kNever;
   }
   if (!request.key) return kNever;
-  return std::max(state.sessions.last_write(*request.key), state.sessions.last_write_elsewhere(state.now));
+  return std::max(state.sessions.last_write(*request.key),
+                  state.sessions.last_write_by_other_process(state.now));
 }
 
 Micros required_position(const RouterState& state, const PendingRequest& pending) {
@@ -83,11 +84,11 @@
   if (state.settings.lag_check == LagCheck::kOff) return false;
   const MemberReplication& replication = member.replication;
   bool has_declined = replication.declined_at != kNever;
-  if (has_declined && state.now - replication.declined_at < state.spans.silence) return false;
+  if (has_declined && state.now - replication.declined_at < state.spans.silence_limit) return false;
   if (replication.position == kNever) return true;
   if (state.now - replication.lag + state.settings.catch_up_timeout >= required) return true;
   Micros last_tried = std::max(replication.declined_at, member.last_sent_at);
-  return state.now - last_tried > state.spans.silence * kRetryBehindSilences;
+  return state.now - last_tried > state.spans.silence_limit * kRetryBehindSilences;
 }
 
 void record_position(RouterState& state, Member& member, Micros position) {
--- a/src/request_router/replication_lag.h
+++ b/src/request_router/replication_lag.h
@@ -44,7 +44,7 @@
   void set_shared(Micros now, bool is_shared);
 
   // The latest time at which another process may have taken a write; kNever: there has been none.
-  Micros last_write_elsewhere(Micros now) const { return is_shared_ ? now : shared_until_; }
+  Micros last_write_by_other_process(Micros now) const { return is_shared_ ? now : shared_until_; }
 
  private:
   std::unordered_map<std::uint64_t, Micros> last_writes_;
--- a/src/request_router/router.cpp
+++ b/src/request_router/router.cpp
@@ -34,7 +34,7 @@
     state.request_decision(*group);
   }
   if (timer.key != kTickTimer) return;
-  state.timers.is_tick_now = true;
+  state.timers.tick_fired = true;
   state.timers.is_tick_set = false;
 }
 
@@ -61,12 +61,12 @@
 void begin_batch(RouterState& state, Micros at) {
   internal::TimerState& timers = state.timers;
   if (at > state.now) {
-    bool is_late = timers.is_tick_set && at - timers.tick_due_at > state.spans.silence;
+    bool is_late = timers.is_tick_set && at - timers.tick_due_at > state.spans.silence_limit;
     timers.paused = is_late ? at - state.now : Micros(0);
   }
   state.now = std::max(state.now, at);
   state.actions.clear();
-  timers.is_tick_now = false;
+  timers.tick_fired = false;
 }
 
 // Looks at the members with attempts or a probe under way, and stops watching those that have none.
@@ -97,10 +97,10 @@
     state.actions.emplace_back(SetTimer{kTickTimer, state.spans.tick});
     timers.tick_due_at = next_tick;
   }
-  bool is_wake_pending = timers.wake_set > state.now && timers.wake_set <= timers.wake_at;
+  bool is_wake_pending = timers.wake_due_at > state.now && timers.wake_due_at <= timers.wake_at;
   if (timers.wake_at >= next_tick || is_wake_pending) return;
   state.actions.emplace_back(SetTimer{kWakeTimer, std::max(timers.wake_at - state.now, state.settings.step)});
-  timers.wake_set = timers.wake_at;
+  timers.wake_due_at = timers.wake_at;
 }
 
 }  // namespace
@@ -120,7 +120,7 @@
   begin_batch(state, now);
   EventDispatcher dispatcher(state);
   for (const Event& event : events) std::visit(dispatcher, event);
-  if (state.timers.is_tick_now) check_watched_members(state);
+  if (state.timers.tick_fired) check_watched_members(state);
   decide_groups(state);
   if (state.settings.poll_discovery && !std::exchange(state.subscribed, true))
     state.actions.emplace_back(Subscribe{});
--- a/src/request_router/router_state.cpp
+++ b/src/request_router/router_state.cpp
@@ -5,14 +5,14 @@
 
 // Silence that raises a question, in smallest latency objectives. An eighth leaves time to ask the member and
 // to send a read elsewhere before the objective is over.
-constexpr double kSilenceFraction = 0.125;
+constexpr double kSilenceLimitFraction = 0.125;
 
 // The silence is never shorter than so many steps: two batches have to pass before an answer can be missed.
-constexpr int kSilenceSteps = 3;
+constexpr int kMinSilenceLimitSteps = 3;
 
 // Half-life of latencies, in smallest latency objectives: much longer than any request takes, so that it
 // fades between requests and not during them.
-constexpr int kMemoryObjectives = 32;
+constexpr int kHalfLifeObjectives = 32;
 
 // The tick, in smallest latency objectives: half of the silence that it has to notice.
 constexpr double kTickFraction = 1.0 / 16;
@@ -22,7 +22,7 @@
 
 // The slowdown of a member fades by half in so many silences, two of the smallest latency objectives: it
 // tells of the last requests, not of the day.
-constexpr int kSlowdownSilences = 16;
+constexpr int kSlowdownHalfLifeSilences = 16;
 
 Micros smallest_objective_of(const Settings& settings) {
   Micros smallest = Micros::max();
@@ -39,7 +39,7 @@
   return bound == Micros::max() ? smallest_objective * kHalfBoundObjectives : bound / 2;
 }
 
-Settings with_attempts_limited(Settings settings) {
+Settings with_max_attempts_capped(Settings settings) {
   settings.max_attempts = std::min(settings.max_attempts, kMaxAttempts);
   return settings;
 }
@@ -48,17 +48,18 @@
 
 TimeSpans::TimeSpans(const Settings& settings)
     : smallest_objective(smallest_objective_of(settings)),
-      silence(std::max(scale(smallest_objective, kSilenceFraction), settings.step * kSilenceSteps)),
-      memory(smallest_objective * kMemoryObjectives),
+      silence_limit(
+          std::max(scale(smallest_objective, kSilenceLimitFraction), settings.step * kMinSilenceLimitSteps)),
+      observation_half_life(smallest_objective * kHalfLifeObjectives),
       tick(std::max(scale(smallest_objective, kTickFraction), settings.step)),
       half_bound(half_bound_of(settings, smallest_objective)) {}
 
 RouterState::RouterState(Settings router_settings, std::uint64_t router_seed)
-    : settings(with_attempts_limited(std::move(router_settings))),
+    : settings(with_max_attempts_capped(std::move(router_settings))),
       seed(router_seed),
       spans(settings),
       longest_client_timeout(settings.classes.size(), Micros(0)),
-      latency(settings.classes, spans.memory, spans.silence * kSlowdownSilences),
+      latency(settings.classes, spans.observation_half_life, spans.silence_limit * kSlowdownHalfLifeSilences),
       probe_budget(settings, deterministic_fraction(0, kProbeBudgetDraw)),
       work_rates(settings) {}
 
--- a/src/request_router/router_state.h
+++ b/src/request_router/router_state.h
@@ -29,21 +29,21 @@
 struct TimeSpans {
   explicit TimeSpans(const Settings& settings);
 
-  Micros smallest_objective;  // smallest latency objective of all classes
-  Micros silence;             // a member that is silent for longer is asked whether it is well
-  Micros memory;              // after so long half of what a latency said has faded
-  Micros tick;                // how often attempts under way and postponed requests are looked at
-  Micros half_bound;          // half of the strictest bound on the age of data
+  Micros smallest_objective;     // smallest latency objective of all classes
+  Micros silence_limit;          // a member that is silent for longer is asked whether it is well
+  Micros observation_half_life;  // after so long half of what a latency said has faded
+  Micros tick;                   // how often attempts under way and postponed requests are looked at
+  Micros half_bound;             // half of the strictest bound on the age of data
 };
 
 // Which timers are set, and what is known of pauses of the router itself.
 struct TimerState {
-  Micros wake_at{0};         // when the first postponed read wants another decision
-  Micros wake_set = kNever;  // for when the last wake timer was set
-  Micros tick_due_at{0};     // when the tick that is set is due
-  bool is_tick_set = false;  // a tick is still to come
-  bool is_tick_now = false;  // this batch has brought it
-  Micros paused{0};          // how long this router has just stood still
+  Micros wake_at{0};            // when the first postponed read wants another decision
+  Micros wake_due_at = kNever;  // for when the last wake timer was set
+  Micros tick_due_at{0};        // when the tick that is set is due
+  bool is_tick_set = false;     // a tick is still to come
+  bool tick_fired = false;      // this batch has brought it
+  Micros paused{0};             // how long this router has just stood still
 
   // Asks for a decision at `time`, unless an earlier one is asked for.
   void wake_no_later_than(Micros time) { wake_at = std::min(wake_at, time); }
