--- a/src/request_router/admission.cpp
+++ b/src/request_router/admission.cpp
@@ -10,24 +10,24 @@
 
 // A write that waits for the primary is kept only if so many times the requests ahead of it fit in the time
 // that it has left. Twice: the primary's rate is an estimate from few attempts.
-constexpr double kFitsSurely = 2;
+constexpr double kQueueSafetyFactor = 2;
 
 // With less time left than this fraction of its class's usual latency, a postponed request cannot be in time.
-constexpr double kLeastTimeFraction = 0.5;
+constexpr double kMinTimeFraction = 0.5;
 
 // The same for a request that has come just now: a quick answer may still do.
-constexpr double kLeastTimeFractionAtOnce = 0.15;
+constexpr double kMinTimeFractionOnArrival = 0.15;
 
 // With so many times the class's usual latency left, a request is in no danger of being late: where times are
 // exponential, 95 of 100 take no longer.
 constexpr double kAmpleTimeRatio = 3;
 
 // A client that waited for this part of its time, while no member has had its request, can hardly ask again.
-constexpr int kWaitDivisor = 2;
+constexpr int kLongWaitDivisor = 2;
 
 // The time to come back, in latency objectives of the class: a quarter to three quarters, drawn by request,
 // so that all that were rejected in one trouble do not come back as one.
-constexpr double kLeastRetryAfter = 0.25;
+constexpr double kMinRetryAfter = 0.25;
 constexpr double kRetryAfterRange = 0.5;
 
 // The draw that decides the time to come back; it concerns no member.
@@ -40,9 +40,10 @@
   if (pending.request_class->late_weight_share <= 0 || !pending.needs_primary()) return false;
   const Member* primary = find_primary(state, group);
   if (!primary) return false;
-  double usual = state.average_latency(*primary, pending.request.request_class);
-  double turns = to_double(pending.request.expires - state.now) * primary->concurrency.limit / usual;
-  return turns > kFitsSurely * (writes_ahead + 1);
+  double usual_latency = state.average_latency(*primary, pending.request.request_class);
+  double requests_served =
+      to_double(pending.request.expires - state.now) * primary->concurrency.limit / usual_latency;
+  return requests_served > kQueueSafetyFactor * (writes_ahead + 1);
 }
 
 bool has_reached_member(const PendingRequest& pending) {
@@ -87,21 +88,21 @@
 bool cannot_meet_deadline(const RouterState& state, const Group& group, const PendingRequest& pending,
                           double writes_ahead) {
   Micros timeout = pending.request.expires - pending.arrived_at;
-  bool has_waited_long = state.now + state.spans.tick >= pending.arrived_at + timeout / kWaitDivisor;
+  bool has_waited_long = state.now + state.spans.tick >= pending.arrived_at + timeout / kLongWaitDivisor;
   if (has_waited_long && !has_reached_member(pending) &&
       !can_be_served_in_time(state, group, pending, writes_ahead))
     return true;
-  bool counts_late = pending.request_class->late_weight_share > 0;
-  Micros until = counts_late ? pending.request.expires : pending.full_value_until;
-  double fraction = state.now == pending.arrived_at ? kLeastTimeFractionAtOnce : kLeastTimeFraction;
-  double least_time = fraction * state.latency.typical(pending.request.request_class);
-  return state.now + to_micros(least_time) >= until || !may_send(state, pending);
+  bool has_late_value = pending.request_class->late_weight_share > 0;
+  Micros useful_until = has_late_value ? pending.request.expires : pending.full_value_until;
+  double fraction = state.now == pending.arrived_at ? kMinTimeFractionOnArrival : kMinTimeFraction;
+  double min_time = fraction * state.latency.typical(pending.request.request_class);
+  return state.now + to_micros(min_time) >= useful_until || !may_send(state, pending);
 }
 
 double value_per_work(const RouterState& state, const PendingRequest& pending) {
   double work = state.latency.typical(pending.request.request_class);
-  double ease = to_double(pending.full_value_until - state.now) / (kAmpleTimeRatio * work);
-  return pending.request_class->priority_weight * std::clamp(ease, 0.0, 1.0) / work;
+  double slack_ratio = to_double(pending.full_value_until - state.now) / (kAmpleTimeRatio * work);
+  return pending.request_class->priority_weight * std::clamp(slack_ratio, 0.0, 1.0) / work;
 }
 
 void give_up(RouterState& state, const PendingRequest& pending, GiveUpReason reason) {
@@ -109,9 +110,9 @@
   if (may_reject(pending)) {
     double draw = state.deterministic_fraction(id, kRetryAfterDraw);
     Micros retry_after =
-        scale(pending.request_class->latency_objective, kLeastRetryAfter + kRetryAfterRange * draw);
-    Micros most = state.settings.retry_after ? state.settings.max_retry_after : Micros(0);
-    state.actions.emplace_back(Reject{id, std::min(most, retry_after), reason});
+        scale(pending.request_class->latency_objective, kMinRetryAfter + kRetryAfterRange * draw);
+    Micros max_retry_after = state.settings.retry_after ? state.settings.max_retry_after : Micros(0);
+    state.actions.emplace_back(Reject{id, std::min(max_retry_after, retry_after), reason});
   } else {
     state.actions.emplace_back(Fail{id, reason});
   }
--- a/src/request_router/attempt_lifecycle.cpp
+++ b/src/request_router/attempt_lifecycle.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 // An attempt always has some time, also one that is sent at the client's last moment.
-constexpr Micros kLeastTimeout{1};
+constexpr Micros kMinTimeout{1};
 
 std::optional<InFlightAttempt> remove_in_flight(Member& member, const Outcome& outcome) {
   auto found = std::find_if(member.in_flight.begin(), member.in_flight.end(), [&](const auto& attempt) {
@@ -112,7 +112,7 @@
   member.in_flight.push_back({request.id, attempt, request.request_class, state.now});
   member.last_sent_at = state.now;
   // The client's own time: a shorter one would not free the member, but hide its work from the count here.
-  Micros timeout = std::max(request.expires - state.now, kLeastTimeout);
+  Micros timeout = std::max(request.expires - state.now, kMinTimeout);
   state.actions.emplace_back(Send{request.id, member.id, timeout, start_within(state, pending, member),
                                   reason_for(pending, member)});
 }
--- a/src/request_router/cost.cpp
+++ b/src/request_router/cost.cpp
@@ -9,7 +9,7 @@
 
 // The least remaining time of an attempt in flight: one that has taken longer than its class usually does
 // still occupies the member. A millisecond, the resolution of the figures that members report.
-constexpr Micros kLeastRemainingTime{1000};
+constexpr Micros kMinRemainingTime{1000};
 
 // A class that no member has answered yet is taken to use up its objective: nothing better is known.
 double expected_time(const RouterState& state, const Member& member, std::size_t request_class) {
@@ -30,7 +30,7 @@
     double& average = averages[attempt.request_class];
     if (average == 0) average = expected_time(state, member, attempt.request_class);
     double remaining = average - to_double(state.now - attempt.sent_at) / load;
-    sum += std::min(own, std::max(to_double(kLeastRemainingTime), remaining));
+    sum += std::min(own, std::max(to_double(kMinRemainingTime), remaining));
   }
   return load * sum;
 }
--- a/src/request_router/primary_discovery.cpp
+++ b/src/request_router/primary_discovery.cpp
@@ -16,7 +16,7 @@
 constexpr int kTrySilences = 2;
 
 // The longest interval between two rounds of probes, in silences: one smallest latency objective.
-constexpr int kLongestSearchSilences = 8;
+constexpr int kMaxSearchIntervalSilences = 8;
 
 // Attempts of a request that are kept for the primary itself, once it is found.
 constexpr int kReservedAttempts = 2;
@@ -39,8 +39,9 @@
 bool may_try_as_primary(RouterState& state, const Group& group, const PendingRequest& pending,
                         Member& member) {
   if (!is_usable(state, member, Duty::kPrimary)) return false;
-  Micros quiet_for = state.now - member.liveness.last_response_at;
-  if (state.probe_budget.has_surplus() && quiet_for > state.spans.silence_limit * kProbeFirstSilences)
+  Micros time_since_response = state.now - member.liveness.last_response_at;
+  if (state.probe_budget.has_surplus() &&
+      time_since_response > state.spans.silence_limit * kProbeFirstSilences)
     return false;
   bool was_tried = member.role.write_tried_at != kNever;
   if (was_tried && state.now - member.role.write_tried_at < state.spans.silence_limit * kTrySilences)
@@ -75,11 +76,11 @@
   if (static_cast<int>(pending.attempts.size()) >= state.settings.max_attempts - kReservedAttempts)
     return nullptr;
   if (group.members.empty()) return nullptr;  // all have gone and are forgotten
-  Micros replicas_from = next_replica_trial(state, group, pending);
+  Micros next_trial_at = next_replica_trial(state, group, pending);
   Member* best = nullptr;
   for (Member* member : group.members) {
     if (!may_try_as_primary(state, group, pending, *member)) continue;
-    if (member->role.role != Role::kUnknown && state.now < replicas_from) continue;
+    if (member->role.role != Role::kUnknown && state.now < next_trial_at) continue;
     if (!best || trial_rank(state, pending, *member) > trial_rank(state, pending, *best)) best = member;
   }
   if (best) best->role.write_tried_at = state.now;
@@ -94,7 +95,7 @@
   if (state.settings.lag_check == LagCheck::kOff && is_first)
     state.probe_budget.grant(static_cast<double>(group.members.size()));
   search.started_at = state.now;
-  search.interval = std::min(search.interval * 2, state.spans.silence_limit * kLongestSearchSilences);
+  search.interval = std::min(search.interval * 2, state.spans.silence_limit * kMaxSearchIntervalSilences);
   for (Member* member : group.members) {
     if (!may_use(state, *member, Duty::kPrimary)) continue;
     bool is_due = state.now - member->probing.last_sent_at > member->probing.interval;
--- a/src/request_router/replica_selection.cpp
+++ b/src/request_router/replica_selection.cpp
@@ -50,7 +50,7 @@
 
 // Of the members of about the least cost, one of the same zone goes first, then this router's own order
 // decides, so that hundreds of routers with the same knowledge do not choose alike.
-Member* least_cost(const std::vector<Candidate>& candidates) {
+Member* least_cost_member(const std::vector<Candidate>& candidates) {
   double least = 1e300;
   for (const Candidate& candidate : candidates) least = std::min(least, candidate.cost);
   Member* best = nullptr;
@@ -78,7 +78,7 @@
       if (Member* member = long_read_member()) return member;
     collect_fresh();
     if (candidates_.empty() && may_try_behind_members()) collect_behind();
-    return candidates_.empty() ? surplus_primary() : least_cost(candidates_);
+    return candidates_.empty() ? primary_for_read() : least_cost_member(candidates_);
   }
 
  private:
@@ -155,15 +155,15 @@
   }
 
   // Exception to postponing: no replica is left, or the read waited long and the primary has capacity.
-  Member* surplus_primary() {
+  Member* primary_for_read() {
     if (!primary_ || !has_capacity(state_, group_, *primary_, pending_)) return nullptr;
     const double limit = primary_->concurrency.limit;
     if (limit * kPrimaryReadFraction < 1 && exceeds_small_limit()) return nullptr;
     if (!has_replica_) return primary_;
     if (static_cast<double>(primary_->in_flight.size()) >= limit * kPrimaryReadFraction) return nullptr;
-    Micros from = primary_read_from();
-    if (state_.now >= from) return primary_;
-    state_.timers.wake_no_later_than(from);
+    Micros earliest = earliest_primary_read();
+    if (state_.now >= earliest) return primary_;
+    state_.timers.wake_no_later_than(earliest);
     return nullptr;
   }
 
@@ -176,13 +176,13 @@
   // From when the read may go to the primary. A bounded read stays postponed while every replica truly lags,
   // until the last moment; where the last known position of one was within the bound, it need not wait so
   // long.
-  Micros primary_read_from() const {
+  Micros earliest_primary_read() const {
     Micros waited =
         pending_.arrived_at + scale(pending_.full_value_until - pending_.arrived_at, kPrimaryReadWait);
     if (replica_was_current_) return waited;
-    double usual = kLastMomentRatio * state_.load(*primary_) *
-                   state_.average_latency(*primary_, pending_.request.request_class);
-    return std::max(waited, pending_.full_value_until - to_micros(usual));
+    double time_needed = kLastMomentRatio * state_.load(*primary_) *
+                         state_.average_latency(*primary_, pending_.request.request_class);
+    return std::max(waited, pending_.full_value_until - to_micros(time_needed));
   }
 
   RouterState& state_;
--- a/src/request_router/replication_lag.cpp
+++ b/src/request_router/replication_lag.cpp
@@ -48,11 +48,11 @@
 void SessionPositions::record_write(std::uint64_t session, Micros position) {
   if (last_writes_.size() >= kMaxSessions) {
     last_writes_.clear();
-    newest_dropped_ = newest_;
+    newest_dropped_ = newest_write_;
   }
   Micros& last = last_writes_.try_emplace(session, kNever).first->second;
   last = std::max(last, position);
-  newest_ = std::max(newest_, last);
+  newest_write_ = std::max(newest_write_, last);
 }
 
 Micros SessionPositions::last_write(std::uint64_t session) const {
--- a/src/request_router/replication_lag.h
+++ b/src/request_router/replication_lag.h
@@ -48,7 +48,7 @@
 
  private:
   std::unordered_map<std::uint64_t, Micros> last_writes_;
-  Micros newest_ = kNever;          // of all writes
+  Micros newest_write_ = kNever;    // of all writes
   Micros newest_dropped_ = kNever;  // the newest when all sessions were dropped
   Micros shared_until_ = kNever;
   bool is_shared_ = false;
--- a/src/request_router/settings.cpp
+++ b/src/request_router/settings.cpp
@@ -9,16 +9,16 @@
 namespace {
 
 // The longest time that is taken, in milliseconds: as microseconds it still fits in 64 bits.
-constexpr double kMostMillis = 9e15;
+constexpr double kMaxMillis = 9e15;
 
 // The highest number of things that is taken: more than any deployment has.
-constexpr double kMostCount = 1e6;
+constexpr double kMaxCount = 1e6;
 
-[[noreturn]] void fail(const std::string& what) { throw std::invalid_argument(what); }
+[[noreturn]] void fail(const std::string& message) { throw std::invalid_argument(message); }
 
 template <typename T>
-T one_of(std::string_view setting, std::string_view value,
-         std::initializer_list<std::pair<std::string_view, T>> meanings) {
+T parse_choice(std::string_view setting, std::string_view value,
+               std::initializer_list<std::pair<std::string_view, T>> meanings) {
   for (const auto& [name, meaning] : meanings)
     if (name == value) return meaning;
   fail("unknown value '" + std::string(value) + "' of " + std::string(setting));
@@ -35,7 +35,7 @@
 
 std::optional<Micros> millis_to_micros(std::string_view text) {
   auto ms = to_number(text);
-  if (!ms || std::abs(*ms) > kMostMillis) return std::nullopt;
+  if (!ms || std::abs(*ms) > kMaxMillis) return std::nullopt;
   return Micros(std::llround(*ms * 1000));
 }
 
@@ -50,33 +50,33 @@
   return parts;
 }
 
-std::string_view SettingsReader::text(const std::string& path, std::string_view otherwise) const {
+std::string_view SettingsReader::text(const std::string& path, std::string_view default_value) const {
   auto found = values_.find(path);
-  return found == values_.end() ? otherwise : std::string_view(found->second);
+  return found == values_.end() ? default_value : std::string_view(found->second);
 }
 
-double SettingsReader::number(const std::string& path, double otherwise) const {
+double SettingsReader::number(const std::string& path, double default_value) const {
   auto found = values_.find(path);
-  if (found == values_.end() || found->second.empty()) return otherwise;
+  if (found == values_.end() || found->second.empty()) return default_value;
   auto value = to_number(found->second);
   if (!value) fail("setting " + path + " is no number: '" + found->second + "'");
   return *value;
 }
 
-int SettingsReader::count(const std::string& path, int otherwise) const {
-  double value = number(path, otherwise);
-  if (value != std::floor(value) || std::abs(value) > kMostCount) fail("setting " + path + " is no count");
+int SettingsReader::count(const std::string& path, int default_value) const {
+  double value = number(path, default_value);
+  if (value != std::floor(value) || std::abs(value) > kMaxCount) fail("setting " + path + " is no count");
   return static_cast<int>(value);
 }
 
 bool SettingsReader::flag(const std::string& path) const {
-  return one_of<bool>(path, text(path, "false"),
-                      {{"true", true}, {"false", false}, {"1", true}, {"0", false}, {"", false}});
+  return parse_choice<bool>(path, text(path, "false"),
+                            {{"true", true}, {"false", false}, {"1", true}, {"0", false}, {"", false}});
 }
 
-Micros SettingsReader::millis(const std::string& path, double otherwise) const {
-  double ms = number(path, otherwise);
-  if (std::abs(ms) > kMostMillis) fail("setting " + path + " is out of range");
+Micros SettingsReader::millis(const std::string& path, double default_value) const {
+  double ms = number(path, default_value);
+  if (std::abs(ms) > kMaxMillis) fail("setting " + path + " is out of range");
   return Micros(std::llround(ms * 1000));
 }
 
@@ -107,18 +107,18 @@
   RequestClass result;
   result.name = text(prefix + "Name");
   if (result.name.empty()) fail("setting " + prefix + "Name is missing");
-  result.level = one_of<ReadLevel>("FamilyInfo.ReadLevel", level,
-                                   {{"update", ReadLevel::kWrite},
-                                    {"latest", ReadLevel::kFresh},
-                                    {"own_writes", ReadLevel::kSession},
-                                    {"recent", ReadLevel::kBounded},
-                                    {"loose", ReadLevel::kAny}});
-  result.effect =
-      one_of<Effect>(prefix + "Effect", text(prefix + "Effect", "side_effect"),
-                     {{"pure", Effect::kPure}, {"token", Effect::kKeyed}, {"side_effect", Effect::kUnsafe}});
-  result.scope =
-      one_of<KeyScope>(prefix + "Group", text(prefix + "Group", "cell"),
-                       {{"all", KeyScope::kAll}, {"zone", KeyScope::kZone}, {"cell", KeyScope::kGroup}});
+  result.level = parse_choice<ReadLevel>("FamilyInfo.ReadLevel", level,
+                                         {{"update", ReadLevel::kWrite},
+                                          {"latest", ReadLevel::kFresh},
+                                          {"own_writes", ReadLevel::kSession},
+                                          {"recent", ReadLevel::kBounded},
+                                          {"loose", ReadLevel::kAny}});
+  result.effect = parse_choice<Effect>(
+      prefix + "Effect", text(prefix + "Effect", "side_effect"),
+      {{"pure", Effect::kPure}, {"token", Effect::kKeyed}, {"side_effect", Effect::kUnsafe}});
+  result.scope = parse_choice<KeyScope>(
+      prefix + "Group", text(prefix + "Group", "cell"),
+      {{"all", KeyScope::kAll}, {"zone", KeyScope::kZone}, {"cell", KeyScope::kGroup}});
   result.latency_objective = millis(prefix + "TargetMs");
   result.deadline = millis(prefix + "DeadlineMs");
   result.key_window = millis(prefix + "KeyTtlMs");
@@ -149,23 +149,23 @@
 }
 
 void SettingsReader::read_family(Settings& settings) const {
-  settings.lag_check =
-      one_of<LagCheck>("FamilyInfo.Behind", text("FamilyInfo.Behind", "off"),
-                       {{"off", LagCheck::kOff}, {"reject", LagCheck::kReject}, {"hold", LagCheck::kHold}});
+  settings.lag_check = parse_choice<LagCheck>(
+      "FamilyInfo.Behind", text("FamilyInfo.Behind", "off"),
+      {{"off", LagCheck::kOff}, {"reject", LagCheck::kReject}, {"hold", LagCheck::kHold}});
   settings.catch_up_timeout = millis("FamilyInfo.PatienceMs");
   settings.answers_carry_position = flag("FamilyInfo.Positions");
   settings.client_carries_write_age =
-      one_of<bool>("FamilyInfo.WriteMarks", text("FamilyInfo.WriteMarks", "router"),
-                   {{"client", true}, {"router", false}});
+      parse_choice<bool>("FamilyInfo.WriteMarks", text("FamilyInfo.WriteMarks", "router"),
+                         {{"client", true}, {"router", false}});
   for (auto field : split_at(text("Report.Fields"), ',')) {
     if (field == "x0") settings.report_position = true;
     if (field == "x1") settings.report_role = true;
     if (field == "rif" || field == "inflight") settings.report_in_flight = true;
   }
-  settings.report_mode = one_of<ReportMode>(
+  settings.report_mode = parse_choice<ReportMode>(
       "Report.How", text("Report.How", "off"),
       {{"off", ReportMode::kOff}, {"inline", ReportMode::kInline}, {"on_probe", ReportMode::kOnProbe}});
-  settings.list_role = one_of<ListRole>(
+  settings.list_role = parse_choice<ListRole>(
       "FamilyInfo.ShowsRole", text("FamilyInfo.ShowsRole", "off"),
       {{"off", ListRole::kOff}, {"initial", ListRole::kInitial}, {"delayed", ListRole::kDelayed}});
 }
--- a/src/request_router/settings.h
+++ b/src/request_router/settings.h
@@ -27,11 +27,11 @@
  public:
   explicit SettingsReader(std::map<std::string, std::string, std::less<>> pairs)
       : values_(std::move(pairs)) {}
-  std::string_view text(const std::string& path, std::string_view otherwise = "") const;
-  double number(const std::string& path, double otherwise) const;
-  int count(const std::string& path, int otherwise) const;  // a whole number
+  std::string_view text(const std::string& path, std::string_view default_value = "") const;
+  double number(const std::string& path, double default_value) const;
+  int count(const std::string& path, int default_value) const;  // a whole number
   bool flag(const std::string& path) const;
-  Micros millis(const std::string& path, double otherwise = 0) const;  // stated in milliseconds
+  Micros millis(const std::string& path, double default_value = 0) const;  // stated in milliseconds
 
   // All settings of a router.
   Settings settings() const;
--- a/src/request_router/validate.cpp
+++ b/src/request_router/validate.cpp
@@ -6,8 +6,8 @@
 namespace request_router {
 namespace {
 
-void require(bool holds, const char* what) {
-  if (!holds) throw std::invalid_argument(std::string("impossible setting: ") + what);
+void require(bool holds, const char* violation) {
+  if (!holds) throw std::invalid_argument(std::string("impossible setting: ") + violation);
 }
 
 void validate_class(const RequestClass& request_class) {
