--- a/src/request_router/admission.cpp
+++ b/src/request_router/admission.cpp
@@ -8,33 +8,35 @@
 namespace request_router::internal {
 namespace {
 
-// A write that waits for the primary is kept only if so many times the requests ahead of it fit in the time
-// that it has left. Twice: the primary's rate is an estimate from few attempts.
+// A write that waits for the primary is kept only if its remaining time is enough for this multiple of the
+// requests ahead of it. A factor of two, because the primary's rate is an estimate from few attempts.
 constexpr double kQueueSafetyFactor = 2;
 
-// With less time left than this fraction of its class's usual latency, a postponed request cannot be in time.
+// A postponed request whose remaining time is less than this fraction of the usual latency of its class
+// cannot be answered in time.
 constexpr double kMinTimeFraction = 0.5;
 
-// The same for a request that has come just now: a quick answer may still do.
+// The same fraction for a request that has just arrived: a fast answer may still be in time.
 constexpr double kMinTimeFractionOnArrival = 0.15;
 
-// With so many times the class's usual latency left, a request is in no danger of being late: where times are
-// exponential, 95 of 100 take no longer.
+// A request whose remaining time is at least this multiple of the usual latency of its class is unlikely to
+// be late: with exponentially distributed latencies, 95 of 100 take no longer.
 constexpr double kAmpleTimeRatio = 3;
 
-// A client that waited for this part of its time, while no member has had its request, can hardly ask again.
+// After 1/kLongWaitDivisor of the client's timeout without any member having received the request, hardly
+// enough time would be left for the client to send it again.
 constexpr int kLongWaitDivisor = 2;
 
-// The time to come back, in latency objectives of the class: a quarter to three quarters, drawn by request,
-// so that all that were rejected in one trouble do not come back as one.
+// The Retry-After, in latency objectives of the class: a quarter to three quarters, drawn for each request,
+// so that requests that were rejected at the same time are not all retried at the same time.
 constexpr double kMinRetryAfter = 0.25;
 constexpr double kRetryAfterRange = 0.5;
 
-// The draw that decides the time to come back; it concerns no member.
+// Member id for the draw of the Retry-After, which concerns no member.
 constexpr MemberId kRetryAfterDraw = ~1U;
 
-// Whether the known primary can serve the requests ahead of this write in the time that it has left. Only a
-// write that is worth something late waits for that.
+// Whether the known primary can serve the requests ahead of this write within the remaining time of the
+// write. Only a write that has some value after its latency objective waits for that.
 bool can_be_served_in_time(const RouterState& state, const Group& group, const PendingRequest& pending,
                            double writes_ahead) {
   if (pending.request_class->late_weight_share <= 0 || !pending.needs_primary()) return false;
@@ -51,8 +53,9 @@
                      [](const Attempt& attempt) { return attempt.reached_member; });
 }
 
-// After a pause of this router's own, requests are older than they look: an attempt of the client lasts as
-// long as the longest one before, so its end tells when it began.
+// The time at which the request arrived. After a pause of this router it is earlier than the time of the
+// batch: the client's timeout is taken to be the longest one seen for the class, and is subtracted from the
+// expiry of the request.
 Micros arrival_time(RouterState& state, const Request& request) {
   Micros& longest = state.longest_client_timeout[request.request_class];
   longest = std::max(longest, request.expires - state.now);
@@ -76,9 +79,8 @@
   PendingRequest& added = state.pending.emplace(request.id, std::move(pending)).first->second;
   auto group = state.groups.find(request.group);
   if (group == state.groups.end()) {
-    give_up(
-        state, added,
-        GiveUpReason::kUnknownGroup);  // clients may name any number: nothing is kept for an unknown group
+    give_up(state, added,
+            GiveUpReason::kUnknownGroup);  // clients may name any group: no state is kept for an unknown one
     return;
   }
   group->second.postponed.push_back(request.id);
--- a/src/request_router/admission.h
+++ b/src/request_router/admission.h
@@ -1,8 +1,8 @@
-// Which requests are taken on, in which order, and which are given up.
+// Admission of requests: which are accepted, in which order, and which are given up.
 //
-// Rule: a request that can no longer be answered in time, or for which waiting would cost more than it
-// brings, is given up at once, with a time to come back. Of those that wait, the one of most value for its
-// work goes first; the value falls when so little time is left that the answer may well come late.
+// Rule: a request that can no longer be answered in time, or for which waiting would cost more than its
+// value, is given up at once, with a Retry-After. Of the waiting requests, the one of most value for its work
+// goes first; the value decreases when little time is left and a late answer is likely.
 #pragma once
 
 #include "request_router/router.h"
@@ -13,18 +13,18 @@
 struct PendingRequest;
 struct RouterState;
 
-// Takes in a new request. One for a group that no list has named is given up at once.
+// Adds a new request. A request for a group that no member list has named is given up at once.
 void on_request(RouterState& state, const Request& request);
 
-// Whether the request can no longer be worth anything, or waiting would cost more than it brings.
-// `writes_ahead`: requests for the primary that wait before this one.
+// Whether the request can no longer have any value, or waiting would cost more than its value.
+// `writes_ahead`: the number of requests for the primary that wait ahead of this one.
 bool cannot_meet_deadline(const RouterState& state, const Group& group, const PendingRequest& pending,
                           double writes_ahead);
 
 // The priority weight of the request for each microsecond of work, at the time of the batch.
 double value_per_work(const RouterState& state, const PendingRequest& pending);
 
-// Gives the request up: rejects it where its repeat by the client does no harm, else fails it.
+// Gives up the request: rejects it where a repeat by the client does no harm, otherwise fails it.
 void give_up(RouterState& state, const PendingRequest& pending, GiveUpReason reason);
 
 }  // namespace request_router::internal
--- a/src/request_router/pending_request.h
+++ b/src/request_router/pending_request.h
@@ -1,4 +1,4 @@
-// A request that has not had its final answer, with its attempts.
+// A request that has not received its final answer, with its attempts.
 #pragma once
 
 #include <algorithm>
@@ -15,31 +15,31 @@
   MemberId member = 0;
   Micros sent_at{0};
   bool is_in_flight = true;
-  bool may_have_run = false;   // known once it has ended
+  bool may_have_run = false;   // known after it has ended
   bool has_failed = false;     // the member answered with an error
-  bool is_cancelled = false;   // by this router, to try elsewhere
-  bool reached_member = true;  // its member has had the whole request
+  bool is_cancelled = false;   // by this router, to try another member
+  bool reached_member = true;  // its member has received the complete request
 };
 
-// A request and everything that is decided about it.
+// A request with the state of its decisions.
 struct PendingRequest {
   Request request;
   const RequestClass* request_class = nullptr;  // in the settings; never null
   Micros arrived_at{0};
-  Micros full_value_until{0};         // until when an answer earns the full priority weight
-  Micros required_position = kNever;  // session reads: the position that shows the session's last write
+  Micros full_value_until{0};         // end of the time in which an answer has the full priority weight
+  Micros required_position = kNever;  // session reads: the position that includes the session's last write
   std::vector<Attempt> attempts;
   int in_flight_count = 0;
   ZoneAssignment zones;
 
-  // Whether the member has answered it with an error.
+  // Whether the member has answered the request with an error.
   bool has_failed_at(MemberId member) const {
     return std::any_of(attempts.begin(), attempts.end(), [&](const Attempt& attempt) {
       return attempt.has_failed && attempt.member == member;
     });
   }
 
-  // Whether only the primary can serve it.
+  // Whether only the primary can serve the request.
   bool needs_primary() const {
     return request_class->level == ReadLevel::kWrite || request_class->level == ReadLevel::kFresh;
   }
--- a/src/request_router/router.cpp
+++ b/src/request_router/router.cpp
@@ -1,9 +1,9 @@
-// The router: passes each event of a batch to the module that handles it, has the groups decided that the
-// events concern, and orders the actions.
+// The router: passes each event of a batch to the module that handles it, decides the groups that the events
+// concern, and orders the actions.
 //
-// Rule: a batch is taken in whole before anything is decided, so that no decision rests on half of what is
-// known at its time. All decisions are made in the modules of this folder; the mechanism and its exceptions
-// are described in docs/design/decisions.md.
+// Rule: all events of a batch are processed before anything is decided, so that each decision is based on
+// everything that is known at its time. All decisions are made in the modules of this folder; the mechanism
+// and its exceptions are described in docs/design/decisions.md.
 #include "request_router/router.h"
 
 #include <algorithm>
@@ -24,10 +24,10 @@
 namespace {
 
 // The keys of the timers that the router sets.
-constexpr std::uint64_t kTickTimer = 1;  // looks at attempts under way, regularly
-constexpr std::uint64_t kWakeTimer = 2;  // has postponed requests decided at a given time
+constexpr std::uint64_t kTickTimer = 1;  // checks attempts in flight at regular intervals
+constexpr std::uint64_t kWakeTimer = 2;  // has postponed requests decided again at a given time
 
-// Has the groups decided anew whose requests were postponed.
+// Schedules the groups with postponed requests for another decision.
 void on_timer(RouterState& state, const TimerFired& timer) {
   for (Group* group : std::exchange(state.waiting_groups, {})) {
     group->is_waiting = false;
@@ -50,14 +50,15 @@
   void operator()(const TimerFired& event) { on_timer(state_, event); }
   void operator()(const ClientGone& event) { state_.pending.erase(event.id); }
   void operator()(const Plan& event) { internal::on_plan(state_, event); }
-  void operator()(const StreamStarted&) {}  // tells nothing that a decision rests on
+  void operator()(const StreamStarted&) {}  // not used by any decision
   void operator()(const PeerMessage&) {}    // this router sends none and expects none
 
  private:
   RouterState& state_;
 };
 
-// Events of one moment may come in several calls: the pause before it is the same for all of them.
+// Events of the same time may arrive in several calls; the pause before that time is the same for all of
+// them.
 void begin_batch(RouterState& state, Micros at) {
   internal::TimerState& timers = state.timers;
   if (at > state.now) {
@@ -69,7 +70,7 @@
   timers.tick_fired = false;
 }
 
-// Looks at the members with attempts or a probe under way, and stops watching those that have none.
+// Checks the members with an attempt or a probe in flight, and stops watching those that have none.
 void check_watched_members(RouterState& state) {
   auto watched = std::move(state.watched_members);
   state.watched_members.clear();
@@ -81,7 +82,7 @@
   }
 }
 
-// By index, because a decision may ask for another one.
+// Iterates by index because a decision may add groups to the list.
 void decide_groups(RouterState& state) {
   state.timers.wake_at = state.now + state.spans.tick;
   for (std::size_t i = 0; i < state.groups_to_decide.size(); ++i)
--- a/src/request_router/router_state.cpp
+++ b/src/request_router/router_state.cpp
@@ -3,25 +3,26 @@
 namespace request_router::internal {
 namespace {
 
-// Silence that raises a question, in smallest latency objectives. An eighth leaves time to ask the member and
-// to send a read elsewhere before the objective is over.
+// The silence limit, in smallest latency objectives. An eighth leaves time to probe the member and to send a
+// read elsewhere within the objective.
 constexpr double kSilenceLimitFraction = 0.125;
 
-// The silence is never shorter than so many steps: two batches have to pass before an answer can be missed.
+// Minimum of the silence limit, in steps (the minimum time between batches): two batches have to pass before
+// an answer counts as missing.
 constexpr int kMinSilenceLimitSteps = 3;
 
-// Half-life of latencies, in smallest latency objectives: much longer than any request takes, so that it
-// fades between requests and not during them.
+// Half-life of observed latencies, in smallest latency objectives: much longer than any request takes, so
+// that an observation loses weight between requests and not during one.
 constexpr int kHalfLifeObjectives = 32;
 
-// The tick, in smallest latency objectives: half of the silence that it has to notice.
+// The tick, in smallest latency objectives: half of the silence limit that it has to detect.
 constexpr double kTickFraction = 1.0 / 16;
 
-// Stands for half of the strictest bound where no class has one, in smallest latency objectives.
+// Value of TimeSpans::half_bound where no class has a bound, in smallest latency objectives.
 constexpr int kHalfBoundObjectives = 4;
 
-// The slowdown of a member fades by half in so many silences, two of the smallest latency objectives: it
-// tells of the last requests, not of the day.
+// Half-life of a member's slowdown, in silence limits: two smallest latency objectives, so that it reflects
+// the last requests and not a long period.
 constexpr int kSlowdownHalfLifeSilences = 16;
 
 Micros smallest_objective_of(const Settings& settings) {
--- a/src/request_router/router_state.h
+++ b/src/request_router/router_state.h
@@ -1,8 +1,8 @@
-// What the modules of the router share: the settings, the time of the batch, the tables of members, groups
-// and pending requests, the state of each module, and the list of actions that is being built.
+// The state that the modules of the router share: the settings, the time of the batch, the tables of members,
+// groups and pending requests, the state of each module, and the list of actions that is being built.
 //
-// Rule: the state is changed by events only, and nothing in it reads a clock. A module changes its own part;
-// everything else it changes through the functions of the module that owns it.
+// Rule: only events change the state, and nothing in it reads a clock. A module changes its own part directly
+// and every other part through the functions of the module that owns it.
 #pragma once
 
 #include <algorithm>
@@ -25,47 +25,48 @@
 
 namespace request_router::internal {
 
-// Spans that all modules share. Each scales from the settings; nothing here knows a deployment.
+// Time spans that all modules share. Each is derived from the settings; none is specific to a deployment.
 struct TimeSpans {
   explicit TimeSpans(const Settings& settings);
 
-  Micros smallest_objective;     // smallest latency objective of all classes
-  Micros silence_limit;          // a member that is silent for longer is asked whether it is well
-  Micros observation_half_life;  // after so long half of what a latency said has faded
-  Micros tick;                   // how often attempts under way and postponed requests are looked at
+  Micros smallest_objective;     // the smallest latency objective of all classes
+  Micros silence_limit;          // a member whose answer takes longer is probed
+  Micros observation_half_life;  // half-life of the weight of an observed latency
+  Micros tick;                   // interval between checks of attempts in flight and postponed requests
   Micros half_bound;             // half of the strictest bound on the age of data
 };
 
-// Which timers are set, and what is known of pauses of the router itself.
+// The timers that are set, and the last pause of the router itself.
 struct TimerState {
-  Micros wake_at{0};            // when the first postponed read wants another decision
-  Micros wake_due_at = kNever;  // for when the last wake timer was set
-  Micros tick_due_at{0};        // when the tick that is set is due
-  bool is_tick_set = false;     // a tick is still to come
-  bool tick_fired = false;      // this batch has brought it
-  Micros paused{0};             // how long this router has just stood still
-
-  // Asks for a decision at `time`, unless an earlier one is asked for.
+  Micros wake_at{0};            // the earliest time at which a postponed read needs another decision
+  Micros wake_due_at = kNever;  // when the wake timer that was set last is due
+  Micros tick_due_at{0};        // when the tick timer that is set is due
+  bool is_tick_set = false;     // a tick timer is set
+  bool tick_fired = false;      // the tick timer fired in this batch
+  Micros paused{0};             // duration of the pause of this router before the batch; 0: none
+
+  // Requests a decision at `time`, unless an earlier one is requested already.
   void wake_no_later_than(Micros time) { wake_at = std::min(wake_at, time); }
 };
 
-// Everything that a router knows. Members, groups and requests keep their addresses while they exist.
+// The state of a router. Members, groups and requests keep their addresses while they exist.
 struct RouterState {
   RouterState(Settings router_settings, std::uint64_t router_seed);
 
-  Settings settings;  // never changed once the router exists
+  Settings settings;  // not changed after construction
   std::uint64_t seed;
   TimeSpans spans;
-  Micros now{0};  // of the batch
+  Micros now{0};  // the time of the batch
 
   std::map<MemberId, Member> members;
   std::map<GroupId, Group> groups;
-  std::unordered_map<RequestId, PendingRequest> pending;  // looked up, never iterated
-  std::vector<Group*> groups_to_decide;                   // in this batch
-  std::vector<Group*> waiting_groups;                     // with requests postponed when last decided
-  std::vector<Member*> watched_members;                   // with attempts or a probe under way
+  std::unordered_map<RequestId, PendingRequest> pending;  // looked up by id only, never iterated
+  std::vector<Group*> groups_to_decide;                   // groups to be decided in this batch
+  std::vector<Group*> waiting_groups;    // groups that had postponed requests when they were last decided
+  std::vector<Member*> watched_members;  // members with an attempt or a probe in flight
 
-  std::vector<Micros> longest_client_timeout;  // by class: the longest time that a client gave an attempt
+  std::vector<Micros>
+      longest_client_timeout;  // by class: the longest timeout that a client has set for an attempt
   LatencyStatistics latency;
   SessionPositions sessions;
   ProbeBudget probe_budget;
@@ -74,31 +75,32 @@
   ZoneRouting zone_routing;
   CostScratch cost_scratch;
   TimerState timers;
-  bool subscribed = false;      // to member lists, where they have to be asked for
+  bool subscribed = false;      // to member lists, where they have to be requested
   std::vector<Action> actions;  // of this batch, in order
 
-  // A number from 0 to 1 that is fixed for this router, request and member: fractions are admitted by it, so
-  // that a decision taken again is the same and the fractions of many routers are independent. Draws that
-  // concern no member use a member id from the top of the range, named where it is used.
+  // A pseudo-random number from 0 to 1, fixed for this router, request and member. A fraction of requests is
+  // admitted by comparing with it, so that a repeated decision has the same result and the decisions of many
+  // routers are independent. Draws that concern no member use a constant from the top of the range of member
+  // ids.
   double deterministic_fraction(std::uint64_t request, MemberId member) const;
 
-  // Smoothed latency of the class at the member, in microseconds.
+  // The smoothed latency of the class at the member, in microseconds.
   double average_latency(const Member& member, std::size_t request_class) const {
     return latency.average(member.latency, request_class, now);
   }
 
-  // How many times slower than usual the member is; at least 1.
+  // The slowdown of the member: the ratio of its latencies to the usual ones, at least 1.
   double load(const Member& member) const { return latency.load(member.latency, now); }
 
-  // Has the group decided in this batch.
+  // Schedules the group for a decision in this batch.
   void request_decision(Group& group) {
     if (!std::exchange(group.needs_decision, true)) groups_to_decide.push_back(&group);
   }
 
-  // Has the member's group decided in this batch.
+  // Schedules the member's group for a decision in this batch.
   void request_decision(const Member& member) { request_decision(groups[member.group]); }
 
-  // Has the member looked at on every tick, while it has an attempt or a probe under way.
+  // Adds the member to those that are checked on every tick while they have an attempt or a probe in flight.
   void watch(Member& member) {
     if (!std::exchange(member.is_watched, true)) watched_members.push_back(&member);
   }
