--- a/src/request_router/settings.cpp
+++ b/src/request_router/settings.cpp
@@ -8,10 +8,10 @@
 namespace request_router {
 namespace {
 
-// The longest time that is taken, in milliseconds: as microseconds it still fits in 64 bits.
+// Maximum accepted time, in milliseconds: converted to microseconds, it still fits in 64 bits.
 constexpr double kMaxMillis = 9e15;
 
-// The highest number of things that is taken: more than any deployment has.
+// Maximum accepted count: more than any deployment has.
 constexpr double kMaxCount = 1e6;
 
 [[noreturn]] void fail(const std::string& message) { throw std::invalid_argument(message); }
@@ -59,13 +59,14 @@
   auto found = values_.find(path);
   if (found == values_.end() || found->second.empty()) return default_value;
   auto value = to_number(found->second);
-  if (!value) fail("setting " + path + " is no number: '" + found->second + "'");
+  if (!value) fail("setting " + path + " is not a number: '" + found->second + "'");
   return *value;
 }
 
 int SettingsReader::count(const std::string& path, int default_value) const {
   double value = number(path, default_value);
-  if (value != std::floor(value) || std::abs(value) > kMaxCount) fail("setting " + path + " is no count");
+  if (value != std::floor(value) || std::abs(value) > kMaxCount)
+    fail("setting " + path + " is not a whole number in the accepted range");
   return static_cast<int>(value);
 }
 
@@ -125,7 +126,7 @@
   result.priority_weight = number(prefix + "Importance", 1);
   result.late_weight_share = number(prefix + "LateShare", 0);
   auto parsed_bound = millis_to_micros(bound);
-  if (!parsed_bound) fail("setting FamilyInfo.OldestDataMs is no list of times");
+  if (!parsed_bound) fail("setting FamilyInfo.OldestDataMs is not a list of times in milliseconds");
   result.bound = *parsed_bound;
   return result;
 }
--- a/src/request_router/settings.h
+++ b/src/request_router/settings.h
@@ -1,5 +1,6 @@
-// The one reader of the settings: the adapter feeds it the pairs of a SPAWN line, the proxy its JSON
-// configuration in the same form (path=value, a list's length under .count, plain lists joined by commas).
+// Reads the router's settings from pairs of path and value: the simulator adapter passes the pairs of a SPAWN
+// line, the proxy its JSON configuration in the same form (path=value, the length of a list under .count,
+// lists of plain values joined by commas).
 #pragma once
 
 #include <map>
@@ -12,17 +13,18 @@
 
 namespace request_router {
 
-// The parts of a text between separators; an empty text has none, and a separator at its end starts none.
+// Splits the text at each separator. An empty text has no parts, and a separator at the end adds no empty
+// part.
 std::vector<std::string_view> split_at(std::string_view text, char separator);
 
-// The number that the whole text states; nothing if it is none, or is not finite.
+// Parses the complete text as a number; returns nothing if it is not a number or not finite.
 std::optional<double> to_number(std::string_view text);
 
-// A time that the whole text states in milliseconds; nothing if it is none, or is out of range.
+// Parses the complete text as a time in milliseconds; returns nothing if it is not a number or out of range.
 std::optional<Micros> millis_to_micros(std::string_view text);
 
-// Looks up values by the path of their setting. Every look-up throws std::invalid_argument, naming the
-// setting, when its value is impossible; a setting that is missing has the value that the caller names.
+// Looks up values by the path of their setting. A look-up throws std::invalid_argument, which names the
+// setting, if the value is invalid; a setting that is missing has the default value of the caller.
 class SettingsReader {
  public:
   explicit SettingsReader(std::map<std::string, std::string, std::less<>> pairs)
@@ -31,9 +33,9 @@
   double number(const std::string& path, double default_value) const;
   int count(const std::string& path, int default_value) const;  // a whole number
   bool flag(const std::string& path) const;
-  Micros millis(const std::string& path, double default_value = 0) const;  // stated in milliseconds
+  Micros millis(const std::string& path, double default_value = 0) const;  // the value is in milliseconds
 
-  // All settings of a router.
+  // Reads all settings of a router.
   Settings settings() const;
 
  private:
--- a/tests/proxy/parsers_test.cpp
+++ b/tests/proxy/parsers_test.cpp
@@ -253,13 +253,13 @@
        "Effect"},
       {R"({"listen":"127.0.0.1:1","discovery":"127.0.0.1:1","settings":{"RequestClasses":[
           {"Name":"a","Effect":"pure","TargetMs":9,"DeadlineMs":2}]}})",
-       "aim"},
+       "latency objective"},
       {R"({"listen":"127.0.0.1:1","discovery":"127.0.0.1:1","settings":{"RequestClasses":[
           {"Name":"a","Effect":"token","TargetMs":1,"DeadlineMs":2}]}})",
        "key window"},
       {R"({"listen":"127.0.0.1:1","discovery":"127.0.0.1:1","settings":{"NInstances":0,"RequestClasses":[
           {"Name":"a","Effect":"pure","TargetMs":1,"DeadlineMs":2}]}})",
-       "router"},
+       "number of routers"},
   }));
   try {
     app::parse_config(c.text);
--- a/tests/request_router/admission_test.cpp
+++ b/tests/request_router/admission_test.cpp
@@ -105,11 +105,13 @@
     }
   };
   EXPECT_TRUE(rejects([](Settings& settings) { settings.classes.clear(); }, "classes"));
-  EXPECT_TRUE(rejects([](Settings& settings) { settings.max_attempts = 0; }, "maxAttempts"));
+  EXPECT_TRUE(rejects([](Settings& settings) { settings.max_attempts = 0; }, "maximum number of attempts"));
   EXPECT_TRUE(rejects([](Settings& settings) { settings.step = 0ms; }, "step"));
-  EXPECT_TRUE(rejects([](Settings& settings) { settings.initial_capacity_share = 0; }, "coldShare"));
-  EXPECT_TRUE(rejects([](Settings& settings) { settings.classes[0].latency_objective = 0ms; }, "aim"));
-  EXPECT_TRUE(rejects([](Settings& settings) { settings.routers = 0; }, "router"));
+  EXPECT_TRUE(
+      rejects([](Settings& settings) { settings.initial_capacity_share = 0; }, "initial capacity share"));
+  EXPECT_TRUE(
+      rejects([](Settings& settings) { settings.classes[0].latency_objective = 0ms; }, "latency objective"));
+  EXPECT_TRUE(rejects([](Settings& settings) { settings.routers = 0; }, "number of routers"));
   EXPECT_TRUE(
       rejects([](Settings& settings) { settings.classes[kKeyedWrite].key_window = 0ms; }, "key window"));
 }
--- a/tests/simulator_adapter/adapter_test.sh
+++ b/tests/simulator_adapter/adapter_test.sh
@@ -23,6 +23,6 @@
 bad 'a long list' 'SYNC TMs=1\nSNAPSHOT_ROWS Ref=0 Members=0\nROW Host=h Cell=1 Condition=1\nOVER_TO_YOU\n' 'unknown message'
 bad 'truncated input' 'SYNC TMs=1\nABOUT I=3\n' 'ended inside a batch'
 bad 'a number out of range' 'SYNC TMs=1\nSNAPSHOT_ROWS Ref=99 Members=0\nOVER_TO_YOU\n' 'out of range'
-bad 'impossible settings' 'SYNC TMs=1\nABOUT I=1\nSPAWN RngSeed=1\nOVER_TO_YOU\n' 'impossible setting'
+bad 'impossible settings' 'SYNC TMs=1\nABOUT I=1\nSPAWN RngSeed=1\nOVER_TO_YOU\n' 'invalid setting'
 [ $failed -eq 0 ] && echo "adapter: all cases as expected"
 exit $failed
