--- a/src/request_router/attempt_lifecycle.cpp
+++ b/src/request_router/attempt_lifecycle.cpp
@@ -9,7 +9,7 @@
 namespace request_router::internal {
 namespace {
 
-// An attempt always has some time, also one that is sent at the client's last moment.
+// Minimum timeout of an attempt, also of one that is sent when the client's deadline has been reached.
 constexpr Micros kMinTimeout{1};
 
 std::optional<InFlightAttempt> remove_in_flight(Member& member, const Outcome& outcome) {
@@ -27,25 +27,25 @@
          status == Status::kDeclined;
 }
 
-// Whether the member may have executed the request, by how the attempt ended.
+// Whether the member may have executed the request, according to the status of the attempt.
 bool may_have_run(Status status) {
   return status != Status::kOverloaded && status != Status::kUnreachable && status != Status::kNotStarted &&
          status != Status::kDeclined;
 }
 
-// What the outcome tells of the member, whatever the request was.
+// Records what the outcome shows about the member, independent of the request.
 void record_member_observations(RouterState& state, Member& member, const Outcome& outcome) {
   if (is_answer(outcome.status) || outcome.status == Status::kBroken) record_response(state, member);
   record_role(state, member, outcome.role, state.now);
   if (outcome.position) record_rounded_position(state, member, *outcome.position);
   record_report(state, member, outcome.report);
   if (outcome.status != Status::kUnreachable) return;
-  // It is down, or has no connection to spare: a probe would not tell which.
+  // The member is down, or has no free connection; a probe would not distinguish the two.
   mark_unresponsive(state, member);
   if (member.role.role != Role::kPrimary) back_off(state, member);
 }
 
-// The member turned the request away untouched: it is no primary, or it is behind.
+// Records that the member declined the request without executing it: it is not the primary, or it is behind.
 void record_declined(RouterState& state, Member& member, const InFlightAttempt& attempt) {
   if (state.settings.classes[attempt.request_class].level == ReadLevel::kWrite) {
     member.role.write_tried_at = state.now;
@@ -66,7 +66,8 @@
     state.latency.record_slowdown(member.latency, attempt.request_class, duration, state.now);
 }
 
-// What the outcome tells of the member's speed and errors. `pending`: null where the request has ended.
+// Records what the outcome shows about the member's latency and errors. `pending`: null if the request has
+// ended.
 void record_performance(RouterState& state, Member& member, const InFlightAttempt& attempt,
                         const PendingRequest* pending, const Outcome& outcome) {
   if (outcome.status == Status::kDeclined) record_declined(state, member, attempt);
@@ -111,7 +112,8 @@
   state.watch(member);
   member.in_flight.push_back({request.id, attempt, request.request_class, state.now});
   member.last_sent_at = state.now;
-  // The client's own time: a shorter one would not free the member, but hide its work from the count here.
+  // The timeout is the time that the client has left: a shorter one would not stop the work at the member,
+  // but would remove it from the attempts in flight that are counted here.
   Micros timeout = std::max(request.expires - state.now, kMinTimeout);
   state.actions.emplace_back(Send{request.id, member.id, timeout, start_within(state, pending, member),
                                   reason_for(pending, member)});
--- a/src/request_router/attempt_lifecycle.h
+++ b/src/request_router/attempt_lifecycle.h
@@ -1,8 +1,8 @@
-// An attempt from its sending to its outcome.
+// The lifecycle of an attempt, from its sending to its outcome.
 //
-// Rule: an attempt is in flight at its member, in its request and in the member's list until its outcome
-// comes, whatever is decided meanwhile. What an outcome tells of the member is taken in first, then it is
-// recorded in the request, which ends or waits for the next attempt.
+// Rule: an attempt counts as in flight, in its request and in its member's list, until its outcome arrives,
+// whatever is decided in the meantime. An outcome is first recorded at the member, then in the request, which
+// ends or waits for its next attempt.
 #pragma once
 
 #include "request_router/router.h"
@@ -13,10 +13,10 @@
 struct PendingRequest;
 struct RouterState;
 
-// Sends the request to the member.
+// Sends the request to the member as a new attempt.
 void send_attempt(RouterState& state, PendingRequest& pending, Member& member);
 
-// Takes in how an attempt ended.
+// Processes the outcome of an attempt.
 void on_outcome(RouterState& state, const Outcome& outcome);
 
 }  // namespace request_router::internal
--- a/src/request_router/cost.cpp
+++ b/src/request_router/cost.cpp
@@ -7,11 +7,12 @@
 namespace request_router::internal {
 namespace {
 
-// The least remaining time of an attempt in flight: one that has taken longer than its class usually does
-// still occupies the member. A millisecond, the resolution of the figures that members report.
+// Minimum remaining time of an attempt in flight: one that has taken longer than is usual for its class still
+// occupies the member. One millisecond is the resolution of the figures that members report.
 constexpr Micros kMinRemainingTime{1000};
 
-// A class that no member has answered yet is taken to use up its objective: nothing better is known.
+// The average time of the class at the member. Without any answer of the class yet, its latency objective is
+// the only known estimate.
 double expected_time(const RouterState& state, const Member& member, std::size_t request_class) {
   if (state.latency.is_observed(request_class)) return state.average_latency(member, request_class);
   return to_double(state.settings.classes[request_class].latency_objective);
@@ -23,7 +24,7 @@
   double load = state.load(member);
   double own = expected_time(state, member, request_class);
   double sum = own;
-  // Looked up once for each class: a member may have hundreds of attempts in flight.
+  // Each class is looked up only once, because a member may have hundreds of attempts in flight.
   std::vector<double>& averages = state.cost_scratch.average;
   averages.assign(state.settings.classes.size(), 0.0);
   for (const auto& attempt : member.in_flight) {
--- a/src/request_router/cost.h
+++ b/src/request_router/cost.h
@@ -1,6 +1,6 @@
-// What a request would cost at a member: cost1 of the paper that docs/design/decisions.md names.
+// The expected cost of a request at a member: cost1 of the paper that docs/design/decisions.md names.
 //
-// Rule: load(N) x (average time of the request + sum over the attempts in flight of the lesser of that time
+// Rule: load(N) x (average time of the request + sum over the attempts in flight of the smaller of that time
 // and their remaining time). Only this router's own attempts count. The result is in microseconds.
 #pragma once
 
@@ -12,12 +12,12 @@
 struct Member;
 struct RouterState;
 
-// Working memory of `expected_cost`, kept so that no estimate allocates.
+// Reusable working memory of `expected_cost`, so that an estimate does not allocate.
 struct CostScratch {
-  std::vector<double> average;  // by class; 0: not looked up yet
+  std::vector<double> average;  // expected time by class; 0: not looked up yet
 };
 
-// The cost of a request of this class at this member.
+// The cost of a request of this class at this member, in microseconds.
 double expected_cost(RouterState& state, const Member& member, std::size_t request_class);
 
 }  // namespace request_router::internal
--- a/src/request_router/group_decision.cpp
+++ b/src/request_router/group_decision.cpp
@@ -12,7 +12,8 @@
 namespace request_router::internal {
 namespace {
 
-// Gives up what cannot be answered in time; returns the others, in their order.
+// Gives up the requests that cannot be answered in time or are beyond the zone plan; returns the others in
+// their order.
 std::vector<PendingRequest*> admit_postponed(RouterState& state, Group& group) {
   auto postponed = std::move(group.postponed);
   group.postponed.clear();
@@ -20,7 +21,7 @@
   double writes_ahead = 0;
   for (RequestId id : postponed) {
     auto known = state.pending.find(id);
-    if (known == state.pending.end()) continue;  // its client has gone
+    if (known == state.pending.end()) continue;  // its client has disconnected
     PendingRequest& pending = known->second;
     if (!state.zone_routing.assign(state, pending)) {
       give_up(state, pending, GiveUpReason::kBeyondPlan);
@@ -46,7 +47,7 @@
                    });
 }
 
-// What the postponed requests wait for.
+// The kinds of requests that were postponed: those that need the primary, and reads.
 struct Postponed {
   bool for_primary = false;
   bool for_position = false;
--- a/src/request_router/group_decision.h
+++ b/src/request_router/group_decision.h
@@ -1,8 +1,9 @@
-// The decision of all requests that wait in one group.
+// Decides all requests that wait in one group.
 //
-// Rule: what cannot be answered in time is given up; the others are taken in the order of their value for
-// their work, then of their age, and each is sent to the member that is selected for it, or postponed. For
-// what is postponed the group's primary is searched, or the positions of its replicas.
+// Rule: requests that cannot be answered in time are given up. The others are processed in the order of their
+// value per work, then of their arrival, and each is sent to the member that is selected for it, or
+// postponed. While requests are postponed, the group's members are probed for the primary or for newer
+// positions.
 #pragma once
 
 namespace request_router::internal {
@@ -10,7 +11,7 @@
 struct Group;
 struct RouterState;
 
-// Decides the waiting requests of the group.
+// Sends, postpones or gives up each waiting request of the group.
 void decide_group(RouterState& state, Group& group);
 
 }  // namespace request_router::internal
--- a/src/request_router/primary_discovery.cpp
+++ b/src/request_router/primary_discovery.cpp
@@ -8,21 +8,24 @@
 namespace request_router::internal {
 namespace {
 
-// While the probe budget has a surplus, a member that has not answered for so many silences, half of the
-// smallest latency objective, is probed rather than tried: a probe costs no request its time.
+// The number of silence limits (four are half of the smallest latency objective) after which a member that
+// has not answered is probed rather than tried with a request, while the probe budget has a surplus: a probe
+// delays no request.
 constexpr int kProbeFirstSilences = 4;
 
-// A member is tried with a write once in so many silences, a quarter of the smallest latency objective.
+// Minimum time between two trials at a member, in silence limits: a quarter of the smallest latency
+// objective.
 constexpr int kTrySilences = 2;
 
-// The longest interval between two rounds of probes, in silences: one smallest latency objective.
+// Maximum interval between two rounds of probes, in silence limits: one smallest latency objective.
 constexpr int kMaxSearchIntervalSilences = 8;
 
-// Attempts of a request that are kept for the primary itself, once it is found.
+// The number of attempts of a request that are reserved for the primary after it is found.
 constexpr int kReservedAttempts = 2;
 
-// The order in which members are tried: seldom tried first, then unknown roles before replicas, warm ones
-// before those that are warming up, then the one furthest on.
+// The order in which members are tried, highest rank first: members with fewer tries of this request, then
+// unknown roles before known ones, members at full capacity before those that are warming up, then the newest
+// position.
 auto trial_rank(const RouterState& state, const PendingRequest& pending, const Member& member) {
   auto tries = std::count_if(pending.attempts.begin(), pending.attempts.end(),
                              [&](const Attempt& attempt) { return attempt.member == member.id; });
@@ -30,7 +33,7 @@
                     member.replication.position);
 }
 
-// Known replicas are tried ever more seldom: when the next one may be.
+// The earliest time of the next trial at a known replica. The interval doubles with each attempt.
 Micros next_replica_trial(const RouterState& state, const Group& group, const PendingRequest& pending) {
   if (pending.attempts.size() < group.members.size()) return state.now;
   return pending.attempts.back().sent_at + state.spans.silence_limit * (1 << pending.attempts.size());
@@ -75,7 +78,7 @@
   if (is_read && state.settings.lag_check == LagCheck::kOff) return nullptr;
   if (static_cast<int>(pending.attempts.size()) >= state.settings.max_attempts - kReservedAttempts)
     return nullptr;
-  if (group.members.empty()) return nullptr;  // all have gone and are forgotten
+  if (group.members.empty()) return nullptr;  // all members were removed from the list and dropped
   Micros next_trial_at = next_replica_trial(state, group, pending);
   Member* best = nullptr;
   for (Member* member : group.members) {
@@ -91,7 +94,7 @@
   PrimarySearch& search = group.primary_search;
   bool is_first = search.started_at == kNever;
   if (!is_first && state.now - search.started_at < search.interval) return;
-  // Where members check nothing, no write is tried out, so there a first search goes beyond the budget.
+  // Where members do not check requests, no write is tried, so the first search may exceed the probe budget.
   if (state.settings.lag_check == LagCheck::kOff && is_first)
     state.probe_budget.grant(static_cast<double>(group.members.size()));
   search.started_at = state.now;
--- a/src/request_router/replica_selection.cpp
+++ b/src/request_router/replica_selection.cpp
@@ -8,48 +8,49 @@
 namespace request_router::internal {
 namespace {
 
-// Costs that differ by less than this ratio are equal: averages of about ten answers scatter by as much.
+// Costs that differ by less than this ratio count as equal: averages of about ten answers scatter by as much.
 constexpr double kEqualCostRatio = 1.25;
 
-// Reads whose latency objective is so many times the smallest one are long against the others.
+// A read is long if its latency objective is at least this multiple of the smallest one.
 constexpr int kLongReadRatio = 4;
 
-// A replica is stale when its position is older than so many half bounds, that is two bounds: no bounded
-// read will go there soon.
+// A replica is stale when its position is older than this number of half bounds, that is two bounds: no
+// bounded read will be sent there soon.
 constexpr int kStaleHalfBounds = 4;
 
-// Attempts that a read keeps for members that are known to be fresh.
+// The number of attempts of a read that are reserved for members that are known to be fresh.
 constexpr int kReservedAttempts = 2;
 
-// A read that was postponed for this fraction of its time to full value may ask the primary for surplus
-// capacity. A third leaves replicas time to catch up, and the primary time to answer.
+// A read that was postponed for this fraction of the time in which its answer has full value may use surplus
+// capacity of the primary. About a third leaves replicas time to catch up, and the primary time to answer.
 constexpr double kPrimaryReadWait = 0.35;
 
-// Such reads use no more than this fraction of the primary's limit; the rest is for writes.
+// Maximum fraction of the primary's concurrency limit that such reads use; the rest is reserved for writes.
 constexpr double kPrimaryReadFraction = 0.5;
 
-// While every replica lags, a postponed read goes to the primary when so many times its usual latency there
-// is left: late enough for a replica to catch up, early enough for most answers.
+// While every replica lags, a postponed read is sent to the primary when the time left is this multiple of
+// its usual latency there: late enough for a replica to catch up, early enough for most answers.
 constexpr double kLastMomentRatio = 1.5;
 
-// Where the primary's limit is too small to speak of a fraction of it, reads are given so many times the
-// part of them that one member has.
+// Where kPrimaryReadFraction of the primary's limit is less than one request, the fraction of reads that may
+// use the primary is this multiple of one member's equal share of them.
 constexpr double kSmallLimitShares = 2;
 
-// A member that could serve the read, and at what cost.
+// A member that can serve the read, and its cost.
 struct Candidate {
   double cost;
   Member* member;
 };
 
-// Which of two members of about the same cost goes first.
+// Whether the member is preferred to the other one, which has about the same cost.
 bool is_preferred(const Member& member, const Member& other) {
   if (member.same_zone != other.same_zone) return member.same_zone;
   return member.preference_order < other.preference_order;
 }
 
-// Of the members of about the least cost, one of the same zone goes first, then this router's own order
-// decides, so that hundreds of routers with the same knowledge do not choose alike.
+// Returns the preferred member among those of about the least cost: members of this router's zone come first,
+// then this router's own order decides, so that hundreds of routers with the same information do not all
+// choose the same member.
 Member* least_cost_member(const std::vector<Candidate>& candidates) {
   double least = 1e300;
   for (const Candidate& candidate : candidates) least = std::min(least, candidate.cost);
@@ -62,7 +63,7 @@
   return best;
 }
 
-// The choice of a member for one read.
+// Selects the member for one read.
 class ReadSelection {
  public:
   ReadSelection(RouterState& state, const Group& group, const PendingRequest& pending, Member* primary)
@@ -101,8 +102,9 @@
     return expected_cost(state_, member, pending_.request.request_class);
   }
 
-  // A long read that any member may serve goes where freshness is spent already, or to the same replica each
-  // time: a member may apply nothing while it holds one, and spread they make all replicas lag.
+  // Returns the member for a long read that any member may serve: a stale replica, or otherwise the same
+  // replica each time. A member may apply no log while it executes such a read, so that long reads that are
+  // spread over the replicas make all of them lag.
   Member* long_read_member() {
     Member* best = nullptr;
     for (Member* member : group_.members) {
@@ -138,8 +140,8 @@
     }
   }
 
-  // Notes that there is a replica, and whether its last known position was within the bound of the read.
-  // False: the plan does not allow it.
+  // Records that there is a replica, and whether its last known position was within the bound of the read.
+  // Returns whether the member is a replica that the zone plan allows.
   bool consider(const Member& member) {
     if (!is_replica_candidate(member)) return false;
     has_replica_ = true;
@@ -154,7 +156,8 @@
     if (has_capacity(state_, group_, member, pending_)) candidates_.push_back({cost(member), &member});
   }
 
-  // Exception to postponing: no replica is left, or the read waited long and the primary has capacity.
+  // Returns the primary if the read may use it instead of being postponed: no replica can serve the read, or
+  // the read has waited long and the primary has capacity.
   Member* primary_for_read() {
     if (!primary_ || !has_capacity(state_, group_, *primary_, pending_)) return nullptr;
     const double limit = primary_->concurrency.limit;
@@ -167,15 +170,15 @@
     return nullptr;
   }
 
-  // The draw is told from those for members by inverting the member's id.
+  // The inverted member id distinguishes this draw from those for members.
   bool exceeds_small_limit() const {
     double draw = state_.deterministic_fraction(pending_.request.id, ~primary_->id);
     return draw * static_cast<double>(group_.members.size()) > kSmallLimitShares;
   }
 
-  // From when the read may go to the primary. A bounded read stays postponed while every replica truly lags,
-  // until the last moment; where the last known position of one was within the bound, it need not wait so
-  // long.
+  // The time from which the read may be sent to the primary. While every replica lags, a bounded read stays
+  // postponed until the last moment (kLastMomentRatio); where the last known position of a replica was within
+  // the bound, it waits only for kPrimaryReadWait.
   Micros earliest_primary_read() const {
     Micros waited =
         pending_.arrived_at + scale(pending_.full_value_until - pending_.arrived_at, kPrimaryReadWait);
@@ -192,7 +195,7 @@
   Micros required_;  // the position that the read needs
   std::vector<Candidate> candidates_;
   bool has_replica_ = false;
-  bool replica_was_current_;  // some replica was within the bound by its last known position
+  bool replica_was_current_;  // a replica was within the bound according to its last known position
 };
 
 }  // namespace
--- a/src/request_router/replication_lag.cpp
+++ b/src/request_router/replication_lag.cpp
@@ -7,23 +7,24 @@
 namespace request_router::internal {
 namespace {
 
-// Sessions whose last write is remembered. The number bounds the memory, to about a megabyte; when it is
-// exceeded all are dropped at once, and their reads need the newest of the dropped positions.
+// Maximum number of sessions whose last write is kept, which limits the memory to about a megabyte. When it
+// is reached, all entries are dropped at once, and reads of these sessions need the newest dropped position.
 constexpr std::size_t kMaxSessions = 20000;
 
-// Positions of answers and reports are rounded to a millisecond; that much is taken off to be strict.
+// Positions of answers and reports are rounded to a millisecond. A millisecond is subtracted so that no
+// recorded position is newer than the applied one.
 constexpr Micros kPositionRounding{1000};
 
-// A member keeps up while its reported position is younger than so many half bounds, that is two bounds;
-// from one that lags the rhythm of the reports cannot be learned.
+// A member keeps up while its reported position is younger than this number of half bounds, that is two
+// bounds. The interval and delay of reports cannot be learned from a member that lags.
 constexpr int kKeepsUpHalfBounds = 4;
 
-// A learned interval or delay grows by no more than this factor with each report: the shortest seen counts,
-// and one that has become longer for good is followed within some tens of reports.
+// Maximum growth factor of a learned interval or delay with each report: the shortest observed value counts,
+// and a permanent increase is followed within some tens of reports.
 constexpr double kCadenceGrowth = 1.05;
 
-// A member that turned a read away is tried with a later position after so many silences without an attempt,
-// half of the smallest latency objective, whatever its position is thought to be.
+// The number of silence limits (four are half of the smallest latency objective) without an attempt or a
+// declined read after which a member is tried with a later position, regardless of its estimated position.
 constexpr int kRetryBehindSilences = 4;
 
 Micros smoothed_minimum(Micros known, Micros observed) {
--- a/src/request_router/replication_lag.h
+++ b/src/request_router/replication_lag.h
@@ -1,9 +1,10 @@
-// How far each member has applied the log, and how far it must have for a read: the freshness filter.
+// Replication lag: the position up to which each member has applied the log, and the position that a read
+// needs (the freshness filter).
 //
-// Rule: only a known position counts, and a known position only rises. Positions are points on the caller's
-// clock. They come from answers, from load reports, and, where members check reads themselves, from a read
-// that a member has answered. A bounded read needs a position within its bound, a session read the session's
-// last write; any other read needs none (`kNever`).
+// Rule: only a known position counts, and a known position only rises. Positions are points in time on the
+// caller's clock. They come from answers, from load reports, and, where members check reads themselves, from
+// a read that a member has answered. A bounded read needs a position within its bound, a session read the
+// position of the session's last write; any other read needs none (`kNever`).
 #pragma once
 
 #include <cstdint>
@@ -20,69 +21,70 @@
 struct PendingRequest;
 struct RouterState;
 
-// What is known of the position of one member.
+// The known position of one member, and the timing of its reports.
 struct MemberReplication {
-  Micros position = kNever;       // newest one known to be applied
+  Micros position = kNever;       // newest position that is known to be applied
   Micros lag{0};                  // age of `position` when it was recorded
-  Micros last_reported = kNever;  // newest position that a report has brought
+  Micros last_reported = kNever;  // newest position in a report
   Micros report_interval{0};      // time between the positions of two reports; 0: not known
-  Micros report_delay{0};         // age of a reported position on its arrival, while the member keeps up
-  Micros declined_at = kNever;    // when the member last turned a read away, being behind
+  Micros report_delay{0};         // age of a reported position on arrival, while the member keeps up
+  Micros declined_at = kNever;    // when the member last declined a read because it was behind
 };
 
-// The last write of each session, for reads that must show it.
+// The position of the last write of each session, for reads that must include that write.
 class SessionPositions {
  public:
-  // Takes in the position of a session's write.
+  // Records the position of a session's write.
   void record_write(std::uint64_t session, Micros position);
 
-  // The position that shows the session's last write. For a session that is not remembered, it is the newest
-  // one that was dropped with the others, or kNever.
+  // Returns the position that includes the session's last write. For a session without an entry it is the
+  // newest position among the entries that were dropped, or kNever.
   Micros last_write(std::uint64_t session) const;
 
-  // Another process of the proxy takes writes of the same sessions from now on, or did so until now.
+  // Sets whether another process of the proxy accepts writes of the same sessions from now on; false ends
+  // such a time.
   void set_shared(Micros now, bool is_shared);
 
-  // The latest time at which another process may have taken a write; kNever: there has been none.
+  // The latest time at which another process may have accepted a write; kNever: no such process has been set.
   Micros last_write_by_other_process(Micros now) const { return is_shared_ ? now : shared_until_; }
 
  private:
   std::unordered_map<std::uint64_t, Micros> last_writes_;
-  Micros newest_write_ = kNever;    // of all writes
-  Micros newest_dropped_ = kNever;  // the newest when all sessions were dropped
+  Micros newest_write_ = kNever;    // newest position of all writes
+  Micros newest_dropped_ = kNever;  // value of newest_write_ when all sessions were last dropped
   Micros shared_until_ = kNever;
   bool is_shared_ = false;
 };
 
-// The position that a session read needs when it arrives; kNever where there is none.
+// The position that a session read needs when it arrives; kNever: none.
 Micros session_position(const RouterState& state, const Request& request);
 
-// The position that a member must have applied for this read at the time of the batch; kNever: none.
+// The position that a member must have applied to serve this read at the time of the batch; kNever: none.
 Micros required_position(const RouterState& state, const PendingRequest& pending);
 
-// The freshness filter, kept in this one place: whether the position is known to have been reached.
+// Whether the member is known to have applied the required position. No other code applies this filter.
 inline bool is_fresh(const MemberReplication& replication, Micros required) {
   return required == kNever || replication.position >= required;
 }
 
-// Where members check reads, one that is slightly behind may be tried: at worst it turns the read away
-// untouched. Whether this member may be tried for this position.
+// Whether a read that requires the position may be tried at a member that is not known to have reached it.
+// Only where members check reads: at worst the member declines the read without executing it.
 bool may_try_behind(const RouterState& state, const Member& member, Micros required);
 
-// Takes in a position that the member is known to have applied.
+// Records a position that the member is known to have applied.
 void record_position(RouterState& state, Member& member, Micros position);
 
-// Takes in the position of an answer, which is rounded.
+// Records the position of an answer, which is rounded.
 void record_rounded_position(RouterState& state, Member& member, Micros position);
 
-// Takes in the position of a load report, and how often and how late reports are renewed.
+// Records the position of a load report, and the interval and the delay of reports.
 void record_reported_position(RouterState& state, Member& member, Micros position);
 
-// When the next report will bring a new position; a probe before brings nothing new.
+// The time at which the next report with a new position is due; an earlier probe returns no new position.
 Micros next_report_due(const Member& member);
 
-// Takes in what a success shows besides its latency: the position of a write, and, where members check reads,
-// how far this member has applied the log.
+// Records what a success shows apart from its latency: the position of a write, and, where members check
+// reads, the position that this member has applied.
 void record_success(RouterState& state, Member& member, const PendingRequest& pending,
                     const InFlightAttempt& attempt, const Outcome& outcome);
 
