--- a/src/request_router/admission.cpp
+++ b/src/request_router/admission.cpp
@@ -23,8 +23,8 @@
 // be late: with exponentially distributed latencies, 95 of 100 take no longer.
 constexpr double kAmpleTimeRatio = 3;
 
-// After 1/kLongWaitDivisor of the client's timeout without any member having received the request, hardly
-// enough time would be left for the client to send it again.
+// A request that no member has received is given up after 1/kLongWaitDivisor of the client's timeout: any
+// later, the client would hardly have enough time to send it again.
 constexpr int kLongWaitDivisor = 2;
 
 // The Retry-After, in latency objectives of the class: a quarter to three quarters, drawn for each request,
@@ -53,9 +53,9 @@
                      [](const Attempt& attempt) { return attempt.reached_member; });
 }
 
-// The time at which the request arrived. After a pause of this router it is earlier than the time of the
-// batch: the client's timeout is taken to be the longest one seen for the class, and is subtracted from the
-// expiry of the request.
+// The time at which the request arrived. After a pause of this router it may be earlier than the time of
+// the batch: the client's timeout is taken to be the longest one seen for the class, and is subtracted from
+// the expiry of the request.
 Micros arrival_time(RouterState& state, const Request& request) {
   Micros& longest = state.longest_client_timeout[request.request_class];
   longest = std::max(longest, request.expires - state.now);
@@ -79,8 +79,8 @@
   PendingRequest& added = state.pending.emplace(request.id, std::move(pending)).first->second;
   auto group = state.groups.find(request.group);
   if (group == state.groups.end()) {
-    give_up(state, added,
-            GiveUpReason::kUnknownGroup);  // clients may name any group: no state is kept for an unknown one
+    // Clients may name any group, so no state is kept for an unknown one.
+    give_up(state, added, GiveUpReason::kUnknownGroup);
     return;
   }
   group->second.postponed.push_back(request.id);
--- a/src/request_router/admission.h
+++ b/src/request_router/admission.h
@@ -1,7 +1,7 @@
 // Admission of requests: which are accepted, in which order, and which are given up.
 //
 // Rule: a request that can no longer be answered in time, or for which waiting would cost more than its
-// value, is given up at once, with a Retry-After. Of the waiting requests, the one of most value for its work
+// value, is given up at once, with a Retry-After. Of the waiting requests, the one of most value per work
 // goes first; the value decreases when little time is left and a late answer is likely.
 #pragma once
 
--- a/src/request_router/router_state.h
+++ b/src/request_router/router_state.h
@@ -65,8 +65,8 @@
   std::vector<Group*> waiting_groups;    // groups that had postponed requests when they were last decided
   std::vector<Member*> watched_members;  // members with an attempt or a probe in flight
 
-  std::vector<Micros>
-      longest_client_timeout;  // by class: the longest timeout that a client has set for an attempt
+  // By class: the longest timeout that a client has set for an attempt.
+  std::vector<Micros> longest_client_timeout;
   LatencyStatistics latency;
   SessionPositions sessions;
   ProbeBudget probe_budget;
@@ -81,7 +81,7 @@
   // A pseudo-random number from 0 to 1, fixed for this router, request and member. A fraction of requests is
   // admitted by comparing with it, so that a repeated decision has the same result and the decisions of many
   // routers are independent. Draws that concern no member use a constant from the top of the range of member
-  // ids.
+  // ids, which is named where it is used.
   double deterministic_fraction(std::uint64_t request, MemberId member) const;
 
   // The smoothed latency of the class at the member, in microseconds.
