--- a/include/request_router/router.h
+++ b/include/request_router/router.h
@@ -32,7 +32,7 @@
 // data; data that includes the session's own last write; data no older than the bound of its class; any data.
 enum class ReadLevel { kWrite, kFresh, kSession, kBounded, kAny };
 
-// What a member does with a read for which its replication lag is too large: answers it without a check,
+// How a member treats a read for which its replication lag is too large: it answers the read without a check,
 // rejects it, or holds it until the member has caught up.
 enum class LagCheck { kOff, kReject, kHold };
 
@@ -196,13 +196,13 @@
 struct ZoneShare {
   std::string zone;
   double share = 0;  // fraction of the reads that are assigned to this zone
-  double spare =
-      0;  // fraction of the reads that may use this zone as well, where it costs less or their own fails
+  // Fraction of the reads that may use this zone as well, where it costs less or their own zone fails.
+  double spare = 0;
 };
 // The zones to which the reads of this router's clients go, agreed on by the fleet. A plan replaces the
 // previous one completely. Groups that it does not name are decided without it. Where the shares of a group
 // add up to less than 1, the remaining fraction of its reads is rejected at once, the reads of least value
-// for their work first.
+// per work first.
 struct Plan {
   std::vector<std::pair<GroupId, std::vector<ZoneShare>>> groups;
 };
@@ -273,7 +273,7 @@
 // Decides where requests are sent, for all groups that its member lists name.
 class Router {
  public:
-  // Throws std::invalid_argument, which names the setting, when a setting is impossible.
+  // Throws std::invalid_argument, which names the setting, if a setting is invalid.
   Router(Settings settings, std::uint64_t seed);
   ~Router();
   Router(Router&&) noexcept;
@@ -289,8 +289,8 @@
   void share_sessions(Micros now, bool is_shared);
 
   std::size_t member_count() const;  // number of known members, including recently removed ones
-  double surplus_capacity(
-      MemberId member) const;  // requests per second that it would send there in addition to those in flight
+  // Requests per second that it would send to the member in addition to those in flight.
+  double surplus_capacity(MemberId member) const;
 
  private:
   struct State;
