--- a/src/request_router/primary_discovery.cpp
+++ b/src/request_router/primary_discovery.cpp
@@ -24,7 +24,7 @@
 constexpr int kReservedAttempts = 2;
 
 // The order in which members are tried, highest rank first: members with fewer tries of this request, then
-// unknown roles before known ones, members at full capacity before those that are warming up, then the newest
+// unknown roles before replicas, members at full capacity before those that are warming up, then the newest
 // position.
 auto trial_rank(const RouterState& state, const PendingRequest& pending, const Member& member) {
   auto tries = std::count_if(pending.attempts.begin(), pending.attempts.end(),
--- a/src/request_router/replication_lag.cpp
+++ b/src/request_router/replication_lag.cpp
@@ -23,8 +23,8 @@
 // and a permanent increase is followed within some tens of reports.
 constexpr double kCadenceGrowth = 1.05;
 
-// The number of silence limits (four are half of the smallest latency objective) without an attempt or a
-// declined read after which a member is tried with a later position, regardless of its estimated position.
+// The number of silence limits (four are half of the smallest latency objective) without an attempt after
+// which a member that declined a read may be tried again, even for a position later than its estimated one.
 constexpr int kRetryBehindSilences = 4;
 
 Micros smoothed_minimum(Micros known, Micros observed) {
