--- a/src/app/operations.cpp
+++ b/src/app/operations.cpp
@@ -97,7 +97,7 @@
   if (exchange_) exchange_->set_stage(handover::ProcessStage::kShuttingDown);
   if (!owner_) return proxy::ShutdownMode::kLast;
   if (owner_->is_served_by_other()) return proxy::ShutdownMode::kSuccessorServes;
-  if (owner_->other_owner() == 0) owner_->give_up();
+  if (owner_->other_owner() == 0) owner_->release();
   wait_for_successor();
   return proxy::ShutdownMode::kLast;
 }
@@ -114,7 +114,7 @@
 void Operations::prepare(proxy::ProxyOptions* options) {
   options->inherited_listener = inherited_listener_;
   options->overlay = [this](discovery::EndpointListUpdate update) {
-    if (exchange_) exchange_->learn_from_socket();
+    if (exchange_) exchange_->merge_from_socket();
     auto shown = overlay_.apply_to(std::move(update), net::monotonic_now());
     if (exchange_) exchange_->publish();
     return shown;
@@ -141,7 +141,7 @@
   host.endpoints = [this] { return overlay_.view(); };
   host.add_endpoints = [this](auto& view) { return add_endpoints(view); };
   host.descriptors = process_.descriptors_held;
-  host.on_others_changed = [this](const handover::OtherProcesses& others) {
+  host.on_other_processes_changed = [this](const handover::OtherProcesses& others) {
     others_ = others;
     share_with_others();
     if (others_.know_this_process) stop_waiting_for_others();
@@ -215,7 +215,7 @@
                             const operator_endpoint::OperatorListener::Answer& answer) {
   using Result = endpoint_list::EndpointOverlay::Result;
   CordonCommand command{server, is_cordoned, std::nullopt, "", answer};
-  if (exchange_) exchange_->learn_from_socket();
+  if (exchange_) exchange_->merge_from_socket();
   discovery::EndpointListUpdate change;
   switch (overlay_.set_cordon(server, is_cordoned, net::monotonic_now(), &change)) {
     case Result::kUnknownServer:
@@ -242,7 +242,7 @@
 // YES is a promise for every later process: it is not given before one is sure to know.
 void Operations::answer_when_kept(const CordonCommand& command, int attempts) {
   if (exchange_) exchange_->publish();
-  if (!exchange_ || exchange_->are_cordons_kept())
+  if (!exchange_ || exchange_->are_cordons_stored())
     return command.answer(operator_endpoint::yes(command.remark));
   if (attempts > 0) {
     loop_.at(loop_.now() + kKeepRetry,
--- a/src/handover/listener_owner.cpp
+++ b/src/handover/listener_owner.cpp
@@ -11,17 +11,17 @@
 namespace {
 
 // Signals of the open file description. None is ever sent: that takes O_ASYNC.
-constexpr int kOwnerStays = 0, kOwnerGivesUp = SIGURG;
+constexpr int kClaimedSignal = 0, kReleasedSignal = SIGURG;
 
 }  // namespace
 
 bool ListenerOwner::claim() const {
   if (fcntl(listener_, F_SETOWN, getpid()) != 0) return false;
-  fcntl(listener_, F_SETSIG, kOwnerStays);
+  fcntl(listener_, F_SETSIG, kClaimedSignal);
   return true;
 }
 
-void ListenerOwner::give_up() const { fcntl(listener_, F_SETSIG, kOwnerGivesUp); }
+void ListenerOwner::release() const { fcntl(listener_, F_SETSIG, kReleasedSignal); }
 
 bool ListenerOwner::is_served_by_other() const {
   auto owner = other_owner();
@@ -35,7 +35,7 @@
 }
 
 bool ListenerOwner::is_vacant() const {
-  if (fcntl(listener_, F_GETSIG) == kOwnerGivesUp) return true;
+  if (fcntl(listener_, F_GETSIG) == kReleasedSignal) return true;
   auto owner = static_cast<pid_t>(fcntl(listener_, F_GETOWN));
   return owner <= 0 || state_of(owner) == ProcessState::kGone;
 }
--- a/src/handover/listener_owner.h
+++ b/src/handover/listener_owner.h
@@ -20,7 +20,7 @@
   // The other process that has claimed it last and has not ended; 0: there is none.
   pid_t other_owner() const;
   // The process that has claimed it last is ending: another one that serves is to claim it.
-  void give_up() const;
+  void release() const;
   // Whether whoever has claimed it last has ended, or gives it up.
   bool is_vacant() const;
 
--- a/src/handover/process_exchange.cpp
+++ b/src/handover/process_exchange.cpp
@@ -14,7 +14,7 @@
 using namespace std::chrono_literals;
 
 // A cordon holds at every process within a second, and a cancel within 0.1 s of its coming.
-constexpr Micros kLookInterval = 25ms, kFolderInterval = 25ms;
+constexpr Micros kScanInterval = 25ms, kFolderReadInterval = 25ms;
 // Records that ended processes left behind are looked for so often.
 constexpr Micros kStaleCheckInterval = 30s;
 // Every process has read a forwarded cancel by then.
@@ -41,10 +41,10 @@
       socket_record_(listener, log),
       started_at_(net::monotonic_now()),
       stale_removed_at_(started_at_) {
-  own_.process = ProcessIdentity::own();
+  own_record_.process = ProcessIdentity::own();
   if (!folder.empty())
-    folder_.emplace(RecordFolder(folder, inode_of(listener), own_.process, log), kFolderInterval);
-  look_regularly();  // cordons hold from the first decision on
+    folder_.emplace(RecordFolder(folder, inode_of(listener), own_record_.process, log), kFolderReadInterval);
+  scan_periodically();  // cordons hold from the first decision on
   remove_stale(started_at_);
 }
 
@@ -54,52 +54,52 @@
   loop_.cancel(&timer_);
   if (!folder_) return;
   auto& folder = folder_->stop();
-  if (!is_in_folder()) folder.write(own_);
-  bool is_needed = others_.count > 0 || (!is_on_socket_ && !own_.cordons.empty());
+  if (!is_stored_in_folder()) folder.write(own_record_);
+  bool is_needed = other_processes_.count > 0 || (!is_stored_on_socket_ && !own_record_.cordons.empty());
   if (!is_needed) folder.remove_own();
 }
 
-bool ProcessExchange::is_in_folder() const {
+bool ProcessExchange::is_stored_in_folder() const {
   return folder_ && folder_->write_status() == RecordFolderThread::WriteStatus::kWritten;
 }
 
 // What could not be kept is tried again.
 bool ProcessExchange::is_publishing_due() const {
   bool has_failed = folder_ && folder_->write_status() == RecordFolderThread::WriteStatus::kFailed;
-  return !is_on_socket_ || has_failed;
+  return !is_stored_on_socket_ || has_failed;
 }
 
 void ProcessExchange::set_stage(ProcessStage stage) {
-  if (std::exchange(own_.stage, stage) != stage) publish();
+  if (std::exchange(own_record_.stage, stage) != stage) publish();
 }
 
 void ProcessExchange::forward_cancel(std::uint32_t session_number, std::uint32_t secret) {
-  if (others_.count == 0 || own_.cancels.size() >= kMostCancels) return;
+  if (other_processes_.count == 0 || own_record_.cancels.size() >= kMostCancels) return;
   auto now = net::monotonic_now();
   // Told apart by their times.
-  if (!own_.cancels.empty()) now = std::max(now, own_.cancels.back().received_at + Micros(1));
-  own_.cancels.push_back({now, session_number, secret});
+  if (!own_record_.cancels.empty()) now = std::max(now, own_record_.cancels.back().received_at + Micros(1));
+  own_record_.cancels.push_back({now, session_number, secret});
   publish();
 }
 
 void ProcessExchange::drop_old_cancels() {
   auto oldest = net::monotonic_now() - kCancelLifetime;
-  std::erase_if(own_.cancels, [oldest](auto& cancel) { return cancel.received_at < oldest; });
+  std::erase_if(own_record_.cancels, [oldest](auto& cancel) { return cancel.received_at < oldest; });
 }
 
 void ProcessExchange::publish() {
   drop_old_cancels();
-  own_.written_at = net::monotonic_now();
-  own_.descriptors = host_.descriptors();
-  own_.cordons = host_.cordons();
-  own_.endpoints = host_.endpoints();
-  if (folder_) folder_->write(own_);
-  is_on_socket_ = socket_record_.keep(own_);
+  own_record_.written_at = net::monotonic_now();
+  own_record_.descriptors = host_.descriptors();
+  own_record_.cordons = host_.cordons();
+  own_record_.endpoints = host_.endpoints();
+  if (folder_) folder_->write(own_record_);
+  is_stored_on_socket_ = socket_record_.store(own_record_);
 }
 
-bool ProcessExchange::learn_from_socket() {
+bool ProcessExchange::merge_from_socket() {
   auto& record = socket_record_.read();
-  return record && record->process != own_.process && take_over(*record);
+  return record && record->process != own_record_.process && merge_record(*record);
 }
 
 void ProcessExchange::carry_out_cancels(const ProcessRecord& record) {
@@ -112,51 +112,52 @@
 }
 
 // Times that are still to come are of another start of the machine.
-bool ProcessExchange::take_over(const ProcessRecord& record) {
+bool ProcessExchange::merge_record(const ProcessRecord& record) {
   auto marks = record.cordons;
   auto now = net::monotonic_now();
   std::erase_if(marks, [now](auto& mark) { return mark.second.changed_at > now; });
-  bool has_learned = host_.merge_cordons(marks, record.process.pid);
-  bool is_of_this_start = record.written_at <= now;
-  return (is_of_this_start && host_.add_endpoints(record.endpoints)) || has_learned;
+  bool has_new_cordons = host_.merge_cordons(marks, record.process.pid);
+  bool is_of_this_boot = record.written_at <= now;
+  return (is_of_this_boot && host_.add_endpoints(record.endpoints)) || has_new_cordons;
 }
 
-void ProcessExchange::look() {
-  OtherProcesses others;
-  std::vector<std::string> ended;
-  std::set<pid_t> running;
-  auto records = folder_ ? folder_->others() : std::make_shared<const RecordFolderThread::Records>();
-  bool has_news = learn_from_socket();
+void ProcessExchange::scan_records() {
+  OtherProcesses other_processes;
+  std::vector<std::string> ended_records;
+  std::set<pid_t> running_pids;
+  auto records = folder_ ? folder_->other_records() : std::make_shared<const RecordFolderThread::Records>();
+  bool has_updates = merge_from_socket();
   for (auto& [name, record] : *records) {
-    has_news |= take_over(record);
+    has_updates |= merge_record(record);
     if (state_of(record.process) == ProcessState::kGone) {
-      ended.push_back(name);
+      ended_records.push_back(name);
       continue;
     }
     carry_out_cancels(record);
-    ++others.count;
-    others.descriptors += record.descriptors;
-    running.insert(record.process.pid);
+    ++other_processes.count;
+    other_processes.descriptors += record.descriptors;
+    running_pids.insert(record.process.pid);
     bool accepts_clients = record.stage != ProcessStage::kShuttingDown;
-    if (accepts_clients && !record.known_processes.contains(own_.process.pid))
-      others.know_this_process = false;
+    if (accepts_clients && !record.known_processes.contains(own_record_.process.pid))
+      other_processes.know_this_process = false;
   }
-  bool has_changed = std::exchange(others_, others) != others;
-  has_news |= std::exchange(own_.known_processes, running) != running;
-  if (has_changed) host_.on_others_changed(others);
-  has_news |= others.count > 0 && difference(host_.descriptors(), own_.descriptors) >= kDescriptorStep;
-  is_on_socket_ = is_on_socket_ && socket_record_.is_kept();
-  if (is_publishing_due() || has_changed || has_news) publish();
+  bool has_changed = std::exchange(other_processes_, other_processes) != other_processes;
+  has_updates |= std::exchange(own_record_.known_processes, running_pids) != running_pids;
+  if (has_changed) host_.on_other_processes_changed(other_processes);
+  has_updates |= other_processes.count > 0 &&
+                 difference(host_.descriptors(), own_record_.descriptors) >= kDescriptorStep;
+  is_stored_on_socket_ = is_stored_on_socket_ && socket_record_.is_stored();
+  if (is_publishing_due() || has_changed || has_updates) publish();
   // Their marks stand in this process's record by now.
-  if (!are_cordons_kept()) return;
-  for (auto& name : ended) folder_->remove(name);
+  if (!are_cordons_stored()) return;
+  for (auto& name : ended_records) folder_->remove(name);
 }
 
-void ProcessExchange::look_regularly() {
-  look();
+void ProcessExchange::scan_periodically() {
+  scan_records();
   auto now = net::monotonic_now();
   if (now - stale_removed_at_ > kStaleCheckInterval) remove_stale(now);
-  timer_ = loop_.at(loop_.now() + kLookInterval, [this] { look_regularly(); });
+  timer_ = loop_.at(loop_.now() + kScanInterval, [this] { scan_periodically(); });
 }
 
 void ProcessExchange::remove_stale(Micros now) {
--- a/src/handover/process_exchange.h
+++ b/src/handover/process_exchange.h
@@ -37,7 +37,7 @@
     std::function<bool(const endpoint_list::EndpointListView&)> add_endpoints;
     std::function<endpoint_list::EndpointListView()> endpoints;
     std::function<std::size_t()> descriptors;  // that this process holds
-    std::function<void(const OtherProcesses&)> on_others_changed;
+    std::function<void(const OtherProcesses&)> on_other_processes_changed;
     std::function<void(const ForwardedCancel&)> cancel;
   };
 
@@ -50,34 +50,34 @@
   void set_stage(ProcessStage stage);
   // Before the cordons or the endpoint list of this process change: what the socket keeps is replaced as a
   // whole, so that what others have added has to be known first.
-  bool learn_from_socket();
+  bool merge_from_socket();
   // After they have changed.
   void publish();
   // Whether a process that comes later will know each cordon of this one, whatever becomes of this one.
-  bool are_cordons_kept() const { return is_on_socket_ || is_in_folder(); }
+  bool are_cordons_stored() const { return is_stored_on_socket_ || is_stored_in_folder(); }
   // A cancel request names a session that this process does not have.
   void forward_cancel(std::uint32_t session_number, std::uint32_t secret);
   // Reads what the others have written.
-  void look();
+  void scan_records();
 
  private:
-  void look_regularly();
-  bool is_in_folder() const;
+  void scan_periodically();
+  bool is_stored_in_folder() const;
   bool is_publishing_due() const;
-  bool take_over(const ProcessRecord& record);
+  bool merge_record(const ProcessRecord& record);
   void remove_stale(Micros now);
   void carry_out_cancels(const ProcessRecord& record);
   void drop_old_cancels();
 
   net::Loop& loop_;
   Host host_;
-  ProcessRecord own_;
+  ProcessRecord own_record_;
   std::optional<RecordFolderThread> folder_;
   SocketRecord socket_record_;
-  OtherProcesses others_;
+  OtherProcesses other_processes_;
   Micros started_at_, stale_removed_at_;
   std::map<pid_t, Micros> last_cancel_;  // by the process that received it
-  bool is_on_socket_ = false;            // the last record is
+  bool is_stored_on_socket_ = false;     // the last record is
   net::Loop::TimerId timer_ = net::Loop::kNoTimer;
 };
 
--- a/src/handover/process_identity.cpp
+++ b/src/handover/process_identity.cpp
@@ -41,9 +41,9 @@
   if (size <= 0) return std::nullopt;
   std::string_view text(buffer.data(), static_cast<std::size_t>(size));
   auto name_end = text.rfind(')');  // the name may hold anything
-  constexpr std::size_t kBehindName = 2;
-  if (name_end == std::string_view::npos || name_end + kBehindName >= text.size()) return std::nullopt;
-  text.remove_prefix(name_end + kBehindName);
+  constexpr std::size_t kNameEndLength = 2;
+  if (name_end == std::string_view::npos || name_end + kNameEndLength >= text.size()) return std::nullopt;
+  text.remove_prefix(name_end + kNameEndLength);
   KernelStat stat;
   stat.state = field(text, kStateField)[0];
   auto start = field(text, kStartField);
@@ -83,8 +83,8 @@
   if (kill(process.pid, 0) != 0 && errno == ESRCH) return ProcessState::kGone;
   auto stat = read_stat(process.pid);
   if (!stat) return ProcessState::kRunning;
-  bool is_another = process.start_ticks != 0 && stat->start_ticks != process.start_ticks;
-  return is_another ? ProcessState::kGone : to_state(stat->state);
+  bool is_reused_pid = process.start_ticks != 0 && stat->start_ticks != process.start_ticks;
+  return is_reused_pid ? ProcessState::kGone : to_state(stat->state);
 }
 
 }  // namespace database_proxy::handover
--- a/src/handover/process_record.cpp
+++ b/src/handover/process_record.cpp
@@ -10,7 +10,7 @@
 using nlohmann::json;
 
 // With the version of what follows, and the checksum behind it.
-constexpr std::string_view kTitle = "database-proxy process 1 ";
+constexpr std::string_view kHeaderPrefix = "database-proxy process 1 ";
 
 std::uint64_t fnv1a(std::string_view text) {
   constexpr std::uint64_t kOffset = 14695981039346656037u, kPrime = 1099511628211u;
@@ -19,11 +19,13 @@
   return hash;
 }
 
-std::string title_of(std::string_view body) { return fmt::format("{}{:016x}\n", kTitle, fnv1a(body)); }
+std::string header_for(std::string_view body) {
+  return fmt::format("{}{:016x}\n", kHeaderPrefix, fnv1a(body));
+}
 
 Micros micros_from(const json& value) { return Micros(value.get<std::int64_t>()); }
 
-json marks_to_json(const endpoint_list::CordonMarks& marks) {
+json cordons_to_json(const endpoint_list::CordonMarks& marks) {
   json value = json::object();
   for (auto& [id, mark] : marks)
     value[id] = {{"changed_at", mark.changed_at.count()}, {"cordoned", mark.is_cordoned}};
@@ -61,7 +63,7 @@
   return record;
 }
 
-bool is_possible(const ProcessRecord& record) {
+bool is_valid(const ProcessRecord& record) {
   bool is_stage = record.stage >= ProcessStage::kStarting && record.stage <= ProcessStage::kShuttingDown;
   return record.process.pid > 0 && is_stage && record.cordons.size() <= endpoint_list::kMostCordonMarks;
 }
@@ -74,14 +76,14 @@
                {"written_at", record.written_at.count()},
                {"stage", static_cast<int>(record.stage)},
                {"descriptors", record.descriptors},
-               {"cordons", marks_to_json(record.cordons)},
+               {"cordons", cordons_to_json(record.cordons)},
                {"discovery", record.endpoints.service},
                {"generation", record.endpoints.generation},
                {"usable", record.endpoints.usable},
                {"cancels", cancels_to_json(record.cancels)},
                {"known_processes", record.known_processes}};
   auto text = body.dump(-1, ' ', false, json::error_handler_t::replace);
-  return title_of(text) + text;
+  return header_for(text) + text;
 }
 
 const char* describe(RecordError error) {
@@ -90,34 +92,34 @@
       return "it is good";
     case RecordError::kTooLarge:
       return "it is too large";
-    case RecordError::kForeign:
+    case RecordError::kUnknownFormat:
       return "it is not of this program, or of another version";
-    case RecordError::kTorn:
+    case RecordError::kCorrupt:
       return "it is torn";
-    case RecordError::kImpossible:
+    case RecordError::kInvalid:
       return "its content is impossible";
   }
   return "it cannot be read";
 }
 
 std::optional<ProcessRecord> decode_record(std::string_view text, RecordError* error) try {
-  auto fail = [error](RecordError why) {
-    *error = why;
+  auto fail = [error](RecordError reason) {
+    *error = reason;
     return std::nullopt;
   };
   if (text.size() > kLargestRecord) return fail(RecordError::kTooLarge);
-  if (kTitle.starts_with(text)) return fail(RecordError::kTorn);
-  if (!text.starts_with(kTitle)) return fail(RecordError::kForeign);
-  auto title_end = text.find('\n');
-  if (title_end == std::string_view::npos) return fail(RecordError::kTorn);
-  auto body = text.substr(title_end + 1);
-  if (text.substr(0, title_end + 1) != title_of(body)) return fail(RecordError::kTorn);
+  if (kHeaderPrefix.starts_with(text)) return fail(RecordError::kCorrupt);
+  if (!text.starts_with(kHeaderPrefix)) return fail(RecordError::kUnknownFormat);
+  auto header_end = text.find('\n');
+  if (header_end == std::string_view::npos) return fail(RecordError::kCorrupt);
+  auto body = text.substr(header_end + 1);
+  if (text.substr(0, header_end + 1) != header_for(body)) return fail(RecordError::kCorrupt);
   auto record = record_from(json::parse(body));
-  if (!is_possible(record)) return fail(RecordError::kImpossible);
+  if (!is_valid(record)) return fail(RecordError::kInvalid);
   *error = RecordError::kNone;
   return record;
 } catch (const json::exception&) {
-  *error = RecordError::kImpossible;
+  *error = RecordError::kInvalid;
   return std::nullopt;
 }
 
--- a/src/handover/process_record.h
+++ b/src/handover/process_record.h
@@ -44,7 +44,7 @@
 
 std::string encode_record(const ProcessRecord& record);
 
-enum class RecordError { kNone, kTooLarge, kForeign, kTorn, kImpossible };
+enum class RecordError { kNone, kTooLarge, kUnknownFormat, kCorrupt, kInvalid };
 const char* describe(RecordError error);
 
 // nullopt, and the reason in `error`: the text is torn, of another program or of another version.
--- a/src/handover/record_folder.cpp
+++ b/src/handover/record_folder.cpp
@@ -23,7 +23,7 @@
 
 using namespace std::chrono_literals;
 
-constexpr std::string_view kPrefix = "database-proxy-", kSuffix = ".process", kUnfinished = ".new";
+constexpr std::string_view kPrefix = "database-proxy-", kSuffix = ".process", kTemporarySuffix = ".new";
 // Records looked at of one listening socket: an upgrade has two or three processes.
 constexpr std::size_t kMostRecords = 64;
 // A successor of that process has taken its record over by then, if there is one.
@@ -32,7 +32,7 @@
 constexpr Micros kStaleAfterWithCordons = 7 * 24h;
 constexpr mode_t kOwnerOnly = 0600;
 
-bool write_whole(int file, std::string_view text) {
+bool write_all(int file, std::string_view text) {
   while (!text.empty()) {
     ssize_t written = ::write(file, text.data(), text.size());
     if (written < 0 && errno == EINTR) continue;
@@ -43,7 +43,7 @@
 }
 
 // The process that a file of this name belongs to; 0: the name is of another form.
-pid_t pid_in(std::string_view name) {
+pid_t pid_from_name(std::string_view name) {
   auto begin = name.rfind('-') + 1;
   pid_t pid = 0;
   std::from_chars(name.data() + begin, name.data() + name.size(), pid);
@@ -51,7 +51,7 @@
 }
 
 bool is_record_name(std::string_view name) {
-  return name.starts_with(kPrefix) && (name.ends_with(kSuffix) || name.ends_with(kUnfinished));
+  return name.starts_with(kPrefix) && (name.ends_with(kSuffix) || name.ends_with(kTemporarySuffix));
 }
 
 }  // namespace
@@ -64,13 +64,13 @@
 
 bool RecordFolder::write(const ProcessRecord& record) {
   auto target = path_ + "/" + own_name_;
-  auto unfinished = target + std::string(kUnfinished);
+  auto temporary = target + std::string(kTemporarySuffix);
   auto text = encode_record(record);
   int flags = O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC | O_NOFOLLOW;
-  net::Fd file(open(unfinished.c_str(), flags, kOwnerOnly));
-  bool is_written = file && write_whole(file.get(), text) && rename(unfinished.c_str(), target.c_str()) == 0;
+  net::Fd file(open(temporary.c_str(), flags, kOwnerOnly));
+  bool is_written = file && write_all(file.get(), text) && rename(temporary.c_str(), target.c_str()) == 0;
   int error = errno;
-  if (!is_written && file) unlink(unfinished.c_str());
+  if (!is_written && file) unlink(temporary.c_str());
   if (std::exchange(is_failing_, !is_written) == is_failing_) return is_written;
   if (is_failing_)
     log_(net::Level::kWarning, fmt::format("cannot write {}: {}; other processes learn of cancel requests "
@@ -81,7 +81,7 @@
   return is_written;
 }
 
-std::vector<std::string> RecordFolder::names_with(const std::string& prefix) const {
+std::vector<std::string> RecordFolder::list_names(const std::string& prefix) const {
   std::vector<std::string> names;
   std::error_code error;
   for (std::filesystem::directory_iterator entry(path_, error), end; !error && entry != end;
@@ -93,7 +93,7 @@
   return names;
 }
 
-std::optional<std::string> RecordFolder::contents(const std::string& name) const {
+std::optional<std::string> RecordFolder::read_file(const std::string& name) const {
   net::Fd file(open((path_ + "/" + name).c_str(), O_RDONLY | O_CLOEXEC | O_NOFOLLOW | O_NONBLOCK));
   if (!file) return std::nullopt;
   std::string text;
@@ -120,7 +120,7 @@
 void RecordFolder::read_if_changed(const std::string& name) {
   auto version = version_of(name);
   if (!version || versions_[name] == *version) return;
-  auto text = contents(name);
+  auto text = read_file(name);
   if (!text) return;
   versions_[name] = *version;
   RecordError error = RecordError::kNone;
@@ -130,9 +130,9 @@
     log_(net::Level::kWarning, fmt::format("{}/{} is passed over: {}", path_, name, describe(error)));
 }
 
-const std::map<std::string, ProcessRecord>& RecordFolder::read_others() {
-  auto names = names_with(socket_prefix_);
-  std::erase_if(names, [this](auto& name) { return name == own_name_ || name.ends_with(kUnfinished); });
+const std::map<std::string, ProcessRecord>& RecordFolder::read_other_records() {
+  auto names = list_names(socket_prefix_);
+  std::erase_if(names, [this](auto& name) { return name == own_name_ || name.ends_with(kTemporarySuffix); });
   auto is_absent = [&](auto& entry) {
     return std::find(names.begin(), names.end(), entry.first) == names.end();
   };
@@ -145,15 +145,15 @@
 void RecordFolder::remove(const std::string& name) { unlink((path_ + "/" + name).c_str()); }
 
 void RecordFolder::remove_stale(Micros now) {
-  for (auto& name : names_with(std::string(kPrefix))) {
-    auto text = contents(name);
+  for (auto& name : list_names(std::string(kPrefix))) {
+    auto text = read_file(name);
     if (!text) continue;
     RecordError error = RecordError::kNone;
     auto record = decode_record(*text, &error);
     if (!record) {
       // What was not finished, or is torn, tells nobody anything once its process has ended.
-      bool is_useless = name.ends_with(kUnfinished) || error == RecordError::kTorn;
-      if (is_useless && state_of(pid_in(name)) == ProcessState::kGone) remove(name);
+      bool is_useless = name.ends_with(kTemporarySuffix) || error == RecordError::kCorrupt;
+      if (is_useless && state_of(pid_from_name(name)) == ProcessState::kGone) remove(name);
       continue;
     }
     if (state_of(record->process) != ProcessState::kGone) continue;
--- a/src/handover/record_folder.h
+++ b/src/handover/record_folder.h
@@ -22,7 +22,7 @@
   // one. False: it could not be written, and the old one stands; to be tried again.
   bool write(const ProcessRecord& record);
   // The last good record of each other process with this socket, whether or not it still runs.
-  const std::map<std::string, ProcessRecord>& read_others();
+  const std::map<std::string, ProcessRecord>& read_other_records();
   // Removes the record of another process, or an own one that nobody needs.
   void remove(const std::string& name);
   void remove_own() { remove(own_name_); }
@@ -35,8 +35,8 @@
     std::int64_t modified_at_ns = 0, size = -1;
     bool operator==(const FileVersion&) const = default;
   };
-  std::vector<std::string> names_with(const std::string& prefix) const;
-  std::optional<std::string> contents(const std::string& name) const;
+  std::vector<std::string> list_names(const std::string& prefix) const;
+  std::optional<std::string> read_file(const std::string& name) const;
   std::optional<FileVersion> version_of(const std::string& name) const;
   void read_if_changed(const std::string& name);
 
--- a/src/handover/record_folder_thread.cpp
+++ b/src/handover/record_folder_thread.cpp
@@ -6,14 +6,14 @@
 namespace {
 
 // The loop stands still meanwhile.
-constexpr std::chrono::milliseconds kLongestWait{10};
+constexpr std::chrono::milliseconds kMaxWriteWait{10};
 
 }  // namespace
 
 RecordFolderThread::RecordFolderThread(RecordFolder folder, Micros interval)
     : folder_(std::move(folder)),
       interval_(interval),
-      others_(std::make_shared<const Records>(folder_.read_others())),
+      other_records_(std::make_shared<const Records>(folder_.read_other_records())),
       thread_([this] { run(); }) {}
 
 RecordFolderThread::~RecordFolderThread() { stop(); }
@@ -33,7 +33,7 @@
   tasks_.record = record;
   status_ = WriteStatus::kPending;
   wake_.notify_one();
-  done_.wait_for(lock, kLongestWait, [this] { return status_ != WriteStatus::kPending; });
+  write_done_.wait_for(lock, kMaxWriteWait, [this] { return status_ != WriteStatus::kPending; });
 }
 
 RecordFolderThread::WriteStatus RecordFolderThread::write_status() const {
@@ -41,9 +41,9 @@
   return status_;
 }
 
-std::shared_ptr<const RecordFolderThread::Records> RecordFolderThread::others() const {
+std::shared_ptr<const RecordFolderThread::Records> RecordFolderThread::other_records() const {
   std::lock_guard lock(mutex_);
-  return others_;
+  return other_records_;
 }
 
 void RecordFolderThread::remove(const std::string& name) {
@@ -71,9 +71,9 @@
     lock.unlock();
     carry_out(tasks);
     if (is_last) return;
-    auto others = std::make_shared<const Records>(folder_.read_others());
+    auto other_records = std::make_shared<const Records>(folder_.read_other_records());
     lock.lock();
-    others_ = std::move(others);
+    other_records_ = std::move(other_records);
   }
 }
 
@@ -87,7 +87,7 @@
 void RecordFolderThread::set_status(WriteStatus status) {
   std::lock_guard lock(mutex_);
   if (!tasks_.record) status_ = status;
-  done_.notify_one();
+  write_done_.notify_one();
 }
 
 }  // namespace database_proxy::handover
--- a/src/handover/record_folder_thread.h
+++ b/src/handover/record_folder_thread.h
@@ -36,7 +36,7 @@
   // Of the record that was handed over last.
   WriteStatus write_status() const;
   // Those of other processes, as last read.
-  std::shared_ptr<const Records> others() const;
+  std::shared_ptr<const Records> other_records() const;
   // After what was handed over before.
   void remove(const std::string& name);
   void remove_stale(Micros now);
@@ -58,10 +58,10 @@
   RecordFolder folder_;
   const Micros interval_;
   mutable std::mutex mutex_;
-  std::condition_variable wake_, done_;
+  std::condition_variable wake_, write_done_;
   Tasks tasks_;
   WriteStatus status_ = WriteStatus::kFailed;  // nothing is written yet
-  std::shared_ptr<const Records> others_;
+  std::shared_ptr<const Records> other_records_;
   bool is_stopping_ = false;
   std::thread thread_;
 };
--- a/src/handover/socket_note.cpp
+++ b/src/handover/socket_note.cpp
@@ -18,36 +18,37 @@
 // loaded, four bytes each; and the return that the kernel wants at the end.
 constexpr std::uint32_t kWholePacket = 0xffffffff;
 constexpr std::uint32_t kMarker = 0x64627078;
-constexpr std::size_t kMarkerAt = 1, kLengthAt = 2, kTextAt = 3, kAroundText = 4;
+constexpr std::size_t kMarkerIndex = 1, kLengthIndex = 2, kTextIndex = 3, kFixedInstructions = 4;
 constexpr std::size_t kBytesPerConstant = 4;
 
 sock_filter accept_packet() { return BPF_STMT(BPF_RET | BPF_K, kWholePacket); }
-sock_filter constant(std::uint32_t value) { return BPF_STMT(BPF_LD | BPF_IMM, value); }
+sock_filter load_constant(std::uint32_t value) { return BPF_STMT(BPF_LD | BPF_IMM, value); }
 
-Program program_of(std::string_view text) {
-  Program program{accept_packet(), constant(kMarker), constant(static_cast<std::uint32_t>(text.size()))};
+Program encode_program(std::string_view text) {
+  Program program{accept_packet(), load_constant(kMarker),
+                  load_constant(static_cast<std::uint32_t>(text.size()))};
   for (std::size_t at = 0; at < text.size(); at += kBytesPerConstant) {
     std::uint32_t value = 0;
     std::memcpy(&value, text.data() + at, std::min(kBytesPerConstant, text.size() - at));
-    program.push_back(constant(value));
+    program.push_back(load_constant(value));
   }
   program.push_back(accept_packet());
   return program;
 }
 
-std::optional<std::string> text_of(const Program& program) {
-  if (program.size() < kAroundText || program[kMarkerAt].k != kMarker) return std::nullopt;
-  std::size_t length = program[kLengthAt].k;
-  if (length > (program.size() - kAroundText) * kBytesPerConstant) return std::nullopt;
+std::optional<std::string> decode_text(const Program& program) {
+  if (program.size() < kFixedInstructions || program[kMarkerIndex].k != kMarker) return std::nullopt;
+  std::size_t length = program[kLengthIndex].k;
+  if (length > (program.size() - kFixedInstructions) * kBytesPerConstant) return std::nullopt;
   std::string text(length, '\0');
   for (std::size_t at = 0; at < length; at += kBytesPerConstant)
-    std::memcpy(text.data() + at, &program[kTextAt + at / kBytesPerConstant].k,
+    std::memcpy(text.data() + at, &program[kTextIndex + at / kBytesPerConstant].k,
                 std::min(kBytesPerConstant, length - at));
   return text;
 }
 
 // Another process may attach a longer one between the two calls: the second then fails.
-std::optional<Program> attached_to(int socket) {
+std::optional<Program> read_attached_filter(int socket) {
   socklen_t count = 0;  // the kernel counts instructions here, not bytes
   if (getsockopt(socket, SOL_SOCKET, SO_GET_FILTER, nullptr, &count) != 0) return std::nullopt;
   Program program(count);
@@ -60,17 +61,17 @@
 }  // namespace
 
 std::optional<std::string> SocketNote::read() const {
-  auto program = attached_to(listener_);
-  return program ? text_of(*program) : std::nullopt;
+  auto program = read_attached_filter(listener_);
+  return program ? decode_text(*program) : std::nullopt;
 }
 
 int SocketNote::write(std::string_view text) const {
   if (text.size() > kLongestSocketNote) return EMSGSIZE;
-  auto attached = attached_to(listener_);
+  auto attached = read_attached_filter(listener_);
   if (!attached) return errno;
-  bool is_foreign = !attached->empty() && !text_of(*attached);
+  bool is_foreign = !attached->empty() && !decode_text(*attached);
   if (is_foreign) return EBUSY;
-  auto program = program_of(text);
+  auto program = encode_program(text);
   sock_fprog filter{static_cast<unsigned short>(program.size()), program.data()};
   return setsockopt(listener_, SOL_SOCKET, SO_ATTACH_FILTER, &filter, sizeof filter) == 0 ? 0 : errno;
 }
--- a/src/handover/socket_record.cpp
+++ b/src/handover/socket_record.cpp
@@ -20,44 +20,44 @@
   return record;
 }
 
-bool holds_cordons(const ProcessRecord& kept, const ProcessRecord& wanted) {
-  return std::all_of(wanted.cordons.begin(), wanted.cordons.end(), [&kept](auto& mark) {
-    auto found = kept.cordons.find(mark.first);
-    return found != kept.cordons.end() && found->second.changed_at >= mark.second.changed_at;
+bool holds_cordons(const ProcessRecord& stored, const ProcessRecord& required) {
+  return std::all_of(required.cordons.begin(), required.cordons.end(), [&stored](auto& mark) {
+    auto found = stored.cordons.find(mark.first);
+    return found != stored.cordons.end() && found->second.changed_at >= mark.second.changed_at;
   });
 }
 
 // A list that is older counts too where nobody has the newer one any more: the service has begun to count
 // anew.
-bool holds_endpoints(const ProcessRecord& kept, const ProcessRecord& wanted) {
-  if (kept.endpoints == wanted.endpoints || wanted.endpoints.generation == 0) return true;
-  bool is_newer = kept.endpoints.generation >= wanted.endpoints.generation;
-  return is_newer && state_of(kept.process) != ProcessState::kGone;
+bool holds_endpoints(const ProcessRecord& stored, const ProcessRecord& required) {
+  if (stored.endpoints == required.endpoints || required.endpoints.generation == 0) return true;
+  bool is_newer = stored.endpoints.generation >= required.endpoints.generation;
+  return is_newer && state_of(stored.process) != ProcessState::kGone;
 }
 
 }  // namespace
 
 const std::optional<ProcessRecord>& SocketRecord::read() {
   auto text = note_.read();
-  if (!text || *text == text_) return record_;
-  text_ = *text;
+  if (!text || *text == last_text_) return record_;
+  last_text_ = *text;
   RecordError error = RecordError::kNone;
-  record_ = decode_record(text_, &error);
+  record_ = decode_record(last_text_, &error);
   if (!record_)
     log_(net::Level::kWarning,
          fmt::format("the record that the listening socket keeps is passed over: {}", describe(error)));
   return record_;
 }
 
-bool SocketRecord::is_kept() const {
-  return record_ && holds_cordons(*record_, kept_) && holds_endpoints(*record_, kept_);
+bool SocketRecord::is_stored() const {
+  return record_ && holds_cordons(*record_, required_) && holds_endpoints(*record_, required_);
 }
 
-bool SocketRecord::keep(const ProcessRecord& own) {
-  kept_ = shortened(own);
+bool SocketRecord::store(const ProcessRecord& own) {
+  required_ = shortened(own);
   read();
-  if (is_kept()) return true;
-  int error = note_.write(encode_record(kept_));
+  if (is_stored()) return true;
+  int error = note_.write(encode_record(required_));
   if (error == 0) read();
   if (std::exchange(is_failing_, error != 0) != is_failing_)
     log_(is_failing_ ? net::Level::kWarning : net::Level::kInfo,
--- a/src/handover/socket_record.h
+++ b/src/handover/socket_record.h
@@ -21,16 +21,16 @@
   const std::optional<ProcessRecord>& read();
   // Replaces it where it lacks something of `own`, which has all that read() gave. True: it holds every
   // cordon of `own`.
-  bool keep(const ProcessRecord& own);
+  bool store(const ProcessRecord& own);
   // Whether it still holds what was last kept, as last read: two processes may write at the same time.
-  bool is_kept() const;
+  bool is_stored() const;
 
  private:
   SocketNote note_;
   net::Log log_;
-  std::string text_;  // as last read
+  std::string last_text_;  // as last read
   std::optional<ProcessRecord> record_;
-  ProcessRecord kept_;  // what it has to hold
+  ProcessRecord required_;  // what it has to hold
   bool is_failing_ = false;
 };
 
