--- a/src/handover/listener_owner.cpp
+++ b/src/handover/listener_owner.cpp
@@ -10,7 +10,8 @@
 namespace database_proxy::handover {
 namespace {
 
-// Signals of the open file description. None is ever sent: that takes O_ASYNC.
+// Values of F_SETSIG on the open file description. The kernel never sends these signals, because O_ASYNC is
+// not set.
 constexpr int kClaimedSignal = 0, kReleasedSignal = SIGURG;
 
 }  // namespace
--- a/src/handover/listener_owner.h
+++ b/src/handover/listener_owner.h
@@ -1,7 +1,8 @@
-// Which process serves a listening socket that several hold. The kernel keeps the answer: the owner of a
-// descriptor (F_SETOWN) belongs to the open file description, which all holders of the socket share. It needs
-// no folder, cannot be torn, and is never mistaken for a later process of the same number. The description's
-// signal (F_SETSIG), which nothing else uses here, says whether the owner gives the socket up.
+// Identifies the process that serves a listening socket which several processes hold. The kernel stores it:
+// the owner of a descriptor (F_SETOWN) belongs to the open file description, which all holders of the socket
+// share. This needs no folder, cannot be corrupt, and never mistakes a later process with the same pid for
+// the owner. The signal of the description (F_SETSIG), which nothing else uses here, marks whether the owner
+// has released the socket.
 #pragma once
 
 #include <sys/types.h>
@@ -10,18 +11,19 @@
 
 class ListenerOwner {
  public:
-  // `listener` must outlive this; it stays as it is.
+  // `listener` must outlive this object, which does not close it.
   explicit ListenerOwner(int listener) : listener_(listener) {}
 
-  // This process serves the socket from now on. False: the kernel refuses.
+  // Makes this process the owner of the socket. Returns false if the kernel rejects the call.
   bool claim() const;
-  // Whether another process has claimed it last, and runs.
+  // Returns whether the last process that claimed the socket is another one, and is running.
   bool is_served_by_other() const;
-  // The other process that has claimed it last and has not ended; 0: there is none.
+  // Returns the last process that claimed the socket if it is another one and has not ended, otherwise 0.
   pid_t other_owner() const;
-  // The process that has claimed it last is ending: another one that serves is to claim it.
+  // Marks the socket as released, because its owner is shutting down: another process that serves is to claim
+  // it.
   void release() const;
-  // Whether whoever has claimed it last has ended, or gives it up.
+  // Returns whether no process has claimed the socket, or the last one that did has ended or has released it.
   bool is_vacant() const;
 
  private:
--- a/src/handover/process_exchange.cpp
+++ b/src/handover/process_exchange.cpp
@@ -13,14 +13,14 @@
 
 using namespace std::chrono_literals;
 
-// A cordon holds at every process within a second, and a cancel within 0.1 s of its coming.
+// A cordon must take effect at every process within a second, and a cancel within 0.1 s of its receipt.
 constexpr Micros kScanInterval = 25ms, kFolderReadInterval = 25ms;
-// Records that ended processes left behind are looked for so often.
+// Interval of the removal of records that ended processes left behind.
 constexpr Micros kStaleCheckInterval = 30s;
-// Every process has read a forwarded cancel by then.
+// By then every process has read a forwarded cancel.
 constexpr Micros kCancelLifetime = 2s;
 constexpr std::size_t kMostCancels = 256;
-// A change of so few descriptors is not worth a record.
+// A smaller change of the number of descriptors is not worth writing a record.
 constexpr std::size_t kDescriptorStep = 4;
 
 std::uint64_t inode_of(int descriptor) {
@@ -44,12 +44,13 @@
   own_record_.process = ProcessIdentity::own();
   if (!folder.empty())
     folder_.emplace(RecordFolder(folder, inode_of(listener), own_record_.process, log), kFolderReadInterval);
-  scan_periodically();  // cordons hold from the first decision on
+  scan_periodically();  // cordons take effect from the first decision on
   remove_stale(started_at_);
 }
 
-// Where others run, the last marks may not have been read yet: they take them over and remove the record.
-// Where none runs, it stays only for cordons that the socket does not keep.
+// Other running processes may not have read the last cordon marks yet: the record stays, and they merge the
+// marks and remove it. Without other processes, the record stays only for cordons that are not stored on the
+// socket.
 ProcessExchange::~ProcessExchange() {
   loop_.cancel(&timer_);
   if (!folder_) return;
@@ -63,7 +64,7 @@
   return folder_ && folder_->write_status() == RecordFolderThread::WriteStatus::kWritten;
 }
 
-// What could not be kept is tried again.
+// A record that could not be stored is published again.
 bool ProcessExchange::is_publishing_due() const {
   bool has_failed = folder_ && folder_->write_status() == RecordFolderThread::WriteStatus::kFailed;
   return !is_stored_on_socket_ || has_failed;
@@ -76,7 +77,7 @@
 void ProcessExchange::forward_cancel(std::uint32_t session_number, std::uint32_t secret) {
   if (other_processes_.count == 0 || own_record_.cancels.size() >= kMostCancels) return;
   auto now = net::monotonic_now();
-  // Told apart by their times.
+  // Cancels are distinguished by their times, so each needs a later one than the last.
   if (!own_record_.cancels.empty()) now = std::max(now, own_record_.cancels.back().received_at + Micros(1));
   own_record_.cancels.push_back({now, session_number, secret});
   publish();
@@ -111,7 +112,7 @@
   }
 }
 
-// Times that are still to come are of another start of the machine.
+// Times in the future of the monotonic clock are from an earlier boot of the machine.
 bool ProcessExchange::merge_record(const ProcessRecord& record) {
   auto marks = record.cordons;
   auto now = net::monotonic_now();
@@ -148,7 +149,7 @@
                  difference(host_.descriptors(), own_record_.descriptors) >= kDescriptorStep;
   is_stored_on_socket_ = is_stored_on_socket_ && socket_record_.is_stored();
   if (is_publishing_due() || has_changed || has_updates) publish();
-  // Their marks stand in this process's record by now.
+  // By now the marks of the ended processes are in this process's record.
   if (!are_cordons_stored()) return;
   for (auto& name : ended_records) folder_->remove(name);
 }
--- a/src/handover/process_exchange.h
+++ b/src/handover/process_exchange.h
@@ -1,8 +1,8 @@
-// Keeps the processes that hold one listening socket informed of each other: cordons, endpoint lists, the
-// descriptors that each holds, cancel requests that came to the wrong one. Each writes a record into a folder
-// that all have, and reads those of the others 40 times a second. What must outlast any process and any
-// failure of the folder, cordons and the newest list, the socket itself keeps as well. Owned and used by the
-// thread of its loop.
+// Exchanges state between the processes that hold one listening socket: cordons, endpoint lists, the number
+// of descriptors that each holds, and cancel requests that a process without the session received. Each
+// process writes a record into a shared folder and reads the records of the other processes 40 times a
+// second. Cordons and the newest endpoint list must outlast any process and any failure of the folder, so
+// they are also stored on the socket itself. Owned and used by the thread of its loop.
 #pragma once
 
 #include <cstddef>
@@ -18,46 +18,49 @@
 
 namespace database_proxy::handover {
 
-// What the other processes with this listening socket hold, as far as they run.
+// Totals over the other running processes that hold this listening socket.
 struct OtherProcesses {
   std::size_t count = 0;
   std::size_t descriptors = 0;
-  // Each that accepts clients has read this process's record, and so keeps to its part of what they share.
+  // Whether each process that accepts clients has read this process's record, and so keeps to its share of
+  // the common limits.
   bool know_this_process = true;
   bool operator==(const OtherProcesses&) const = default;
 };
 
 class ProcessExchange {
  public:
-  // What this process gives and takes, in the loop's thread.
+  // Callbacks into this process, called in the loop's thread.
   struct Host {
     std::function<endpoint_list::CordonMarks()> cordons;
-    // Of another process. They return whether this one has learned something.
+    // Apply state of another process. They return whether it changed the state of this one.
     std::function<bool(const endpoint_list::CordonMarks&, pid_t from)> merge_cordons;
     std::function<bool(const endpoint_list::EndpointListView&)> add_endpoints;
     std::function<endpoint_list::EndpointListView()> endpoints;
-    std::function<std::size_t()> descriptors;  // that this process holds
+    std::function<std::size_t()> descriptors;  // the number that this process holds
     std::function<void(const OtherProcesses&)> on_other_processes_changed;
     std::function<void(const ForwardedCancel&)> cancel;
   };
 
-  // `folder`: empty where processes have none in common.
+  // `folder` is empty if the processes share no folder.
   ProcessExchange(net::Loop& loop, const std::string& folder, int listener, Host host, const net::Log& log);
   ~ProcessExchange();
   ProcessExchange(const ProcessExchange&) = delete;
   ProcessExchange& operator=(const ProcessExchange&) = delete;
 
   void set_stage(ProcessStage stage);
-  // Before the cordons or the endpoint list of this process change: what the socket keeps is replaced as a
-  // whole, so that what others have added has to be known first.
+  // Merges the record stored on the socket. To be called before the cordons or the endpoint list of this
+  // process change: the stored record is replaced as a whole, so what other processes have added has to be
+  // merged first. Returns whether the state of this process changed.
   bool merge_from_socket();
-  // After they have changed.
+  // Writes the record of this process. To be called after its cordons or its endpoint list have changed.
   void publish();
-  // Whether a process that comes later will know each cordon of this one, whatever becomes of this one.
+  // Returns whether the cordons of this process are stored where a process that starts later finds them,
+  // whatever happens to this one.
   bool are_cordons_stored() const { return is_stored_on_socket_ || is_stored_in_folder(); }
-  // A cancel request names a session that this process does not have.
+  // Forwards a cancel request for a session that this process does not have.
   void forward_cancel(std::uint32_t session_number, std::uint32_t secret);
-  // Reads what the others have written.
+  // Reads the records of the other processes and merges them.
   void scan_records();
 
  private:
@@ -76,8 +79,8 @@
   SocketRecord socket_record_;
   OtherProcesses other_processes_;
   Micros started_at_, stale_removed_at_;
-  std::map<pid_t, Micros> last_cancel_;  // by the process that received it
-  bool is_stored_on_socket_ = false;     // the last record is
+  std::map<pid_t, Micros> last_cancel_;  // time of the last executed cancel, by the process that received it
+  bool is_stored_on_socket_ = false;     // whether the last published record is
   net::Loop::TimerId timer_ = net::Loop::kNoTimer;
 };
 
--- a/src/handover/process_identity.cpp
+++ b/src/handover/process_identity.cpp
@@ -16,7 +16,7 @@
 namespace database_proxy::handover {
 namespace {
 
-// Of /proc/PID/stat, counted from the field behind the program's name.
+// Indexes of fields in /proc/PID/stat, counted from the field after the program's name.
 constexpr int kStateField = 0, kStartField = 19;
 
 struct KernelStat {
@@ -33,14 +33,14 @@
   return text.substr(0, text.find(' '));
 }
 
-// nullopt: there is no such process, or the kernel does not tell.
+// Returns nullopt if there is no such process or /proc cannot be read.
 std::optional<KernelStat> read_stat(pid_t pid) {
   net::Fd file(open(fmt::format("/proc/{}/stat", pid).c_str(), O_RDONLY | O_CLOEXEC));
   std::array<char, 1024> buffer{};
   ssize_t size = file ? read(file.get(), buffer.data(), buffer.size()) : -1;
   if (size <= 0) return std::nullopt;
   std::string_view text(buffer.data(), static_cast<std::size_t>(size));
-  auto name_end = text.rfind(')');  // the name may hold anything
+  auto name_end = text.rfind(')');  // the name may contain any character
   constexpr std::size_t kNameEndLength = 2;
   if (name_end == std::string_view::npos || name_end + kNameEndLength >= text.size()) return std::nullopt;
   text.remove_prefix(name_end + kNameEndLength);
--- a/src/handover/process_identity.h
+++ b/src/handover/process_identity.h
@@ -1,4 +1,4 @@
-// A process of this machine, told apart from a later one of the same number.
+// Identity of a process of this machine, which distinguishes it from a later one with the same pid.
 #pragma once
 
 #include <sys/types.h>
@@ -8,10 +8,10 @@
 
 namespace database_proxy::handover {
 
-// The number of a process and when it started. Neither rests on the wall clock.
+// The pid of a process and its start time. Neither depends on the wall clock.
 struct ProcessIdentity {
   pid_t pid = 0;
-  std::uint64_t start_ticks = 0;  // since the machine's start; 0: not known
+  std::uint64_t start_ticks = 0;  // since boot; 0: unknown
   bool operator==(const ProcessIdentity&) const = default;
 
   static ProcessIdentity own();
@@ -19,13 +19,13 @@
 
 enum class ProcessState {
   kRunning,  // also one that sleeps or waits for a disk
-  kStopped,  // by a signal or a debugger: it answers nobody for now
-  kGone,     // it has ended, whether or not its parent has taken notice
+  kStopped,  // by a signal or a debugger: it does not answer until it is continued
+  kGone,     // it has ended, whether or not its parent has waited for it
 };
 
-// The state of whichever process has this number.
+// Returns the state of the process that has this pid now.
 ProcessState state_of(pid_t pid);
-// The state of this very process; kGone where its number belongs to another one by now.
+// Returns the state of exactly this process: kGone if another process has its pid by now.
 ProcessState state_of(const ProcessIdentity& process);
 
 }  // namespace database_proxy::handover
--- a/src/handover/process_record.cpp
+++ b/src/handover/process_record.cpp
@@ -9,7 +9,7 @@
 
 using nlohmann::json;
 
-// With the version of what follows, and the checksum behind it.
+// Start of the header line: the program, and the version of the format. The checksum of the body follows.
 constexpr std::string_view kHeaderPrefix = "database-proxy process 1 ";
 
 std::uint64_t fnv1a(std::string_view text) {
@@ -89,15 +89,15 @@
 const char* describe(RecordError error) {
   switch (error) {
     case RecordError::kNone:
-      return "it is good";
+      return "it is valid";
     case RecordError::kTooLarge:
       return "it is too large";
     case RecordError::kUnknownFormat:
-      return "it is not of this program, or of another version";
+      return "it was written by another program or by another version of this one";
     case RecordError::kCorrupt:
-      return "it is torn";
+      return "it is truncated or corrupt";
     case RecordError::kInvalid:
-      return "its content is impossible";
+      return "its content is invalid";
   }
   return "it cannot be read";
 }
--- a/src/handover/process_record.h
+++ b/src/handover/process_record.h
@@ -1,4 +1,4 @@
-// What a process tells the others that hold the same listening socket, and its form in a file. No I/O.
+// The record that a process writes for the other processes on its listening socket, and its encoding. No I/O.
 #pragma once
 
 #include <chrono>
@@ -20,7 +20,7 @@
 
 enum class ProcessStage { kStarting, kServing, kShuttingDown };
 
-// A client's request to cancel that came to a process which does not have its session.
+// A client's cancel request that was received by a process without the session.
 struct ForwardedCancel {
   Micros received_at{0};
   std::uint32_t session_number = 0, secret = 0;
@@ -36,10 +36,10 @@
   endpoint_list::CordonMarks cordons;
   endpoint_list::EndpointListView endpoints;
   std::vector<ForwardedCancel> cancels;
-  std::set<pid_t> known_processes;  // whose records the writer has read, as far as they run
+  std::set<pid_t> known_processes;  // running processes whose records the writer has read
 };
 
-// Holds as many marks as there may be, with long ids. A larger file is not of this program.
+// Large enough for the maximum number of cordon marks, with long ids. A larger file is not of this program.
 constexpr std::size_t kLargestRecord = 256 * 1024;
 
 std::string encode_record(const ProcessRecord& record);
@@ -47,7 +47,8 @@
 enum class RecordError { kNone, kTooLarge, kUnknownFormat, kCorrupt, kInvalid };
 const char* describe(RecordError error);
 
-// nullopt, and the reason in `error`: the text is torn, of another program or of another version.
+// Returns nullopt, with the reason in `error`, if the text is too large, truncated or corrupt, from another
+// program or another version, or has invalid content.
 std::optional<ProcessRecord> decode_record(std::string_view text, RecordError* error);
 
 }  // namespace database_proxy::handover
--- a/src/handover/record_folder.cpp
+++ b/src/handover/record_folder.cpp
@@ -24,11 +24,12 @@
 using namespace std::chrono_literals;
 
 constexpr std::string_view kPrefix = "database-proxy-", kSuffix = ".process", kTemporarySuffix = ".new";
-// Records looked at of one listening socket: an upgrade has two or three processes.
+// Limit of the records that are read of one listening socket: an upgrade has two or three processes.
 constexpr std::size_t kMostRecords = 64;
-// A successor of that process has taken its record over by then, if there is one.
+// Age at which the record of an ended process is removed. By then its successor, if there is one, has merged
+// it.
 constexpr Micros kStaleAfter = 60s;
-// The same of a record with cordons, whose next process may start much later.
+// The same for a record with cordons, because the next process may start much later.
 constexpr Micros kStaleAfterWithCordons = 7 * 24h;
 constexpr mode_t kOwnerOnly = 0600;
 
@@ -42,7 +43,7 @@
   return true;
 }
 
-// The process that a file of this name belongs to; 0: the name is of another form.
+// Returns the pid in the name of a record file, or 0 if the name has another form.
 pid_t pid_from_name(std::string_view name) {
   auto begin = name.rfind('-') + 1;
   pid_t pid = 0;
@@ -73,9 +74,10 @@
   if (!is_written && file) unlink(temporary.c_str());
   if (std::exchange(is_failing_, !is_written) == is_failing_) return is_written;
   if (is_failing_)
-    log_(net::Level::kWarning, fmt::format("cannot write {}: {}; other processes learn of cancel requests "
-                                           "and limits only when it can be written",
-                                           target, net::message_of(error)));
+    log_(net::Level::kWarning,
+         fmt::format("cannot write {}: {}; until it is written, other processes receive no "
+                     "cancel requests or limits from this one",
+                     target, net::message_of(error)));
   else
     log_(net::Level::kInfo, fmt::format("{} is written again", target));
   return is_written;
@@ -116,7 +118,8 @@
   return FileVersion{info.st_ino, info.st_mtim.tv_sec * kNanosPerSecond + info.st_mtim.tv_nsec, info.st_size};
 }
 
-// Where it cannot be read for the moment, the last good record stands and it is read again at the next look.
+// If the file cannot be read at the moment, the last valid record stays, and it is read again at the next
+// scan.
 void RecordFolder::read_if_changed(const std::string& name) {
   auto version = version_of(name);
   if (!version || versions_[name] == *version) return;
@@ -127,7 +130,7 @@
   if (auto record = decode_record(*text, &error))
     records_[name] = std::move(*record);
   else
-    log_(net::Level::kWarning, fmt::format("{}/{} is passed over: {}", path_, name, describe(error)));
+    log_(net::Level::kWarning, fmt::format("{}/{} is ignored: {}", path_, name, describe(error)));
 }
 
 const std::map<std::string, ProcessRecord>& RecordFolder::read_other_records() {
@@ -151,7 +154,7 @@
     RecordError error = RecordError::kNone;
     auto record = decode_record(*text, &error);
     if (!record) {
-      // What was not finished, or is torn, tells nobody anything once its process has ended.
+      // An unfinished or corrupt record is of no use once its process has ended.
       bool is_useless = name.ends_with(kTemporarySuffix) || error == RecordError::kCorrupt;
       if (is_useless && state_of(pid_from_name(name)) == ProcessState::kGone) remove(name);
       continue;
@@ -160,7 +163,7 @@
     bool has_cordons = std::any_of(record->cordons.begin(), record->cordons.end(),
                                    [](auto& mark) { return mark.second.is_cordoned; });
     auto stale_after = has_cordons ? kStaleAfterWithCordons : kStaleAfter;
-    // A time that is still to come is of another start of the machine.
+    // A time in the future of the monotonic clock is from an earlier boot of the machine.
     bool is_old = record->written_at > now || now - record->written_at > stale_after;
     if (is_old) remove(name);
   }
--- a/src/handover/record_folder.h
+++ b/src/handover/record_folder.h
@@ -1,5 +1,6 @@
-// The files in which processes keep their records, in a folder that all of them have and nobody empties.
-// Every call may fail for a while, and the folder may hold files of other programs, nodes and times.
+// The files that hold the records of processes, in a folder that all of them share and nobody empties. Any
+// call may fail temporarily, and the folder may contain files of other programs, of other nodes and of the
+// past.
 #pragma once
 
 #include <cstdint>
@@ -15,18 +16,21 @@
 
 class RecordFolder {
  public:
-  // `socket_inode` tells records of this listening socket from those of others in the same folder.
+  // `socket_inode` distinguishes the records of this listening socket from those of other sockets in the
+  // folder.
   RecordFolder(std::string path, std::uint64_t socket_inode, ProcessIdentity own, net::Log log);
 
-  // Replaces this process's record: written beside and renamed, so that a reader finds the old or the new
-  // one. False: it could not be written, and the old one stands; to be tried again.
+  // Replaces this process's record. It is written to a temporary file and renamed, so that a reader finds
+  // either the old or the new one. Returns false if it could not be written: the old one stays, and the
+  // caller has to retry.
   bool write(const ProcessRecord& record);
-  // The last good record of each other process with this socket, whether or not it still runs.
+  // Reads the folder and returns the last valid record of each other process with this socket, whether or not
+  // the process still runs.
   const std::map<std::string, ProcessRecord>& read_other_records();
-  // Removes the record of another process, or an own one that nobody needs.
+  // Removes the record of another process, or that of this process once no process needs it.
   void remove(const std::string& name);
   void remove_own() { remove(own_name_); }
-  // Removes what processes left behind that ended long ago, of whatever socket.
+  // Removes the files of processes of any listening socket that ended long ago.
   void remove_stale(Micros now);
 
  private:
--- a/src/handover/record_folder_thread.cpp
+++ b/src/handover/record_folder_thread.cpp
@@ -5,7 +5,7 @@
 namespace database_proxy::handover {
 namespace {
 
-// The loop stands still meanwhile.
+// The event loop is blocked while it waits.
 constexpr std::chrono::milliseconds kMaxWriteWait{10};
 
 }  // namespace
@@ -83,7 +83,7 @@
   if (tasks.stale_as_of) folder_.remove_stale(*tasks.stale_as_of);
 }
 
-// A record that was handed over meanwhile is still to be written.
+// If another record was submitted in the meantime, the write is still pending.
 void RecordFolderThread::set_status(WriteStatus status) {
   std::lock_guard lock(mutex_);
   if (!tasks_.record) status_ = status;
--- a/src/handover/record_folder_thread.h
+++ b/src/handover/record_folder_thread.h
@@ -1,5 +1,5 @@
-// Reads and writes a record folder in a thread of its own: where the disk is busy, a file may take seconds,
-// and the loop must not wait for it. Used by the thread of one loop.
+// Reads and writes a record folder in a separate thread: access to a file may take seconds on a busy disk,
+// and the event loop must not wait for it. Used by the thread of one loop.
 #pragma once
 
 #include <condition_variable>
@@ -15,7 +15,7 @@
 
 namespace database_proxy::handover {
 
-// A directory or a file at a time.
+// One directory or one file is open at a time.
 constexpr std::size_t kFolderDescriptors = 1;
 
 class RecordFolderThread {
@@ -23,24 +23,24 @@
   using Records = std::map<std::string, ProcessRecord>;
   enum class WriteStatus { kPending, kWritten, kFailed };
 
-  // Reads the folder once before it returns, and every `interval` from then on.
+  // Reads the folder once before it returns, and every `interval` afterwards.
   RecordFolderThread(RecordFolder folder, Micros interval);
-  // Waits for what is under way.
+  // Waits for the pending tasks.
   ~RecordFolderThread();
   RecordFolderThread(const RecordFolderThread&) = delete;
   RecordFolderThread& operator=(const RecordFolderThread&) = delete;
 
-  // Replaces this process's record, in place of an earlier one that is not written yet. Waits for it no
-  // longer than a disk that is not busy takes.
+  // Submits this process's record for writing; it supersedes an earlier one that is not written yet. Waits
+  // for the write no longer than it takes on a disk that is not busy.
   void write(const ProcessRecord& record);
-  // Of the record that was handed over last.
+  // Returns the status of the record that was submitted last.
   WriteStatus write_status() const;
-  // Those of other processes, as last read.
+  // Returns the records of the other processes, as last read.
   std::shared_ptr<const Records> other_records() const;
-  // After what was handed over before.
+  // Both are executed after a record that was submitted before.
   void remove(const std::string& name);
   void remove_stale(Micros now);
-  // Ends the thread; the folder is the caller's from then on.
+  // Executes the pending tasks and ends the thread. Afterwards only the caller uses the returned folder.
   RecordFolder& stop();
 
  private:
--- a/src/handover/socket_note.cpp
+++ b/src/handover/socket_note.cpp
@@ -14,8 +14,9 @@
 
 using Program = std::vector<sock_filter>;
 
-// The program: accept the whole packet; the marker, the length and the text as constants that are never
-// loaded, four bytes each; and the return that the kernel wants at the end.
+// Layout of the program: an instruction that accepts the whole packet; the marker, the length and the text as
+// constants of load instructions that are never executed, four bytes each; and the return instruction that
+// the kernel requires at the end.
 constexpr std::uint32_t kWholePacket = 0xffffffff;
 constexpr std::uint32_t kMarker = 0x64627078;
 constexpr std::size_t kMarkerIndex = 1, kLengthIndex = 2, kTextIndex = 3, kFixedInstructions = 4;
@@ -47,7 +48,7 @@
   return text;
 }
 
-// Another process may attach a longer one between the two calls: the second then fails.
+// Another process may attach a longer filter between the two calls: the second call fails then.
 std::optional<Program> read_attached_filter(int socket) {
   socklen_t count = 0;  // the kernel counts instructions here, not bytes
   if (getsockopt(socket, SOL_SOCKET, SO_GET_FILTER, nullptr, &count) != 0) return std::nullopt;
--- a/src/handover/socket_note.h
+++ b/src/handover/socket_note.h
@@ -1,6 +1,7 @@
-// A short text that the kernel keeps with a listening socket, for all processes that hold it: the constants
-// of a packet filter that lets every packet pass (SO_ATTACH_FILTER, SO_GET_FILTER). It is replaced as a
-// whole, is there as long as the socket is, whatever becomes of processes and file systems, and goes with it.
+// A short text that the kernel stores with a listening socket, for all processes that hold the socket. It is
+// encoded in the constants of a packet filter that accepts every packet (SO_ATTACH_FILTER, SO_GET_FILTER).
+// The text is replaced as a whole. It exists as long as the socket does, independently of processes and file
+// systems.
 #pragma once
 
 #include <cstddef>
@@ -10,18 +11,18 @@
 
 namespace database_proxy::handover {
 
-// What a filter's instructions have room for.
+// The instructions of a filter have space for this number of bytes.
 constexpr std::size_t kLongestSocketNote = 16'000;
 
 class SocketNote {
  public:
-  // `listener` must outlive this.
+  // `listener` must outlive this object.
   explicit SocketNote(int listener) : listener_(listener) {}
 
-  // nullopt: there is none, or it cannot be read for the moment.
+  // Returns nullopt if there is no text or it cannot be read at the moment.
   std::optional<std::string> read() const;
-  // 0, or the error for which the old one stands: EMSGSIZE where it is too long, EBUSY where somebody else
-  // has attached a filter.
+  // Replaces the text. Returns 0, or the error because of which the old text stays: EMSGSIZE if the new one
+  // is too long, EBUSY if another program has attached a filter.
   int write(std::string_view text) const;
 
  private:
--- a/src/handover/socket_record.cpp
+++ b/src/handover/socket_record.cpp
@@ -10,7 +10,8 @@
 namespace database_proxy::handover {
 namespace {
 
-// What fits: without the list where that is too long, and then without the cordons that were lifted.
+// Returns the part of the record that fits: without the endpoint list if the record is too long with it, and
+// then also without the cordons that were lifted.
 ProcessRecord shortened(ProcessRecord record) {
   record.cancels.clear();
   record.descriptors = 0;
@@ -27,8 +28,9 @@
   });
 }
 
-// A list that is older counts too where nobody has the newer one any more: the service has begun to count
-// anew.
+// Returns whether the stored endpoint list makes storing the required one unnecessary. A newer stored list
+// does so while its process has not ended. Afterwards an older required list replaces it: no process has the
+// newer list any more, because the discovery service has restarted its count of generations.
 bool holds_endpoints(const ProcessRecord& stored, const ProcessRecord& required) {
   if (stored.endpoints == required.endpoints || required.endpoints.generation == 0) return true;
   bool is_newer = stored.endpoints.generation >= required.endpoints.generation;
@@ -45,7 +47,7 @@
   record_ = decode_record(last_text_, &error);
   if (!record_)
     log_(net::Level::kWarning,
-         fmt::format("the record that the listening socket keeps is passed over: {}", describe(error)));
+         fmt::format("the record stored on the listening socket is ignored: {}", describe(error)));
   return record_;
 }
 
@@ -61,8 +63,9 @@
   if (error == 0) read();
   if (std::exchange(is_failing_, error != 0) != is_failing_)
     log_(is_failing_ ? net::Level::kWarning : net::Level::kInfo,
-         is_failing_ ? fmt::format("the listening socket keeps no record: {}", net::message_of(error))
-                     : std::string("the listening socket keeps a record again"));
+         is_failing_
+             ? fmt::format("cannot store a record on the listening socket: {}", net::message_of(error))
+             : std::string("the record on the listening socket is stored again"));
   return error == 0;
 }
 
--- a/src/handover/socket_record.h
+++ b/src/handover/socket_record.h
@@ -1,5 +1,6 @@
-// The record that the listening socket itself keeps for the processes which hold it: the cordons of all, and
-// the newest list that any of them has had. One for all processes, unlike those in a folder.
+// The record stored on the listening socket itself for the processes that hold it: the cordons of all of
+// them, and the newest endpoint list that any of them has had. All processes share one such record, whereas
+// in a folder each has its own.
 #pragma once
 
 #include <optional>
@@ -14,15 +15,16 @@
 // Owned and used by the thread of its process exchange.
 class SocketRecord {
  public:
-  // `listener` must outlive this.
+  // `listener` must outlive this object.
   SocketRecord(int listener, net::Log log) : note_(listener), log_(std::move(log)) {}
 
-  // The record of whichever process has written it last; empty: there is none that can be read.
+  // Returns the record of the process that wrote last, or nullopt if there is none that can be read.
   const std::optional<ProcessRecord>& read();
-  // Replaces it where it lacks something of `own`, which has all that read() gave. True: it holds every
-  // cordon of `own`.
+  // Replaces the stored record if it lacks something of `own`, into which the result of read() has been
+  // merged. Returns whether the stored record has every cordon of `own`.
   bool store(const ProcessRecord& own);
-  // Whether it still holds what was last kept, as last read: two processes may write at the same time.
+  // Returns whether the record, as last read, still has the content of the last store(): two processes may
+  // write at the same time.
   bool is_stored() const;
 
  private:
@@ -30,7 +32,7 @@
   net::Log log_;
   std::string last_text_;  // as last read
   std::optional<ProcessRecord> record_;
-  ProcessRecord required_;  // what it has to hold
+  ProcessRecord required_;  // the content that the stored record must have
   bool is_failing_ = false;
 };
 
--- a/tests/upgrade/upgrade_test.cpp
+++ b/tests/upgrade/upgrade_test.cpp
@@ -271,8 +271,8 @@
   auto next = node.start();
   REQUIRE(becomes_healthy(*next));
   auto log = process->log();
-  CHECK_THAT(log, Catch::Contains(name(1) + " is passed over: it is torn"));
-  CHECK_THAT(log, Catch::Contains(name(2) + " is passed over: it is not of this program"));
+  CHECK_THAT(log, Catch::Contains(name(1) + " is ignored: it is truncated or corrupt"));
+  CHECK_THAT(log, Catch::Contains(name(2) + " is ignored: it was written by another program"));
   CHECK(log.find("-77-") == std::string::npos);
 }
 
