--- a/tests/upgrade/call_faults_test.cpp
+++ b/tests/upgrade/call_faults_test.cpp
@@ -29,7 +29,7 @@
 
 }  // namespace
 
-TEST_CASE("calls: a recv that returns fewer bytes than are there holds up no client") {
+TEST_CASE("calls: a recv that returns fewer bytes than are available delays no client") {
   FaultyNode node;
   node.faults.control().rate(CallFault::kShortRead) = 8;
   auto process = node.start_faulty();
@@ -40,7 +40,7 @@
   CHECK(node.servers.rules().breaches_in_words() == "");
 }
 
-TEST_CASE("calls: a start meets errors that pass, and is made again until it serves") {
+TEST_CASE("calls: a start that meets temporary errors is retried until the process serves") {
   FaultyNode node;
   for (auto fault :
        {CallFault::kSocket, CallFault::kInterrupted, CallFault::kFolderError, CallFault::kFolderFull}) {
@@ -56,8 +56,8 @@
 }
 
 TEST_CASE(
-    "calls: an address that is given back within the start's time is listened on, an operators' one at any "
-    "time") {
+    "calls: a client address that becomes free within the start's time limit is listened on, the operators' "
+    "address at any time") {
   Node node;
   auto options = node.options();
   options.listening_socket = -1;
@@ -80,10 +80,10 @@
   CHECK(process->wait() == 0);
 }
 
-TEST_CASE("calls: a process that is told to end while its start is tried again ends with 0") {
+TEST_CASE("calls: a process that gets SIGTERM while it retries its start exits with 0") {
   Node node;
   auto options = node.options();
-  options.listening_socket = -1;  // the node's own socket holds the address for good
+  options.listening_socket = -1;  // the node's own socket holds the address permanently
   auto process = node.start(options);
   REQUIRE(soon([&] { return process->log().find("trying again") != std::string::npos; }));
   process->signal(SIGTERM);
@@ -91,8 +91,8 @@
 }
 
 TEST_CASE(
-    "calls: clients that wait while the system has no descriptor are accepted once it has, by an idle "
-    "process") {
+    "calls: clients that wait while the system has no free descriptor are accepted by an idle process once "
+    "it has one") {
   FaultyNode node;
   auto process = node.start_faulty();
   REQUIRE(becomes_healthy(*process));
@@ -113,7 +113,9 @@
 
 }  // namespace
 
-TEST_CASE("calls: a client that asks on at once never has its last answer before the end behind it") {
+TEST_CASE(
+    "calls: a client that sends its next request at once gets its last answer only together with the "
+    "connection's end") {
   FakeServersOptions servers_options;
   servers_options.model.service_us = 20'000;
   FaultyNode node(servers_options);
@@ -132,7 +134,7 @@
   CHECK(old->wait() == 0);
 }
 
-TEST_CASE("calls: a disk that takes over a second holds up neither operators nor clients") {
+TEST_CASE("calls: a disk that takes over a second delays neither operators nor clients") {
   FaultyNode node;
   auto process = node.start_faulty();
   REQUIRE(becomes_healthy(*process));
@@ -151,7 +153,7 @@
   CHECK(figures.longest_gap_ms < 500);
 }
 
-TEST_CASE("calls: failing and short calls under load lose no request") {
+TEST_CASE("calls: failing system calls and short writes under load lose no request") {
   for (auto [fault, one_in] : {std::pair(CallFault::kShortWrite, 8), std::pair(CallFault::kInterrupted, 4),
                                std::pair(CallFault::kAccept, 3), std::pair(CallFault::kSocket, 3),
                                std::pair(CallFault::kConnect, 10)}) {
@@ -168,8 +170,8 @@
 }
 
 TEST_CASE(
-    "calls: a wall clock that is an hour off at the start, or stepped under load, costs no request and no "
-    "freshness") {
+    "calls: a wall clock that is an hour off at the start, or stepped under load, causes no lost request and "
+    "no stale read") {
   constexpr std::int64_t kHourUs = 3'600'000'000;
   for (std::int64_t offset : {-kHourUs, kHourUs, std::int64_t{-2'000'000}}) {
     for (bool is_stepped_later : {false, true}) {
--- a/tests/upgrade/cordon_test.cpp
+++ b/tests/upgrade/cordon_test.cpp
@@ -1,4 +1,5 @@
-// Servers that operators or discovery take out, over replacements of the process, on real processes.
+// Servers that operators cordon or discovery drains or removes, across process replacements, with real
+// processes.
 #include <linux/filter.h>
 #include <sys/socket.h>
 
@@ -24,7 +25,8 @@
   return node.servers.figures()[server].requests;
 }
 
-// Clients that write, or read, for a while; what came to `server` meanwhile.
+// Runs clients that write or read for a while. Returns the number of requests that `server` received
+// meanwhile.
 std::uint64_t requests_under_load(Node& node, const std::string& server, double writes,
                                   milliseconds length = milliseconds(1500)) {
   static int loads = 0;
@@ -54,7 +56,7 @@
   process.wait();
 }
 
-// Processes look at each other's records every 50 ms.
+// Each process reads the records of the other processes at least every 50 ms.
 constexpr auto kSeveralScans = milliseconds(250);
 
 int lines_with(const std::string& log, std::string_view text) {
@@ -63,7 +65,8 @@
   return lines;
 }
 
-constexpr auto kGracePeriod = milliseconds(1100);  // from a call on, and 50 ms more for the sockets
+// Counted from the command, with 50 ms more for the sockets.
+constexpr auto kGracePeriod = milliseconds(1100);
 
 void cordon_primary(ProcessUnderTest& process) {
   REQUIRE(process.operator_call("cordon " + kPrimary, kCallTimeout).starts_with("YES"));
@@ -72,7 +75,7 @@
 
 }  // namespace
 
-TEST_CASE("cordon: a successor gives a primary that was cordoned before its start no new grace") {
+TEST_CASE("cordon: a successor gives no new grace period to a primary that was cordoned before its start") {
   auto workers = GENERATE(1, 2);
   auto signal = GENERATE(SIGKILL, SIGTERM);
   Node node;
@@ -86,7 +89,9 @@
   CHECK_THAT(second->log(), Catch::Contains("server s1-1 is cordoned by an operator, as process"));
 }
 
-TEST_CASE("drain: a successor with an older list gives a server that its predecessor was told of no grace") {
+TEST_CASE(
+    "drain: a successor with an older list gives no grace period to a server that its predecessor knew to be "
+    "out") {
   auto action = GENERATE(std::string("drain"), std::string("remove"));
   Node node;
   auto known = node.options().known;
@@ -104,7 +109,7 @@
   CHECK(requests_under_load(node, kPrimary, 1) == 0);
 }
 
-TEST_CASE("cordon: a process that starts after the last one has ended keeps it") {
+TEST_CASE("cordon: a process that starts after the last one has ended keeps the cordon") {
   auto signal = GENERATE(SIGKILL, SIGTERM);
   Node node;
   SECTION("with the shared folder") {}
@@ -116,7 +121,7 @@
   CHECK(requests_under_load(node, kPrimary, 1, milliseconds(500)) == 0);
 }
 
-TEST_CASE("cordon: the answer YES holds at a successor though the shared folder is missing") {
+TEST_CASE("cordon: a cordon answered with YES holds at a successor though the shared folder is missing") {
   Node node;
   std::filesystem::remove(node.shared_folder());
   auto first = start_healthy(node);
@@ -127,7 +132,8 @@
 }
 
 TEST_CASE(
-    "cordon: a command that neither the socket nor the folder keeps is answered no, and is not in force") {
+    "cordon: a command that can be stored neither on the socket nor in the folder is answered NO and has no "
+    "effect") {
   Node node;
   std::filesystem::remove(node.shared_folder());
   sock_filter pass_all = BPF_STMT(BPF_RET | BPF_K, 0xffffffff);
@@ -139,14 +145,14 @@
   CHECK(first->operator_call("cordon " + kPrimary, kCallTimeout).starts_with("NO "));
   CHECK(Clock::now() - asked_at < kCallTimeout);
   CHECK(requests_under_load(node, kPrimary, 1) > 0);
-  std::filesystem::create_directory(node.shared_folder());  // it alone keeps one now
+  std::filesystem::create_directory(node.shared_folder());  // now the folder alone can store a cordon
   cordon_primary(*first);
   end_process(*first, SIGKILL);
   auto second = start_healthy(node);
   CHECK(requests_under_load(node, kPrimary, 1, milliseconds(500)) == 0);
 }
 
-TEST_CASE("cordon: a primary that is put back after an upgrade serves writes at once") {
+TEST_CASE("cordon: a primary that is uncordoned after an upgrade serves writes at once") {
   Node node;
   auto first = start_healthy(node);
   CHECK(requests_under_load(node, kPrimary, 0.3, milliseconds(500)) > 0);
@@ -160,13 +166,13 @@
   CHECK(writes > 0);
 }
 
-TEST_CASE("cordon: one that was lifted while its server was not listed does not come back") {
+TEST_CASE("cordon: a cordon that was lifted while its server was not listed is not restored") {
   Node node;
   auto first = start_healthy(node);
   REQUIRE(first->operator_call("cordon " + kReplica, kCallTimeout).starts_with("YES"));
   auto second = start_healthy(node);
   REQUIRE(second->operator_call("cordon s1-3", kCallTimeout).starts_with("YES"));  // the only other replica
-  // It goes on as a stopped process: its record says cordoned until the end.
+  // The first process stays stopped: its record has the server as cordoned until the end of the test.
   first->signal(SIGSTOP);
   auto steer_and_await_list = [&](const std::string& action, const std::string& server) {
     auto lists_received = [&] { return lines_with(second->log(), "list version"); };
@@ -176,7 +182,7 @@
   };
   steer_and_await_list("remove", kReplica);
   REQUIRE(second->operator_call("uncordon " + kReplica, kCallTimeout).starts_with("YES"));
-  steer_and_await_list("up", "s1-3");  // a list on which marks are looked through
+  steer_and_await_list("up", "s1-3");  // this list makes the process go through its cordon marks
   std::this_thread::sleep_for(kSeveralScans);
   steer_and_await_list("up", kReplica);
   CHECK(requests_under_load(node, kReplica, 0, milliseconds(1000)) > 0);
--- a/tests/upgrade/node.h
+++ b/tests/upgrade/node.h
@@ -1,5 +1,5 @@
-// One node of the platform on loopback: the listening socket that it holds for clients, fake data servers and
-// discovery, and the processes that it starts on that socket.
+// Test fixture for one node of the platform on loopback: the listening socket that the platform holds for
+// clients, fake data servers and discovery, and the processes that are started on that socket.
 #pragma once
 
 #include <fmt/format.h>
@@ -78,13 +78,13 @@
   int started_ = 0;
 };
 
-// A read of the set that the fake servers have.
+// Returns a read of the shard group that the fake servers serve.
 inline std::string read_statement(const std::string& id, int timeout_ms = 1500) {
   return fmt::format("SELECT content FROM kv WHERE name = 'k1' /* id={},c=browse,d={},cluster=1 */", id,
                      timeout_ms);
 }
 
-// With a key of its own for each number.
+// Returns a write with a distinct idempotency key for each number.
 inline std::string write_statement(int number) {
   return fmt::format(
       "INSERT INTO kv (name, content) VALUES ('k1', '\\x9f') RETURNING content "
--- a/tests/upgrade/upgrade_test.cpp
+++ b/tests/upgrade/upgrade_test.cpp
@@ -1,4 +1,4 @@
-// Upgrades in place, as the operators' page has them, on real processes.
+// Upgrades in place, as the operators' page describes them, with real processes.
 #include <fcntl.h>
 #include <sys/stat.h>
 
@@ -13,7 +13,7 @@
 
 constexpr auto kRecordNotRead = "does not read this one's record";
 
-TEST_CASE("upgrade: a process serves on the listening socket it inherits, and its successor beside it") {
+TEST_CASE("upgrade: a process serves on the listening socket it inherits, concurrently with its successor") {
   Node node;
   auto first = node.start();
   INFO(first->log());
@@ -26,9 +26,7 @@
   CHECK(client.query(read_statement("inherited")).row);
 }
 
-TEST_CASE(
-    "upgrade: a socket that cannot be served on ends the start with one line, and the serving process goes "
-    "on") {
+TEST_CASE("upgrade: a start on an unusable socket fails with one log line, and the serving process goes on") {
   Node node;
   auto serving = node.start();
   REQUIRE(becomes_healthy(*serving));
@@ -56,13 +54,14 @@
   CHECK(is_healthy(*serving));
 }
 
-TEST_CASE("upgrade: a socket that another holder makes blocking stops neither process") {
+TEST_CASE("upgrade: a socket that another holder makes blocking blocks neither process") {
   Node node;
   auto first = node.start(), second = node.start();
   REQUIRE(becomes_healthy(*first));
   REQUIRE(becomes_healthy(*second));
   for (int i = 0; i < 50; ++i) {
-    fcntl(node.listening_socket.get(), F_SETFL, 0);  // each wake-up is a race for one client, which one loses
+    // At each wake-up both processes race for one client, and one loses.
+    fcntl(node.listening_socket.get(), F_SETFL, 0);
     Client client(node.port());
     CHECK(client.query(read_statement("r" + std::to_string(i))).row);
   }
@@ -70,10 +69,10 @@
   CHECK(is_healthy(*second));
 }
 
-TEST_CASE("upgrade: three in a row under load lose no request, and each old process ends in time") {
+TEST_CASE("upgrade: three upgrades in a row under load lose no request, and each old process ends in time") {
   for (int workers : {1, 2}) {
     FakeServersOptions servers_options;
-    servers_options.model.service_us = 5'000;  // some requests are out at any moment
+    servers_options.model.service_us = 5'000;  // some requests are in flight at any moment
     Node node(servers_options);
     auto start = [&] {
       auto options = node.options();
@@ -105,7 +104,8 @@
 }
 
 TEST_CASE(
-    "upgrade: a client that asks on to the very end gets an answer to each request, and none is failed") {
+    "upgrade: a client that sends requests until the connection ends gets an answer to each, and no "
+    "request fails") {
   for (int workers : {1, 2}) {
     FakeServersOptions servers_options;
     servers_options.model.service_us = 60'000;
@@ -140,7 +140,8 @@
 }
 
 TEST_CASE(
-    "upgrade: without a successor that runs, a process that is told to end goes on accepting for its time") {
+    "upgrade: without a running successor, a process that shuts down accepts clients for its shutdown "
+    "period") {
   Node node;
   auto old = node.start(), next = node.start();
   REQUIRE(becomes_healthy(*old));
@@ -156,7 +157,7 @@
   CHECK(old->wait() == 0);
 }
 
-TEST_CASE("upgrade: a successor that never gets ready, or is told to end first, takes no client") {
+TEST_CASE("upgrade: a successor that never becomes ready, or gets SIGTERM first, accepts no client") {
   Node node;
   auto old = node.start();
   REQUIRE(becomes_healthy(*old));
@@ -177,7 +178,7 @@
 
 namespace {
 
-// Requests that came to a data server while `call` ran.
+// Returns the number of requests that a data server received while `call` ran.
 template <class Call>
 std::uint64_t requests_during(Node& node, const std::string& server, Call call) {
   auto before = node.servers.figures()[server].requests;
@@ -197,7 +198,7 @@
 
 }  // namespace
 
-TEST_CASE("cordon: it holds through upgrades, whichever process it was made at, until it is called back") {
+TEST_CASE("cordon: a cordon holds through upgrades, at whichever process it was made, until it is lifted") {
   for (int workers : {1, 2}) {
     Node node;
     auto start = [&] {
@@ -214,7 +215,7 @@
     CHECK(first->operator_call("cordon " + victim, kCallTimeout) == "YES it was cordoned already\n");
     auto second = start();
     REQUIRE(becomes_healthy(*second));
-    // In the overlap, each at the other's.
+    // While both processes run, a cordon made at one takes effect at the other.
     CHECK(second->operator_call("cordon " + other, kCallTimeout).starts_with("YES"));
     REQUIRE(soon([&] {
       return first->operator_call("cordon " + other, kCallTimeout).find("already") != std::string::npos;
@@ -223,7 +224,7 @@
     CHECK(first->wait() == 0);
     CHECK(requests_during(node, victim, [&] { send_reads(node); }) == 0);
     CHECK(requests_during(node, other, [&] { send_reads(node); }) == 0);
-    // Made in the last moment of a process that ends.
+    // An uncordon command at a process that is about to end.
     CHECK(second->operator_call("uncordon " + other, kCallTimeout) == "YES\n");
     auto third = start();
     REQUIRE(becomes_healthy(*third));
@@ -238,7 +239,9 @@
   }
 }
 
-TEST_CASE("cordon: a killed process leaves it to the next one, and a hundred starts leave no files behind") {
+TEST_CASE(
+    "cordon: the cordon of a killed process passes to the next one, and repeated starts leave no files "
+    "behind") {
   Node node;
   auto victim = node.servers.servers().back();
   for (int i = 0; i < 5; ++i) {
@@ -253,8 +256,8 @@
 }
 
 TEST_CASE(
-    "upgrade: files that are torn, foreign, of a later version or of another socket cost a line each at "
-    "most") {
+    "upgrade: files that are corrupt, foreign, of a later version or of another socket cause at most one log "
+    "line each") {
   Node node;
   auto inode = [&] {
     struct stat info {};
@@ -278,7 +281,7 @@
 }
 
 TEST_CASE(
-    "upgrade: a folder that cannot be written holds up neither start nor hand-over, and is written later") {
+    "upgrade: a folder that cannot be written delays neither start nor handover, and is written later") {
   Node node;
   auto folder = node.shared_folder();
   std::filesystem::remove(folder);
@@ -296,7 +299,7 @@
   CHECK(requests_during(node, victim, [&] { send_reads(node); }) == 0);
 }
 
-TEST_CASE("upgrade: a cancel request that comes to the other process ends the request") {
+TEST_CASE("upgrade: a cancel request that the other process receives cancels the request") {
   FakeServersOptions servers_options;
   servers_options.model.service_us = 1'500'000;
   Node node(servers_options);
@@ -308,7 +311,7 @@
   REQUIRE(becomes_healthy(*second));
   client.send(pg::simple_query(read_statement("slow", 1900)));
   auto asked_at = Clock::now();
-  first->signal(SIGTERM);  // from here on new connections are the successor's
+  first->signal(SIGTERM);  // from now on the successor accepts new connections
   REQUIRE(soon([&] { return first->operator_call("health", kCallTimeout).starts_with("NO "); }));
   Peer::to(node.port()).send(cancel_request(key));
   CHECK(client.answer().code == "57014");
@@ -316,7 +319,7 @@
   CHECK(first->wait() == 0);
 }
 
-TEST_CASE("upgrade: two processes beside each other keep within the descriptors of one") {
+TEST_CASE("upgrade: two concurrently running processes together keep within the descriptor limit of one") {
   Node node;
   auto options = node.options();
   constexpr std::size_t kLimit = 160;
@@ -324,7 +327,7 @@
   auto first = node.start(options);
   REQUIRE(becomes_healthy(*first));
   std::vector<Client> crowd;
-  constexpr int kCrowd = 100;  // more than the first may keep once there are two
+  constexpr int kCrowd = 100;  // more than the first process may keep once there are two
   crowd.reserve(kCrowd);
   for (int i = 0; i < kCrowd; ++i) crowd.emplace_back(node.port());
   options = node.options();
@@ -342,7 +345,7 @@
   CHECK_THAT(second->log(), !Catch::Contains(kRecordNotRead));
 }
 
-TEST_CASE("upgrade: a process that is told to end before it serves does not claim the socket") {
+TEST_CASE("upgrade: a process that gets SIGTERM before it serves does not claim the socket") {
   Node node;
   auto first = node.start();
   REQUIRE(becomes_healthy(*first));
@@ -357,7 +360,8 @@
   CHECK(is_healthy(*first));
 }
 
-TEST_CASE("upgrade: the process that claimed the socket last is told to end, and another one serves on") {
+TEST_CASE(
+    "upgrade: when the process that claimed the socket last gets SIGTERM, another one continues to serve") {
   for (int workers : {1, 2})
     for (bool has_folder : {true, false}) {
       INFO("workers " << workers << ", folder " << has_folder);
@@ -387,7 +391,7 @@
       auto serves_line = fmt::format("process {} serves on the listening socket", remaining->pid());
       CHECK(soon([&] { return shutting_down->log().find(serves_line) != std::string::npos; }));
       CHECK(owner() == remaining->pid());
-      CHECK(shutting_down->running());  // the write is out
+      CHECK(shutting_down->running());  // the write is in flight
       std::vector<std::unique_ptr<Client>> clients(16);
       for (auto& client : clients) client = std::make_unique<Client>(node.port());
       CHECK(busy.answer().row);
@@ -396,7 +400,8 @@
     }
 }
 
-TEST_CASE("upgrade: clients are not accepted before the running process makes room for them") {
+TEST_CASE(
+    "upgrade: a successor accepts no client before it has waited for the running process to free capacity") {
   for (int workers : {1, 2}) {
     INFO("workers " << workers);
     Node node;
