--- a/src/routing/decider.h
+++ b/src/routing/decider.h
@@ -1,5 +1,5 @@
-// Where a dispatcher gets its decisions: from a facade in its own thread, or from a thread that owns one.
-// Nothing here knows a protocol or decides anything. Called by the dispatcher's thread only.
+// The source of a dispatcher's decisions: a facade in its own thread, or another thread that owns a facade.
+// Independent of protocols, and makes no decisions itself. Called by the dispatcher's thread only.
 #pragma once
 
 #include <string_view>
@@ -17,25 +17,26 @@
   virtual const RequestClassInfo* find_class(std::string_view name) const = 0;
   virtual bool ready() const = 0;  // as DecisionFacade::ready()
 
-  // What has happened. Within one iteration of the loop: list changes first, then results, clients that left,
-  // and new requests.
+  // Events. The order within one iteration of the loop: list changes, results, disconnected clients, new
+  // requests.
   virtual void update(Micros now, const discovery::EndpointListUpdate& list, bool cached) = 0;
   virtual void report(Micros now, AttemptResult result) = 0;
   virtual void report(Micros now, ProbeResult result) = 0;
   virtual void on_client_disconnected(Micros now, RequestId request) = 0;
-  // False: the queue to the decisions is full, and this request was not taken.
+  // Submits a request. Returns false if the queue to the decision thread is full and the request was not
+  // accepted.
   virtual bool submit(Micros now, const Request& request) = 0;
   // As DecisionFacade::share_sessions().
   virtual void share_sessions(Micros now, bool is_shared) = 0;
-  // The plan of zones, and DecisionFacade::spare_capacity(). Only where decisions are made in this thread: a
-  // group of daemons goes with one worker.
+  // Passes on the plan of zones, and DecisionFacade::spare_capacity(). Only available where decisions are
+  // made in this thread, because a group of daemons is used with one worker only.
   virtual void plan(Micros now, request_router::Plan plan) = 0;
   virtual double spare_capacity(const std::string& server) const = 0;
-  // What was decided since the last call, in order. `next_due`: call again by then.
+  // Returns the decisions made since the last call, in order. `next_due`: the time by which to call again.
   virtual TickResult collect(Micros now) = 0;
 };
 
-// Decisions made in the same thread, within collect().
+// A decider that makes its decisions in the same thread, within collect().
 class LocalDecider : public Decider {
  public:
   explicit LocalDecider(DecisionFacade& facade) : facade_(facade) {}
--- a/src/routing/load_reports.h
+++ b/src/routing/load_reports.h
@@ -1,6 +1,6 @@
-// Load reports of data servers that another process has gathered for all, cached for a moment. They answer
-// the module's own wishes to probe, and news that nobody asked for counts as well. No I/O, no clock, no
-// thread.
+// A short-lived cache of load reports of data servers that another process has gathered for all processes.
+// The reports answer probes that the decision module requests; unrequested reports are used as well. No I/O,
+// no clock, no thread.
 #pragma once
 
 #include <chrono>
@@ -14,14 +14,14 @@
 
 namespace database_proxy::routing {
 
-// A report is no fresher than its measurement. Where this process has found a server silent by itself,
-// reports about it are not believed until it has answered here.
+// The age of a report is counted from its measurement. After this process has itself found a server
+// unresponsive, reports about that server are ignored until it has answered this process.
 class LoadReportCache {
  public:
-  // Whoever probes for all does so every 100 ms; three reports in a row may be late.
+  // The process that probes for all does so every 100 ms; three reports in a row may be late.
   static constexpr Micros kFresh{400'000};
 
-  // `age`: since the measurement, at least. Returns whether the report is of use here now.
+  // Stores a report. `age`: the least time since the measurement. Returns whether the report is usable now.
   bool record(Micros now, ProbeResult result, Micros age) {
     auto& entry = entries_[result.server];
     bool is_older = entry.result && now - age < entry.measured_at;
@@ -30,7 +30,7 @@
     entry.result = std::move(result);
     return age <= kFresh;
   }
-  // The last report of a server where it is fresh enough to stand for a probe.
+  // The last report of a server if it is fresh enough to replace a probe.
   std::optional<ProbeResult> find_fresh(Micros now, const std::string& server) const {
     auto it = entries_.find(server);
     if (it == entries_.end() || it->second.is_distrusted || !it->second.result) return std::nullopt;
@@ -40,7 +40,7 @@
     auto it = entries_.find(server);
     return it != entries_.end() && it->second.is_distrusted;
   }
-  // This process has tried to reach a server by itself.
+  // Records the result of this process's own attempt to reach a server.
   void on_contact(const std::string& server, bool answered) {
     if (answered) {
       if (auto it = entries_.find(server); it != entries_.end()) it->second.is_distrusted = false;
@@ -63,7 +63,7 @@
       case AttemptOutcome::kReset:
       case AttemptOutcome::kCancelled:
       case AttemptOutcome::kNotSent:
-        return;  // says nothing of the server
+        return;  // gives no information about the server
     }
   }
   // Forgets servers that are not listed any more.
--- a/src/routing/unix_clock.h
+++ b/src/routing/unix_clock.h
@@ -1,4 +1,5 @@
-// The one place where Unix time and the loop's monotonic clock meet. Their distance is fixed at the start.
+// Conversion between Unix time and the loop's monotonic clock. The distance between them is fixed at the
+// start.
 #pragma once
 
 #include <algorithm>
@@ -15,7 +16,7 @@
  public:
   // Unix time minus the monotonic clock, in microseconds.
   explicit UnixClock(Micros distance) : distance_(distance) {}
-  // Measured now, and to be measured again: the wall clock may be stepped.
+  // A clock with the distance measured now. It has to be measured again, as the wall clock may be stepped.
   static UnixClock measured() { return live(measure_distance()); }
   static UnixClock live(Micros distance) {
     UnixClock clock(distance);
@@ -25,7 +26,8 @@
   Micros distance() const { return distance_; }
   bool is_live() const { return is_live_; }
 
-  // The tightest of several pairs of readings counts.
+  // Measures the distance several times and returns the one whose pair of monotonic readings is closest
+  // together.
   static Micros measure_distance() {
     using std::chrono::steady_clock, std::chrono::system_clock;
     auto best = steady_clock::duration::max();
@@ -54,7 +56,7 @@
   }
 
  private:
-  // Peers may write any number: what lies outside some thousand years is brought to their edge.
+  // Clamps a time to a range of some thousand years, as peers may write any number.
   static std::int64_t clamp_to_range(std::int64_t unix_ms) {
     return std::clamp<std::int64_t>(unix_ms, 0, 100'000'000'000'000);
   }
