--- a/src/routing/server_clock.cpp
+++ b/src/routing/server_clock.cpp
@@ -10,16 +10,18 @@
 // Clocks that are kept by the same time service differ by less; a process may also be held up for 0.15 s
 // between the arrival of an answer and its reading.
 constexpr Micros kTolerance = 250ms;
-// Without a primary's word for so long, the wall clock is trusted as long as nothing speaks against it.
+// The time without a primary's answer after which the wall clock is trusted unless there is contrary
+// evidence.
 constexpr Micros kLongestLearning = 2s;
 constexpr Micros kReadInterval = 100ms;
-// A load report is no older than this when it arrives.
+// The greatest age of a load report on arrival.
 constexpr Micros kReportAge = 500ms;
-// From a report alone, only an error beyond this is corrected: it proves the distance no better.
+// A load report alone corrects only errors beyond this, as it does not determine the distance more precisely.
 constexpr Micros kCoarseError = 5s;
-// A server's position has been renewed by then.
+// The time within which a server's position is renewed.
 constexpr Micros kPositionLifetime = 10s;
-// So many answers in a row have to contradict what is known where they make servers look younger.
+// The number of consecutive answers that must contradict the known distance where they make servers look
+// younger.
 constexpr int kAnswersAgainst = 8;
 // Positions come in whole milliseconds, rounded down.
 constexpr Micros kRounding = 1ms;
@@ -66,7 +68,8 @@
   if (is_far_off) on_evidence(received_at, coarse);
 }
 
-// Whether it would make servers look younger than all that is known so far, and has not been repeated enough.
+// Returns true if the evidence would make servers look younger than everything known so far and has not been
+// repeated often enough.
 bool ServerClock::is_doubtful(const Interval& evidence) {
   auto known = evidence_ ? evidence_->least : local_distance_;
   bool is_younger = evidence.greatest < known - kTolerance;
@@ -74,8 +77,8 @@
   return is_younger && doubtful_answers_ < kAnswersAgainst;
 }
 
-// What two answers prove together is proved better than by each; where they contradict each other, the
-// servers' clock has been stepped.
+// Two answers that agree narrow the interval of the distance. If they contradict each other, the servers'
+// clock has been stepped.
 void ServerClock::on_evidence(Micros now, Interval evidence) {
   if (is_doubtful(evidence)) return;
   if (evidence_) {
--- a/src/routing/server_clock.h
+++ b/src/routing/server_clock.h
@@ -1,15 +1,15 @@
-// Where the Unix times of data servers and the monotonic clock of this machine meet. Pure but for the reading
-// of the wall clock that it is given.
+// Conversion between the Unix times of data servers and the monotonic clock of this machine. Its only
+// outside input is a reading of the wall clock.
 //
-// Servers tell positions as Unix times; bounds are spans of monotonic time. What joins the two is their
-// distance (Unix time minus monotonic time). The wall clock of this machine tells it to the microsecond, but
+// Servers report positions as Unix times; bounds are spans of monotonic time. They are converted by their
+// distance (Unix time minus monotonic time). The wall clock of this machine gives it to the microsecond, but
 // may be an hour off, and may be stepped at any moment. A primary's answer proves it within the time that the
-// answer took, because a primary sits at the present: its position lies between the sending of the request
-// and the arrival of the answer. So the wall clock's distance is used as long as primaries confirm it, and
-// else theirs, rounded to the side on which replicas look older. A smaller distance makes them look younger,
-// and a member that was primary once may claim to be at a present that is long over: such a word counts when
-// it is repeated and no other primary speaks against it. Until a primary has confirmed one, and after the
-// wall clock has been stepped, positions of replicas tell nothing.
+// answer took, because a primary's position is the present time: its position lies between the sending of the
+// request and the arrival of the answer. So the wall clock's distance is used as long as primaries confirm
+// it, and else theirs, rounded to the side on which replicas look older. A smaller distance makes them look
+// younger, and a member that was primary once may claim to be at a present that is long over: such an answer
+// counts when it is repeated and no other primary contradicts it. Until a primary has confirmed one, and
+// after the wall clock has been stepped, positions of replicas are not used.
 #pragma once
 
 #include <chrono>
@@ -25,27 +25,27 @@
  public:
   explicit ServerClock(UnixClock local);
 
-  // Takes in a reading of the wall clock: its distance to the monotonic clock.
+  // Applies a reading of the wall clock: its distance to the monotonic clock.
   void on_local_distance(Micros now, Micros distance);
   // Reads the wall clock, if that is due.
   void read_local_clock(Micros now);
 
-  // A primary has answered with this position: it was made between the two times.
+  // Applies the position in a primary's answer, which was made between the two times.
   void on_primary_position(Micros unix_time, Micros sent_at, Micros received_at);
   // The same from a load report, which is somewhat older than the answer that brings it.
   void on_primary_report(Micros unix_time, Micros sent_at, Micros received_at);
 
-  // The position as a monotonic time, never later than it was; nullopt: it tells nothing for now.
+  // The position as a monotonic time, never later than it was; nullopt: not usable for now.
   std::optional<Micros> position(Micros unix_time, Micros received_at, bool is_primary);
   // A position that a read must see, never earlier than it is.
   Micros required(std::int64_t unix_ms) const;
   // When a server started, never in the future.
   Micros start(std::int64_t unix_ms, Micros now) const;
 
-  // What lies outside some thousand years is brought to their edge: peers may write any number.
+  // Converts a Unix time, clamped to a range of some thousand years, as peers may write any number.
   static Micros to_micros(std::int64_t unix_ms);
 
-  // Rises with each change that matters to start times.
+  // A counter that increases with each change that affects start times.
   std::uint64_t version() const { return version_; }
   Micros distance() const { return distance_; }
   bool is_confirmed() const { return is_confirmed_; }
