--- a/src/app/operations.cpp
+++ b/src/app/operations.cpp
@@ -188,7 +188,7 @@
   auto merge = overlay_.merge_cordons(marks);
   if (!merge) return false;
   auto now = net::monotonic_now();
-  for (auto& [server, mark] : merge->taken_over)
+  for (auto& [server, mark] : merge->accepted)
     log_(net::Level::kInfo,
          fmt::format("server {} {}, as process {} has it, {:.3f} s after the call", server,
                      mark.is_cordoned ? "is cordoned by an operator" : "was put back by an operator", from,
--- a/src/endpoint_list/endpoint_list_selector.h
+++ b/src/endpoint_list/endpoint_list_selector.h
@@ -30,7 +30,7 @@
 };
 
 // The text that status reports show.
-const char* text_of(Source source);
+const char* name_of(Source source);
 
 // Each group node owns one and calls it on its event loop.
 class EndpointListSelector {
@@ -47,11 +47,9 @@
   const discovery::EndpointListUpdate& list() const { return list_; }
   Source source() const { return source_; }
   // Whether a list is in effect.
-  bool any() const { return source_ != Source::kNone; }
+  bool has_list() const { return source_ != Source::kNone; }
   // When the list in effect was published (Unix milliseconds), 0: not known.
   std::int64_t published_at_ms() const { return published_at_ms_; }
-  // The earlier name of published_at_ms(): src/group still uses it.
-  std::int64_t said_ms() const { return published_at_ms_; }
   // The number of lists rejected so far.
   std::uint64_t rejected() const { return rejected_; }
 
--- a/src/endpoint_list/endpoint_overlay.h
+++ b/src/endpoint_list/endpoint_overlay.h
@@ -28,7 +28,7 @@
 
   // What another process's marks have changed here.
   struct Merge {
-    CordonMarks taken_over;                // that are later than those here
+    CordonMarks accepted;                  // that are later than those here
     discovery::EndpointListUpdate change;  // that the others need
   };
   // Takes over later marks of another process; nullopt: there is none.
@@ -50,21 +50,21 @@
     std::optional<Micros> notified_at;  // of its drain
   };
   bool is_cordoned(const std::string& id) const;
-  bool has_room_for_cordon(const std::string& id);
-  bool is_out_elsewhere(const std::string& id) const;
+  bool reserve_cordon_slot(const std::string& id);
+  bool is_unavailable_elsewhere(const std::string& id) const;
   bool is_comparable(const EndpointListView& view) const;
-  discovery::Endpoint overlaid(const std::string& id, const Listed& listed) const;
+  discovery::Endpoint apply_overlay(const std::string& id, const Listed& listed) const;
   void record(const discovery::Endpoint& endpoint, const std::map<std::string, Listed>& before,
               Micros notice);
   void drop_outdated_view(const discovery::EndpointListUpdate& update);
   void add_change(const std::string& id, discovery::EndpointListUpdate* change) const;
-  std::set<std::string> out_elsewhere() const;
+  std::set<std::string> unavailable_elsewhere() const;
 
   std::map<std::string, Listed> listed_;
   CordonMarks cordons_;
-  std::string service_;                     // that has sent the last list; empty: not known
-  std::int64_t generation_ = 0;             // of the last list
-  std::optional<EndpointListView> newest_;  // of another process, where it is newer than the list here
+  std::string service_;                         // that has sent the last list; empty: not known
+  std::int64_t generation_ = 0;                 // of the last list
+  std::optional<EndpointListView> newer_view_;  // of another process, where it is newer than the list here
 };
 
 }  // namespace database_proxy::endpoint_list
--- a/src/group/endpoint_list_subscriber.cpp
+++ b/src/group/endpoint_list_subscriber.cpp
@@ -104,7 +104,7 @@
     auto list = discovery::parse_endpoint_list(job->data);
     list.reset = true;
     auto last_generation =
-        selector_.any() ? selector_.list().generation : std::numeric_limits<std::int64_t>::min();
+        selector_.has_list() ? selector_.list().generation : std::numeric_limits<std::int64_t>::min();
     if (!selector_.consider(Source::kGroup, context_.options.installation, std::move(list), kUnknownTime)) {
       is_published_ = selector_.source() == Source::kGroup;
       return;
@@ -126,18 +126,18 @@
 
 peers::EncodedMessage EndpointListSubscriber::encode_copy() const {
   peers::EndpointListCopy copy;
-  copy.published_at_unix_ms = selector_.said_ms();
+  copy.published_at_unix_ms = selector_.published_at_ms();
   copy.installation = context_.options.installation;
   copy.list = peers::encode_published_list(selector_.list());
   return peers::encode(copy);
 }
 
 void EndpointListSubscriber::on_follower_joined(peers::Link& link) {
-  if (selector_.any() && !is_published_) link.send(encode_copy());
+  if (selector_.has_list() && !is_published_) link.send(encode_copy());
 }
 
 void EndpointListSubscriber::on_copy_request(peers::Link& link) {
-  if (selector_.any()) link.send(encode_copy());
+  if (selector_.has_list()) link.send(encode_copy());
 }
 
 void EndpointListSubscriber::on_confirmation(peers::Link& link, const peers::EncodedMessage& message) {
@@ -145,7 +145,7 @@
   auto confirmation = peers::decode_endpoint_list_confirmation(message);
   if (age_of_unix_ms(confirmation.sent_at_unix_ms) > context_.options.fallback) return;
   connections_.disseminate(message, &link);
-  if (effective_list_.generation >= confirmation.generation && selector_.any())
+  if (effective_list_.generation >= confirmation.generation && selector_.has_list())
     last_contact_ = net::monotonic_now();
   else
     link.send(peers::encode(peers::EndpointListCopyRequest{}));
@@ -193,7 +193,7 @@
 void EndpointListSubscriber::start_fallback_poll() {
   std::optional<std::int64_t> known_generation;
   fallback_endpoints_.clear();
-  if (selector_.any()) {
+  if (selector_.has_list()) {
     known_generation = effective_list_.generation;
     for (auto& endpoint : effective_list_.members) fallback_endpoints_[endpoint.id] = endpoint;
   }
--- a/src/routing/decision_facade.cpp
+++ b/src/routing/decision_facade.cpp
@@ -18,7 +18,7 @@
 constexpr double kLatestUnixSeconds = 9e9;
 constexpr double kMicrosPerSecond = 1e6;
 // The youngest age and the earliest start that mean anything: 0 means none in the module's events.
-constexpr Micros kLeastTime{1};
+constexpr Micros kMinTime{1};
 
 router::Status status_of(AttemptOutcome outcome) {
   switch (outcome) {
@@ -123,16 +123,16 @@
   return it == classes_.end() ? nullptr : &it->second;
 }
 
-router::MemberId DecisionFacade::member_of(Micros now, const std::string& server) {
+router::MemberId DecisionFacade::find_or_add_member(Micros now, const std::string& server) {
   auto [it, is_new] = member_ids_.try_emplace(server, next_member_);
   if (is_new) servers_[next_member_++].name = server;
-  servers_[it->second].last_named = now;
+  servers_[it->second].last_seen = now;
   return it->second;
 }
 
 router::MemberEntry DecisionFacade::to_entry(Micros now, const discovery::Endpoint& endpoint) {
   router::MemberEntry entry;
-  entry.member = member_of(now, endpoint.id);
+  entry.member = find_or_add_member(now, endpoint.id);
   entry.group = endpoint.cell;
   entry.zone = endpoint.zone;
   entry.condition = condition_of(endpoint.lifecycle);
@@ -140,7 +140,7 @@
   entry.notified_at = endpoint.notified_at;
   // 0 means long ago; a true start is kept above it even where this machine booted later.
   if (endpoint.started_at_ms > 0)
-    entry.started_at = std::max(kLeastTime, clock_.start(endpoint.started_at_ms, now));
+    entry.started_at = std::max(kMinTime, clock_.start(endpoint.started_at_ms, now));
   entry.started_at = std::max(entry.started_at, endpoint.reinstated_at);
   return entry;
 }
@@ -167,7 +167,7 @@
 void DecisionFacade::forget_old_servers(Micros now) {
   std::erase_if(servers_, [&](auto& entry) {
     auto& server = entry.second;
-    bool is_old = !server.is_listed && now - server.last_named > kForgetServerAfter;
+    bool is_old = !server.is_listed && now - server.last_seen > kForgetServerAfter;
     if (is_old) member_ids_.erase(server.name);
     return is_old;
   });
@@ -200,7 +200,7 @@
   router::Outcome outcome;
   outcome.id = result.request;
   outcome.attempt = result.attempt;
-  outcome.member = member_of(now, result.server);
+  outcome.member = find_or_add_member(now, result.server);
   outcome.status = status_of(result.outcome);
   outcome.taken = result.duration;
   outcome.closed = result.closed;
@@ -219,7 +219,7 @@
 
 void DecisionFacade::report(Micros now, const ProbeResult& result) {
   router::ProbeResult probe;
-  probe.member = member_of(now, result.server);
+  probe.member = find_or_add_member(now, result.server);
   probe.ok = result.ok;
   probe.taken = result.duration;
   probe.report = parse_load_report(now, result.load_report, result.duration);
@@ -241,7 +241,7 @@
   router::Outcome outcome;
   outcome.id = decision.request;
   outcome.attempt = decision.attempt;
-  outcome.member = member_of(now, decision.server);
+  outcome.member = find_or_add_member(now, decision.server);
   outcome.status = router::Status::kNotStarted;
   outcome.closed = true;
   pending_events_.emplace_back(outcome);
@@ -266,7 +266,7 @@
   submitted.retry = request.is_retry;
   // An age of 0 would mean that the session has written nothing.
   if (request.after_unix_ms)
-    submitted.write_age = std::max(kLeastTime, now - clock_.required(*request.after_unix_ms));
+    submitted.write_age = std::max(kMinTime, now - clock_.required(*request.after_unix_ms));
   attempts_[request.id] = 0;
   pending_events_.emplace_back(submitted);
 }
--- a/src/routing/decision_facade.h
+++ b/src/routing/decision_facade.h
@@ -142,7 +142,7 @@
     std::string name;
     bool is_up = false;
     bool is_listed = false;
-    Micros last_named{0};                          // by a list or a result
+    Micros last_seen{0};                           // by a list or a result
     std::optional<discovery::Endpoint> listed_as;  // as the last list has it
   };
   struct Timer {
@@ -150,7 +150,7 @@
     std::uint64_t key = 0;
   };
 
-  request_router::MemberId member_of(Micros now, const std::string& server);
+  request_router::MemberId find_or_add_member(Micros now, const std::string& server);
   request_router::MemberEntry to_entry(Micros now, const discovery::Endpoint& endpoint);
   void forget_old_servers(Micros now);
   request_router::Report parse_load_report(Micros now, std::string_view text, Micros duration);
--- a/src/routing/server_clock.cpp
+++ b/src/routing/server_clock.cpp
@@ -22,7 +22,7 @@
 constexpr Micros kPositionLifetime = 10s;
 // The number of consecutive answers that must contradict the known distance where they make servers look
 // younger.
-constexpr int kAnswersAgainst = 8;
+constexpr int kContradictingAnswers = 8;
 // Positions come in whole milliseconds, rounded down.
 constexpr Micros kRounding = 1ms;
 
@@ -50,7 +50,7 @@
   bool is_stepped = std::chrono::abs(distance - local_distance_) > kTolerance;
   local_distance_ = distance;
   if (is_stepped) forget_confirmation(now);
-  choose(now);
+  update_distance(now);
 }
 
 void ServerClock::forget_confirmation(Micros now) {
@@ -74,7 +74,7 @@
   auto known = evidence_ ? evidence_->least : local_distance_;
   bool is_younger = evidence.greatest < known - kTolerance;
   doubtful_answers_ = is_younger ? doubtful_answers_ + 1 : 0;
-  return is_younger && doubtful_answers_ < kAnswersAgainst;
+  return is_younger && doubtful_answers_ < kContradictingAnswers;
 }
 
 // Two answers that agree narrow the interval of the distance. If they contradict each other, the servers'
@@ -89,10 +89,10 @@
   }
   evidence_ = evidence;
   is_confirmed_ = true;
-  choose(now);
+  update_distance(now);
 }
 
-void ServerClock::choose(Micros now) {
+void ServerClock::update_distance(Micros now) {
   if (!evidence_) {
     // Of two readings that differ, the greater makes servers look older.
     return set_distance(now, is_confirmed_ ? local_distance_ : std::max(local_distance_, distance_));
--- a/src/routing/server_clock.h
+++ b/src/routing/server_clock.h
@@ -56,7 +56,7 @@
   };
   void on_evidence(Micros now, Interval evidence);
   bool is_doubtful(const Interval& evidence);
-  void choose(Micros now);
+  void update_distance(Micros now);
   void set_distance(Micros now, Micros distance);
   void forget_confirmation(Micros now);
 
--- a/tests/group/parts_test.cpp
+++ b/tests/group/parts_test.cpp
@@ -413,7 +413,7 @@
   };
   EndpointListSelector selector("lab");
   EXPECT_FALSE(selector.consider(Source::kPeer, "elsewhere", list(9), 100));
-  EXPECT_FALSE(selector.any());
+  EXPECT_FALSE(selector.has_list());
   EXPECT_TRUE(selector.consider(Source::kOwnCopy, "lab", list(3), 0));
   EXPECT_TRUE(selector.consider(Source::kService, "lab", list(7, discovery::Lifecycle::kDraining), 500));
   // A peer's copy is a week old: the server stays draining.
