--- a/src/routing/decision_facade.cpp
+++ b/src/routing/decision_facade.cpp
@@ -11,13 +11,13 @@
 
 namespace router = request_router;
 
-// Longer than any request lasts after its server has left the list, so that no result can name a forgotten
-// one.
+// Longer than any request can last after its server has left the list, so that no result can name a server
+// that was already removed here.
 constexpr Micros kForgetServerAfter = std::chrono::seconds(90);
-// A position in a load report beyond this, in Unix seconds, is no time.
+// A position in a load report beyond this, in Unix seconds, is not a valid time.
 constexpr double kLatestUnixSeconds = 9e9;
 constexpr double kMicrosPerSecond = 1e6;
-// The youngest age and the earliest start that mean anything: 0 means none in the module's events.
+// The smallest age and the earliest start time that the module's events can express: 0 means none there.
 constexpr Micros kMinTime{1};
 
 router::Status status_of(AttemptOutcome outcome) {
@@ -73,13 +73,13 @@
     case router::SendReason::kKnownPrimary:
       return "it is the primary";
     case router::SendReason::kDrainingPrimary:
-      return "it is the primary, and drains within its grace";
+      return "it is the primary, draining within its grace period";
     case router::SendReason::kPrimaryTrial:
-      return "no primary is known, and it may be it";
+      return "no primary is known, and it may be the primary";
     case router::SendReason::kReplica:
-      return "a replica of least cost";
+      return "a replica with the lowest cost";
     case router::SendReason::kReadAtPrimary:
-      return "the primary, as no replica is fresh enough in time";
+      return "the primary, because no replica can serve the read in time";
   }
   return "";
 }
@@ -87,9 +87,9 @@
 std::string_view describe(router::GiveUpReason reason) {
   switch (reason) {
     case router::GiveUpReason::kUnknownGroup:
-      return "no server of its group is known";
+      return "no server of its shard group is known";
     case router::GiveUpReason::kBeyondPlan:
-      return "beyond the shares of the zones";
+      return "it exceeds the zones' shares in the placement plan";
     case router::GiveUpReason::kCannotBeInTime:
       return "it cannot be answered in time";
   }
@@ -138,7 +138,7 @@
   entry.condition = condition_of(endpoint.lifecycle);
   entry.weight = endpoint.weight;
   entry.notified_at = endpoint.notified_at;
-  // 0 means long ago; a true start is kept above it even where this machine booted later.
+  // 0 means long ago, so a known start time is kept above 0 even if this machine booted after it.
   if (endpoint.started_at_ms > 0)
     entry.started_at = std::max(kMinTime, clock_.start(endpoint.started_at_ms, now));
   entry.started_at = std::max(entry.started_at, endpoint.reinstated_at);
@@ -163,7 +163,7 @@
   forget_old_servers(now);
 }
 
-// Servers are replaced by new ones all day. The module forgets them sooner than this.
+// Servers are replaced by new ones continually. The module forgets them earlier than this facade does.
 void DecisionFacade::forget_old_servers(Micros now) {
   std::erase_if(servers_, [&](auto& entry) {
     auto& server = entry.second;
@@ -173,7 +173,8 @@
   });
 }
 
-// "inflight=7,util=0.61", or the same with colons. Names that are not known are passed over.
+// Parses a load report such as "inflight=7,util=0.61"; colons may replace the equals signs. Unknown names are
+// ignored.
 router::Report DecisionFacade::parse_load_report(Micros now, std::string_view text, Micros duration) {
   router::Report report;
   std::optional<Micros> unix_position;
@@ -236,7 +237,8 @@
   });
 }
 
-// A send that was decided but never fetched would count as in flight at its server for ever.
+// Reports a send that was decided but never returned to the caller as not started. Otherwise it would count
+// as in flight at its server forever.
 void DecisionFacade::withdraw_decision(Micros now, const Decision& decision) {
   router::Outcome outcome;
   outcome.id = decision.request;
@@ -264,7 +266,7 @@
   submitted.key = request.session;
   submitted.expires = request.expires;
   submitted.retry = request.is_retry;
-  // An age of 0 would mean that the session has written nothing.
+  // An age of 0 would mean that the session has not written anything.
   if (request.after_unix_ms)
     submitted.write_age = std::max(kMinTime, now - clock_.required(*request.after_unix_ms));
   attempts_[request.id] = 0;
@@ -288,11 +290,12 @@
   return decision;
 }
 
-// Where the distance of the clocks has changed, servers' starts are other points in time than was thought.
+// Reads the wall clock. If the distance between the clocks has changed, the servers' start times are
+// converted again.
 void DecisionFacade::read_clock(Micros now) {
   clock_.read_local_clock(now);
   if (std::exchange(clock_version_, clock_.version()) == clock_.version()) return;
-  log_("the clock of the data servers was found to differ from what was known");
+  log_("the clock offset of the data servers has changed; their start times are converted again");
   router::MemberList members;
   members.kind = router::ListKind::kDelta;
   for (auto& [id, server] : servers_)
@@ -350,7 +353,7 @@
     decision.kind = Decision::Kind::kProbe;
     decision.server = servers_[probe->member].name;
   } else {
-    // Subscribe needs nothing: the watch on discovery is always kept.
+    // Subscribe needs no action: the watch on discovery is always open.
     if (auto* timer = std::get_if<router::SetTimer>(&action))
       timers_.push_back({now + timer->after, timer->key});
     if (auto* log = std::get_if<router::Log>(&action)) log_(log->text);
--- a/src/routing/decision_facade.h
+++ b/src/routing/decision_facade.h
@@ -1,6 +1,6 @@
-// The decision module in blocking style: pick, report, tick. Nothing above this sees the module's events and
-// actions, and nothing here knows a protocol. Used by one thread; times are microseconds on the caller's
-// monotonic clock.
+// A facade over the decision module with a call interface: pick, report, tick. It hides the module's events
+// and actions from its callers and is independent of any protocol. Used by one thread; times are microseconds
+// on the caller's monotonic clock.
 #pragma once
 
 #include <cstdint>
@@ -20,43 +20,43 @@
 
 using RequestId = std::uint64_t;
 
-// What a protocol must know of a request class to take a request.
+// The properties of a request class that a protocol needs to accept a request.
 struct RequestClassInfo {
-  std::size_t index = 0;  // in the settings
+  std::size_t index = 0;  // position in the settings
   bool is_write = false;
   bool needs_key = false;     // its requests carry an idempotency key
-  bool is_repeatable = true;  // where it may have run
-  bool has_session = false;   // its requests belong to a session, which reads its own writes
+  bool is_repeatable = true;  // may be sent again after an attempt that may have run
+  bool has_session = false;   // its requests belong to a session that reads its own writes
 };
 
-// A request as a client has sent it.
+// A request received from a client.
 struct Request {
   RequestId id = 0;
   std::size_t request_class = 0;
   std::int64_t shard_group = 0;
   std::optional<std::uint64_t> session;
-  std::optional<std::int64_t> after_unix_ms;  // the commit position that a session read must see
-  Micros expires{0};                          // the final answer must be on its way by then
+  std::optional<std::int64_t> after_unix_ms;  // the commit position that a session read must include
+  Micros expires{0};                          // the deadline for sending the final answer
   bool is_retry = false;
-  bool is_repeatable = true;  // its class allows a repeat where it may have run
+  bool is_repeatable = true;  // its class allows another attempt after one that may have run
 };
 
-// How an attempt ended, and whether it may have had its effect.
+// How an attempt ended, and whether the request may have taken effect.
 enum class AttemptOutcome {
   kServed,
-  kDeclined,      // no primary, or too far behind: no effect
+  kDeclined,      // the server is not the primary, or lags too far behind: no effect
   kError,         // it may have run
-  kRejected,      // it never ran
-  kNoConnection,  // it never ran
+  kRejected,      // it did not run
+  kNoConnection,  // it did not run
   kReset,         // it may have run
-  kTimedOut,      // it may have run, or may yet
+  kTimedOut,      // it may have run, or may still run
   kCancelled,     // it may have run
-  kNotSent,       // given up before its last byte was written
+  kNotSent,       // abandoned before its last byte was written
 };
 // The role that a server's answer reports.
 enum class ServerRole { kUnknown, kPrimary, kReplica };
 
-// The end of one attempt.
+// The result of one attempt.
 struct AttemptResult {
   RequestId request = 0;
   int attempt = 0;
@@ -66,10 +66,10 @@
   bool closed = false;  // the request has its final answer
   ServerRole role = ServerRole::kUnknown;
   std::optional<std::int64_t> position_unix_ms;
-  std::string load_report;  // its text, where answers hold one
+  std::string load_report;  // the text of the load report in the answer; empty: none
 };
 
-// The end of one health check.
+// The result of one health check.
 struct ProbeResult {
   std::string server;
   bool ok = false;
@@ -77,63 +77,64 @@
   std::string load_report;
 };
 
-// What is to be done now, for one request or (kProbe) one server.
+// An action to carry out now for one request or, with kProbe, for one server.
 struct Decision {
   enum class Kind { kSend, kPostpone, kReject, kFail, kCancel, kProbe };
   Kind kind = Kind::kPostpone;
   RequestId request = 0;
   int attempt = 0;                      // kSend, kCancel
   std::string server;                   // kSend, kProbe
-  Micros timeout{0};                    // kSend: how long this attempt may take
-  Micros start_within = Micros::max();  // kSend: the attempt is not made where it cannot begin by then
-  Micros retry_after{0};                // kReject; 0: no guidance
-  std::string_view reason = "";         // kSend, kReject, kFail: in words, for the log; a literal
-  // Where it was made in another thread: when, and after how many changes of the list; and whether it comes
-  // too late to be carried out, so that it goes back as never sent.
+  Micros timeout{0};                    // kSend: the time limit of this attempt
+  Micros start_within = Micros::max();  // kSend: the attempt is dropped if it cannot begin within this time
+  Micros retry_after{0};                // kReject; 0: no Retry-After
+  std::string_view reason = "";         // kSend, kReject, kFail: text for the log; a string literal
+  // For a decision made in another thread: the time of the decision, the version of the endpoint list that it
+  // was based on, and whether it arrived too late to be carried out and is reported back as not sent.
   Micros decided_at{0};
   std::uint64_t endpoint_list_version = 0;
   bool stale = false;
 };
 
-// What was decided since the last call, in order.
+// The decisions made since the last call, in order.
 struct TickResult {
   std::vector<Decision> decisions;
-  std::optional<Micros> next_due;  // call again by then
+  std::optional<Micros> next_due;  // when tick() must be called again at the latest
 };
 
 class DecisionFacade {
  public:
-  // `log` receives the module's notes. Throws std::invalid_argument, naming the setting, where one is
-  // impossible.
+  // `log` receives the module's log messages. Throws std::invalid_argument, naming the setting, if a setting
+  // is invalid.
   DecisionFacade(request_router::Settings settings, std::uint64_t seed, UnixClock clock,
                  std::function<void(const std::string&)> log);
 
-  // nullptr: the settings know no such class.
+  // Returns nullptr if the settings define no such class.
   const RequestClassInfo* find_class(std::string_view name) const;
   const std::unordered_map<std::string, RequestClassInfo>& classes() const { return classes_; }
-  // Whether it knows of a server that is up.
+  // Whether at least one server is known to be up.
   bool ready() const { return usable_servers_ > 0; }
 
-  // `cached`: the list was known before this process started and may be old.
+  // Applies an endpoint list. `cached`: the list was known before this process started and may be outdated.
   void update(Micros now, const discovery::EndpointListUpdate& list, bool cached = false);
   void report(Micros now, const AttemptResult& result);
   void report(Micros now, const ProbeResult& result);
-  // The client of a request has left, or has had an answer that was not decided here.
+  // The client of a request has disconnected, or has received an answer that was not decided here.
   void on_client_disconnected(Micros now, RequestId request);
-  // Which zones the reads go to from now on; replaces the last plan.
+  // Sets the plan that distributes reads over the zones, replacing the previous one.
   void plan(Micros now, request_router::Plan plan);
-  // Another process of the proxy takes requests of the same sessions from now on, or none does any more.
+  // Sets whether another process of the proxy accepts requests of the same sessions.
   void share_sessions(Micros now, bool is_shared);
-  // Requests a second that would go to a server beside those in flight; 0: the server is not known.
+  // The number of requests per second that the module would send to a server in addition to those in flight;
+  // 0: the server is not known.
   double spare_capacity(const std::string& server) const;
-  // Takes a request and returns its first decision, kPostpone where there is none yet.
+  // Accepts a request and returns its first decision, or kPostpone if there is none yet.
   Decision pick(Micros now, const Request& request);
-  // Takes a request whose first decision comes with the next tick().
+  // Accepts a request; the next tick() returns its first decision.
   void submit(Micros now, const Request& request);
-  // Decides on all that has come since the last call.
+  // Processes everything received since the last call, and the timers that are due.
   TickResult tick(Micros now);
 
-  // How much is remembered: bounded by the servers that are listed or left the list lately.
+  // The number of servers held in memory: limited to those that are listed or have recently left the list.
   std::size_t servers_known() const { return servers_.size(); }
   std::size_t members_known() const { return router_.members(); }
 
@@ -142,8 +143,8 @@
     std::string name;
     bool is_up = false;
     bool is_listed = false;
-    Micros last_seen{0};                           // by a list or a result
-    std::optional<discovery::Endpoint> listed_as;  // as the last list has it
+    Micros last_seen{0};                           // when a list or a result last named it
+    std::optional<discovery::Endpoint> listed_as;  // its entry in the last list
   };
   struct Timer {
     Micros due{0};
@@ -162,16 +163,16 @@
   request_router::Settings settings_;
   request_router::Router router_;
   ServerClock clock_;
-  std::uint64_t clock_version_ = 0;  // that start times were converted with
+  std::uint64_t clock_version_ = 0;  // the version of the clock that start times were converted with
   std::function<void(const std::string&)> log_;
   std::unordered_map<std::string, RequestClassInfo> classes_;
-  std::unordered_map<std::string, request_router::MemberId> member_ids_;  // by the server's name
+  std::unordered_map<std::string, request_router::MemberId> member_ids_;  // by server name
   std::unordered_map<request_router::MemberId, Server> servers_;
-  request_router::MemberId next_member_ = 0;  // an id is never given twice
+  request_router::MemberId next_member_ = 0;  // ids are never reused
   std::size_t usable_servers_ = 0;
-  std::unordered_map<RequestId, int> attempts_;        // of the open requests: how many were sent
-  std::vector<Decision> decisions_;                    // not fetched yet
-  std::vector<request_router::Event> pending_events_;  // in order; the module is given all of them at once
+  std::unordered_map<RequestId, int> attempts_;        // the number of attempts sent for each open request
+  std::vector<Decision> decisions_;                    // not yet returned by pick() or tick()
+  std::vector<request_router::Event> pending_events_;  // in order; passed to the module in one call
   std::vector<Timer> timers_;
 };
 
