--- a/src/endpoint_list/cordon_marks.h
+++ b/src/endpoint_list/cordon_marks.h
@@ -1,4 +1,5 @@
-// The operators' commands on data servers, as processes tell them to each other. Pure.
+// The operators' cordon and uncordon commands on data servers, in the form in which processes of this proxy
+// exchange them. No clock, I/O or thread.
 #pragma once
 
 #include <chrono>
@@ -10,7 +11,7 @@
 
 using Micros = std::chrono::microseconds;  // on the machine's monotonic clock, which all its processes share
 
-// The last command on one server. Of two, from whatever process, the one with the later time holds.
+// The last command on one server. Of two marks, from any processes, the one with the later time takes effect.
 struct CordonMark {
   Micros changed_at{0};
   bool is_cordoned = false;
@@ -18,7 +19,8 @@
 };
 using CordonMarks = std::map<std::string, CordonMark>;  // by the server's id
 
-// More servers than any site has: a mistake in a script must not fill the memory.
+// The maximum number of marks, greater than the number of servers at any site. It keeps a faulty script from
+// filling the memory.
 constexpr std::size_t kMostCordonMarks = 1024;
 
 }  // namespace database_proxy::endpoint_list
--- a/src/endpoint_list/endpoint_list_selector.h
+++ b/src/endpoint_list/endpoint_list_selector.h
@@ -1,15 +1,15 @@
 // Selects the endpoint list in effect at a process that may receive lists in several ways: from the group,
-// from a voter that polls the discovery service while nobody owns that job, or from the service itself. Pure:
-// no clock, I/O or thread.
+// from a voter that polls the discovery service while no node owns that job, or from the service itself. No
+// clock, I/O or thread.
 //
-// - A list of another installation is never accepted. Links to other installations are refused before; here
-// it
-//   is a second check.
-// - Lists that the group committed are accepted in the order of the group's log, whatever their generation: a
-//   discovery service that was reset counts from the beginning again.
-// - All other lists go by their generation: an older one never replaces a newer one, so no copy takes back
-// that
-//   a server drains or is removed.
+// A list of another installation is never accepted. This is a second check, as links to other installations
+// are rejected earlier.
+//
+// Lists that the group committed are accepted in the order of the group's log, regardless of their
+// generation, because a discovery service that was reset counts from the beginning again.
+//
+// All other lists are ordered by their generation: an older list never replaces a newer one, so a copy cannot
+// revert that a server is draining or removed.
 #pragma once
 
 #include <cstdint>
@@ -29,17 +29,17 @@
   kGroup     // committed by the group
 };
 
-// The text that status reports show.
+// Returns the text that status reports show.
 const char* name_of(Source source);
 
-// Each group node owns one and calls it on its event loop.
+// Owned by a group node, which calls it on its event loop.
 class EndpointListSelector {
  public:
   explicit EndpointListSelector(std::string installation) : installation_(std::move(installation)) {}
 
   // Considers a full list. `published_at_ms`: when the discovery service published it (Unix milliseconds), 0:
-  // not known. Returns whether the list in effect has changed. A list that is in effect already may only get
-  // a later publication time and a source of more authority.
+  // not known. Returns whether the list in effect has changed. Of a list that is in effect
+  // already, only a later publication time and a source of more authority are stored.
   bool consider(Source source, const std::string& installation, discovery::EndpointListUpdate list,
                 std::int64_t published_at_ms);
 
--- a/src/endpoint_list/endpoint_overlay.cpp
+++ b/src/endpoint_list/endpoint_overlay.cpp
@@ -11,7 +11,8 @@
 using discovery::Lifecycle;
 using discovery::UpdateSource;
 
-// The time of a notice of which only is known that it was given before. A grace that is too short is safe.
+// The time of an earlier notice whose exact time is not known. The grace period may then be too short, which
+// is safe.
 constexpr Micros kUnknownNoticeTime{0};
 
 }  // namespace
@@ -21,8 +22,9 @@
   return found != cordons_.end() && found->second.is_cordoned;
 }
 
-// A cordon that was lifted is remembered, since an older mark of another process would bring it back; the one
-// that was lifted first is forgotten when there is no other room.
+// Returns whether a mark for the server can be stored. Marks of uncordoned servers are kept, because an older
+// mark of another process would restore the cordon. If all slots are used, the mark of the server that was
+// uncordoned first is removed.
 bool EndpointOverlay::reserve_cordon_slot(const std::string& id) {
   if (cordons_.contains(id) || cordons_.size() < kMostCordonMarks) return true;
   auto oldest = cordons_.end();
@@ -51,7 +53,7 @@
   if (cordon == cordons_.end()) return endpoint;
   if (cordon->second.is_cordoned)
     mark_draining(cordon->second.changed_at);
-  else  // while it was out it may have been restarted at any moment up to the last
+  else  // it may have been restarted at any time until it was uncordoned
     endpoint.reinstated_at = cordon->second.changed_at;
   return endpoint;
 }
@@ -66,13 +68,14 @@
   listed_[endpoint.id] = std::move(listed);
 }
 
-// Two services do not count alike.
+// Generations of different discovery services are not comparable.
 bool EndpointOverlay::is_comparable(const EndpointListView& view) const {
   return service_.empty() || view.service.empty() || service_ == view.service;
 }
 
-// A list of this process that is as new says all that the view does; so does a whole one that is fresh, where
-// the discovery service has begun to count anew.
+// Drops the other process's view if this process's list is at least as new or comes from a different
+// discovery service. A complete list that was just received from discovery also supersedes the view, as the
+// service may have begun to count anew.
 void EndpointOverlay::drop_outdated_view(const EndpointListUpdate& update) {
   bool is_fresh = update.source != UpdateSource::kConfiguration;
   if (!newer_view_) return;
--- a/src/endpoint_list/endpoint_overlay.h
+++ b/src/endpoint_list/endpoint_overlay.h
@@ -1,6 +1,6 @@
-// What is laid over discovery's endpoint list before anybody sees it: the operators' word on data servers,
-// and what other processes of this proxy were told. A server that is out by either is shown as draining,
-// together with the time of the first notice. Pure: no clock, no I/O.
+// Overlays discovery's endpoint list with the operators' cordons and with newer endpoint lists of other
+// processes of this proxy, before any other code uses it. A server that either of them takes out of service
+// is shown as draining, with the time of the first notice. No clock, no I/O.
 #pragma once
 
 #include <map>
@@ -14,40 +14,41 @@
 
 namespace database_proxy::endpoint_list {
 
-// Owned by whoever receives the endpoint lists; not thread safe.
+// Owned by the receiver of the endpoint lists; not thread safe.
 class EndpointOverlay {
  public:
   enum class Result { kDone, kUnchanged, kUnknownServer, kTooMany };
 
-  // The update that came at `now`, as all others are to see it.
+  // Returns the update that was received at `now` with the overlay applied.
   discovery::EndpointListUpdate apply_to(discovery::EndpointListUpdate update, Micros now);
 
-  // A command of an operator. `change` is the update that the others need, where the result is kDone.
+  // Applies an operator's command. If the result is kDone, `change` is the resulting list update.
   Result set_cordon(const std::string& id, bool is_cordoned, Micros now,
                     discovery::EndpointListUpdate* change);
 
-  // What another process's marks have changed here.
+  // The effect of merging another process's marks.
   struct Merge {
-    CordonMarks accepted;                  // that are later than those here
-    discovery::EndpointListUpdate change;  // that the others need
+    CordonMarks accepted;                  // the marks that were later than those here
+    discovery::EndpointListUpdate change;  // the resulting list update
   };
-  // Takes over later marks of another process; nullopt: there is none.
+  // Accepts the marks of another process that are later than those here; nullopt: there are none.
   std::optional<Merge> merge_cordons(const CordonMarks& marks);
 
-  // Another process has this list, or had it when it ended. While it is newer than the list here, a server
-  // that it does not have as up is out, without any grace. Returns the update that the others need, if any.
+  // Adds the list view of another process, or the last view of one that has ended. While its list is newer
+  // than the list here, a server that is not up in it is out of service, without a grace period. Returns the
+  // resulting list update, if any.
   std::optional<discovery::EndpointListUpdate> add_view(const EndpointListView& view);
 
   const CordonMarks& cordons() const { return cordons_; }
-  // What this process knows, for the others.
+  // The newest view known to this process, for other processes.
   EndpointListView view() const;
-  // Whether no other server of the id's group takes work.
+  // Whether no other server of its shard group is in service.
   bool is_last_of_group(const std::string& id) const;
 
  private:
   struct Listed {
-    discovery::Endpoint endpoint;       // as discovery has it
-    std::optional<Micros> notified_at;  // of its drain
+    discovery::Endpoint endpoint;       // as discovery reports it
+    std::optional<Micros> notified_at;  // time of the first notice that it drains
   };
   bool is_cordoned(const std::string& id) const;
   bool reserve_cordon_slot(const std::string& id);
@@ -62,9 +63,9 @@
 
   std::map<std::string, Listed> listed_;
   CordonMarks cordons_;
-  std::string service_;                         // that has sent the last list; empty: not known
+  std::string service_;                         // discovery service of the last list; empty: not known
   std::int64_t generation_ = 0;                 // of the last list
-  std::optional<EndpointListView> newer_view_;  // of another process, where it is newer than the list here
+  std::optional<EndpointListView> newer_view_;  // of another process; empty: none is newer than the list here
 };
 
 }  // namespace database_proxy::endpoint_list
