--- a/src/operator_endpoint/operator_command.cpp
+++ b/src/operator_endpoint/operator_command.cpp
@@ -37,9 +37,9 @@
   using Kind = OperatorCommand::Kind;
   if (line.ends_with('\r')) line.remove_suffix(1);
   if (line.size() > kLongestCommand)
-    return malformed(fmt::format("a command has {} bytes at most", kLongestCommand));
+    return malformed(fmt::format("the command is longer than {} bytes", kLongestCommand));
   if (std::any_of(line.begin(), line.end(), is_control_character))
-    return malformed("a command has no control characters");
+    return malformed("the command contains control characters");
   auto words = split_words(line);
   if (words.empty()) return malformed(fmt::format("the line is empty; {}", kCommandList));
   OperatorCommand command;
--- a/src/operator_endpoint/operator_command.h
+++ b/src/operator_endpoint/operator_command.h
@@ -1,4 +1,4 @@
-// The line that an operator sends, and the first words of its answers. No I/O.
+// Parsing of an operator's command line, and formatting of the replies to it. No I/O.
 #pragma once
 
 #include <cstddef>
@@ -7,21 +7,21 @@
 
 namespace database_proxy::operator_endpoint {
 
-// A longer line is no command: identifiers of data servers are short words.
+// The maximum length of a line in bytes. Ids of data servers are short, so a longer line cannot be a command.
 constexpr std::size_t kLongestCommand = 512;
 
-// What an operator asks for.
+// A command sent by an operator.
 struct OperatorCommand {
   enum class Kind { kHealth, kCordon, kUncordon, kMalformed };
   Kind kind = Kind::kMalformed;
-  std::string server;  // kCordon, kUncordon: its id
+  std::string server;  // kCordon, kUncordon: the id of the data server
   std::string error;   // kMalformed: what is wrong with the line
 };
 
-// `line` comes without its line feed; a carriage return before that belongs to the end of the line.
+// Parses a line without its line feed. A carriage return at its end is part of the line ending.
 OperatorCommand parse_command(std::string_view line);
 
-// The answers, each a complete line.
+// Format the replies, each a complete line.
 std::string yes(std::string_view remark = {});
 std::string no(std::string_view reason);
 
--- a/src/operator_endpoint/operator_connection.h
+++ b/src/operator_endpoint/operator_connection.h
@@ -1,4 +1,5 @@
-// One connection on the operators' address: reads a line, passes its command on, writes the answer, closes.
+// One connection on the operators' address: reads a line, passes its command to the listener's handler,
+// writes the reply and closes.
 #pragma once
 
 #include <cstdint>
@@ -14,7 +15,7 @@
   OperatorConnection(OperatorListener& listener, std::uint64_t number, net::Fd socket);
   ~OperatorConnection() override;
 
-  bool start();  // false: it cannot be watched
+  bool start();  // returns false if the event loop cannot watch the socket
   bool has_command() const { return has_command_; }
   void on_ready(std::uint32_t events) override;
   void answer(std::string_view text);
--- a/src/operator_endpoint/operator_listener.cpp
+++ b/src/operator_endpoint/operator_listener.cpp
@@ -17,11 +17,11 @@
 using namespace std::chrono_literals;
 using net::Micros;
 
-// Callers hold a connection for 4 s without a complete command and may still send it.
+// Longer than 4 s, for which a client may keep its connection open before it completes its command.
 constexpr Micros kConnectionTimeout = 6s;
-// Commands are rare, and clients must not wait for a flood of them.
+// Commands are rare, and a flood of them must not delay the clients of the proxy.
 constexpr int kAcceptsPerIteration = 8;
-// Until the next look where nothing could be accepted, and until the next try to listen.
+// Delays before the next attempt after a failed accept, and after a failed attempt to listen.
 constexpr Micros kAcceptRetry = 50ms, kListenRetry = 50ms;
 
 }  // namespace
@@ -50,7 +50,7 @@
   if (is_readable && !has_command_) read_command();
 }
 
-// A line may come complete with the end of the caller's sending right behind it.
+// A complete line and the end of the client's data may arrive together.
 void OperatorConnection::read_command() {
   constexpr std::size_t kLineEnd = 2;
   auto end = input_.fill(socket_.get(), kLongestCommand + kLineEnd);
@@ -78,8 +78,8 @@
   finish();
 }
 
-// What came behind the command is read first: closing over unread bytes would reset the connection and take
-// the answer along.
+// Discards the bytes received after the command before closing: closing with unread bytes would reset the
+// connection, and the client would lose the reply.
 void OperatorConnection::finish() {
   constexpr std::size_t kMostDiscarded = 16 * kLongestCommand;
   if (!output_.empty()) return;
@@ -96,7 +96,7 @@
       on_socket_ready_(*this),
       self_(std::make_shared<OperatorListener*>(this)) {
   auto parsed = net::parse_address(address_);
-  if (!parsed) throw std::runtime_error(fmt::format("operator is no address: '{}'", address_));
+  if (!parsed) throw std::runtime_error(fmt::format("operator is not a valid address: '{}'", address_));
   parsed_address_ = *parsed;
   listen();
 }
@@ -115,7 +115,7 @@
     log_(net::Level::kInfo, fmt::format("operators are served on {}", address_));
     return;
   }
-  if (socket_) error = ENOMEM;  // the kernel has no room to watch it
+  if (socket_) error = ENOMEM;  // the kernel has no memory left to watch the socket
   socket_.reset();
   auto what = fmt::format("cannot listen for operators on {}: {}", address_, net::message_of(error));
   if (!net::is_transient(error)) throw std::runtime_error(what);
@@ -123,7 +123,7 @@
   retry_timer_ = loop_.at(loop_.now() + kListenRetry, [this] { listen(); });
 }
 
-// Those whose answer is on its way stay.
+// Connections whose command is being answered are kept.
 bool OperatorListener::evict_oldest_without_command() {
   for (auto& [number, connection] : connections_) {
     if (connection->has_command()) continue;
@@ -161,7 +161,7 @@
   if (connection->start()) connections_.emplace(number, std::move(connection));
 }
 
-// The connection may be in one of its own calls: it is freed in the next iteration.
+// One of the connection's own functions may be on the call stack, so it is freed in the next loop iteration.
 void OperatorListener::close(std::uint64_t number) {
   auto found = connections_.find(number);
   if (found == connections_.end()) return;
--- a/src/operator_endpoint/operator_listener.h
+++ b/src/operator_endpoint/operator_listener.h
@@ -1,5 +1,6 @@
-// The operators' address: one command a connection, answered and closed. Bounded in connections, time and
-// bytes, so that nobody who holds connections keeps others from an answer.
+// Listener on the operators' address. Each connection carries one command and is closed after the reply. The
+// number of connections, their duration and their bytes are limited, so that a client that holds connections
+// open cannot keep others from being answered.
 #pragma once
 
 #include <functional>
@@ -15,9 +16,9 @@
 
 namespace database_proxy::operator_endpoint {
 
-// Connections at a time; beyond, the oldest that has not sent its command gives way.
+// The maximum number of connections. Beyond it, the oldest one that has not sent its command is closed.
 constexpr std::size_t kMostConnections = 16;
-// Descriptors that a listener holds at most. They are kept back from clients.
+// The maximum number of descriptors that a listener holds. They are reserved, not available to clients.
 constexpr std::size_t kListenerDescriptors = kMostConnections + 1;
 
 class OperatorConnection;
@@ -25,12 +26,12 @@
 // Owned and used by the thread of its loop.
 class OperatorListener {
  public:
-  // Called with each complete line's command; `answer` may be called later, once, in the loop's thread.
+  // Called with the command of each complete line. `Answer` may be called later, once, in the loop's thread.
   using Answer = std::function<void(std::string)>;
   using Handle = std::function<void(const OperatorCommand&, Answer)>;
 
-  // Listens on `address`. Where that is taken for the moment, it goes on trying. Throws std::runtime_error
-  // for an address that this machine can never listen on.
+  // Listens on `address`. If it is temporarily unavailable, listening is retried. Throws std::runtime_error
+  // for an address on which this machine can never listen.
   OperatorListener(net::Loop& loop, std::string address, Handle handle, net::Log log);
   ~OperatorListener();
   OperatorListener(const OperatorListener&) = delete;
@@ -65,10 +66,10 @@
   net::Fd socket_;
   bool has_logged_failure_ = false;
   std::uint64_t next_number_ = 0;
-  std::map<std::uint64_t, std::unique_ptr<OperatorConnection>> connections_;  // in the order of their coming
-  std::vector<std::unique_ptr<OperatorConnection>> closed_;  // each may be in one of its own calls
+  std::map<std::uint64_t, std::unique_ptr<OperatorConnection>> connections_;  // in the order of acceptance
+  std::vector<std::unique_ptr<OperatorConnection>> closed_;  // their own functions may be on the call stack
   net::Loop::TimerId retry_timer_ = net::Loop::kNoTimer;
-  std::shared_ptr<OperatorListener*> self_;  // expired for answers that come after this has gone
+  std::shared_ptr<OperatorListener*> self_;  // lets late replies detect that the listener was destroyed
 };
 
 }  // namespace database_proxy::operator_endpoint
