--- a/src/routing/server_clock.cpp
+++ b/src/routing/server_clock.cpp
@@ -7,8 +7,8 @@
 
 using namespace std::chrono_literals;
 
-// Clocks that are kept by the same time service differ by less; a process may also be held up for 0.15 s
-// between the arrival of an answer and its reading.
+// Clocks synchronized by the same time service differ by less than this. It also covers a delay of 0.15 s
+// between the arrival of an answer and the time at which the process reads it.
 constexpr Micros kTolerance = 250ms;
 // The time without a primary's answer after which the wall clock is trusted unless there is contrary
 // evidence.
@@ -68,8 +68,8 @@
   if (is_far_off) on_evidence(received_at, coarse);
 }
 
-// Returns true if the evidence would make servers look younger than everything known so far and has not been
-// repeated often enough.
+// Returns whether the evidence would make servers look younger than all earlier evidence does and has not
+// been repeated often enough.
 bool ServerClock::is_doubtful(const Interval& evidence) {
   auto known = evidence_ ? evidence_->least : local_distance_;
   bool is_younger = evidence.greatest < known - kTolerance;
@@ -116,7 +116,7 @@
   if (unconfirmed_since_ == Micros::min()) unconfirmed_since_ = received_at;
   bool is_in_future = unix_time - received_at > distance_ + kTolerance;
   if (is_in_future) {
-    // No server is ahead of the present: the distance is too small.
+    // A position cannot be in the future, so the distance is too small.
     forget_confirmation(received_at);
     evidence_.reset();
     set_distance(received_at, unix_time - received_at);
--- a/src/routing/server_clock.h
+++ b/src/routing/server_clock.h
@@ -1,15 +1,19 @@
 // Conversion between the Unix times of data servers and the monotonic clock of this machine. Its only
 // outside input is a reading of the wall clock.
 //
-// Servers report positions as Unix times; bounds are spans of monotonic time. They are converted by their
-// distance (Unix time minus monotonic time). The wall clock of this machine gives it to the microsecond, but
-// may be an hour off, and may be stepped at any moment. A primary's answer proves it within the time that the
-// answer took, because a primary's position is the present time: its position lies between the sending of the
-// request and the arrival of the answer. So the wall clock's distance is used as long as primaries confirm
-// it, and else theirs, rounded to the side on which replicas look older. A smaller distance makes them look
-// younger, and a member that was primary once may claim to be at a present that is long over: such an answer
-// counts when it is repeated and no other primary contradicts it. Until a primary has confirmed one, and
-// after the wall clock has been stepped, positions of replicas are not used.
+// Servers report positions as Unix times; bounds are spans of monotonic time. Positions are converted with
+// the distance between the two clocks (Unix time minus monotonic time).
+//
+// The wall clock of this machine gives the distance to the microsecond, but may be an hour off and may be
+// stepped at any moment. A primary's answer determines the distance to within the duration of the request:
+// the position of a primary is its current time, so it lies between the sending of the request and the
+// arrival of the answer. The wall clock's distance is therefore used while primaries confirm it. Otherwise
+// the distance from the primaries' answers is used, rounded in the direction that makes replicas look older.
+//
+// A smaller distance makes replicas look younger, and a former primary may report an outdated position as its
+// current time. Such an answer is used only if it is repeated and no other primary contradicts it. Until a
+// primary has confirmed a distance, and after the wall clock has been stepped, positions of replicas are not
+// used.
 #pragma once
 
 #include <chrono>
@@ -25,21 +29,21 @@
  public:
   explicit ServerClock(UnixClock local);
 
-  // Applies a reading of the wall clock: its distance to the monotonic clock.
+  // Applies a reading of the wall clock, given as its distance to the monotonic clock.
   void on_local_distance(Micros now, Micros distance);
-  // Reads the wall clock, if that is due.
+  // Reads the wall clock if a reading is due.
   void read_local_clock(Micros now);
 
-  // Applies the position in a primary's answer, which was made between the two times.
+  // Applies the position in a primary's answer, which the primary determined between the two times.
   void on_primary_position(Micros unix_time, Micros sent_at, Micros received_at);
-  // The same from a load report, which is somewhat older than the answer that brings it.
+  // Applies the position in a primary's load report, which is slightly older than the answer that carries it.
   void on_primary_report(Micros unix_time, Micros sent_at, Micros received_at);
 
-  // The position as a monotonic time, never later than it was; nullopt: not usable for now.
+  // Converts a position to monotonic time, rounded so that it is never too late; nullopt: not usable yet.
   std::optional<Micros> position(Micros unix_time, Micros received_at, bool is_primary);
-  // A position that a read must see, never earlier than it is.
+  // Converts a position that a read must include, rounded so that it is never too early.
   Micros required(std::int64_t unix_ms) const;
-  // When a server started, never in the future.
+  // Converts the start time of a server; the result is never in the future.
   Micros start(std::int64_t unix_ms, Micros now) const;
 
   // Converts a Unix time, clamped to a range of some thousand years, as peers may write any number.
@@ -63,11 +67,11 @@
   UnixClock local_clock_;
   Micros local_distance_, distance_;
   std::optional<Interval> evidence_;
-  int doubtful_answers_ = 0;  // in a row
+  int doubtful_answers_ = 0;  // consecutive answers that were doubtful
   bool is_confirmed_ = false;
-  Micros unconfirmed_since_ = Micros::min();  // min: not known yet
+  Micros unconfirmed_since_ = Micros::min();  // min: not yet set
   Micros read_at_ = Micros::min();
-  // The smallest distance that positions which may still be in use were converted with.
+  // The smallest distance with which positions that may still be in use were converted.
   Micros least_distance_, least_until_ = Micros::min();
   std::uint64_t version_ = 0;
 };
--- a/src/routing/unix_clock.h
+++ b/src/routing/unix_clock.h
@@ -11,12 +11,14 @@
 
 using Micros = std::chrono::microseconds;
 
-// A fixed distance between the two clocks; conversions round to the safe side.
+// A fixed distance between the two clocks. Conversions round to the safe side: down for positions that
+// servers have reached, up for positions that reads must include.
 class UnixClock {
  public:
   // Unix time minus the monotonic clock, in microseconds.
   explicit UnixClock(Micros distance) : distance_(distance) {}
-  // A clock with the distance measured now. It has to be measured again, as the wall clock may be stepped.
+  // Returns a clock with the distance measured now. The owner must measure it again from time to time, as the
+  // wall clock may be stepped.
   static UnixClock measured() { return live(measure_distance()); }
   static UnixClock live(Micros distance) {
     UnixClock clock(distance);
@@ -45,12 +47,13 @@
     return distance;
   }
 
-  // A position that a server is known to have reached: never later than it was.
+  // Converts a position that a server has reached, rounded so that it is never too late.
   Micros known(std::int64_t unix_ms) const { return Micros(clamp_to_range(unix_ms) * 1000) - distance_; }
   Micros known_seconds(double unix_s) const {
     return Micros(static_cast<std::int64_t>(std::floor(unix_s * 1e6))) - distance_;
   }
-  // A position that a read must see: never earlier than it is (it comes rounded up to a millisecond).
+  // Converts a position that a read must include. The result is never too early. The input
+  // is rounded up to a whole millisecond.
   Micros required(std::int64_t unix_ms) const {
     return Micros(clamp_to_range(unix_ms) * 1000 + 1) - distance_;
   }
