--- a/src/endpoint_list/endpoint_list_selector.h
+++ b/src/endpoint_list/endpoint_list_selector.h
@@ -38,8 +38,8 @@
   explicit EndpointListSelector(std::string installation) : installation_(std::move(installation)) {}
 
   // Considers a full list. `published_at_ms`: when the discovery service published it (Unix milliseconds), 0:
-  // not known. Returns whether the list in effect has changed. Of a list that is in effect
-  // already, only a later publication time and a source of more authority are stored.
+  // not known. Returns whether the list in effect has changed. Of a list that is in effect already, only a
+  // later publication time and a source of more authority are stored.
   bool consider(Source source, const std::string& installation, discovery::EndpointListUpdate list,
                 std::int64_t published_at_ms);
 
--- a/src/operator_endpoint/operator_command.h
+++ b/src/operator_endpoint/operator_command.h
@@ -15,7 +15,7 @@
   enum class Kind { kHealth, kCordon, kUncordon, kMalformed };
   Kind kind = Kind::kMalformed;
   std::string server;  // kCordon, kUncordon: the id of the data server
-  std::string error;   // kMalformed: what is wrong with the line
+  std::string error;   // kMalformed: the error in the line
 };
 
 // Parses a line without its line feed. A carriage return at its end is part of the line ending.
--- a/src/operator_endpoint/operator_listener.h
+++ b/src/operator_endpoint/operator_listener.h
@@ -26,7 +26,8 @@
 // Owned and used by the thread of its loop.
 class OperatorListener {
  public:
-  // Called with the command of each complete line. `Answer` may be called later, once, in the loop's thread.
+  // Called with the command of each complete line. The Answer may be called later, once, in the loop's
+  // thread.
   using Answer = std::function<void(std::string)>;
   using Handle = std::function<void(const OperatorCommand&, Answer)>;
 
--- a/src/routing/unix_clock.h
+++ b/src/routing/unix_clock.h
@@ -52,8 +52,8 @@
   Micros known_seconds(double unix_s) const {
     return Micros(static_cast<std::int64_t>(std::floor(unix_s * 1e6))) - distance_;
   }
-  // Converts a position that a read must include. The result is never too early. The input
-  // is rounded up to a whole millisecond.
+  // Converts a position that a read must include. The result is never too early. The input is
+  // rounded up to a whole millisecond.
   Micros required(std::int64_t unix_ms) const {
     return Micros(clamp_to_range(unix_ms) * 1000 + 1) - distance_;
   }
