--- a/src/routing/server_clock.cpp
+++ b/src/routing/server_clock.cpp
@@ -68,8 +68,8 @@
   if (is_far_off) on_evidence(received_at, coarse);
 }
 
-// Returns whether the evidence would make servers look younger than all earlier evidence does and has not
-// been repeated often enough.
+// Returns whether the evidence would make servers look younger than the distance known so far does and has
+// not been repeated often enough.
 bool ServerClock::is_doubtful(const Interval& evidence) {
   auto known = evidence_ ? evidence_->least : local_distance_;
   bool is_younger = evidence.greatest < known - kTolerance;
