--- a/src/pg/message.cpp
+++ b/src/pg/message.cpp
@@ -95,7 +95,7 @@
   return is_parameter_list(in.substr(8, length - 8)) ? ParseStatus::kOk : ParseStatus::kBad;
 }
 
-std::optional<std::string_view> text_of_query(std::string_view body) {
+std::optional<std::string_view> query_text(std::string_view body) {
   if (body.empty() || body.find('\0') != body.size() - 1) return std::nullopt;
   return body.substr(0, body.size() - 1);
 }
--- a/src/pg/message.h
+++ b/src/pg/message.h
@@ -33,7 +33,7 @@
 
 // The text of a Query without its end mark; nullopt: the mark is missing, or another one stands before the
 // end.
-std::optional<std::string_view> text_of_query(std::string_view body);
+std::optional<std::string_view> query_text(std::string_view body);
 
 // The fields of an ErrorResponse that matter here.
 struct ErrorFields {
--- a/src/proxy/client_commands.cpp
+++ b/src/proxy/client_commands.cpp
@@ -58,7 +58,7 @@
   if (state_ == State::kSkippingToSync && !ends_skipping) return;
   switch (frame.type) {
     case 'Q': {
-      auto text = pg::text_of_query(frame.body);
+      auto text = pg::query_text(frame.body);
       if (!text) return fail_connection("08P01", "a query must be one text with its end mark");
       return handle_query(*text);
     }
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -24,20 +24,20 @@
 constexpr Micros kPartialCommandGrace = 2500ms;
 // Beside a successor: so long before the platform's kill what is open fails, and the process ends. A process
 // may be held up for 0.15 s in between.
-constexpr Micros kLastAnswerBefore = 400ms, kLastCloseBefore = 250ms;
+constexpr Micros kLastAnswerBeforeKill = 400ms, kLastCloseBeforeKill = 250ms;
 // A client that does not read its last answers does not keep the proxy up. Requests that are open are never
 // cut off: each ends by its own deadline.
 constexpr Micros kLongestShutdown = 15s;
 // Standard streams, epoll, the signals, the listener, discovery, the log: and some to spare.
 constexpr std::size_t kOwnDescriptors = 16;
-constexpr std::size_t kOfEachProxy = 2;          // of several: each one's epoll, and one to spare
+constexpr std::size_t kDescriptorsPerProxy = 2;  // of several: each one's epoll, and one to spare
 constexpr std::size_t kReservedDescriptors = 8;  // of these, while another proxy of the process makes room
 // Clients with requests hold a third of the descriptors at most. Two thirds for all clients leave those their
 // part beside as many silent ones, and data servers the last third.
 constexpr double kClientShare = 2.0 / 3;
 // Beside other processes: what each may take up between two looks at the others, as a part of all
 // descriptors; and what a process needs to come up while the others still hold nearly all.
-constexpr std::size_t kGrowthShare = 16, kLeastOverlapDescriptors = 8;
+constexpr std::size_t kGrowthShare = 16, kMinOverlapDescriptors = 8;
 // One iteration's share of new clients: a flood of them waits in the backlog, where it costs nothing.
 constexpr int kAcceptsPerIteration = 16;
 // Where another proxy of this process was asked for room, by then it has closed something.
@@ -48,7 +48,7 @@
 // third of the descriptors, and the others can open none. So over a quarter, the longest idle ones are
 // closed: never one that has asked so lately that it may be about to ask again.
 constexpr std::size_t kActiveClientShare = 4;
-constexpr Micros kTrimEvery = 5ms;
+constexpr Micros kTrimInterval = 5ms;
 // Of the memory allowed: what unfinished statements of clients may hold together.
 constexpr std::size_t kStatementMemoryShare = 4;
 // Discovery's agent answers at once where it has something. Until it has, or for so long, a list from the
@@ -58,11 +58,11 @@
 }  // namespace
 
 std::size_t descriptors_allowed(std::size_t all, const OtherProcessesUsage& others, std::size_t own) {
-  auto part = all / (1 + others.processes);
-  bool do_others_keep_to_theirs = others.descriptors <= all - part;
-  if (do_others_keep_to_theirs) return part;
-  auto left = all - std::min(all, others.descriptors + all / kGrowthShare);
-  return std::max(left, std::min(own + kLeastOverlapDescriptors, part));
+  auto equal_share = all / (1 + others.processes);
+  bool are_others_within_share = others.descriptors <= all - equal_share;
+  if (are_others_within_share) return equal_share;
+  auto unused = all - std::min(all, others.descriptors + all / kGrowthShare);
+  return std::max(unused, std::min(own + kMinOverlapDescriptors, equal_share));
 }
 
 Proxy::Proxy(net::Loop& loop, routing::Decider& decider, ProxyOptions options, const net::Log& log)
@@ -198,51 +198,53 @@
 }
 
 void Proxy::share_limits_with(const OtherProcessesUsage& others) {
-  if (others.takes_requests != others_.takes_requests) dispatcher_.share_sessions(others.takes_requests);
-  others_ = others;
+  if (others.takes_requests != other_processes_.takes_requests)
+    dispatcher_.share_sessions(others.takes_requests);
+  other_processes_ = others;
 }
 
 std::size_t Proxy::descriptors_allowed() const {
-  return proxy::descriptors_allowed(options_.descriptors, others_,
+  return proxy::descriptors_allowed(options_.descriptors, other_processes_,
                                     kOwnDescriptors + options_.reserved_descriptors);
 }
 
 // A few an iteration: idle ones go as others need what they hold.
-void Proxy::give_way_to_others() {
+void Proxy::release_excess_descriptors() {
   for (int i = 0; i < kAcceptsPerIteration && descriptors_in_use() > descriptors_allowed(); ++i)
     if (!free_descriptor()) return;
 }
 
 std::size_t Proxy::descriptors_in_use() const {
   auto own = loop_.watched() + kOwnDescriptors + options_.reserved_descriptors;
-  return siblings_ ? own + kOfEachProxy * options_.count + siblings_->others().descriptors : own;
+  return siblings_ ? own + kDescriptorsPerProxy * options_.count + siblings_->others().descriptors : own;
 }
 
-std::size_t Proxy::clients_in_all() const {
+std::size_t Proxy::total_clients() const {
   return sessions_.size() + (siblings_ ? siblings_->others().clients : 0);
 }
 
 void Proxy::publish() {
   if (!siblings_) return;
-  held_.descriptors = loop_.watched();
-  held_.clients = sessions_.size();
-  held_.statement_bytes = buffered_;
+  usage_.descriptors = loop_.watched();
+  usage_.clients = sessions_.size();
+  usage_.statement_bytes = buffered_;
   // Those that have asked are counted only where trim_idle() may want to know.
-  if (clients_in_all() > options_.descriptors / kActiveClientShare &&
-      loop_.now() - published_at_ >= kTrimEvery) {
+  if (total_clients() > options_.descriptors / kActiveClientShare &&
+      loop_.now() - published_at_ >= kTrimInterval) {
     published_at_ = loop_.now();
-    held_.asked = 0;
-    for (auto& [session, owned] : sessions_) held_.asked += !session->is_lingering() && !session->is_unused();
+    usage_.asked = 0;
+    for (auto& [session, owned] : sessions_)
+      usage_.asked += !session->is_lingering() && !session->is_unused();
   }
-  siblings_->publish(held_);
+  siblings_->publish(usage_);
 }
 
 void Proxy::accept_all() {
-  accepts_again_ = false;
+  must_retry_accept_ = false;
   if (!backlog_since_) backlog_since_ = loop_.ready_since();
   if (options_.inherited_listener >= 0) net::ensure_non_blocking(listener_);
   for (int accepted = 0; accepted < kAcceptsPerIteration; ++accepted) {
-    if (!has_room_for_client()) return retry_accepting();
+    if (!can_accept_client()) return retry_accepting();
     switch (accept_one()) {
       case AcceptResult::kTryNext:
         continue;
@@ -257,16 +259,16 @@
 }
 
 // Whether one more client may come, after closing others where that helps.
-bool Proxy::has_room_for_client() {
-  auto most = static_cast<double>(descriptors_allowed() - kOwnDescriptors) * kClientShare;
-  bool has_too_many = static_cast<double>(clients_in_all()) >= most;
-  if (has_too_many && !close_client(usual_scope())) return false;
+bool Proxy::can_accept_client() {
+  auto max_clients = static_cast<double>(descriptors_allowed() - kOwnDescriptors) * kClientShare;
+  bool has_too_many = static_cast<double>(total_clients()) >= max_clients;
+  if (has_too_many && !close_client(default_eviction_scope())) return false;
   return descriptors_in_use() < descriptors_allowed() || free_descriptor();
 }
 
 // The edge has passed: the backlog is looked at again when something has ended.
 void Proxy::retry_accepting() {
-  accepts_again_ = true;
+  must_retry_accept_ = true;
   if (!siblings_) return;
   siblings_->request_descriptor();
   loop_.cancel(&accept_retry_timer_);
@@ -275,7 +277,7 @@
 
 // What the system is short of may be there again without anything of this process having ended.
 void Proxy::accept_after_shortage() {
-  accepts_again_ = true;
+  must_retry_accept_ = true;
   loop_.cancel(&accept_retry_timer_);
   accept_retry_timer_ = loop_.at(loop_.now() + kShortageRetry, [] {});
 }
@@ -327,13 +329,13 @@
 // new one costs that server work and the next request time, so silent clients must not drive them out.
 bool Proxy::free_descriptor() {
   return close_client(EvictionScope::kNothingToLose) || dispatcher_.pool().close_one_idle() ||
-         close_client(usual_scope());
+         close_client(default_eviction_scope());
 }
 
 // Of several proxies, one that has less than its share of the clients leaves it to the others to close some
 // that came just now: its own are too few to choose from.
-EvictionScope Proxy::usual_scope() const {
-  bool has_fair_share = sessions_.size() * options_.count >= clients_in_all();
+EvictionScope Proxy::default_eviction_scope() const {
+  bool has_fair_share = sessions_.size() * options_.count >= total_clients();
   return has_fair_share ? EvictionScope::kAnyIdle : EvictionScope::kNothingToLose;
 }
 
@@ -367,20 +369,20 @@
 }
 
 void Proxy::trim_idle() {
-  auto most = options_.descriptors / kActiveClientShare;
-  if (clients_in_all() <= most || loop_.now() - trimmed_at_ < kTrimEvery) return;
+  auto max_clients = options_.descriptors / kActiveClientShare;
+  if (total_clients() <= max_clients || loop_.now() - trimmed_at_ < kTrimInterval) return;
   trimmed_at_ = loop_.now();
   std::vector<ClientSession*> idle;
-  std::size_t asked = 0;
+  std::size_t active_clients = 0;
   for (auto& [session, owned] : sessions_) {
     if (session->is_lingering() || session->is_unused()) continue;
-    ++asked;
+    ++active_clients;
     if (session->is_idle() && loop_.now() - session->idle_since() >= kRecentlyActive) idle.push_back(session);
   }
   // Of several, each closes its part of what all have too many.
-  auto all = asked + (siblings_ ? siblings_->others().asked : 0);
-  if (all <= most) return;
-  auto own = siblings_ ? (all - most) * asked / all + 1 : all - most;
+  auto all = active_clients + (siblings_ ? siblings_->others().asked : 0);
+  if (all <= max_clients) return;
+  auto own = siblings_ ? (all - max_clients) * active_clients / all + 1 : all - max_clients;
   auto count = std::min(own, idle.size());
   std::partial_sort(idle.begin(), idle.begin() + static_cast<std::ptrdiff_t>(count), idle.end(),
                     [](auto* left, auto* right) { return left->idle_since() < right->idle_since(); });
@@ -392,7 +394,7 @@
 bool Proxy::on_buffered_change(std::ptrdiff_t change) {
   buffered_ += static_cast<std::size_t>(change);
   return buffered_ + (siblings_ ? siblings_->others().statement_bytes : 0) <=
-         options_.memory / kStatementMemoryShare / (1 + others_.processes);
+         options_.memory / kStatementMemoryShare / (1 + other_processes_.processes);
 }
 
 void Proxy::on_session_closed(ClientSession* session) {
@@ -404,12 +406,13 @@
 
 void Proxy::on_iteration_end() {
   before_iteration_end();
-  if (accepts_again_ && is_accepting_) accept_all();
-  if (stopping_since_) shutdown_mode_ == ShutdownMode::kLast ? close_idle_clients() : end_what_is_left();
-  if (others_.processes > 0) give_way_to_others();
+  if (must_retry_accept_ && is_accepting_) accept_all();
+  if (stopping_since_)
+    shutdown_mode_ == ShutdownMode::kLast ? close_idle_clients() : enforce_shutdown_limit();
+  if (other_processes_.processes > 0) release_excess_descriptors();
   trim_idle();
   dispatcher_.on_iteration_end();
-  if (!was_ready_ && !is_waiting_for_others_ && dispatcher_.ready()) {
+  if (!was_ready_ && !is_waiting_for_other_processes_ && dispatcher_.ready()) {
     was_ready_ = true;
     start_accepting();
     if (!siblings_) log_(net::Level::kInfo, "ready to serve");
@@ -432,7 +435,7 @@
 void Proxy::shut_down(ShutdownMode mode) {
   if (!stopping_since_) begin_shutdown();
   bool has_new_successor = mode == ShutdownMode::kSuccessorServes && shutdown_mode_ == ShutdownMode::kLast;
-  if (has_new_successor) hand_clients_over();
+  if (has_new_successor) close_clients_for_successor();
 }
 
 void Proxy::begin_shutdown() {
@@ -446,22 +449,22 @@
 
 // Each connection ends with its next answer: a client finds both together, and no request of its own on the
 // way. Those that are not used for a while are closed later, as without a successor.
-void Proxy::hand_clients_over() {
+void Proxy::close_clients_for_successor() {
   shutdown_mode_ = ShutdownMode::kSuccessorServes;
   stop_accepting();
-  auto last_answer = *stopping_since_ + options_.shutdown_limit - kLastAnswerBefore;
+  auto last_answer = *stopping_since_ + options_.shutdown_limit - kLastAnswerBeforeKill;
   dispatcher_.answer_by(last_answer);
-  for (auto when : {last_answer, *stopping_since_ + options_.shutdown_limit - kLastCloseBefore})
+  for (auto when : {last_answer, *stopping_since_ + options_.shutdown_limit - kLastCloseBeforeKill})
     loop_.at(when, [] {});
   for (auto& [session, owned] : sessions_) session->close_when_idle();
 }
 
 // As without a successor, but that all has its answer, and the process its end, before the platform kills it.
-void Proxy::end_what_is_left() {
-  auto left = *stopping_since_ + options_.shutdown_limit - loop_.now();
+void Proxy::enforce_shutdown_limit() {
+  auto time_left = *stopping_since_ + options_.shutdown_limit - loop_.now();
   close_idle_clients();
-  if (left <= kLastAnswerBefore) dispatcher_.fail_open_requests("the proxy is shutting down");
-  if (left > kLastCloseBefore) return stop_if_empty();
+  if (time_left <= kLastAnswerBeforeKill) dispatcher_.fail_open_requests("the proxy is shutting down");
+  if (time_left > kLastCloseBeforeKill) return stop_if_empty();
   std::vector<ClientSession*> all;
   for (auto& [session, owned] : sessions_) all.push_back(session);
   for (auto* session : all)
@@ -470,8 +473,8 @@
 }
 
 void Proxy::close_idle_clients() {
-  auto past = loop_.now() - *stopping_since_;
-  if (past < kContinueServing) return;
+  auto elapsed = loop_.now() - *stopping_since_;
+  if (elapsed < kContinueServing) return;
   if (is_accepting_) accept_all();
   std::vector<ClientSession*> all;
   for (auto& [session, owned] : sessions_) all.push_back(session);
@@ -479,14 +482,14 @@
     session->close_when_idle();
     if (sessions_.count(session) && session->is_idle()) session->poll_input();
   }
-  if (past < kRejectAfter) return;
+  if (elapsed < kRejectAfter) return;
   for (auto* session : all) {
     if (!sessions_.count(session)) continue;
     session->reject_new_requests();
-    bool last_word =
-        session->is_lingering() || (session->is_mid_command() && past < kRejectAfter + kPartialCommandGrace);
-    if (last_word ? past >= kLongestShutdown
-                  : !session->is_busy() || (past >= kLongestShutdown && !session->owes_answers()))
+    bool is_in_grace_period = session->is_lingering() ||
+                              (session->is_mid_command() && elapsed < kRejectAfter + kPartialCommandGrace);
+    if (is_in_grace_period ? elapsed >= kLongestShutdown
+                           : !session->is_busy() || (elapsed >= kLongestShutdown && !session->owes_answers()))
       session->close();
   }
   stop_if_empty();
--- a/src/proxy/proxy.h
+++ b/src/proxy/proxy.h
@@ -52,7 +52,8 @@
   std::size_t reserved_descriptors = 0;  // kept back for the operators' address
   Micros drain_grace{0};                 // of the settings; 0: they guarantee none
   bool logs_decisions = false;  // each attempt, rejection and failure with its reason, as debug lines
-  // False: lists are given by list(), until watch_discovery() says that nobody gives them any more.
+  // False: lists are given by update_endpoint_list(), until watch_discovery() says that nobody gives them any
+  // more.
   bool watches = true;
 };
 
@@ -62,7 +63,7 @@
   // By itself: it watches discovery and logs its own start and end. Throws std::runtime_error when it cannot
   // listen.
   Proxy(net::Loop& loop, routing::Decider& decider, ProxyOptions options, const net::Log& log);
-  // One of several: lists come by list(), and the pool of workers logs.
+  // One of several: lists come by update_endpoint_list(), and the pool of workers logs.
   Proxy(net::Loop& loop, routing::Decider& decider, ProxyOptions options, const net::Log& log,
         SiblingWorkers& siblings);
   ~Proxy() override;
@@ -84,10 +85,10 @@
   // Other processes with the same listening socket run, and count as one proxy with this one.
   void share_limits_with(const OtherProcessesUsage& others);
   // While it is set no client of an inherited socket is accepted.
-  void set_waiting_for_others(bool is_waiting) { is_waiting_for_others_ = is_waiting; }
+  void set_waiting_for_others(bool is_waiting) { is_waiting_for_other_processes_ = is_waiting; }
   std::size_t descriptors_held() const { return descriptors_in_use(); }
   // For one of several, all in its own thread.
-  void list(discovery::EndpointListUpdate update, bool cached) {
+  void update_endpoint_list(discovery::EndpointListUpdate update, bool cached) {
     dispatcher_.list(std::move(update), cached);
   }
   // A change of what the overlay shows, in its own thread.
@@ -127,22 +128,22 @@
   void on_iteration_end();
   bool free_descriptor();
   enum class AcceptResult { kTryNext, kNoneWaiting, kNoDescriptor };
-  bool has_room_for_client();
+  bool can_accept_client();
   AcceptResult accept_one();
   void retry_accepting();
   void accept_after_shortage();
-  EvictionScope usual_scope() const;
+  EvictionScope default_eviction_scope() const;
   bool close_client(EvictionScope scope);
   void trim_idle();
   void close_idle_clients();
   void begin_shutdown();
-  void hand_clients_over();
-  void end_what_is_left();
+  void close_clients_for_successor();
+  void enforce_shutdown_limit();
   void stop_if_empty();
   std::size_t descriptors_in_use() const;
   std::size_t descriptors_allowed() const;
-  void give_way_to_others();
-  std::size_t clients_in_all() const;
+  void release_excess_descriptors();
+  std::size_t total_clients() const;
   void publish();
   void admit(net::Fd fd, Micros waiting_since);
   std::uint32_t next_secret();
@@ -161,8 +162,8 @@
   std::optional<Micros> backlog_since_;
   std::array<std::uint32_t, 64> secrets_{};  // drawn ahead: one system call for many clients
   std::size_t secrets_left_ = 0;
-  bool accepts_again_ = false, was_ready_ = false, running_ = false;
-  bool is_waiting_for_others_ = false;
+  bool must_retry_accept_ = false, was_ready_ = false, running_ = false;
+  bool is_waiting_for_other_processes_ = false;
   bool is_accepting_ = false, has_discovery_answered_ = false;
   Micros started_at_;
   std::unordered_map<ClientSession*, std::unique_ptr<ClientSession>> sessions_;
@@ -170,10 +171,10 @@
   std::vector<ClientSession*> to_flush_;
   std::size_t buffered_ = 0;  // what clients' unfinished statements hold
   std::optional<Micros> stopping_since_;
-  OtherProcessesUsage others_;
+  OtherProcessesUsage other_processes_;
   ShutdownMode shutdown_mode_ = ShutdownMode::kLast;
   Micros trimmed_at_{0}, published_at_{0};
-  ResourceUsage held_;
+  ResourceUsage usage_;
   std::uint64_t accepts_without_descriptor_ = 0;
   std::uint32_t next_number_ = 1;  // counted within the proxy; sessions are numbered over all of them
   net::Loop::TimerId accept_retry_timer_ = net::Loop::kNoTimer;
--- a/src/testbench/fake_servers.cpp
+++ b/src/testbench/fake_servers.cpp
@@ -287,7 +287,7 @@
     auto parse = pg::parse_frame(in_.view(), kLongestMessage, &frame);
     if (parse == pg::ParseStatus::kMore) return;
     if (parse == pg::ParseStatus::kBad || frame.type != 'Q') return close();
-    if (auto text = pg::text_of_query(frame.body))
+    if (auto text = pg::query_text(frame.body))
       query(*text);
     else
       error("08P01");
--- a/src/workers/worker_pool.cpp
+++ b/src/workers/worker_pool.cpp
@@ -329,7 +329,7 @@
 void WorkerPool::told(discovery::EndpointListUpdate update, bool cached) {
   note_usable_servers(update);
   for (auto& worker : workers_)
-    worker->post([update, cached, &p = worker->proxy()] { p.list(update, cached); });
+    worker->post([update, cached, &p = worker->proxy()] { p.update_endpoint_list(update, cached); });
   if (decisions_) decisions_->list(std::move(update), cached);
 }
 
--- a/tests/formats/wire_format_test.cpp
+++ b/tests/formats/wire_format_test.cpp
@@ -282,7 +282,7 @@
   pg::Frame frame;
   ASSERT_EQ(pg::parse_frame(query, 1 << 20, &frame), pg::ParseStatus::kOk);
   EXPECT_EQ(frame.type, 'Q');
-  EXPECT_EQ(pg::text_of_query(frame.body), "SELECT 1");
+  EXPECT_EQ(pg::query_text(frame.body), "SELECT 1");
   ASSERT_EQ(pg::parse_frame(error, 1 << 20, &frame), pg::ParseStatus::kOk);
   auto fields = pg::parse_error(frame.body);
   ASSERT_TRUE(fields);
--- a/tests/proxy/parsers_test.cpp
+++ b/tests/proxy/parsers_test.cpp
@@ -70,10 +70,10 @@
 }
 
 TEST_CASE("small messages") {
-  CHECK(pg::text_of_query("ab\0"s) == "ab");
-  CHECK_FALSE(pg::text_of_query("ab"));
-  CHECK_FALSE(pg::text_of_query("a\0b\0"s));
-  CHECK_FALSE(pg::text_of_query(""));
+  CHECK(pg::query_text("ab\0"s) == "ab");
+  CHECK_FALSE(pg::query_text("ab"));
+  CHECK_FALSE(pg::query_text("a\0b\0"s));
+  CHECK_FALSE(pg::query_text(""));
   CHECK(pg::parse_parameter("a\0b\0"s)->value == "b");
   CHECK_FALSE(pg::parse_parameter("a\0b"s));
   CHECK_FALSE(pg::parse_parameter("a\0b\0c"s));
