--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -17,42 +17,46 @@
 
 using namespace std::chrono_literals;
 
-// After the word to stop, new connections keep coming for up to 0.4 s and clients keep using theirs. They are
-// served as before until this long has passed; then each connection is closed between requests.
+// After SIGTERM, new connections keep arriving for up to 0.4 s and clients keep using theirs. Both are served
+// as before until kContinueServing has passed; then each connection is closed between requests, and from
+// kRejectAfter on new requests are rejected.
 constexpr Micros kContinueServing = 500ms, kRejectAfter = 700ms;
-// A command that is half there at the end of service has so long to become whole, and is refused then.
+// The time that a command which has arrived in part at kRejectAfter has to arrive completely; then it is
+// rejected.
 constexpr Micros kPartialCommandGrace = 2500ms;
-// Beside a successor: so long before the platform's kill what is open fails, and the process ends. A process
-// may be held up for 0.15 s in between.
+// With a successor: the times before the platform's kill at which open requests fail, and at which the
+// process ends. They are apart because a process may be held up for 0.15 s in between.
 constexpr Micros kLastAnswerBeforeKill = 400ms, kLastCloseBeforeKill = 250ms;
-// A client that does not read its last answers does not keep the proxy up. Requests that are open are never
-// cut off: each ends by its own deadline.
+// The time after which a client that does not read its last answers no longer delays the shutdown. Open
+// requests are never cut off: each ends by its own deadline.
 constexpr Micros kLongestShutdown = 15s;
-// Standard streams, epoll, the signals, the listener, discovery, the log: and some to spare.
+// The standard streams, epoll, the signals, the listener, discovery and the log, and a few spare descriptors.
 constexpr std::size_t kOwnDescriptors = 16;
-constexpr std::size_t kDescriptorsPerProxy = 2;  // of several: each one's epoll, and one to spare
-constexpr std::size_t kReservedDescriptors = 8;  // of these, while another proxy of the process makes room
-// Clients with requests hold a third of the descriptors at most. Two thirds for all clients leave those their
-// part beside as many silent ones, and data servers the last third.
+constexpr std::size_t kDescriptorsPerProxy = 2;  // with several proxies: each one's epoll and a spare one
+constexpr std::size_t kReservedDescriptors = 8;  // of kOwnDescriptors; used while another proxy frees one
+// Clients with requests hold at most a third of the descriptors. With two thirds for all clients, as many
+// silent ones do not crowd them out, and data servers have the last third.
 constexpr double kClientShare = 2.0 / 3;
-// Beside other processes: what each may take up between two looks at the others, as a part of all
-// descriptors; and what a process needs to come up while the others still hold nearly all.
+// With other processes on the same socket: kGrowthShare is the divisor for the part of all descriptors by
+// which each process may grow between two checks of the others' usage. kMinOverlapDescriptors is the number
+// of descriptors that a process needs to start while the others still hold nearly all.
 constexpr std::size_t kGrowthShare = 16, kMinOverlapDescriptors = 8;
-// One iteration's share of new clients: a flood of them waits in the backlog, where it costs nothing.
+// New clients accepted in one iteration: a flood of them waits in the backlog, where it costs nothing.
 constexpr int kAcceptsPerIteration = 16;
-// Where another proxy of this process was asked for room, by then it has closed something.
+// The time within which another proxy of this process, asked for a descriptor, has closed a connection.
 constexpr Micros kAcceptRetry = 5ms;
-// The same where the system is short of something.
+// The delay before accepting again when the system lacks a resource.
 constexpr Micros kShortageRetry = 20ms;
-// Clients that asked once and keep their connection for good use up what all clients together may hold, a
-// third of the descriptors, and the others can open none. So over a quarter, the longest idle ones are
-// closed: never one that has asked so lately that it may be about to ask again.
+// Clients that sent one command and keep their connection open use up the third of the descriptors that
+// clients with requests may hold, and other clients cannot connect. So above a quarter, the clients idle for
+// the longest time are closed, but never one whose last command is so recent that it may be about to send
+// another.
 constexpr std::size_t kActiveClientShare = 4;
 constexpr Micros kTrimInterval = 5ms;
-// Of the memory allowed: what unfinished statements of clients may hold together.
+// The divisor for the part of the allowed memory that all clients' incomplete statements may hold together.
 constexpr std::size_t kStatementMemoryShare = 4;
-// Discovery's agent answers at once where it has something. Until it has, or for so long, a list from the
-// configuration is not taken for the one in force.
+// Discovery's agent answers at once when it has a list. Until it has answered, or until this time has passed,
+// a list from the configuration is not taken for the current one.
 constexpr Micros kFirstListTimeout = 300ms;
 
 }  // namespace
@@ -89,7 +93,7 @@
   if (update.generation < generation_ && !is_restart) return;
   has_discovery_answered_ = true;
   generation_ = update.generation;
-  update.source = discovery::UpdateSource::kOpenWatch;  // the group has watched for this process
+  update.source = discovery::UpdateSource::kOpenWatch;  // the group watches discovery for this process
   dispatcher_.list(options_.overlay(std::move(update)));
 }
 
@@ -111,8 +115,8 @@
   dispatcher_.pool().has_descriptor = [this] {
     auto used = descriptors_in_use();
     if (used < descriptors_allowed() || free_descriptor()) return true;
-    // Nothing of this proxy can give way, but something of another may: it closes that while this one goes on
-    // with what is kept back for the proxy's own use.
+    // No connection of this proxy can be closed, but one of another proxy may: that proxy closes it while
+    // this one goes on with the reserved descriptors.
     if (!siblings_ || used >= options_.descriptors + kReservedDescriptors) return false;
     siblings_->request_descriptor();
     return true;
@@ -150,8 +154,8 @@
   is_accepting_ = true;
 }
 
-// Out of this loop's set, because closing alone would not end the registration of a socket that another
-// process holds as well.
+// Removes the listener from this loop's epoll set. Closing it alone would not end the registration of a
+// socket that another process holds as well.
 void Proxy::stop_accepting() {
   if (std::exchange(is_accepting_, false)) loop_.remove(listener_, &on_listener_);
 }
@@ -208,7 +212,7 @@
                                     kOwnDescriptors + options_.reserved_descriptors);
 }
 
-// A few an iteration: idle ones go as others need what they hold.
+// Closes a few idle connections in each iteration while this process holds more descriptors than it may.
 void Proxy::release_excess_descriptors() {
   for (int i = 0; i < kAcceptsPerIteration && descriptors_in_use() > descriptors_allowed(); ++i)
     if (!free_descriptor()) return;
@@ -228,7 +232,7 @@
   usage_.descriptors = loop_.watched();
   usage_.clients = sessions_.size();
   usage_.statement_bytes = buffered_;
-  // Those that have asked are counted only where trim_idle() may want to know.
+  // Clients that have sent a command are counted only when trim_idle() may need their number.
   if (total_clients() > options_.descriptors / kActiveClientShare &&
       loop_.now() - published_at_ >= kTrimInterval) {
     published_at_ = loop_.now();
@@ -258,7 +262,8 @@
   loop_.again(&on_listener_);
 }
 
-// Whether one more client may come, after closing others where that helps.
+// Whether one more client may be accepted. Closes another client or an idle connection where that makes it
+// possible.
 bool Proxy::can_accept_client() {
   auto max_clients = static_cast<double>(descriptors_allowed() - kOwnDescriptors) * kClientShare;
   bool has_too_many = static_cast<double>(total_clients()) >= max_clients;
@@ -266,7 +271,7 @@
   return descriptors_in_use() < descriptors_allowed() || free_descriptor();
 }
 
-// The edge has passed: the backlog is looked at again when something has ended.
+// The edge-triggered event is consumed, so accepting is tried again at the end of each iteration.
 void Proxy::retry_accepting() {
   must_retry_accept_ = true;
   if (!siblings_) return;
@@ -275,7 +280,7 @@
   accept_retry_timer_ = loop_.at(loop_.now() + kAcceptRetry, [] {});
 }
 
-// What the system is short of may be there again without anything of this process having ended.
+// The resource that the system lacks may become available without any event in this process, hence the timer.
 void Proxy::accept_after_shortage() {
   must_retry_accept_ = true;
   loop_.cancel(&accept_retry_timer_);
@@ -290,11 +295,11 @@
     return AcceptResult::kTryNext;
   }
   if (error == EAGAIN || error == EWOULDBLOCK) return AcceptResult::kNoneWaiting;
-  // A client that went before it was accepted takes only itself along.
+  // The client disconnected before it was accepted, which affects no other client.
   if (error == ECONNABORTED || error == EINTR || error == EPROTO) return AcceptResult::kTryNext;
   if (++accepts_without_descriptor_ == 1)
     log_(net::Level::kError, fmt::format("cannot accept clients for now: {}", net::message_of(error)));
-  // Closing a client helps only where this process's own limit is met.
+  // Closing a client helps only when this process's own limit is reached.
   return error == EMFILE && free_descriptor() ? AcceptResult::kTryNext : AcceptResult::kNoDescriptor;
 }
 
@@ -325,15 +330,16 @@
 
 void Proxy::release_descriptor() { free_descriptor(); }
 
-// Frees a descriptor. Clients that have nothing to lose go first, then an idle connection to a data server: a
-// new one costs that server work and the next request time, so silent clients must not drive them out.
+// Frees a descriptor. Clients that have nothing to lose are closed first, then an idle connection to a data
+// server: a new one costs that server work and the next request time, so silent clients must not displace it.
 bool Proxy::free_descriptor() {
   return close_client(EvictionScope::kNothingToLose) || dispatcher_.pool().close_one_idle() ||
          close_client(default_eviction_scope());
 }
 
-// Of several proxies, one that has less than its share of the clients leaves it to the others to close some
-// that came just now: its own are too few to choose from.
+// The scope for evicting clients. Of several proxies, one that has less than its share of the clients does
+// not close any that have just connected, because its own are too few to choose from; the others close
+// theirs.
 EvictionScope Proxy::default_eviction_scope() const {
   bool has_fair_share = sessions_.size() * options_.count >= total_clients();
   return has_fair_share ? EvictionScope::kAnyIdle : EvictionScope::kNothingToLose;
@@ -350,7 +356,8 @@
 
 }  // namespace
 
-// Closes the client that can be missed most easily, the longest quiet one of its rank; false: all must stay.
+// Closes the client that ranks first for eviction, the one quiet for the longest time within its rank; false:
+// no client in this scope may be closed.
 bool Proxy::close_client(EvictionScope scope) {
   std::array<ClientSession*, kEvictionRanks> candidates{};
   auto now = loop_.now();
@@ -379,14 +386,15 @@
     ++active_clients;
     if (session->is_idle() && loop_.now() - session->idle_since() >= kRecentlyActive) idle.push_back(session);
   }
-  // Of several, each closes its part of what all have too many.
+  // Of several proxies, each closes its share of the excess over all of them.
   auto all = active_clients + (siblings_ ? siblings_->others().asked : 0);
   if (all <= max_clients) return;
   auto own = siblings_ ? (all - max_clients) * active_clients / all + 1 : all - max_clients;
   auto count = std::min(own, idle.size());
   std::partial_sort(idle.begin(), idle.begin() + static_cast<std::ptrdiff_t>(count), idle.end(),
                     [](auto* left, auto* right) { return left->idle_since() < right->idle_since(); });
-  // What has arrived since this iteration's events were fetched is read first: whoever asks is not idle.
+  // Input that has arrived since this iteration's events were fetched is read first: a client that has sent a
+  // command is not idle.
   for (std::size_t i = 0; i < count; ++i)
     if (idle[i]->poll_input() && idle[i]->is_idle()) idle[i]->close();
 }
@@ -400,7 +408,7 @@
 void Proxy::on_session_closed(ClientSession* session) {
   auto it = sessions_.find(session);
   if (it == sessions_.end()) return;
-  closed_.push_back(std::move(it->second));  // it may be in one of its own calls
+  closed_.push_back(std::move(it->second));  // one of its member functions may be running
   sessions_.erase(it);
 }
 
@@ -420,9 +428,10 @@
     std::vector<ClientSession*> all;
     for (auto& [session, owned] : sessions_) all.push_back(session);
     for (auto* session : all) session->resume();
-    dispatcher_.on_iteration_end();  // for what stood behind the empty query
+    dispatcher_.on_iteration_end();  // for requests that were queued behind the empty query
   }
-  // A client that turns out to be gone gives back what it had out.
+  // Flushing may find that a client has disconnected; the dispatcher then handles the requests that it
+  // abandoned.
   while (!to_flush_.empty()) {
     auto open = sessions_.size();
     for (auto* session : std::exchange(to_flush_, {})) session->flush();
@@ -447,8 +456,8 @@
     loop_.at(loop_.now() + after, [] {});
 }
 
-// Each connection ends with its next answer: a client finds both together, and no request of its own on the
-// way. Those that are not used for a while are closed later, as without a successor.
+// Closes each connection together with its next answer, so that the client sees both at once and has no
+// request in flight. Connections that stay unused for a while are closed later, as without a successor.
 void Proxy::close_clients_for_successor() {
   shutdown_mode_ = ShutdownMode::kSuccessorServes;
   stop_accepting();
@@ -459,7 +468,8 @@
   for (auto& [session, owned] : sessions_) session->close_when_idle();
 }
 
-// As without a successor, but that all has its answer, and the process its end, before the platform kills it.
+// Closes idle clients as without a successor. In addition, every request gets its answer and the process ends
+// before the platform kills it.
 void Proxy::enforce_shutdown_limit() {
   auto time_left = *stopping_since_ + options_.shutdown_limit - loop_.now();
   close_idle_clients();
--- a/src/proxy/proxy.h
+++ b/src/proxy/proxy.h
@@ -1,5 +1,5 @@
-// The proxy as a whole: accepts clients, watches discovery, counts descriptors, shuts down. Used by one
-// thread.
+// One proxy: accepts clients, watches discovery, keeps to the limit on descriptors, shuts down. Used by one
+// thread only.
 #pragma once
 
 #include <array>
@@ -18,18 +18,18 @@
 // Whether another process accepts the clients of the same listening socket while this one shuts down.
 enum class ShutdownMode { kLast, kSuccessorServes };
 
-// What other processes hold that count as one proxy with this one.
+// What the other processes on the same listening socket use. All of them share the limits of one proxy.
 struct OtherProcessesUsage {
   std::size_t processes = 0, descriptors = 0;
-  bool takes_requests = false;  // one of them may, of the same sessions
+  bool takes_requests = false;  // whether one of them may take requests of the same sessions
 };
 
-// So many of all descriptors may be held beside the others: an equal part, or less as long as they hold more
-// than theirs and are giving way, so that all together keep the limit. `own`: what the process needs before
-// it serves anybody.
+// The number of descriptors, out of `all`, that this process may hold: an equal share, or less while the
+// other processes hold more than their shares and are releasing them, so that all processes together keep to
+// the limit. `own`: the descriptors that the process needs before it serves any client.
 std::size_t descriptors_allowed(std::size_t all, const OtherProcessesUsage& others, std::size_t own);
 
-// How one proxy is set up.
+// The options of one proxy.
 struct ProxyOptions {
   std::string listen, discovery;
   std::size_t descriptors = 1024;
@@ -37,72 +37,76 @@
   PoolLimits pool;
   discovery::EndpointListUpdate known;
   discovery::PollingSchedule schedule{};
-  // Of several proxies in one process: which one, of how many. `listens`: it accepts clients itself, on an
-  // address that they share; otherwise they are given to it by adopt().
+  // The index of this proxy among the proxies of its process, and their count. `listens`: it accepts clients
+  // itself, on an address that all of them share; otherwise it receives them through adopt().
   std::uint32_t number = 0, count = 1;
   bool listens = true;
-  // A listening socket that other processes have as well, prepared by net::prepare_inherited_listener(). It
-  // is neither closed nor shut down, and clients are accepted once this process can serve. -1: it opens its
-  // own.
+  // A listening socket that other processes hold as well, prepared by net::prepare_inherited_listener(). It
+  // is neither closed nor shut down, and clients are accepted once this process can serve. -1: the proxy
+  // opens its own.
   int inherited_listener = -1;
   Micros shutdown_limit{3'700'000};  // after SIGTERM the platform kills the process no earlier than this
-  // What all else sees of an endpoint list that discovery gives.
+  // Changes each endpoint list from discovery before any other part of the proxy sees it.
   std::function<discovery::EndpointListUpdate(discovery::EndpointListUpdate)> overlay =
       [](discovery::EndpointListUpdate update) { return update; };
-  std::size_t reserved_descriptors = 0;  // kept back for the operators' address
-  Micros drain_grace{0};                 // of the settings; 0: they guarantee none
-  bool logs_decisions = false;  // each attempt, rejection and failure with its reason, as debug lines
-  // False: lists are given by update_endpoint_list(), until watch_discovery() says that nobody gives them any
-  // more.
+  std::size_t reserved_descriptors = 0;  // reserved for the operators' address
+  Micros drain_grace{0};                 // from the settings; 0: they guarantee none
+  bool logs_decisions = false;  // logs each attempt, rejection and failure with its reason, at level debug
+  // False: lists come through apply_endpoint_list(), until watch_discovery() makes the proxy poll discovery
+  // itself.
   bool watches = true;
 };
 
 // Owns its sessions, its dispatcher and, through that, its connections to data servers.
 class Proxy : public SessionOwner {
  public:
-  // By itself: it watches discovery and logs its own start and end. Throws std::runtime_error when it cannot
-  // listen.
+  // The only proxy of its process: it watches discovery and logs its own start and end. Throws
+  // std::runtime_error when it cannot listen.
   Proxy(net::Loop& loop, routing::Decider& decider, ProxyOptions options, const net::Log& log);
-  // One of several: lists come by update_endpoint_list(), and the pool of workers logs.
+  // One of several proxies: lists come through update_endpoint_list(), and the worker pool logs start and
+  // end.
   Proxy(net::Loop& loop, routing::Decider& decider, ProxyOptions options, const net::Log& log,
         SiblingWorkers& siblings);
   ~Proxy() override;
 
-  void run();  // until it has shut down
-  // Finishes what was taken; run() returns after that. May be called again once a successor serves.
+  void run();  // returns when the proxy has shut down
+  // Finishes the requests that were accepted; run() returns after that. May be called again once a successor
+  // serves.
   void shut_down(ShutdownMode mode);
-  void stop_now() { loop_.stop(); }  // run() returns after this iteration, whatever is open
-  // Takes over what may change under load: discovery's address, descriptors, the pool's limits.
+  void stop_now() { loop_.stop(); }  // run() returns after this iteration, even with requests open
+  // Applies the options that may change under load: discovery's address, descriptors, memory, the pool's
+  // limits and logging of decisions.
   void reconfigure(const ProxyOptions& options);
   int port() const;
-  // Why it cannot serve at present; empty: it can.
+  // The reason why the proxy cannot serve at present; empty: it can.
   std::string unhealthy_reason() const;
-  // Asks discovery itself, or no longer: for one whose lists are given to it.
+  // Starts or stops polling discovery, for a proxy that otherwise receives its lists.
   void watch_discovery(bool watched);
-  // For one that does not watch, in its own thread. A list that is older than what is known changes nothing,
-  // unless the service was reset and counts anew (`is_restart`).
+  // Applies a list to a proxy that does not watch discovery; called in the proxy's thread. A list older than
+  // the newest known one is ignored, unless the service was reset and its generations start again
+  // (`is_restart`).
   void apply_endpoint_list(discovery::EndpointListUpdate update, bool is_restart = false);
-  // Other processes with the same listening socket run, and count as one proxy with this one.
+  // Sets the usage of the other processes on the same listening socket, which share this proxy's limits.
   void share_limits_with(const OtherProcessesUsage& others);
-  // While it is set no client of an inherited socket is accepted.
+  // While this is set, no client of an inherited socket is accepted.
   void set_waiting_for_others(bool is_waiting) { is_waiting_for_other_processes_ = is_waiting; }
   std::size_t descriptors_held() const { return descriptors_in_use(); }
-  // For one of several, all in its own thread.
+  // Applies a list to one of several proxies. This and the calls below are made in the proxy's thread.
   void update_endpoint_list(discovery::EndpointListUpdate update, bool cached) {
     dispatcher_.list(std::move(update), cached);
   }
-  // A change of what the overlay shows, in its own thread.
+  // Applies a change of the overlay's list; called in the proxy's thread.
   void apply_change(discovery::EndpointListUpdate change) { dispatcher_.list(std::move(change)); }
   void adopt(net::Fd client);
-  void release_descriptor();  // closes what can be missed most easily
-  // False: no session of this proxy has this name.
+  void release_descriptor();  // closes the connection that is cheapest to lose, a client's or a server's
+  // False: no session of this proxy has this number and secret.
   bool cancel(std::uint32_t number, std::uint32_t secret);
-  // A client asked to cancel what a session of no proxy of this process has out.
+  // Called for a CancelRequest that matches no session of this process.
   std::function<void(std::uint32_t, std::uint32_t)> on_unknown_cancel = [](auto, auto) {};
   Dispatcher& dispatcher() { return dispatcher_; }
   std::size_t clients() const { return sessions_.size(); }
-  std::function<void()> on_ready = [] {};              // it can serve from now on
-  std::function<void()> before_iteration_end = [] {};  // runs before what an iteration brought is dispatched
+  std::function<void()> on_ready = [] {};              // called when the proxy can serve for the first time
+  std::function<void()> before_iteration_end = [] {};  // called before an iteration's requests are dispatched
   ServerPool& pool() { return dispatcher_.pool(); }
   void on_session_closed(ClientSession* session) override;
   void on_cancel_request(std::uint32_t number, std::uint32_t secret) override;
@@ -154,29 +158,30 @@
   SiblingWorkers* siblings_;
   Dispatcher dispatcher_;
   std::optional<discovery::EndpointListSubscription> discovery_;
-  std::int64_t generation_ = 0;  // of the newest list, whoever gave it
+  std::int64_t generation_ = 0;  // of the newest list, from any source
   Listener on_listener_;
   net::Fd own_listener_;
-  int listener_ = -1;  // its own, or the inherited one; -1: it does not listen
-  // Since when clients may wait that are not accepted yet; none: the last look found none waiting.
+  int listener_ = -1;  // own_listener_ or the inherited one; -1: the proxy does not listen
+  // The time since which clients may have waited in the backlog; none: the last accept found it empty.
   std::optional<Micros> backlog_since_;
-  std::array<std::uint32_t, 64> secrets_{};  // drawn ahead: one system call for many clients
+  std::array<std::uint32_t, 64> secrets_{};  // generated ahead, with one system call for many clients
   std::size_t secrets_left_ = 0;
   bool must_retry_accept_ = false, was_ready_ = false, running_ = false;
   bool is_waiting_for_other_processes_ = false;
   bool is_accepting_ = false, has_discovery_answered_ = false;
   Micros started_at_;
   std::unordered_map<ClientSession*, std::unique_ptr<ClientSession>> sessions_;
-  std::vector<std::unique_ptr<ClientSession>> closed_;  // until the end of the iteration in which they were
+  std::vector<std::unique_ptr<ClientSession>> closed_;  // kept until the end of the iteration
   std::vector<ClientSession*> to_flush_;
-  std::size_t buffered_ = 0;  // what clients' unfinished statements hold
+  std::size_t buffered_ = 0;  // bytes held by clients' incomplete statements
   std::optional<Micros> stopping_since_;
   OtherProcessesUsage other_processes_;
   ShutdownMode shutdown_mode_ = ShutdownMode::kLast;
   Micros trimmed_at_{0}, published_at_{0};
   ResourceUsage usage_;
   std::uint64_t accepts_without_descriptor_ = 0;
-  std::uint32_t next_number_ = 1;  // counted within the proxy; sessions are numbered over all of them
+  std::uint32_t next_number_ =
+      1;  // counts this proxy's sessions; session numbers are unique over all proxies
   net::Loop::TimerId accept_retry_timer_ = net::Loop::kNoTimer;
 };
 
