--- a/src/pg/message.cpp
+++ b/src/pg/message.cpp
@@ -5,7 +5,7 @@
 
 constexpr std::uint32_t kVersion3 = 196608, kCancelCode = 80877102, kSslCode = 80877103, kGssCode = 80877104;
 constexpr std::uint32_t kLongestFirstMessage = 10'000;  // bytes, as PostgreSQL itself allows
-constexpr std::size_t kLengthSize = 4;                  // bytes of a message's length, which counts itself
+constexpr std::size_t kLengthSize = 4;  // bytes of a message's length field, which counts itself
 constexpr std::uint32_t kCancelRequestSize = 16;
 
 std::uint32_t read32(std::string_view in, std::size_t at) {
@@ -24,7 +24,7 @@
   return out;
 }
 
-// Takes one NUL-ended string off the front.
+// Removes one NUL-terminated string from the front of `in` and returns it without the NUL.
 std::optional<std::string_view> take_text(std::string_view& in) {
   auto end = in.find('\0');
   if (end == std::string_view::npos) return std::nullopt;
@@ -44,7 +44,7 @@
 
 ParseStatus parse_frame(std::string_view in, std::size_t max_body, Frame* frame) {
   if (in.empty()) return ParseStatus::kMore;
-  // A letter that no message has says that the stream is lost; its length is not to be believed.
+  // With an unknown type byte the stream is out of step, and the length after it is not valid either.
   char type = in[0];
   if (!((type >= 'A' && type <= 'Z') || (type >= 'a' && type <= 'z') || (type >= '1' && type <= '3')))
     return ParseStatus::kBad;
@@ -66,7 +66,7 @@
   return is_version_3 ? FirstMessageKind::kStartup : FirstMessageKind::kOther;
 }
 
-// Pairs of strings, then one empty string.
+// Whether `list` consists of pairs of strings and a final empty string.
 bool is_parameter_list(std::string_view list) {
   while (true) {
     auto name = take_text(list);
--- a/src/pg/message.h
+++ b/src/pg/message.h
@@ -1,4 +1,4 @@
-// Messages of PostgreSQL's protocol, version 3: parsed where they lie, written into strings. No I/O.
+// Messages of PostgreSQL's protocol, version 3: parsed in place, written into strings. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -8,38 +8,38 @@
 
 namespace database_proxy::pg {
 
-// kMore: the message is not there as a whole yet. kBad: this is no message, and the connection is lost.
+// kMore: the message is not complete yet. kBad: the input is not a message, and the connection is unusable.
 enum class ParseStatus { kOk, kMore, kBad };
 
 // One typed message.
 struct Frame {
-  char type = 0;          // its letter
+  char type = 0;          // the message's type byte
   std::string_view body;  // points into the input
-  std::size_t size = 0;   // bytes that it takes in all
+  std::size_t size = 0;   // of the whole message in bytes
 };
-// `max_body`: a longer body is kBad at once. `frame` is set with kOk only.
+// Parses the message at the beginning of `in`. A body longer than `max_body` gives kBad at once. `frame` is
+// set with kOk only.
 ParseStatus parse_frame(std::string_view in, std::size_t max_body, Frame* frame);
 
-// The first message of a connection has no letter; its code tells what it is.
+// The kind of a connection's first message. This message has no type byte; its code gives the kind.
 enum class FirstMessageKind { kStartup, kSsl, kGssEnc, kCancel, kOther };
 struct FirstMessage {
   FirstMessageKind kind = FirstMessageKind::kOther;
   std::uint32_t code = 0;
-  std::uint32_t number = 0;  // kCancel: of the session that it means
-  std::uint32_t secret = 0;  // kCancel: the proof that its sender knows that session
-  std::size_t size = 0;      // bytes that it takes in all
+  std::uint32_t number = 0;  // kCancel: the number of the session to cancel
+  std::uint32_t secret = 0;  // kCancel: proof that the sender knows that session
+  std::size_t size = 0;      // of the whole message in bytes
 };
 ParseStatus parse_first_message(std::string_view in, FirstMessage* first);
 
-// The text of a Query without its end mark; nullopt: the mark is missing, or another one stands before the
-// end.
+// The text of a Query without its terminating NUL; nullopt: the NUL is missing, or the text contains another.
 std::optional<std::string_view> query_text(std::string_view body);
 
-// The fields of an ErrorResponse that matter here.
+// The fields of an ErrorResponse that the proxy uses.
 struct ErrorFields {
   std::string_view code, message, detail;
 };
-// nullopt: malformed, or without a code.
+// Parses an ErrorResponse; nullopt: malformed, or without a code.
 std::optional<ErrorFields> parse_error(std::string_view body);
 
 // A ParameterStatus.
@@ -48,18 +48,18 @@
 };
 std::optional<Parameter> parse_parameter(std::string_view body);
 
-// The single column of a DataRow; nullopt when there is another number of columns, NULL, or a false length.
+// The value of a DataRow's single column; nullopt: another number of columns, a NULL value or a wrong length.
 std::optional<std::string_view> parse_single_column(std::string_view body);
 
-// The letter and length of a Query whose text, of `text_size` bytes and its end mark, follows.
+// The type byte and length of a Query. Its text, of `text_size` bytes, and a terminating NUL follow.
 std::string query_head(std::size_t text_size);
 std::string startup_message(std::string_view user, std::string_view database);
 std::string simple_query(std::string_view text);
 std::string ready_for_query();
-// What a client gets after its startup: AuthenticationOk, the parameters that drivers expect, BackendKeyData
-// (by which it may cancel), ReadyForQuery.
+// The answer to a client's startup: AuthenticationOk, the parameters that drivers expect, BackendKeyData
+// (which a CancelRequest repeats), ReadyForQuery.
 std::string greeting(std::uint32_t number, std::uint32_t secret);
-// NegotiateProtocolVersion: to a client that wishes for more than 3.0.
+// NegotiateProtocolVersion, for a client that requests a version above 3.0.
 std::string negotiate_version();
 std::string command_complete(std::string_view tag);
 std::string empty_query_response();
--- a/src/proxy/proxy.h
+++ b/src/proxy/proxy.h
@@ -180,8 +180,7 @@
   Micros trimmed_at_{0}, published_at_{0};
   ResourceUsage usage_;
   std::uint64_t accepts_without_descriptor_ = 0;
-  std::uint32_t next_number_ =
-      1;  // counts this proxy's sessions; session numbers are unique over all proxies
+  std::uint32_t next_number_ = 1;  // per proxy; session numbers are unique over all of them
   net::Loop::TimerId accept_retry_timer_ = net::Loop::kNoTimer;
 };
 
