--- a/src/pg/statement.cpp
+++ b/src/pg/statement.cpp
@@ -160,15 +160,15 @@
   bool has_shard_group_ = false;
 };
 
-Statement unknown(std::string_view problem) {
+Statement unknown_statement(std::string_view problem) {
   Statement statement;
   statement.problem = problem;
   return statement;
 }
 
 // Empty queries and session commands; else unknown.
-Statement parse_other(std::string_view text) {
-  Statement statement = unknown("this statement is not known here");
+Statement parse_empty_or_session(std::string_view text) {
+  Statement statement = unknown_statement("this statement is not known here");
   auto words = trim(text);
   if (words.empty()) statement.kind = StatementKind::kEmpty;
   bool is_single = words.find(';') == std::string_view::npos;
@@ -183,31 +183,31 @@
 
 }  // namespace
 
-bool may_be_long(std::string_view begun) {
-  auto size = std::min(begun.size(), kInsert.size());
-  return begun.substr(0, size) == kInsert.substr(0, size);
+bool may_be_long(std::string_view beginning) {
+  auto size = std::min(beginning.size(), kInsert.size());
+  return beginning.substr(0, size) == kInsert.substr(0, size);
 }
 
 Statement parse_statement(std::string_view text) {
   auto rest = text;
   bool is_read = take_prefix(rest, kSelect);
   bool is_write = !is_read && take_prefix(rest, kInsert);
-  if (!is_read && !is_write) return parse_other(text);
+  if (!is_read && !is_write) return parse_empty_or_session(text);
 
   Statement statement;
   auto key = take_quoted(rest);
-  if (!key || key->empty()) return unknown("the key is empty or its quote is never closed");
+  if (!key || key->empty()) return unknown_statement("the key is empty or its quote is never closed");
   statement.key = *key;
   if (is_write) {
     bool is_known = take_prefix(rest, ", '") && take_quoted(rest) && take_prefix(rest, ") RETURNING content");
-    if (!is_known) return unknown("this is not the INSERT known here");
+    if (!is_known) return unknown_statement("this is not the INSERT known here");
   }
   bool has_comment = take_prefix(rest, " /* ") && rest.ends_with(" */");
-  if (!has_comment) return unknown("the comment is missing or never closed");
+  if (!has_comment) return unknown_statement("the comment is missing or never closed");
   rest.remove_suffix(3);
   bool has_another = rest.find("*/") != std::string_view::npos || rest.find("/*") != std::string_view::npos;
-  if (has_another) return unknown("one comment only");
-  if (auto problem = CommentParser(text, statement).parse(rest)) return unknown(*problem);
+  if (has_another) return unknown_statement("one comment only");
+  if (auto problem = CommentParser(text, statement).parse(rest)) return unknown_statement(*problem);
   statement.kind = is_write ? StatementKind::kWrite : StatementKind::kRead;
   return statement;
 }
--- a/src/pg/statement.h
+++ b/src/pg/statement.h
@@ -36,7 +36,7 @@
 constexpr std::size_t kLongestShortStatement = 4096;
 
 // Whether a statement that begins like this may be longer: only an INSERT carries a value.
-bool may_be_long(std::string_view begun);
+bool may_be_long(std::string_view beginning);
 
 // Never fails: what is not known becomes StatementKind::kUnknown with its problem.
 Statement parse_statement(std::string_view text);
