--- a/src/pg/statement.cpp
+++ b/src/pg/statement.cpp
@@ -13,7 +13,7 @@
     "0123456789abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ-_.:";
 constexpr std::int64_t kLongestTimeoutMs = 24LL * 3600 * 1000;
 
-// What is wrong with a statement; nullopt: nothing.
+// The error in a statement; nullopt: it is valid.
 using Problem = std::optional<std::string_view>;
 
 bool take_prefix(std::string_view& in, std::string_view prefix) {
@@ -22,7 +22,8 @@
   return true;
 }
 
-// Up to the closing quote, which is taken as well; a doubled quote belongs to the text.
+// Removes the text up to the closing quote and the quote itself, and returns the text. A doubled quote is
+// part of the text.
 std::optional<std::string_view> take_quoted(std::string_view& in) {
   for (std::size_t i = 0; i < in.size(); ++i) {
     if (in[i] != '\'') continue;
@@ -73,10 +74,10 @@
          text.find_first_not_of(kNameCharacters) == std::string_view::npos;
 }
 
-// Reads the fields of the comment into a statement. Fields of other names are passed over.
+// Reads the fields of the comment into a statement. Unknown fields are ignored.
 class CommentParser {
  public:
-  // `text`: the whole statement, in which the comment lies.
+  // `text`: the whole statement, which contains the comment.
   CommentParser(std::string_view text, Statement& statement) : text_(text), statement_(statement) {}
 
   Problem parse(std::string_view comment) {
@@ -85,7 +86,8 @@
       auto field = comment.substr(0, comma);
       comment.remove_prefix(comma == std::string_view::npos ? comment.size() : comma + 1);
       auto equals = field.find('=');
-      if (equals == std::string_view::npos || equals == 0) return "the comment is no list of name=value";
+      if (equals == std::string_view::npos || equals == 0)
+        return "the comment is not a list of name=value fields";
       if (auto problem = read_field(field.substr(0, equals), field.substr(equals + 1))) return problem;
     }
     bool is_complete = !statement_.id.empty() && !statement_.request_class.empty() &&
@@ -107,13 +109,13 @@
   }
 
   Problem read_id(std::string_view value) {
-    if (!statement_.id.empty() || !is_name(value)) return "id is no name or given twice";
+    if (!statement_.id.empty() || !is_name(value)) return "id is not a valid name or is given twice";
     statement_.id = value;
     return std::nullopt;
   }
 
   Problem read_request_class(std::string_view value) {
-    if (!statement_.request_class.empty() || value.empty()) return "c is empty or given twice";
+    if (!statement_.request_class.empty() || value.empty()) return "c is empty or is given twice";
     statement_.request_class = value;
     return std::nullopt;
   }
@@ -121,7 +123,8 @@
   Problem read_timeout(std::string_view value) {
     auto timeout_ms = to_integer(value);
     bool is_valid = timeout_ms && *timeout_ms > 0 && *timeout_ms <= kLongestTimeoutMs;
-    if (statement_.timeout_ms != 0 || !is_valid) return "d is no wait in milliseconds";
+    if (statement_.timeout_ms != 0 || !is_valid)
+      return "d is not a valid timeout in milliseconds or is given twice";
     statement_.timeout_ms = *timeout_ms;
     statement_.timeout_begin = static_cast<std::size_t>(value.data() - text_.data());
     statement_.timeout_end = statement_.timeout_begin + value.size();
@@ -129,14 +132,14 @@
   }
 
   Problem read_idempotency_key(std::string_view value) {
-    if (statement_.idempotency_key || !is_name(value)) return "k is no name or given twice";
+    if (statement_.idempotency_key || !is_name(value)) return "k is not a valid name or is given twice";
     statement_.idempotency_key = value;
     return std::nullopt;
   }
 
   Problem read_shard_group(std::string_view value) {
     auto number = to_integer(value);
-    if (has_shard_group_ || !number) return "cluster is no number";
+    if (has_shard_group_ || !number) return "cluster is not a number or is given twice";
     has_shard_group_ = true;
     statement_.shard_group = *number;
     return std::nullopt;
@@ -144,7 +147,8 @@
 
   Problem read_position(std::string_view value) {
     auto unix_ms = to_integer(value);
-    if (statement_.after_unix_ms || !unix_ms || *unix_ms < 0) return "after is no position";
+    if (statement_.after_unix_ms || !unix_ms || *unix_ms < 0)
+      return "after is not a valid position or is given twice";
     if (*unix_ms > 0) statement_.after_unix_ms = *unix_ms;
     return std::nullopt;
   }
@@ -166,9 +170,9 @@
   return statement;
 }
 
-// Empty queries and session commands; else unknown.
+// Parses empty queries and session commands; any other statement is unknown.
 Statement parse_empty_or_session(std::string_view text) {
-  Statement statement = unknown_statement("this statement is not known here");
+  Statement statement = unknown_statement("this statement is not supported");
   auto words = trim(text);
   if (words.empty()) statement.kind = StatementKind::kEmpty;
   bool is_single = words.find(';') == std::string_view::npos;
@@ -196,17 +200,17 @@
 
   Statement statement;
   auto key = take_quoted(rest);
-  if (!key || key->empty()) return unknown_statement("the key is empty or its quote is never closed");
+  if (!key || key->empty()) return unknown_statement("the key is empty or its quote is not closed");
   statement.key = *key;
   if (is_write) {
     bool is_known = take_prefix(rest, ", '") && take_quoted(rest) && take_prefix(rest, ") RETURNING content");
-    if (!is_known) return unknown_statement("this is not the INSERT known here");
+    if (!is_known) return unknown_statement("this form of INSERT is not supported");
   }
   bool has_comment = take_prefix(rest, " /* ") && rest.ends_with(" */");
-  if (!has_comment) return unknown_statement("the comment is missing or never closed");
+  if (!has_comment) return unknown_statement("the comment is missing or not closed");
   rest.remove_suffix(3);
   bool has_another = rest.find("*/") != std::string_view::npos || rest.find("/*") != std::string_view::npos;
-  if (has_another) return unknown_statement("one comment only");
+  if (has_another) return unknown_statement("only one comment is allowed");
   if (auto problem = CommentParser(text, statement).parse(rest)) return unknown_statement(*problem);
   statement.kind = is_write ? StatementKind::kWrite : StatementKind::kRead;
   return statement;
--- a/src/pg/statement.h
+++ b/src/pg/statement.h
@@ -1,6 +1,7 @@
-// The statements that clients may send, parsed where they lie. No I/O.
+// The statements that clients may send, parsed in place. No I/O.
 //
-// A read or a write names its request in one SQL comment behind it: `/* id=9b,c=view,d=480,cluster=2 */`.
+// A read or a write ends with one SQL comment that describes its request:
+// `/* id=9b,c=view,d=480,cluster=2 */`.
 // The comment's field names are fixed by the protocol page; this file translates them.
 #pragma once
 
@@ -14,31 +15,33 @@
 // forms.
 enum class StatementKind { kEmpty, kSession, kRead, kWrite, kUnknown };
 
-// What a statement says. All views point into its text.
+// A parsed statement. All views except `problem` and `tag` point into its text.
 struct Statement {
   StatementKind kind = StatementKind::kUnknown;
-  std::string_view problem;        // kUnknown: what is wrong, as a sentence for the client
-  std::string_view tag;            // kSession: what CommandComplete names
-  std::string_view key;            // the row's name, between its quotes
+  std::string_view problem;        // kUnknown: the error, as a text for the client
+  std::string_view tag;            // kSession: the command tag of CommandComplete
+  std::string_view key;            // the row's name, without its quotes
   std::string_view id;             // field `id`
   std::string_view request_class;  // field `c`
-  std::int64_t timeout_ms = 0;     // field `d`: how long the client waits for the answer
-  std::size_t timeout_begin = 0;   // where the digits of `d` stand in the text
+  std::int64_t timeout_ms = 0;     // field `d`: the time that the client waits for the answer
+  std::size_t timeout_begin = 0;   // the offset of the digits of `d` in the text
   std::size_t timeout_end = 0;
   std::optional<std::string_view> idempotency_key;  // field `k`
   std::int64_t shard_group = 0;                     // field `cluster`
-  std::optional<std::int64_t> after_unix_ms;        // field `after`: the position to be seen, rounded up
-  bool is_retry = false;                            // field `r`
+  std::optional<std::int64_t> after_unix_ms;  // field `after`: the position that the request must see, rounded up
+  bool is_retry = false;                      // field `r`
 };
 
-// A statement of more bytes than these is rejected unless it is an INSERT, so the rest of it need not be
-// waited for.
+// The greatest size in bytes of a statement other than an INSERT. A longer one is rejected without waiting
+// for the rest of it.
 constexpr std::size_t kLongestShortStatement = 4096;
 
-// Whether a statement that begins like this may be longer: only an INSERT carries a value.
+// Whether a statement with this beginning may be longer than kLongestShortStatement: only an INSERT, as it
+// carries a value.
 bool may_be_long(std::string_view beginning);
 
-// Never fails: what is not known becomes StatementKind::kUnknown with its problem.
+// Parses a statement. Never fails: a statement of no known form becomes StatementKind::kUnknown with its
+// problem.
 Statement parse_statement(std::string_view text);
 
 }  // namespace database_proxy::pg
