--- a/src/pg/statement.h
+++ b/src/pg/statement.h
@@ -28,7 +28,7 @@
   std::size_t timeout_end = 0;
   std::optional<std::string_view> idempotency_key;  // field `k`
   std::int64_t shard_group = 0;                     // field `cluster`
-  std::optional<std::int64_t> after_unix_ms;  // field `after`: the position that the request must see, rounded up
+  std::optional<std::int64_t> after_unix_ms;  // field `after`: the position that must be visible, rounded up
   bool is_retry = false;                      // field `r`
 };
 
