--- a/src/proxy/attempt_outcome.h
+++ b/src/proxy/attempt_outcome.h
@@ -1,4 +1,4 @@
-// The table of the protocol page: what an attempt's end proves.
+// Maps the way an attempt ended to its outcome, as the table of the protocol page defines it.
 #pragma once
 
 #include <string_view>
@@ -7,14 +7,14 @@
 
 namespace database_proxy::proxy {
 
-// An ErrorResponse to a request that was written whole.
+// The outcome of an ErrorResponse to a request that was written completely.
 inline routing::AttemptOutcome outcome_of_error(std::string_view sqlstate) {
   if (sqlstate == "25006" || sqlstate == "72000") return routing::AttemptOutcome::kDeclined;
   if (sqlstate == "53300") return routing::AttemptOutcome::kRejected;
-  return routing::AttemptOutcome::kError;  // XX000, and what nobody has named: it may have run
+  return routing::AttemptOutcome::kError;  // XX000 and all unlisted codes: it may have run
 }
 
-// The last byte written separates "never ran" from "may have".
+// `written`: the last byte of the request was written. Before that it cannot have run; after, it may have.
 inline routing::AttemptOutcome outcome_of_broken_connection(bool written) {
   return written ? routing::AttemptOutcome::kReset : routing::AttemptOutcome::kNoConnection;
 }
--- a/src/proxy/withdrawn_servers.cpp
+++ b/src/proxy/withdrawn_servers.cpp
@@ -8,7 +8,7 @@
 
 using discovery::Lifecycle;
 
-// No attempt lasts so long after its server has left the list.
+// Longer than any attempt lasts after its server has left the list.
 constexpr std::chrono::seconds kForgetAfter{90};
 
 }  // namespace
--- a/src/proxy/withdrawn_servers.h
+++ b/src/proxy/withdrawn_servers.h
@@ -1,5 +1,5 @@
-// Since when data servers are to be given nothing new: cordoned, draining or gone. What an attempt is checked
-// against, apart from the decisions. No I/O.
+// Records since when data servers must not receive new attempts, because they are cordoned, draining or
+// removed. Attempts are checked against it independently of the decisions. No I/O.
 #pragma once
 
 #include <chrono>
@@ -17,8 +17,8 @@
   using Micros = std::chrono::microseconds;
 
   void update(Micros now, const discovery::EndpointListUpdate& update);
-  // When the first notice of it was given, to whatever process of the proxy; nullopt: it may be used, or has
-  // been gone for so long that it is forgotten.
+  // The time at which any process of the proxy first received notice of the withdrawal; nullopt: the server
+  // may be used, or was removed long enough ago that its entry was dropped.
   std::optional<Micros> since(const std::string& server) const;
 
  private:
