--- a/src/proxy/answer_reader.cpp
+++ b/src/proxy/answer_reader.cpp
@@ -9,7 +9,7 @@
 
 using routing::AttemptOutcome;
 
-// A fraction falls off: a known position is rounded down.
+// A fraction is cut off, which rounds the position down.
 std::optional<std::int64_t> to_position(std::string_view text) {
   std::int64_t value = 0;
   const char* last = text.data() + text.size();
@@ -83,7 +83,7 @@
   return FrameVerdict::kAccepted;
 }
 
-// A report that cannot be read makes only the report useless.
+// A report that cannot be parsed is ignored; the answer stays valid.
 void AnswerReader::read_parameter(const pg::Frame& frame) {
   auto parameter = pg::parse_parameter(frame.body);
   if (!parameter) return;
--- a/src/proxy/answer_reader.h
+++ b/src/proxy/answer_reader.h
@@ -1,4 +1,4 @@
-// The messages of one data server's answer, gathered as they come, and what they amount to. No I/O.
+// Collects the messages of one data server's answer as they arrive and derives the outcome. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -11,29 +11,29 @@
 
 namespace database_proxy::proxy {
 
-// What a connection expects: its handshake, nothing, or the answer to what it has sent.
+// The input that a connection expects: its handshake, nothing, or the answer to the statement it has sent.
 enum class ConnectionPhase { kGreeting, kIdle, kAnswer };
 
-// Whether a message has a place in its phase.
+// The result of checking a message against the connection's phase.
 enum class FrameVerdict {
   kAccepted,
   kComplete,  // the answer ends with it
   kMalformed,
 };
 
-// Belongs to one connection. Messages are remembered as offsets into the connection's input, which may move
-// while more comes in.
+// Belongs to one connection. Messages are stored as offsets into the connection's input, whose buffer may
+// move while more arrives.
 class AnswerReader {
  public:
-  // Forgets the last answer.
+  // Discards the state of the last answer.
   void reset() { *this = {}; }
-  // Forgets what the answer reported of its server, where it turned out to be malformed.
+  // Discards what a malformed answer reported about its server.
   void discard_report();
-  // Takes the message that stands at `offset` of the input.
+  // Processes the message at `offset` of the input.
   FrameVerdict read(const pg::Frame& frame, std::size_t offset, std::string_view input,
                     ConnectionPhase phase);
 
-  // What the messages so far amount to: a row or an error, and not both; kReset: no complete answer.
+  // The outcome by the messages so far: a row or an error, not both; kReset: no complete answer.
   routing::AttemptOutcome outcome() const;
   // Whether the answer has begun.
   bool has_begun() const { return row_description_.size > 0 || !error_code_.empty(); }
--- a/src/proxy/server_pool.cpp
+++ b/src/proxy/server_pool.cpp
@@ -13,7 +13,7 @@
 
 using routing::AttemptOutcome;
 
-// A server at fault must not fill the log.
+// Keeps a faulty server from filling the log.
 constexpr Micros kMalformedLogInterval{1'000'000};
 
 }  // namespace
@@ -48,7 +48,8 @@
   }
 }
 
-// A server that has left the list goes with its last connection: new ones replace old ones all day.
+// Removes the entry of an unlisted server once its last connection is closed. Servers are replaced all day,
+// so that entries would pile up.
 void ServerPool::forget(const std::string& name) {
   auto it = servers_.find(name);
   if (it != servers_.end() && !it->second.is_listed && it->second.connections == 0) servers_.erase(it);
@@ -110,7 +111,7 @@
   auto* connection = made.get();
   int error = 0;
   if (!connection->open(*server.address, &error)) {
-    bool is_ours = net::is_local_shortage(error);  // it says nothing of the server
+    bool is_ours = net::is_local_shortage(error);  // no evidence about the server
     return end_unsent(name, job, is_ours ? AttemptOutcome::kNotSent : AttemptOutcome::kNoConnection);
   }
   all_[connection] = std::move(made);
@@ -141,7 +142,7 @@
 void ServerPool::release(void* given) {
   auto* connection = static_cast<ServerConnection*>(given);
   if (!connection->is_reusable_ || !connection->out_.empty()) return close(connection);
-  auto& server = servers_[connection->server_];  // it stays as long as its connections
+  auto& server = servers_[connection->server_];  // the entry outlives its connections
   if (!server.is_listed || (siblings_ && siblings_->has_too_many_connections(connection->server_)))
     return close(connection);
   connection->in_.clear();
