--- a/src/proxy/server_pool.cpp
+++ b/src/proxy/server_pool.cpp
@@ -48,8 +48,8 @@
   }
 }
 
-// Removes the entry of an unlisted server once its last connection is closed. Servers are replaced all day,
-// so that entries would pile up.
+// Removes the entry of an unlisted server once its last connection is closed: new servers replace old ones
+// all day.
 void ServerPool::forget(const std::string& name) {
   auto it = servers_.find(name);
   if (it != servers_.end() && !it->second.is_listed && it->second.connections == 0) servers_.erase(it);
