--- a/src/app/group_runner.cpp
+++ b/src/app/group_runner.cpp
@@ -29,7 +29,7 @@
       : on_result_(std::move(on_result)), pool_(loop, limits, *this, std::move(log)) {}
   void update_endpoints(const discovery::EndpointListUpdate& list) override { pool_.update(list); }
   void check(const std::string& server) override { pool_.probe(server); }
-  void end_loop_iteration() override { pool_.sweep(); }
+  void end_loop_iteration() override { pool_.free_closed(); }
 
  private:
   void attempt_ended(proxy::AttemptEnd) override {}
--- a/src/proxy/dispatcher.cpp
+++ b/src/proxy/dispatcher.cpp
@@ -331,7 +331,7 @@
     next_due = ticked.next_due;
   } while (!endpoint_updates_.empty() || !attempt_ends_.empty() || !probe_results_.empty() ||
            !abandoned_.empty() || !new_requests_.empty());
-  pool_.sweep();
+  pool_.free_closed();
   loop_.cancel(&due_timer_);
   if (next_due)
     due_timer_ = loop_.at(*next_due, [] {});  // the wake-up suffices: on_iteration_end does the work
--- a/src/proxy/server_pool.cpp
+++ b/src/proxy/server_pool.cpp
@@ -36,35 +36,34 @@
       if (!server.address)
         log_(net::Level::kError,
              fmt::format("server {} has no usable address: '{}'", endpoint.id, endpoint.address));
-      drop_idle(server);
+      close_idle(server);
     }
   }
   std::vector<std::string> removed;
   for (auto& [id, server] : servers_)
     if (!server.is_listed) removed.push_back(id);
   for (auto& id : removed) {
-    drop_idle(servers_[id]);
-    forget(id);
+    close_idle(servers_[id]);
+    erase_if_unused(id);
   }
 }
 
 // Removes the entry of an unlisted server once its last connection is closed: new servers replace old ones
 // all day.
-void ServerPool::forget(const std::string& name) {
+void ServerPool::erase_if_unused(const std::string& name) {
   auto it = servers_.find(name);
   if (it != servers_.end() && !it->second.is_listed && it->second.connections == 0) servers_.erase(it);
 }
 
 void ServerPool::on_malformed_answer(const std::string& server) {
   ++malformed_answers_;
-  if (loop_.now() < malformed_logged_at_ + kMalformedLogInterval) return;
-  malformed_logged_at_ = loop_.now();
-  log_(net::Level::kWarning,
-       fmt::format("server {} sent what is no answer ({} such answers since the last line)", server,
-                   std::exchange(malformed_answers_, 0)));
+  if (loop_.now() < malformed_answer_logged_at_ + kMalformedLogInterval) return;
+  malformed_answer_logged_at_ = loop_.now();
+  log_(net::Level::kWarning, fmt::format("server {} sent a malformed answer ({} since the last such line)",
+                                         server, std::exchange(malformed_answers_, 0)));
 }
 
-void ServerPool::drop_idle(Server& server) {
+void ServerPool::close_idle(Server& server) {
   auto idle = server.idle;
   for (auto* connection : idle) close(connection);
 }
@@ -107,14 +106,14 @@
     log_(net::Level::kWarning, "no descriptor is left for a connection to a data server");
     return end_unsent(name, job, AttemptOutcome::kNotSent);
   }
-  auto made = std::make_unique<ServerConnection>(*this, name);
-  auto* connection = made.get();
+  auto created = std::make_unique<ServerConnection>(*this, name);
+  auto* connection = created.get();
   int error = 0;
   if (!connection->open(*server.address, &error)) {
-    bool is_ours = net::is_local_shortage(error);  // no evidence about the server
-    return end_unsent(name, job, is_ours ? AttemptOutcome::kNotSent : AttemptOutcome::kNoConnection);
+    bool is_local = net::is_local_shortage(error);  // no evidence about the server
+    return end_unsent(name, job, is_local ? AttemptOutcome::kNotSent : AttemptOutcome::kNoConnection);
   }
-  all_[connection] = std::move(made);
+  connections_[connection] = std::move(created);
   ++server.connections;
   if (siblings_) siblings_->connection_opened(name);
   if (!job.is_probe) attempts_[job.request] = connection;
@@ -139,8 +138,8 @@
   connection->finish(outcome_of_cancel(connection->is_written_), false);
 }
 
-void ServerPool::release(void* given) {
-  auto* connection = static_cast<ServerConnection*>(given);
+void ServerPool::release(void* handle) {
+  auto* connection = static_cast<ServerConnection*>(handle);
   if (!connection->is_reusable_ || !connection->out_.empty()) return close(connection);
   auto& server = servers_[connection->server_];  // the entry outlives its connections
   if (!server.is_listed || (siblings_ && siblings_->has_too_many_connections(connection->server_)))
@@ -153,11 +152,11 @@
 }
 
 bool ServerPool::close_one_idle() {
-  Server* most = nullptr;
+  Server* largest = nullptr;
   for (auto& [id, server] : servers_)
-    if (!server.idle.empty() && (!most || server.idle.size() > most->idle.size())) most = &server;
-  if (!most) return false;
-  close(most->idle.front());
+    if (!server.idle.empty() && (!largest || server.idle.size() > largest->idle.size())) largest = &server;
+  if (!largest) return false;
+  close(largest->idle.front());
   return true;
 }
 
@@ -167,8 +166,8 @@
 }
 
 void ServerPool::close(ServerConnection* connection) {
-  auto it = all_.find(connection);
-  if (it == all_.end()) return;
+  auto it = connections_.find(connection);
+  if (it == connections_.end()) return;
   loop_.cancel(&connection->job_timer_);
   loop_.cancel(&connection->idle_timer_);
   std::erase(established_, connection);
@@ -178,10 +177,10 @@
   if (auto server = servers_.find(connection->server_); server != servers_.end()) {
     std::erase(server->second.idle, connection);
     --server->second.connections;
-    forget(connection->server_);
+    erase_if_unused(connection->server_);
   }
-  closed_.push_back(std::move(it->second));
-  all_.erase(it);
+  closed_connections_.push_back(std::move(it->second));
+  connections_.erase(it);
 }
 
 void ServerPool::start_ready_attempts() {
@@ -192,6 +191,6 @@
   }
 }
 
-void ServerPool::sweep() { closed_.clear(); }
+void ServerPool::free_closed() { closed_connections_.clear(); }
 
 }  // namespace database_proxy::proxy
--- a/src/proxy/server_pool.h
+++ b/src/proxy/server_pool.h
@@ -1,4 +1,5 @@
-// Connections to data servers: opened as needed, one request at a time on each, kept while useful.
+// A pool of connections to data servers. Connections are opened on demand, carry one request at a time, and
+// are kept for reuse while idle.
 #pragma once
 
 #include <functional>
@@ -17,43 +18,46 @@
 
 namespace database_proxy::proxy {
 
-// Times of a pool.
+// Time limits of a pool.
 struct PoolLimits {
   Micros connect_timeout{250'000};
-  Micros idle{20'000'000};  // well before the server's own idle limit: what crosses that ends as a reset
+  Micros idle{20'000'000};  // well below the server's idle limit, since a request sent as the server closes
+                            // ends as a reset
   Micros probe_timeout{250'000};
 };
 
-// Owned by a dispatcher, or by whoever only probes; used in its thread.
+// Belongs to a dispatcher or to a component that only probes, and is used only in the owner's thread.
 class ServerPool {
  public:
   ServerPool(net::Loop& loop, PoolLimits limits, ServerEvents& events, net::Log log,
              SiblingWorkers* siblings = nullptr);
   ~ServerPool();
 
-  // Learns addresses, and closes idle connections to servers that left the list or have moved.
+  // Updates addresses, and closes idle connections to servers that were removed from the list or have a new
+  // address.
   void update(const discovery::EndpointListUpdate& list);
-  // For what begins from now on.
+  // Sets the limits of jobs and connections that begin from now on.
   void set_limits(PoolLimits limits) { limits_ = limits; }
-  // Starts an attempt; its end is reported through ServerEvents.
+  // Starts an attempt, whose end is reported through ServerEvents. It is not sent later than `start_within`
+  // from now.
   void start(RequestId request, int attempt, const std::string& server, Micros timeout, Micros start_within);
-  // Ends the attempt that is in flight for the request, and where `attempt` is given, only that one.
+  // Cancels the request's attempt in flight; if `attempt` is given, only an attempt of that number.
   void cancel(RequestId request, std::optional<int> attempt = std::nullopt);
-  // Starts a health check.
+  // Starts a probe, whose result is reported through ServerEvents.
   void probe(const std::string& server);
-  // The answer of the connection's attempt has been passed on.
+  // Takes back a connection after the answer of its attempt has been passed on.
   void release(void* connection);
-  // Frees a descriptor; false: no connection is idle.
+  // Closes an idle connection to free a descriptor. Returns false if no connection is idle.
   bool close_one_idle();
-  // Closes an idle connection to this server, where there is one.
+  // Closes an idle connection to this server, if there is one.
   void close_one_idle(const std::string& server);
   std::size_t servers_known() const { return servers_.size(); }
-  // Begins the attempts whose connections have come up: after all that this iteration has brought is known,
-  // so that a client's end goes before its attempt's beginning.
+  // Starts the attempts whose connections have been established. Called after all events of the iteration
+  // have been read, so that a client's disconnection takes effect before its attempt starts.
   void start_ready_attempts();
-  // At the end of an iteration: frees what was closed in it.
-  void sweep();
-  // Called before a new connection; false: no descriptor is left.
+  // Frees the connections that were closed in this iteration. Called at its end.
+  void free_closed();
+  // Called before a connection is opened. Returns false if no descriptor is left.
   std::function<bool()> has_descriptor = [] { return true; };
 
  private:
@@ -69,8 +73,8 @@
   void run(const std::string& server, ServerJob job);
   void end_unsent(const std::string& server, const ServerJob& job, routing::AttemptOutcome outcome);
   void close(ServerConnection* connection);
-  void drop_idle(Server& server);
-  void forget(const std::string& name);
+  void close_idle(Server& server);
+  void erase_if_unused(const std::string& name);
   void on_malformed_answer(const std::string& server);
 
   net::Loop& loop_;
@@ -79,12 +83,12 @@
   net::Log log_;
   SiblingWorkers* siblings_;
   std::unordered_map<std::string, Server> servers_;
-  std::unordered_map<ServerConnection*, std::unique_ptr<ServerConnection>> all_;
+  std::unordered_map<ServerConnection*, std::unique_ptr<ServerConnection>> connections_;
   std::unordered_map<RequestId, ServerConnection*> attempts_;  // in flight
-  std::vector<ServerConnection*> established_;                 // whose jobs are still to be written
-  std::vector<std::unique_ptr<ServerConnection>> closed_;
+  std::vector<ServerConnection*> established_;                 // their jobs are not written yet
+  std::vector<std::unique_ptr<ServerConnection>> closed_connections_;
   std::uint64_t malformed_answers_ = 0;
-  Micros malformed_logged_at_{INT64_MIN / 2};
+  Micros malformed_answer_logged_at_{INT64_MIN / 2};
 };
 
 }  // namespace database_proxy::proxy
--- a/src/workers/decision_thread.cpp
+++ b/src/workers/decision_thread.cpp
@@ -101,7 +101,7 @@
     if (told_[w]) wake_(w);
     told_[w] = false;
   }
-  pool_.sweep();
+  pool_.free_closed();
   descriptors_.store(loop_.watched(), std::memory_order_relaxed);
   auto next_due = ticked.next_due;
   if (left) next_due = std::min(next_due.value_or(now + kRetryInterval), now + kRetryInterval);
