--- a/src/proxy/answer_reader.cpp
+++ b/src/proxy/answer_reader.cpp
@@ -43,9 +43,9 @@
     case 'S':  // ParameterStatus
       read_parameter(frame);
       return FrameVerdict::kAccepted;
-    case 'R':  // authentication and BackendKeyData, of the greeting
+    case 'R':  // authentication and BackendKeyData, in the handshake
     case 'K':
-      return phase == ConnectionPhase::kGreeting ? FrameVerdict::kAccepted : FrameVerdict::kMalformed;
+      return phase == ConnectionPhase::kHandshake ? FrameVerdict::kAccepted : FrameVerdict::kMalformed;
     case 'E':
       return read_error(frame);
     case 'T':  // RowDescription
@@ -76,8 +76,8 @@
 
 FrameVerdict AnswerReader::read_row(const pg::Frame& frame, Span message, std::string_view input) {
   auto value = pg::parse_single_column(frame.body);
-  bool has_place = row_description_.size > 0 && data_row_.size == 0;
-  if (!has_place || !value) return FrameVerdict::kMalformed;
+  bool is_expected = row_description_.size > 0 && data_row_.size == 0;
+  if (!is_expected || !value) return FrameVerdict::kMalformed;
   data_row_ = message;
   value_ = {static_cast<std::size_t>(value->data() - input.data()), value->size()};
   return FrameVerdict::kAccepted;
--- a/src/proxy/answer_reader.h
+++ b/src/proxy/answer_reader.h
@@ -12,7 +12,7 @@
 namespace database_proxy::proxy {
 
 // The input that a connection expects: its handshake, nothing, or the answer to the statement it has sent.
-enum class ConnectionPhase { kGreeting, kIdle, kAnswer };
+enum class ConnectionPhase { kHandshake, kIdle, kAnswer };
 
 // The result of checking a message against the connection's phase.
 enum class FrameVerdict {
--- a/src/proxy/server_connection.cpp
+++ b/src/proxy/server_connection.cpp
@@ -14,14 +14,15 @@
 
 using routing::AttemptOutcome;
 
-constexpr std::size_t kLongestMessage = 192 * 1024;  // a value of 64 KiB takes 128 as hexadecimal digits
-constexpr std::size_t kReadCap = 2 * kLongestMessage;
-// An answer that has begun comes within a few round trips, 64 KiB too; one that pauses for so long in its
-// middle has stopped short, or a false length makes the reader wait for bytes that never come.
-constexpr Micros kLongestPause{100'000};
+constexpr std::size_t kMaxMessageSize = 192 * 1024;  // a value of 64 KiB takes 128 KiB as hexadecimal digits
+constexpr std::size_t kMaxBufferedInput = 2 * kMaxMessageSize;
+// Time without input after which a partial answer counts as malformed. Answers, also those of 64 KiB, arrive
+// within a few round trips; after a longer pause the answer was truncated, or a wrong length makes the reader
+// wait for bytes that never arrive.
+constexpr Micros kMaxAnswerPause{100'000};
 constexpr std::string_view kUser = "backend", kDatabase = "store", kProbeQuery = "SHOW usage";
-// The least timeout that is told a data server, in which 0 would mean none.
-constexpr Micros kLeastTimeout{1000};
+// The minimum timeout sent to a data server, which takes 0 for no timeout.
+constexpr Micros kMinTimeout{1000};
 constexpr std::string_view kTooManyConnections = "53300", kProtocolViolation = "08P01";
 
 }  // namespace
@@ -49,12 +50,14 @@
     return true;
   }
   pool_.loop_.cancel(&idle_timer_);
-  // What came unasked while it was idle, or its end, may wait unread: it would be taken for this answer.
-  bool is_quiet = in_.fill(fd_.get(), kReadCap) == net::IoEnd::kAgain && in_.view().empty();
-  return is_quiet && write_job();
+  // Input that arrived while the connection was idle would be taken for this answer, and the peer may have
+  // closed the connection.
+  bool has_no_input = in_.fill(fd_.get(), kMaxBufferedInput) == net::IoEnd::kAgain && in_.view().empty();
+  return has_no_input && write_job();
 }
 
-// Connecting ends an attempt as "no connection"; only then does its own timeout count.
+// While connecting, an attempt that reaches the connect timeout ends with kNoConnection; if its own deadline
+// comes first, it ends as timed out.
 void ServerConnection::wait_until_established() {
   auto& loop = pool_.loop_;
   Micros established_by = loop.now() + pool_.limits_.connect_timeout;
@@ -64,8 +67,8 @@
   });
 }
 
-// Sends the job on a connection that is up. False: it had been idle and broke unseen; no byte of this job has
-// gone out on it, so the pool may take another.
+// Sends the job on an established connection. Returns false if the connection had been idle and turns out to
+// be broken: no byte of this job was sent, so the pool may use another connection.
 bool ServerConnection::write_job() {
   auto& loop = pool_.loop_;
   loop.cancel(&job_timer_);
@@ -74,7 +77,7 @@
   reader_.reset();
   auto sent = job_->is_probe ? std::optional(out_.write(fd_.get(), {pg::simple_query(kProbeQuery)}))
                              : write_attempt();
-  if (!sent) return true;  // it has ended without being written
+  if (!sent) return true;  // the attempt ended without being written
   bool was_used = std::exchange(was_used_, true);
   if (!*sent && was_used) return false;
   if (!*sent) {
@@ -87,13 +90,14 @@
   return true;
 }
 
-// Whether the statement went out; nullopt: the attempt may not begin any more, and has ended.
+// Sends the attempt's statement. Returns whether the write succeeded; nullopt if the attempt must not start
+// any more and has ended.
 std::optional<bool> ServerConnection::write_attempt() {
   auto now = pool_.loop_.now();
   auto* client = pool_.events_.client_of(job_->request);
-  bool came_up_late = state_ == State::kEstablished;  // for an idle connection the dispatcher has just asked
-  if (!client || (came_up_late && !client->still_connected())) {
-    if (job_) finish(outcome_of_cancel(false), false);  // else it has ended with its request
+  bool is_new_connection = state_ == State::kEstablished;  // for an idle one, the dispatcher has just checked
+  if (!client || (is_new_connection && !client->still_connected())) {
+    if (job_) finish(outcome_of_cancel(false), false);  // otherwise it has ended together with its request
     return std::nullopt;
   }
   if (now >= std::min(job_->deadline, job_->start_by)) {
@@ -101,7 +105,7 @@
     return std::nullopt;
   }
   pool_.events_.attempt_begins(job_->request, server_);
-  auto query = client->query(std::max(kLeastTimeout, job_->deadline - now));
+  auto query = client->query(std::max(kMinTimeout, job_->deadline - now));
   return out_.write(fd_.get(), {query.head, query.before, query.wait, query.after});
 }
 
@@ -110,7 +114,7 @@
   if (state_ == State::kConnecting) {
     if (net::socket_error(fd_.get()) != 0) return on_connection_error();
     if (!is_writable) return;
-    state_ = State::kGreeting;
+    state_ = State::kHandshake;
     if (!out_.write(fd_.get(), {pg::startup_message(kUser, kDatabase)})) return on_connection_error();
   }
   if (is_writable) {
@@ -119,8 +123,8 @@
   }
   bool has_ended = net::peer_has_ended(events);
   if ((events & EPOLLIN) == 0 && !has_ended) return;
-  // Where an answer is complete, nothing more is expected: what may stand behind it is found before the next.
-  while (read_step(has_ended) && awaits_input()) {
+  // Reading stops at a complete answer. Input behind it is detected before the next job.
+  while (read_input(has_ended) && awaits_input()) {
   }
   if (!fd_ || state_ != State::kBusy) return;
   bool has_begun = parsed_ != in_.view().size() || reader_.has_begun();
@@ -128,13 +132,13 @@
   auto& loop = pool_.loop_;
   loop.cancel(&job_timer_);
   job_timer_ =
-      loop.at(std::min(job_->deadline, loop.now() + kLongestPause), [this] { on_malformed_answer(); });
+      loop.at(std::min(job_->deadline, loop.now() + kMaxAnswerPause), [this] { on_malformed_answer(); });
 }
 
-// Reads, and takes what has come. False: there is nothing more for now. The end of the peer is reported once,
-// so that reading must meet it then.
-bool ServerConnection::read_step(bool to_the_end) {
-  auto end = to_the_end ? in_.fill(fd_.get(), kReadCap) : in_.read_once(fd_.get(), kReadCap);
+// Reads and processes input. Returns false if no more is available for now. `until_end`: reads up to the
+// peer's end of stream, which is reported only once.
+bool ServerConnection::read_input(bool until_end) {
+  auto end = until_end ? in_.fill(fd_.get(), kMaxBufferedInput) : in_.read_once(fd_.get(), kMaxBufferedInput);
   if (end == net::IoEnd::kFull) {
     on_malformed_answer();
     return false;
@@ -148,44 +152,46 @@
 }
 
 bool ServerConnection::awaits_input() const {
-  return fd_ && (state_ == State::kGreeting || state_ == State::kBusy);
+  return fd_ && (state_ == State::kHandshake || state_ == State::kBusy);
 }
 
 ConnectionPhase ServerConnection::phase() const {
-  if (state_ == State::kGreeting) return ConnectionPhase::kGreeting;
+  if (state_ == State::kHandshake) return ConnectionPhase::kHandshake;
   return state_ == State::kBusy ? ConnectionPhase::kAnswer : ConnectionPhase::kIdle;
 }
 
 void ServerConnection::read_frames() {
-  while (fd_ && state_ != State::kSettled) {
+  while (fd_ && state_ != State::kFinished) {
     pg::Frame frame;
-    auto status = pg::parse_frame(in_.view().substr(parsed_), kLongestMessage, &frame);
+    auto status = pg::parse_frame(in_.view().substr(parsed_), kMaxMessageSize, &frame);
     if (status == pg::ParseStatus::kMore) break;
     if (status == pg::ParseStatus::kBad) return on_malformed_answer();
-    bool is_greeted = frame.type == 'Z' && state_ == State::kGreeting && reader_.error_code().empty();
-    if (is_greeted) {
-      if (on_greeted()) continue;
+    bool is_handshake_complete =
+        frame.type == 'Z' && state_ == State::kHandshake && reader_.error_code().empty();
+    if (is_handshake_complete) {
+      if (on_handshake_complete()) continue;
       break;
     }
     auto verdict = reader_.read(frame, parsed_, in_.view(), phase());
     if (verdict == FrameVerdict::kMalformed) return on_malformed_answer();
     if (frame.type == 'E' && reader_.error_code() == kProtocolViolation)
-      pool_.log_(net::Level::kError, fmt::format("server {} took a statement for malformed: {}", server_,
+      pool_.log_(net::Level::kError, fmt::format("server {} rejected a statement as malformed: {}", server_,
                                                  reader_.error_message()));
     if (verdict == FrameVerdict::kComplete) {
-      // What stands behind the answer belongs to nobody: the next answer must not begin with it. The
-      // connection may be back in the pool after this, with its buffer emptied.
+      // Input behind the answer belongs to no request, and the next answer must not begin with it. finish()
+      // may return the connection to the pool and empty its buffer.
       bool is_last = in_.view().size() == parsed_ + frame.size;
       return finish(reader_.outcome(), is_last);
     }
     parsed_ += frame.size;
   }
-  if (peer_closed_ && fd_ && state_ != State::kSettled) on_connection_error();
+  if (peer_closed_ && fd_ && state_ != State::kFinished) on_connection_error();
 }
 
-// The handshake is over. A probe is written at once: no client's end goes before it, and not all who probe
-// have such an end of iteration. True: reading goes on.
-bool ServerConnection::on_greeted() {
+// Handles the end of the handshake. A probe is written at once: no client's disconnection has to be processed
+// before it, and not all users of a pool for probes call start_ready_attempts(). Returns whether reading
+// continues.
+bool ServerConnection::on_handshake_complete() {
   if (job_->is_probe) {
     write_job();
     return true;
@@ -198,8 +204,8 @@
   return false;
 }
 
-// What came is no answer, or stopped in the middle of one. Nothing that it reported before counts: an attempt
-// that was written completely may have run, whatever error code the noise resembles.
+// Handles an answer that is malformed or stopped in the middle. Nothing that it reported before is used: an
+// attempt that was written completely may have run, whatever error code the malformed input resembles.
 void ServerConnection::on_malformed_answer() {
   pool_.on_malformed_answer(server_);
   if (!job_) return pool_.close(this);
@@ -212,18 +218,18 @@
 void ServerConnection::on_connection_error() {
   if (!job_) return pool_.close(this);
   bool is_busy = state_ == State::kBusy;
-  bool is_rejected = state_ == State::kGreeting && reader_.error_code() == kTooManyConnections;
+  bool is_rejected = state_ == State::kHandshake && reader_.error_code() == kTooManyConnections;
   if (is_rejected) return finish(AttemptOutcome::kRejected, false);
   if (is_busy && reader_.outcome() != AttemptOutcome::kReset) return finish(reader_.outcome(), false);
   finish(outcome_of_broken_connection(is_busy && is_written_), false);
 }
 
-// The one place where a job ends.
+// Ends the job; every job ends here.
 void ServerConnection::finish(AttemptOutcome outcome, bool is_reusable) {
   pool_.loop_.cancel(&job_timer_);
   ServerJob job = *std::exchange(job_, std::nullopt);
   is_reusable_ = is_reusable && !peer_closed_;
-  state_ = State::kSettled;
+  state_ = State::kFinished;
   if (job.is_probe) return report_probe(job, outcome == AttemptOutcome::kServed);
   report_attempt(job, outcome);
 }
--- a/src/proxy/server_connection.h
+++ b/src/proxy/server_connection.h
@@ -1,4 +1,4 @@
-// One connection to a data server: one request at a time, from the handshake to the last byte of its answer.
+// A connection to a data server, from the handshake on. It carries one request at a time.
 #pragma once
 
 #include <memory>
@@ -15,14 +15,14 @@
 
 class ServerPool;
 
-// What a connection is to send, and by when it must have had its answer.
+// A request or probe to be sent on a connection, with its deadlines.
 struct ServerJob {
   bool is_probe = false;
-  RequestId request = 0;  // of an attempt
+  RequestId request = 0;  // 0 for a probe
   int attempt = 0;
   Micros started_at{0};
   Micros deadline{0};
-  Micros start_by = Micros::max();  // it is not written later
+  Micros start_by = Micros::max();  // latest time at which it may be written
 };
 
 // Owned by its pool and used in the pool's thread only.
@@ -34,23 +34,23 @@
 
  private:
   friend class ServerPool;
-  // docs/design/lifecycles.md has the table of transitions. kEstablished: it has just come up, and its job is
-  // written at the end of this iteration.
-  enum class State { kConnecting, kGreeting, kEstablished, kIdle, kBusy, kSettled };
+  // docs/design/lifecycles.md has the table of transitions. kEstablished: the handshake has just completed,
+  // and the job is written at the end of this iteration.
+  enum class State { kConnecting, kHandshake, kEstablished, kIdle, kBusy, kFinished };
 
-  // False, and errno in `error`: the connection cannot be made.
+  // Starts to connect. On failure, returns false and sets `error` to the errno.
   bool open(const net::Address& address, int* error);
-  // Writes the job, or connects first. False: the connection was idle and broke unseen; no byte of the job
-  // went out.
+  // Writes the job, on a new connection after the handshake. Returns false if the connection was idle and is
+  // found unusable; no byte of the job was sent.
   bool begin(const ServerJob& job);
   bool write_job();
   std::optional<bool> write_attempt();
   void wait_until_established();
   ConnectionPhase phase() const;
-  bool read_step(bool to_the_end);
+  bool read_input(bool until_end);
   bool awaits_input() const;
   void read_frames();
-  bool on_greeted();
+  bool on_handshake_complete();
   void finish(routing::AttemptOutcome outcome, bool is_reusable);
   void report_probe(const ServerJob& job, bool answered);
   void report_attempt(const ServerJob& job, routing::AttemptOutcome outcome);
@@ -66,11 +66,11 @@
   std::optional<ServerJob> job_;
   net::Loop::TimerId job_timer_ = net::Loop::kNoTimer;
   net::Loop::TimerId idle_timer_ = net::Loop::kNoTimer;
-  bool is_written_ = false;   // the job's last byte has gone out: it may have run
-  bool was_used_ = false;     // a job has been written before
-  bool is_reusable_ = false;  // once its answer has been passed on
+  bool is_written_ = false;   // the job was sent completely, so it may have run
+  bool was_used_ = false;     // an earlier job was written on this connection
+  bool is_reusable_ = false;  // may serve another job after its answer has been passed on
   bool peer_closed_ = false;
-  std::size_t parsed_ = 0;  // bytes of the input that the reader has seen
+  std::size_t parsed_ = 0;  // bytes of the input that were parsed
   AnswerReader reader_;
 };
 
