--- a/src/proxy/dispatcher.cpp
+++ b/src/proxy/dispatcher.cpp
@@ -137,7 +137,7 @@
     log_(net::Level::kDebug, fmt::format("probe of {}: {}", result.server,
                                          result.ok ? std::string_view(result.load_report) : "no answer"));
   if (load_reports_) load_reports_->on_contact(result.server, result.ok);
-  if (siblings_ && result.ok) siblings_->probed(result);
+  if (siblings_ && result.ok) siblings_->share_probe_result(result);
   if (observer_) observer_->probed(result);
   probe_results_.push_back(std::move(result));
 }
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -215,11 +215,11 @@
 
 std::size_t Proxy::descriptors_in_use() const {
   auto own = loop_.watched() + kOwnDescriptors + options_.reserved_descriptors;
-  return siblings_ ? own + kOfEachProxy * options_.count + siblings_->others().descriptors : own;
+  return siblings_ ? own + kOfEachProxy * options_.count + siblings_->sibling_usage().descriptors : own;
 }
 
 std::size_t Proxy::clients_in_all() const {
-  return sessions_.size() + (siblings_ ? siblings_->others().clients : 0);
+  return sessions_.size() + (siblings_ ? siblings_->sibling_usage().clients : 0);
 }
 
 void Proxy::publish() {
@@ -231,8 +231,9 @@
   if (clients_in_all() > options_.descriptors / kActiveClientShare &&
       loop_.now() - published_at_ >= kTrimEvery) {
     published_at_ = loop_.now();
-    held_.asked = 0;
-    for (auto& [session, owned] : sessions_) held_.asked += !session->is_lingering() && !session->is_unused();
+    held_.used_clients = 0;
+    for (auto& [session, owned] : sessions_)
+      held_.used_clients += !session->is_lingering() && !session->is_unused();
   }
   siblings_->publish(held_);
 }
@@ -378,7 +379,7 @@
     if (session->is_idle() && loop_.now() - session->idle_since() >= kRecentlyActive) idle.push_back(session);
   }
   // Of several, each closes its part of what all have too many.
-  auto all = asked + (siblings_ ? siblings_->others().asked : 0);
+  auto all = asked + (siblings_ ? siblings_->sibling_usage().used_clients : 0);
   if (all <= most) return;
   auto own = siblings_ ? (all - most) * asked / all + 1 : all - most;
   auto count = std::min(own, idle.size());
@@ -391,7 +392,7 @@
 
 bool Proxy::on_buffered_change(std::ptrdiff_t change) {
   buffered_ += static_cast<std::size_t>(change);
-  return buffered_ + (siblings_ ? siblings_->others().statement_bytes : 0) <=
+  return buffered_ + (siblings_ ? siblings_->sibling_usage().statement_bytes : 0) <=
          options_.memory / kStatementMemoryShare / (1 + others_.processes);
 }
 
--- a/src/workers/shared_request_registry.cpp
+++ b/src/workers/shared_request_registry.cpp
@@ -6,7 +6,7 @@
   auto& line = channels_[worker];
   line.descriptors.store(held.descriptors, std::memory_order_relaxed);
   line.clients.store(held.clients, std::memory_order_relaxed);
-  line.asked.store(held.asked, std::memory_order_relaxed);
+  line.asked.store(held.used_clients, std::memory_order_relaxed);
   line.statement_bytes.store(held.statement_bytes, std::memory_order_relaxed);
 }
 
@@ -23,7 +23,7 @@
     auto one = of(i);
     sum.descriptors += one.descriptors;
     sum.clients += one.clients;
-    sum.asked += one.asked;
+    sum.used_clients += one.used_clients;
     sum.statement_bytes += one.statement_bytes;
   }
   return sum;
--- a/src/workers/worker_pool.cpp
+++ b/src/workers/worker_pool.cpp
@@ -116,7 +116,7 @@
 
   // SiblingWorkers, in the worker's own thread.
   void publish(const proxy::ResourceUsage& held) override { group_.resource_usage_.publish(number_, held); }
-  proxy::ResourceUsage others() const override {
+  proxy::ResourceUsage sibling_usage() const override {
     auto sum = group_.resource_usage_.others(number_);
     if (group_.decisions_) sum.descriptors += group_.decisions_->descriptors();
     return sum;
@@ -141,7 +141,7 @@
       if (other.get() != this)
         other->post([server, &p = *other->proxy_] { p.pool().close_one_idle(server); });
   }
-  void probed(const routing::ProbeResult& result) override {
+  void share_probe_result(const routing::ProbeResult& result) override {
     if (!group_.config_.options.share_probes) return;
     for (auto& other : group_.workers_)
       if (other.get() != this)
