--- a/src/proxy/dispatcher.cpp
+++ b/src/proxy/dispatcher.cpp
@@ -101,7 +101,7 @@
 void Dispatcher::abandon(RequestId request) {
   if (!close(request)) return;
   ++counters_.disconnected;
-  if (std::erase_if(new_requests_, [&](auto& submitted) { return submitted.id == request; }) > 0) return;
+  if (std::erase_if(new_requests_, [&](auto& queued) { return queued.id == request; }) > 0) return;
   abandoned_.push_back(request);
   pool_.cancel(request);
 }
@@ -123,7 +123,7 @@
     auto* client = close(request);
     if (!client) continue;
     ++counters_.failed;
-    if (std::erase_if(new_requests_, [&](auto& submitted) { return submitted.id == request; }) == 0) {
+    if (std::erase_if(new_requests_, [&](auto& queued) { return queued.id == request; }) == 0) {
       abandoned_.push_back(request);
       pool_.cancel(request);
     }
--- a/src/proxy/server_connection.cpp
+++ b/src/proxy/server_connection.cpp
@@ -56,8 +56,8 @@
   return has_no_input && write_job();
 }
 
-// While connecting, an attempt that reaches the connect timeout ends with kNoConnection; if its own deadline
-// comes first, it ends as timed out.
+// Waits for the connection. At the connect timeout the attempt ends with kNoConnection; if its own deadline
+// comes first, it ends with kNotSent.
 void ServerConnection::wait_until_established() {
   auto& loop = pool_.loop_;
   Micros established_by = loop.now() + pool_.limits_.connect_timeout;
