--- a/src/proxy/client_commands.cpp
+++ b/src/proxy/client_commands.cpp
@@ -121,7 +121,7 @@
     return;
   }
   auto request = to_request(statement, *request_class, blocked_since_.value_or(arrived_at));
-  bool is_too_much = queue_.size() >= kMostPipelinedRequests || (!queue_.empty() && !account_memory());
+  bool is_too_much = queue_.size() >= kMaxPipelinedRequests || (!queue_.empty() && !account_memory());
   if (is_too_much || request.expires <= loop_.now())
     return reply_error("53300", "too many commands wait on this connection");
   auto command = std::make_unique<QueuedCommand>(*this);
--- a/src/proxy/client_eviction.h
+++ b/src/proxy/client_eviction.h
@@ -23,29 +23,29 @@
   kLongIdle,       // between commands, for kLongIdle at least
   kIdle,           // between commands
   kJustConnected,  // it has never sent a command and has come just now
-  kStays,
+  kNotEvictable,
 };
-constexpr std::size_t kEvictionRanks = static_cast<std::size_t>(EvictionRank::kStays);
+constexpr std::size_t kEvictionRanks = static_cast<std::size_t>(EvictionRank::kNotEvictable);
 
 // Whether only clients with nothing to lose may give way, or also those that a usual client may be: it needs
 // a moment to send its first command.
-enum class EvictionScope { kNothingToLose, kAnyIdle };
+enum class EvictionScope { kInactiveOnly, kAnyIdle };
 
 // The rank of a client that has never sent a command. Whoever came in this very iteration has had no chance
 // to.
-constexpr EvictionRank rank_unused(Micros quiet_for, bool is_mid_command) {
+constexpr EvictionRank rank_of_unused(Micros quiet_for, bool is_mid_command) {
   if (quiet_for >= kLongSilent && !is_mid_command) return EvictionRank::kLongSilent;
-  return quiet_for.count() > 0 ? EvictionRank::kJustConnected : EvictionRank::kStays;
+  return quiet_for.count() > 0 ? EvictionRank::kJustConnected : EvictionRank::kNotEvictable;
 }
 
 // The rank of a client that has sent commands.
-constexpr EvictionRank rank_used(Micros quiet_for, bool is_idle) {
-  if (!is_idle || quiet_for < kRecentlyActive) return EvictionRank::kStays;
+constexpr EvictionRank rank_of_used(Micros quiet_for, bool is_idle) {
+  if (!is_idle || quiet_for < kRecentlyActive) return EvictionRank::kNotEvictable;
   return quiet_for >= kLongIdle ? EvictionRank::kLongIdle : EvictionRank::kIdle;
 }
 
 // So many ranks give way.
-constexpr std::size_t ranks_in(EvictionScope scope) {
+constexpr std::size_t evictable_rank_count(EvictionScope scope) {
   return scope == EvictionScope::kAnyIdle ? kEvictionRanks : static_cast<std::size_t>(EvictionRank::kIdle);
 }
 
--- a/src/proxy/client_session.cpp
+++ b/src/proxy/client_session.cpp
@@ -238,12 +238,12 @@
     input_.on_commands_taken(parsed_);
     return false;
   }
-  if (input_.must_read_on()) {
+  if (input_.must_read_more()) {
     continue_next_iteration();
     return false;
   }
   pg::Frame frame;
-  auto status = pg::parse_frame(input_.view().substr(parsed_), kLongestClientMessage, &frame);
+  auto status = pg::parse_frame(input_.view().substr(parsed_), kMaxClientMessageSize, &frame);
   if (status == pg::ParseStatus::kBad) {
     fail_connection("08P01", "this is no message of the protocol");
     return false;
@@ -366,10 +366,10 @@
   auto begin = command.stream_offset - consumed_ + kQueryHeader;
   auto text = input_.view().substr(begin, command.message_size - kQueryHeader);
   Query query;
-  query.wait = fmt::format("{}", timeout / 1ms);
+  query.timeout_ms = fmt::format("{}", timeout / 1ms);
   query.before = text.substr(0, command.timeout_begin);
   query.after = text.substr(command.timeout_end);
-  query.head = pg::query_head(query.before.size() + query.wait.size() + query.after.size() - 1);
+  query.head = pg::query_head(query.before.size() + query.timeout_ms.size() + query.after.size() - 1);
   return query;
 }
 
--- a/src/proxy/ports.h
+++ b/src/proxy/ports.h
@@ -15,9 +15,9 @@
 using routing::RequestId;
 
 // The parts of a request as it is sent to a data server. `before` and `after` point into the client's buffer;
-// `head` and `wait` are owned.
+// `head` and `timeout_ms` are owned.
 struct Query {
-  std::string head, wait;  // composed for this attempt
+  std::string head, timeout_ms;  // composed for this attempt; the timeout in decimal digits
   std::string_view before, after;
 };
 
@@ -30,7 +30,7 @@
 class ClientPort {
  public:
   virtual ~ClientPort() = default;
-  virtual Query query(Micros wait) = 0;
+  virtual Query query(Micros timeout) = 0;
   // Called right before an attempt begins. False: the client has disconnected, and its requests have been
   // abandoned.
   virtual bool still_connected() = 0;
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -326,7 +326,7 @@
 // Frees a descriptor. Clients that have nothing to lose go first, then an idle connection to a data server: a
 // new one costs that server work and the next request time, so silent clients must not drive them out.
 bool Proxy::free_descriptor() {
-  return close_client(EvictionScope::kNothingToLose) || dispatcher_.pool().close_one_idle() ||
+  return close_client(EvictionScope::kInactiveOnly) || dispatcher_.pool().close_one_idle() ||
          close_client(usual_scope());
 }
 
@@ -334,7 +334,7 @@
 // that came just now: its own are too few to choose from.
 EvictionScope Proxy::usual_scope() const {
   bool has_fair_share = sessions_.size() * options_.count >= clients_in_all();
-  return has_fair_share ? EvictionScope::kAnyIdle : EvictionScope::kNothingToLose;
+  return has_fair_share ? EvictionScope::kAnyIdle : EvictionScope::kInactiveOnly;
 }
 
 namespace {
@@ -342,8 +342,8 @@
 EvictionRank eviction_rank(const ClientSession& session, Micros now) {
   if (session.is_lingering()) return EvictionRank::kLingering;
   auto quiet_for = now - session.idle_since();
-  if (session.is_unused()) return rank_unused(quiet_for, session.is_mid_command());
-  return rank_used(quiet_for, session.is_idle());
+  if (session.is_unused()) return rank_of_unused(quiet_for, session.is_mid_command());
+  return rank_of_used(quiet_for, session.is_idle());
 }
 
 }  // namespace
@@ -358,7 +358,7 @@
     auto*& candidate = candidates[rank];
     if (!candidate || session->idle_since() < candidate->idle_since()) candidate = session;
   }
-  for (std::size_t rank = 0; rank < ranks_in(scope); ++rank) {
+  for (std::size_t rank = 0; rank < evictable_rank_count(scope); ++rank) {
     if (!candidates[rank]) continue;
     candidates[rank]->close();
     return true;
--- a/src/proxy/server_connection.cpp
+++ b/src/proxy/server_connection.cpp
@@ -102,7 +102,7 @@
   }
   pool_.events_.attempt_begins(job_->request, server_);
   auto query = client->query(std::max(kLeastTimeout, job_->deadline - now));
-  return out_.write(fd_.get(), {query.head, query.before, query.wait, query.after});
+  return out_.write(fd_.get(), {query.head, query.before, query.timeout_ms, query.after});
 }
 
 void ServerConnection::on_ready(std::uint32_t events) {
--- a/src/proxy/session_input.h
+++ b/src/proxy/session_input.h
@@ -17,9 +17,9 @@
 
 // Bytes of one message: a value of 64 KiB takes 128 KiB as hexadecimal digits, the rest of a statement is
 // short.
-constexpr std::size_t kLongestClientMessage = 132 * 1024;
+constexpr std::size_t kMaxClientMessageSize = 132 * 1024;
 // Bytes that are read ahead; what is pipelined beyond them waits in the kernel.
-constexpr std::size_t kReadAhead = kLongestClientMessage + 16 * 1024;
+constexpr std::size_t kReadAhead = kMaxClientMessageSize + 16 * 1024;
 
 // Used by the thread of its loop only.
 class SessionInput {
@@ -45,7 +45,7 @@
   bool is_share_used_up() const { return bytes_left_ == 0; }
   bool is_buffer_full() const { return buffer_.view().size() >= kReadAhead; }
   // More must be read before a command is begun: what comes behind it may be the client's end.
-  bool must_read_on() const { return is_paused_ && is_share_used_up() && !is_buffer_full(); }
+  bool must_read_more() const { return is_paused_ && is_share_used_up() && !is_buffer_full(); }
 
   // All whole commands among the first `parsed` bytes are taken; the last byte of the next one is still to
   // come.
--- a/src/proxy/session_rules.cpp
+++ b/src/proxy/session_rules.cpp
@@ -12,9 +12,9 @@
 // it is reserved for that, within these bounds. Some clients wait for a few times ten milliseconds only and
 // need nearly all of them.
 constexpr int kMarginDivisor = 16;
-constexpr Micros kLeastMargin = 2ms, kMostMargin = 20ms;
+constexpr Micros kMinMargin = 2ms, kMaxMargin = 20ms;
 // No class waits so long; whoever wishes for more is answered by then, and nothing is remembered for a day.
-constexpr Micros kLongestTimeout = 60s;
+constexpr Micros kMaxTimeout = 60s;
 
 }  // namespace
 
@@ -30,8 +30,8 @@
 }
 
 Micros answer_deadline(Micros sent_at, std::int64_t timeout_ms) {
-  Micros timeout = std::min<Micros>(std::chrono::milliseconds(timeout_ms), kLongestTimeout);
-  Micros margin = std::clamp(timeout / kMarginDivisor, kLeastMargin, kMostMargin);
+  Micros timeout = std::min<Micros>(std::chrono::milliseconds(timeout_ms), kMaxTimeout);
+  Micros margin = std::clamp(timeout / kMarginDivisor, kMinMargin, kMaxMargin);
   return sent_at + std::max(timeout - margin, timeout / 2);
 }
 
--- a/src/proxy/session_rules.h
+++ b/src/proxy/session_rules.h
@@ -15,7 +15,7 @@
 
 // Requests of one connection that may be open at once, which is more than a driver sends ahead. More are
 // rejected untouched, or one client's hundreds would crowd out all others.
-constexpr std::size_t kMostPipelinedRequests = 32;
+constexpr std::size_t kMaxPipelinedRequests = 32;
 
 // An ErrorResponse that a statement gets instead of becoming a request.
 struct StatementError {
