--- a/src/proxy/session_rules.cpp
+++ b/src/proxy/session_rules.cpp
@@ -8,24 +8,25 @@
 
 using namespace std::chrono_literals;
 
-// The time in a statement runs from the client's send, and the answer takes a while to arrive: a sixteenth of
-// it is reserved for that, within these bounds. Some clients wait for a few times ten milliseconds only and
-// need nearly all of them.
+// The timeout in a statement starts when the client sends it, and the answer takes time to reach the client:
+// a sixteenth of the timeout is reserved for that, within these bounds. Some clients wait only a few tens of
+// milliseconds and need nearly all of that time.
 constexpr int kMarginDivisor = 16;
 constexpr Micros kMinMargin = 2ms, kMaxMargin = 20ms;
-// No class waits so long; whoever wishes for more is answered by then, and nothing is remembered for a day.
+// Longer than any request class waits. Requests with a longer timeout are answered within this time, so that
+// no state is kept for as long as a day.
 constexpr Micros kMaxTimeout = 60s;
 
 }  // namespace
 
 std::optional<StatementError> check_request_class(const pg::Statement& statement,
                                                   const routing::RequestClassInfo* request_class) {
-  if (!request_class) return StatementError{"22023", "this class is not known here"};
+  if (!request_class) return StatementError{"22023", "unknown request class"};
   bool is_write = statement.kind == pg::StatementKind::kWrite;
   if (request_class->is_write != is_write)
-    return StatementError{"22023", "this class is for the other kind of statement"};
+    return StatementError{"22023", "request class does not match the kind of statement (read or write)"};
   if (request_class->needs_key && !statement.idempotency_key)
-    return StatementError{"22023", "this class needs k"};
+    return StatementError{"22023", "request class requires an idempotency key (k)"};
   return std::nullopt;
 }
 
--- a/src/proxy/session_rules.h
+++ b/src/proxy/session_rules.h
@@ -1,5 +1,4 @@
-// The rules by which a client's statement becomes a request, or is rejected before it is one. No I/O, no
-// clock.
+// The rules that turn a client's statement into a request or reject it before that. No I/O, no clock.
 #pragma once
 
 #include <cstdint>
@@ -13,27 +12,28 @@
 
 using routing::Micros;
 
-// Requests of one connection that may be open at once, which is more than a driver sends ahead. More are
-// rejected untouched, or one client's hundreds would crowd out all others.
+// Limit of the unanswered requests of one connection; drivers pipeline fewer. Requests beyond it are rejected
+// without being processed, because hundreds of requests of one client would crowd out all other clients.
 constexpr std::size_t kMaxPipelinedRequests = 32;
 
-// An ErrorResponse that a statement gets instead of becoming a request.
+// The ErrorResponse to a statement that does not become a request.
 struct StatementError {
   std::string_view code;  // SQLSTATE
   std::string_view message;
 };
 
-// Whether a read or write fits its class; nullptr: the settings know no such class. nullopt: it does.
+// Checks that a read or write matches its request class and returns the error if it does not. nullptr: the
+// class is not in the settings.
 std::optional<StatementError> check_request_class(const pg::Statement& statement,
                                                   const routing::RequestClassInfo* request_class);
 
-// By when the answer must be on its way to a client that sent its statement at `sent_at`.
+// The time by which the answer must be sent to a client that sent its statement at `sent_at`.
 Micros answer_deadline(Micros sent_at, std::int64_t timeout_ms);
 
-// Rows and sessions are named by text; the module knows them by number.
+// Hashes the name of a row or session to the number that identifies it in the decision module.
 std::uint64_t hash_of(std::string_view name);
 
-// The request of a statement that fits its class, without its id.
+// Makes the request for a statement that matches its request class. The request's id is not set.
 routing::Request to_request(const pg::Statement& statement, const routing::RequestClassInfo& request_class,
                             Micros sent_at);
 
