--- a/src/proxy/session_input.cpp
+++ b/src/proxy/session_input.cpp
@@ -6,7 +6,7 @@
 namespace database_proxy::proxy {
 namespace {
 
-// One client's share of an iteration of the loop.
+// One client's share of one iteration of the loop.
 constexpr int kCommandsPerIteration = 8;
 constexpr std::size_t kBytesPerIteration = 64 * 1024;
 
@@ -34,8 +34,8 @@
   return end;
 }
 
-// Where reading had stopped in the middle of the next command, the rest of it may have waited on the client's
-// side ever since, so its time goes on.
+// If reading stopped in the middle of the next command, the rest of that command may have waited on the
+// client's side since then, so its arrival time is kept.
 void SessionInput::on_commands_taken(std::size_t parsed) {
   if (is_paused_) return;
   if (view().size() == parsed) was_paused_in_command_ = false;
