--- a/src/proxy/client_eviction.h
+++ b/src/proxy/client_eviction.h
@@ -1,5 +1,6 @@
-// Which client gives way where a descriptor is needed. Pure: no I/O, no clock. All clients are looked at for
-// each one that is to be accepted at the limit, so everything here is inline.
+// The rules that select the client to close when a descriptor is needed. Pure: no I/O, no clock. At the
+// descriptor limit all clients are examined for each client that is to be accepted, so everything here is
+// inline.
 #pragma once
 
 #include <chrono>
@@ -9,30 +10,30 @@
 
 using Micros = std::chrono::microseconds;
 
-// A client that has sent a command so lately may be about to send another, and its answer may still be on the
-// way.
+// A client that has sent a command within this time is not closed: it may be about to send another one, and
+// its answer may still be in transit.
 constexpr Micros kRecentlyActive = std::chrono::milliseconds(50);
-// A client that has been idle for so long, or has sent nothing for so long since it came, gives way to
-// another one.
+// A client that has been idle for kLongIdle, or has sent no command for kLongSilent since it connected, may
+// be closed in favor of another client.
 constexpr Micros kLongIdle = std::chrono::seconds(2), kLongSilent = std::chrono::seconds(1);
 
-// In the order in which clients give way: the first has nothing to lose.
+// In the order in which clients are closed: closing a client of the first rank loses nothing.
 enum class EvictionRank {
-  kLingering,      // it has had its last answer
-  kLongSilent,     // it has never sent a command, for kLongSilent at least
-  kLongIdle,       // between commands, for kLongIdle at least
+  kLingering,      // has received its last answer
+  kLongSilent,     // has never sent a command, for at least kLongSilent
+  kLongIdle,       // between commands, for at least kLongIdle
   kIdle,           // between commands
-  kJustConnected,  // it has never sent a command and has come just now
+  kJustConnected,  // has never sent a command and connected only recently
   kNotEvictable,
 };
 constexpr std::size_t kEvictionRanks = static_cast<std::size_t>(EvictionRank::kNotEvictable);
 
-// Whether only clients with nothing to lose may give way, or also those that a usual client may be: it needs
-// a moment to send its first command.
+// The clients that may be closed: only lingering and long inactive ones, or also idle and just connected
+// ones. A normal client may be in the latter states, because it needs a moment to send its first command.
 enum class EvictionScope { kInactiveOnly, kAnyIdle };
 
-// The rank of a client that has never sent a command. Whoever came in this very iteration has had no chance
-// to.
+// The rank of a client that has never sent a command. A client that connected in the current iteration of the
+// loop has had no chance to send one.
 constexpr EvictionRank rank_of_unused(Micros quiet_for, bool is_mid_command) {
   if (quiet_for >= kLongSilent && !is_mid_command) return EvictionRank::kLongSilent;
   return quiet_for.count() > 0 ? EvictionRank::kJustConnected : EvictionRank::kNotEvictable;
@@ -44,7 +45,7 @@
   return quiet_for >= kLongIdle ? EvictionRank::kLongIdle : EvictionRank::kIdle;
 }
 
-// So many ranks give way.
+// The number of ranks, from the first, whose clients may be closed.
 constexpr std::size_t evictable_rank_count(EvictionScope scope) {
   return scope == EvictionScope::kAnyIdle ? kEvictionRanks : static_cast<std::size_t>(EvictionRank::kIdle);
 }
