--- a/src/proxy/client_eviction.h
+++ b/src/proxy/client_eviction.h
@@ -10,8 +10,8 @@
 
 using Micros = std::chrono::microseconds;
 
-// A client that has sent a command within this time is not closed: it may be about to send another one, and
-// its answer may still be in transit.
+// The time for which a client counts as active after its last command: it may be about to send another one,
+// and its answer may still be in transit.
 constexpr Micros kRecentlyActive = std::chrono::milliseconds(50);
 // A client that has been idle for kLongIdle, or has sent no command for kLongSilent since it connected, may
 // be closed in favor of another client.
