--- a/src/proxy/invariants.cpp
+++ b/src/proxy/invariants.cpp
@@ -7,7 +7,7 @@
 namespace database_proxy::proxy {
 namespace {
 
-// A fault that repeats must not fill the log.
+// Limits log lines to one per interval, so that a repeated violation does not fill the log.
 constexpr net::Micros kLogInterval = std::chrono::seconds(1);
 
 }  // namespace
@@ -15,23 +15,23 @@
 std::string_view name_of(Invariant invariant) {
   switch (invariant) {
     case Invariant::kSendWithoutClient:
-      return "an attempt without a client";
+      return "an attempt for an answered request or a disconnected client";
     case Invariant::kSecondAttemptInFlight:
       return "a second attempt in flight";
     case Invariant::kTooManyAttempts:
       return "too many attempts";
     case Invariant::kUnsafeRepeat:
-      return "a repeat of what may have run";
+      return "a retry of a request that may have run";
     case Invariant::kTimeoutTooLong:
-      return "a timeout longer than the client waits";
+      return "a server timeout longer than the client waits";
     case Invariant::kSecondAnswer:
       return "a second answer";
     case Invariant::kClosedUnanswered:
-      return "a connection closed before its answers";
+      return "a connection closed before its requests were answered";
     case Invariant::kAcceptedTooEarly:
       return "a client accepted before the process can serve";
     case Invariant::kSentToWithdrawn:
-      return "an attempt at a server that was taken out";
+      return "an attempt at a server that is out of service";
   }
   return "?";
 }
--- a/src/proxy/invariants.h
+++ b/src/proxy/invariants.h
@@ -1,5 +1,6 @@
-// What must never happen, checked where it would: one guard each for sending, repeating, answering, closing
-// and accepting. A violation is counted and logged; the request goes on as it would have.
+// Invariants of the proxy, each checked at the place where it could be violated: sending, retrying,
+// answering, closing and accepting have one check each. A violation is counted and logged; the request
+// continues as it would without the check.
 #pragma once
 
 #include <array>
@@ -14,25 +15,25 @@
 namespace database_proxy::proxy {
 
 enum class Invariant {
-  kSendWithoutClient,  // an attempt begins for a request that has its answer, or whose client has gone
+  kSendWithoutClient,  // an attempt begins for an answered request, or one whose client has disconnected
   kSecondAttemptInFlight,
   kTooManyAttempts,
-  kUnsafeRepeat,    // of a request that must not run twice and may have run
-  kTimeoutTooLong,  // a server is told more time than the client has left, with its slack
+  kUnsafeRepeat,    // retry of a request that must not run twice and may have run
+  kTimeoutTooLong,  // a server is given a longer timeout than the client's remaining time plus slack
   kSecondAnswer,
-  kClosedUnanswered,  // the proxy ends a connection whose requests it has read and not answered
-  kAcceptedTooEarly,  // a client of an inherited socket, before this process can serve
-  kSentToWithdrawn,   // to a server that is cordoned, drains or is gone, later than the grace
+  kClosedUnanswered,  // the proxy closes a connection that has requests read and not answered
+  kAcceptedTooEarly,  // a client of an inherited socket accepted before this process can serve
+  kSentToWithdrawn,   // to a server that is cordoned, draining or removed, after the grace period
 };
 constexpr std::size_t kInvariants = 9;
 std::string_view name_of(Invariant invariant);
 
-// Owned by one proxy, used in its thread.
+// Owned by one proxy and used only in its thread.
 class InvariantMonitor {
  public:
   InvariantMonitor(const net::Loop& loop, net::Log log) : loop_(loop), log_(std::move(log)) {}
 
-  // Counts a violation where `holds` is false; `detail` makes its text, only then.
+  // Counts a violation if `holds` is false; only then is `detail` called to make the text for the log.
   template <class Detail>
   void check(bool holds, Invariant invariant, const Detail& detail) {
     if (!holds) record(invariant, detail());
