--- a/src/proxy/client_session.h
+++ b/src/proxy/client_session.h
@@ -65,7 +65,7 @@
   bool is_idle() const { return queue_.empty() && !awaits_ready() && input_.view().empty() && unsent() == 0; }
   // Something is still to be answered or written.
   bool is_busy() const { return !is_lingering() && (!queue_.empty() || unsent() > 0); }
-  bool owes_answers() const { return !queue_.empty(); }
+  bool has_unanswered_commands() const { return !queue_.empty(); }
   // It has had its last answer and only waits for the peer's end.
   bool is_lingering() const { return state_ == State::kLingering; }
   // It has never sent a command.
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -486,7 +486,7 @@
     bool last_word =
         session->is_lingering() || (session->is_mid_command() && past < kRejectAfter + kPartialCommandGrace);
     if (last_word ? past >= kLongestShutdown
-                  : !session->is_busy() || (past >= kLongestShutdown && !session->owes_answers()))
+                  : !session->is_busy() || (past >= kLongestShutdown && !session->has_unanswered_commands()))
       session->close();
   }
   stop_if_empty();
--- a/tests/proxy/invariants_test.cpp
+++ b/tests/proxy/invariants_test.cpp
@@ -182,7 +182,7 @@
                                 ",c=browse,d=500,cluster=1 */");
     REQUIRE(send(client.get(), bytes.data(), bytes.size(), 0) == static_cast<ssize_t>(bytes.size()));
     session->on_ready(EPOLLIN);
-    REQUIRE(session->owes_answers());
+    REQUIRE(session->has_unanswered_commands());
   }
 
   net::Loop loop;
