--- a/src/proxy/client_session.h
+++ b/src/proxy/client_session.h
@@ -1,5 +1,6 @@
-// One client connection that speaks PostgreSQL's protocol: its lifetime, its messages in, its answers out in
-// order. Reading is in session_input.h, the rules for statements in session_rules.h.
+// One client connection that speaks PostgreSQL's protocol: its lifetime, its incoming messages, and its
+// answers in the order of the commands. Reading is in session_input.h, the rules for statements in
+// session_rules.h.
 #pragma once
 
 #include <deque>
@@ -19,56 +20,57 @@
 
 class ClientSession;
 
-// What a session needs of the proxy that owns it. Called in the proxy's thread.
+// Interface of a session to the proxy that owns it. Called in the proxy's thread.
 class SessionOwner {
  public:
   SessionOwner() = default;
   SessionOwner(const SessionOwner&) = delete;
   SessionOwner& operator=(const SessionOwner&) = delete;
   virtual ~SessionOwner() = default;
-  // The session's descriptor is free already. It must not be destroyed within this call.
+  // The session has closed its descriptor. The session must not be destroyed within this call.
   virtual void on_session_closed(ClientSession* session) = 0;
   virtual void on_cancel_request(std::uint32_t number, std::uint32_t secret) = 0;
-  // A session's unfinished statements take so many bytes more; false: that is too much in all.
+  // The memory buffered by a session changed by `change` bytes. Returns false if all sessions together exceed
+  // the limit.
   virtual bool on_buffered_change(std::ptrdiff_t change) = 0;
-  // flush() is to be called at the end of this iteration; at most once an iteration.
+  // Requests a call of flush() at the end of this loop iteration. Called at most once an iteration.
   virtual void schedule_flush(ClientSession* session) = 0;
 };
 
-// Owned by its proxy, used in the proxy's thread only. Closing frees the descriptor at once and abandons what
-// is open.
+// Owned by its proxy, used in the proxy's thread only. Closing frees the descriptor at once and abandons the
+// open requests.
 class ClientSession : public net::Handler {
  public:
-  // `number` and `secret`: what a CancelRequest names this session by. `waiting_since`: since when the
-  // connection, and what its client has sent, may have waited to be accepted.
+  // `number` and `secret` identify this session in a CancelRequest. `waiting_since` is the earliest time from
+  // which the connection, and the data that its client has sent, may have waited to be accepted.
   ClientSession(net::Loop& loop, Dispatcher& dispatcher, SessionOwner& owner, net::Fd fd,
                 std::uint32_t number, std::uint32_t secret, Micros waiting_since);
   ~ClientSession() override;
 
-  bool start();  // false: it cannot be watched
+  bool start();  // false: the loop cannot watch the descriptor
   void on_ready(std::uint32_t events) override;
-  // A data server is known from now on: goes on with an empty query that waited for one.
+  // Continues with an empty query that waited for a data server. Called once a data server is known.
   void resume();
-  // Sends the answers that this iteration has gathered.
+  // Sends the answers that were gathered in this iteration.
   void flush();
-  // Cancels the request whose answer is next, for a CancelRequest. One that is not open is not touched.
+  // Handles a CancelRequest: cancels the request whose answer is next, if it is still open.
   void cancel();
   void close();
-  // Shutdown: closes once what was taken is answered.
+  // Shutdown: closes the session once all accepted commands are answered.
   void close_when_idle();
-  // Shutdown: what is read from now on is rejected at once, as harmless to repeat.
+  // Shutdown: rejects every request read from now on at once, as safe to repeat.
   void reject_new_requests() { shutdown_ = Shutdown::kRejecting; }
-  // Reads and takes what has come unnoticed; false: closed by that.
+  // Reads and processes input for which no event was reported yet. Returns false if that closed the session.
   bool poll_input();
 
-  // Between requests: nothing taken, nothing half read, nothing left to write.
+  // Between requests: no queued command, no partly read command, nothing left to write.
   bool is_idle() const { return queue_.empty() && !awaits_ready() && input_.view().empty() && unsent() == 0; }
-  // Something is still to be answered or written.
+  // An answer is outstanding or not completely written.
   bool is_busy() const { return !is_lingering() && (!queue_.empty() || unsent() > 0); }
   bool has_unanswered_commands() const { return !queue_.empty(); }
-  // It has had its last answer and only waits for the peer's end.
+  // The last answer is written; the session only waits for the peer to close.
   bool is_lingering() const { return state_ == State::kLingering; }
-  // It has never sent a command.
+  // The client has never sent a command.
   bool is_unused() const { return queue_.empty() && !has_sent_command_ && !awaits_ready(); }
   // A command has begun to arrive and is not complete.
   bool is_mid_command() const { return queue_.empty() && has_started() && !input_.view().empty(); }
@@ -80,17 +82,17 @@
   // docs/design/lifecycles.md has the table of transitions.
   enum class State {
     kStartup,         // messages before the session
-    kServing,         // takes commands
+    kServing,         // accepts commands
     kAwaitingReady,   // an empty query waits until a data server is known
     kSkippingToSync,  // after a message of the extended protocol, as the protocol demands
-    kFinishing,       // takes nothing more; the last command in the queue ends the connection
-    kLingering,       // the last answer is written; reading goes on until the peer's end
+    kFinishing,       // accepts no more commands; the last one in the queue ends the connection
+    kLingering,       // the last answer is written; reading goes on until the peer closes
     kClosed,
   };
   enum class Shutdown { kNone, kClosingWhenIdle, kRejecting };
 
-  // A command whose answer is not on its way yet. Requests that a client sends behind one another are open at
-  // the same time; their answers wait here for those of the commands before.
+  // A command whose answer is not sent yet. Pipelined requests of a client are open at the same time; their
+  // answers wait here for the answers of earlier commands.
   struct QueuedCommand : ClientPort {
     explicit QueuedCommand(ClientSession& owner) : session(owner) {}
     Query query(Micros timeout) override { return session.query(*this, timeout); }
@@ -102,10 +104,10 @@
     ClientSession& session;
     RequestId request = 0;            // while it is open
     std::uint64_t iteration = 0;      // of the loop, in which the request was read
-    std::uint64_t stream_offset = 0;  // where its message stands in all that was read
+    std::uint64_t stream_offset = 0;  // position of its message in the whole input stream
     std::size_t size = 0;             // bytes to consume with it
     std::size_t message_size = 0;     // bytes of its message alone
-    std::size_t timeout_begin = 0;    // where the digits of its timeout stand in its text
+    std::size_t timeout_begin = 0;    // position of the digits of its timeout in its text
     std::size_t timeout_end = 0;
     std::uint64_t key = 0;
     bool is_write = false;
@@ -157,7 +159,7 @@
   void serve(QueuedCommand& command, const Answer& answer);
   void finish(QueuedCommand& command, std::string answer);
   void flush_answers();
-  void reply(std::string message);                 // behind the answers to the commands before
+  void reply(std::string message);                 // after the answers to earlier commands
   void reply_and_ready(std::string_view message);  // the same, with ReadyForQuery
   void reply_error(std::string_view code, std::string_view why);
   void fail_connection(std::string_view code, std::string_view why);
@@ -183,25 +185,25 @@
   net::OutBuffer out_;
   std::string gathered_;  // answers of this iteration, not yet handed to the socket
   bool has_sent_command_ = false;
-  bool is_peer_gone_ = false;       // or takes nothing of its answers: nobody is owed one any more
-  bool has_ended_output_ = false;   // the last answer is on its way, and the end with it
+  bool is_peer_gone_ = false;       // or reads no answers: none is due any more
+  bool has_ended_output_ = false;   // the last answer is sent, together with the end of stream
   bool is_processing_ = false;      // process() is running: answers given at once must not enter it again
   std::uint64_t continues_in_ = 0;  // the iteration that continue_next_iteration() was called for
-  int first_messages_ = 0;          // so many have come
-  std::size_t accounted_ = 0;       // bytes that the owner knows of
-  std::size_t discarded_ = 0;       // bytes thrown away while lingering
+  int first_messages_ = 0;          // number of first messages received
+  std::size_t accounted_ = 0;       // bytes reported to the owner
+  std::size_t discarded_ = 0;       // bytes discarded while lingering
   Micros connected_at_;
   Micros idle_since_;
-  std::optional<Micros> write_timeout_;     // by when the client must take something of its answers
+  std::optional<Micros> write_timeout_;     // deadline for the client to read part of its answers
   std::optional<Micros> command_began_at_;  // of the command that is not complete
   net::Loop::TimerId timer_ = net::Loop::kNoTimer;
   Micros timer_at_{0};
   std::deque<std::unique_ptr<QueuedCommand>> queue_;  // in the order of the commands
   std::uint64_t consumed_ = 0;                        // bytes of the stream before the input's buffer
   std::size_t parsed_ = 0;                            // bytes of the input that belong to the queue
-  std::size_t message_size_ = 0;                      // of the message being taken
+  std::size_t message_size_ = 0;                      // of the message being handled
   std::size_t queued_answer_bytes_ = 0;
-  bool is_blocked_ = false;  // the next command waits for one before it
+  bool is_blocked_ = false;  // the next command waits for an earlier one
   std::optional<Micros> blocked_since_;
 };
 
