--- a/src/proxy/client_commands.cpp
+++ b/src/proxy/client_commands.cpp
@@ -1,4 +1,4 @@
-// The messages of a client and what each of them does: the protocol's side of ClientSession.
+// The part of ClientSession that handles the protocol messages of the client.
 #include <algorithm>
 
 #include "proxy/client_session.h"
@@ -7,24 +7,25 @@
 namespace database_proxy::proxy {
 namespace {
 
-// Before its startup a client may ask for two kinds of encryption, and once more for good measure.
+// A client may request two kinds of encryption before its startup message; one more message is tolerated.
 constexpr int kMostFirstMessages = 4;
-// A client that wishes for version 3.N with N above 0 is negotiated down.
+// The minor version N of the protocol version 3.N that a client requests. Above 0 it is negotiated down.
 constexpr std::uint32_t kMinorVersionMask = 0xffff;
 
 }  // namespace
 
-// The messages before the session; false: more is needed, or the connection has ended.
+// Handles a message that precedes the session. Returns false if the message is incomplete or the connection
+// has ended.
 bool ClientSession::handle_first_message() {
   pg::FirstMessage first;
   auto status = pg::parse_first_message(input_.view(), &first);
   if (status == pg::ParseStatus::kMore) return false;
   if (status == pg::ParseStatus::kBad) {
-    fail_connection("08P01", "this is no startup message");
+    fail_connection("08P01", "invalid startup message");
     return false;
   }
   if (++first_messages_ > kMostFirstMessages) {
-    fail_connection("08P01", "the startup message is missing");
+    fail_connection("08P01", "too many messages before the startup message");
     return false;
   }
   switch (first.kind) {
@@ -32,12 +33,12 @@
     case pg::FirstMessageKind::kGssEnc:
       write({"N"});
       break;
-    case pg::FirstMessageKind::kCancel:  // it gets no answer itself
+    case pg::FirstMessageKind::kCancel:  // has no answer of its own
       owner_.on_cancel_request(first.number, first.secret);
       close();
       return false;
     case pg::FirstMessageKind::kOther:
-      fail_connection("0A000", "only version 3 of the protocol is spoken here");
+      fail_connection("0A000", "only version 3 of the protocol is supported");
       return false;
     case pg::FirstMessageKind::kStartup: {
       state_ = State::kServing;
@@ -59,7 +60,7 @@
   switch (frame.type) {
     case 'Q': {
       auto text = pg::text_of_query(frame.body);
-      if (!text) return fail_connection("08P01", "a query must be one text with its end mark");
+      if (!text) return fail_connection("08P01", "a Query message must contain one null-terminated string");
       return handle_query(*text);
     }
     case 'X':  // Terminate
@@ -78,12 +79,12 @@
       return;
     case 'F':
       return reply_error("0A000", "function calls are not supported");
-    case 'd':  // copy data outside a copy is passed over, as PostgreSQL does
+    case 'd':  // Copy messages outside a copy are ignored, as in PostgreSQL.
     case 'c':
     case 'f':
       return;
     default:
-      return fail_connection("08P01", "this message is not known here");
+      return fail_connection("08P01", "unknown message type");
   }
 }
 
@@ -91,7 +92,8 @@
   auto statement = pg::parse_statement(text);
   switch (statement.kind) {
     case pg::StatementKind::kEmpty:
-      // A load balancer takes this answer for "able to serve".
+      // Load balancers use the empty query as a health check: its answer means that the proxy can serve
+      // requests.
       if (!dispatcher_.ready()) {
         state_ = State::kAwaitingReady;
         return;
@@ -121,13 +123,13 @@
     return;
   }
   auto request = to_request(statement, *request_class, blocked_since_.value_or(arrived_at));
-  bool is_too_much = queue_.size() >= kMostPipelinedRequests || (!queue_.empty() && !account_memory());
-  if (is_too_much || request.expires <= loop_.now())
-    return reply_error("53300", "too many commands wait on this connection");
+  bool exceeds_limits = queue_.size() >= kMostPipelinedRequests || (!queue_.empty() && !account_memory());
+  if (exceeds_limits || request.expires <= loop_.now())
+    return reply_error("53300", "too many commands are queued on this connection");
   auto command = std::make_unique<QueuedCommand>(*this);
   command->request = dispatcher_.submit(command.get(), request, statement.id);
-  // The other one, perhaps of another client, goes on as if this had not come.
-  if (command->request == 0) return reply_error("42710", "a request with this id is open");
+  // The open request with the same id, which may belong to another client, is not affected.
+  if (command->request == 0) return reply_error("42710", "a request with this id is already open");
   command->iteration = loop_.iteration();
   command->stream_offset = consumed_ + parsed_;
   command->size = command->message_size = message_size_;
@@ -138,7 +140,9 @@
   queue_.push_back(std::move(command));
 }
 
-// Whoever sends a write and a read of the same key behind one another expects to see the write.
+// Returns whether the request has to wait for an earlier open request of the same key, where one of the two
+// is a write: a client that pipelines a write and a read of a key expects the read to return the written
+// value.
 bool ClientSession::must_wait_for_earlier(std::uint64_t key, bool is_write) const {
   return std::any_of(queue_.begin(), queue_.end(), [&](auto& command) {
     bool is_open = command->request != 0;
