--- a/src/proxy/client_session.cpp
+++ b/src/proxy/client_session.cpp
@@ -11,16 +11,19 @@
 
 using namespace std::chrono_literals;
 
-// A client that does not read its answers gets no more than these bytes.
+// Limit of the unsent answer bytes of a client that does not read: at this size no more commands are
+// processed.
 constexpr std::size_t kWriteCap = 64 * 1024;
-// So many commands of one connection may wait for their answers; then no more is read.
+// Number of commands of one connection that may wait for their answers; beyond it no more commands are
+// processed.
 constexpr std::size_t kMostQueuedCommands = 256;
-// A connection that sends no complete command in this time after its beginning, or after the first byte of a
-// later one, is closed: silence and half a command must not hold a descriptor.
+// A connection is closed if it sends no complete command within this time after it was opened, or after the
+// first byte of a later command: neither a silent connection nor an incomplete command may hold a descriptor.
 constexpr Micros kCommandTimeout = 2500ms;
-// A client that takes nothing of its answers for so long is gone.
+// A client that reads nothing of its answers for this time is treated as gone.
 constexpr Micros kWriteTimeout = 5s;
-// After a fatal error reading goes on for so long, or a reset for unread input would overtake the error.
+// Time for which input is still read and discarded after a fatal error. Closing with unread input would send
+// a reset, which could overtake the error message.
 constexpr Micros kLingerTime = 1s;
 constexpr std::size_t kMostDiscarded = 64 * 1024 * 1024;
 constexpr std::size_t kDiscardPerIteration = 1024 * 1024;
@@ -49,7 +52,8 @@
   return loop_.add(fd_.get(), this);
 }
 
-// The one place where a connection ends. What is answered already goes out as far as the socket takes it.
+// Closes the connection; every other way to end it leads here. Gathered answers are written as far as the
+// socket accepts them.
 void ClientSession::close() {
   if (!fd_) return;
   check_closing();
@@ -65,13 +69,14 @@
 }
 
 void ClientSession::check_closing() {
-  auto owed =
+  auto unanswered =
       std::count_if(queue_.begin(), queue_.end(), [](auto& command) { return command->request != 0; });
-  dispatcher_.invariants().check(is_peer_gone_ || owed == 0, Invariant::kClosedUnanswered,
-                                 [&] { return fmt::format("session {} owes {} answers", number_, owed); });
+  dispatcher_.invariants().check(is_peer_gone_ || unanswered == 0, Invariant::kClosedUnanswered, [&] {
+    return fmt::format("session {} has {} unanswered requests", number_, unanswered);
+  });
 }
 
-// The connection is broken, or the client has closed it.
+// Closes the session after its connection broke or the client closed it.
 void ClientSession::close_lost_peer() {
   is_peer_gone_ = true;
   close();
@@ -85,17 +90,18 @@
   if ((events & EPOLLOUT) != 0) {
     auto size_before = out_.size();
     if (!out_.flush(fd_.get())) return close_lost_peer();
-    if (out_.size() != size_before) write_timeout_.reset();  // it reads: its time begins anew
+    if (out_.size() != size_before) write_timeout_.reset();  // the client reads: its timeout starts again
   }
   if (is_lingering()) return discard_input();
-  // Reported once, and not to be found by reading where that stops at a limit before the end of the stream.
+  // The end of the peer is reported only once, and reading does not find it where it stops at a limit before
+  // the end of the stream.
   if (net::peer_has_ended(events)) return on_peer_closed();
   if ((events & EPOLLIN) != 0) fill();
   if (fd_) process();
 }
 
-// The client has gone, and nothing that it sent is begun any more, whether read or not. Only a CancelRequest
-// is carried out: its sender may close right behind it.
+// Closes the session of a client that has closed its connection. None of its input is processed any more,
+// whether read or not, except a CancelRequest: its sender may close the connection right after sending it.
 void ClientSession::on_peer_closed() {
   if (has_started()) return close_lost_peer();
   input_.read(fd_.get());
@@ -106,14 +112,16 @@
   close();
 }
 
-// A request that was read in this iteration had its client then; for others the connection is looked at,
-// since its end may have come after the events that this iteration has fetched.
+// Returns whether the client of a command is still connected. For a request read in this loop iteration the
+// client was connected then. For earlier ones the connection is checked, since it may have ended after this
+// iteration fetched its events.
 bool ClientSession::still_connected(const QueuedCommand& command) {
   if (fd_ && command.iteration != loop_.iteration() && net::peer_has_closed(fd_.get())) close_lost_peer();
   return static_cast<bool>(fd_);
 }
 
-// Sets the timer for the time by which something must have come. A request that is open has its own.
+// Sets the timer for the next deadline of the client's reading and writing. Open requests have their own
+// timers.
 void ClientSession::update_timeout() {
   if (!fd_ || is_lingering()) return;
   bool has_partial_command = queue_.empty() && !awaits_ready() && !input_.view().empty();
@@ -145,10 +153,10 @@
 void ClientSession::on_timeout() {
   timer_ = net::Loop::kNoTimer;
   if (is_lingering() || !out_.empty()) return close_lost_peer();
-  fail_connection("57014", "no whole command has come in time");
+  fail_connection("57014", "no complete command was received in time");
 }
 
-// Half-closes behind the last answer.
+// Discards further input after the last answer, and half-closes the connection once that is written.
 void ClientSession::linger() {
   state_ = State::kLingering;
   input_.clear();
@@ -158,7 +166,7 @@
   discard_input();
 }
 
-// Reads on for a while after the last answer to the client, and throws it away.
+// Reads and discards input after the last answer to the client, up to a limit of time and bytes.
 void ClientSession::discard_input() {
   auto end = net::discard(fd_.get(), kDiscardPerIteration);
   if (net::is_over(end)) return close();
@@ -169,7 +177,7 @@
   continue_next_iteration();
 }
 
-// Goes on after all others have had their share.
+// Schedules this session for the next loop iteration, after the other sessions have used their shares.
 void ClientSession::continue_next_iteration() {
   auto next = loop_.iteration() + 1;
   if (std::exchange(continues_in_, next) != next) loop_.again(this);
@@ -177,7 +185,7 @@
 
 void ClientSession::fill() {
   input_.begin_iteration();
-  if (state_ == State::kFinishing) {  // what comes behind the last command is not taken
+  if (state_ == State::kFinishing) {  // input after the last command is discarded
     if (net::is_over(net::discard(fd_.get(), kDiscardPerIteration))) close_lost_peer();
     return;
   }
@@ -185,10 +193,11 @@
   auto accounted_before = accounted_;
   bool is_within_limit = account_memory();
   if (!is_within_limit && accounted_ > accounted_before)
-    fail_connection("53200", "no memory is left for a statement of this size");
+    fail_connection("53200", "not enough buffer memory is left for a statement of this size");
 }
 
-// Reports what this session buffers; false: all clients together buffer too much.
+// Reports the buffered bytes of this session to the owner. Returns false if all sessions together exceed the
+// limit.
 bool ClientSession::account_memory() {
   auto input_memory = input_.memory() > pg::kLongestShortStatement ? input_.memory() : 0;
   auto buffered = queued_answer_bytes_ + input_memory;
@@ -208,7 +217,7 @@
   if (fd_) process();
 }
 
-// Takes the commands that have come, as far as the limits allow.
+// Processes the received commands as far as the limits allow.
 void ClientSession::process() {
   if (is_processing_) return;
   if (has_ended_output_) return close();
@@ -223,7 +232,8 @@
   update_timeout();
 }
 
-// What has come since the last look is served: closing over it would take the last answer along.
+// Closes the idle session unless more input has arrived since the last read. Such input is processed: closing
+// with unread input would also lose the last answer.
 void ClientSession::close_unless_more_came() {
   fill();
   if (!fd_) return;
@@ -231,7 +241,7 @@
   process();
 }
 
-// Takes the next message; false: nothing more can be taken now.
+// Processes the next message. Returns false if no more can be processed now.
 bool ClientSession::process_next() {
   if (state_ == State::kStartup) {
     if (handle_first_message()) return true;
@@ -245,7 +255,7 @@
   pg::Frame frame;
   auto status = pg::parse_frame(input_.view().substr(parsed_), kLongestClientMessage, &frame);
   if (status == pg::ParseStatus::kBad) {
-    fail_connection("08P01", "this is no message of the protocol");
+    fail_connection("08P01", "invalid protocol message");
     return false;
   }
   if (status == pg::ParseStatus::kMore) return read_more_of_command();
@@ -256,14 +266,14 @@
   return take_command(frame);
 }
 
-// The next command is not complete; true: more of it was read.
+// Reads more of an incomplete command. Returns true if reading was possible in this iteration.
 bool ClientSession::read_more_of_command() {
   if (is_certain_to_be_rejected()) {
-    fail_connection("42601", "this statement is too long and not known here");
+    fail_connection("42601", "the statement is too long and not supported");
     return false;
   }
   input_.on_commands_taken(parsed_);
-  // Where commands that wait for their answers fill the buffer, their end makes room.
+  // If commands that wait for their answers fill the buffer, space is freed when they end.
   if (!input_.is_paused() || input_.is_buffer_full()) return false;
   if (input_.is_share_used_up()) {
     continue_next_iteration();
@@ -273,7 +283,7 @@
   return true;
 }
 
-// Carries out a complete message; false: the next one has to wait.
+// Executes a complete message. Returns false if the next one has to wait.
 bool ClientSession::take_command(const pg::Frame& frame) {
   message_size_ = frame.size;
   has_sent_command_ = true;
@@ -293,12 +303,13 @@
   return true;
 }
 
-// What has come of a command shows that it will be rejected, so the rest of it need not be waited for.
+// Returns whether the received part of a command already shows that it will be rejected, so that its rest
+// need not be awaited.
 bool ClientSession::is_certain_to_be_rejected() const {
-  auto begun = input_.view().substr(parsed_);
-  if (!has_started() || begun.size() <= pg::kLongestShortStatement) return false;
-  constexpr std::size_t kQueryHeader = 5;  // its letter and length
-  return begun[0] != 'Q' || !pg::may_be_long(begun.substr(kQueryHeader));
+  auto partial_command = input_.view().substr(parsed_);
+  if (!has_started() || partial_command.size() <= pg::kLongestShortStatement) return false;
+  constexpr std::size_t kQueryHeader = 5;  // type byte and length
+  return partial_command[0] != 'Q' || !pg::may_be_long(partial_command.substr(kQueryHeader));
 }
 
 void ClientSession::write(std::initializer_list<std::string_view> parts, WriteMode mode) {
@@ -313,7 +324,8 @@
   if (!is_gathered || gathered_.size() >= kWriteCap) flush();
 }
 
-// A client that waits for this answer must not find it before the end, and send another request between them.
+// Writes the last answers together with the end of the stream. Otherwise a client could read its answer
+// before the end and send another request in between.
 void ClientSession::write_last(std::initializer_list<std::string_view> parts) {
   auto answers = std::exchange(gathered_, {});
   for (auto part : parts) answers.append(part);
@@ -346,7 +358,7 @@
   reply_and_ready(pg::error_response("ERROR", code, why));
 }
 
-// Ends the connection with an error, behind the answers to what was taken before.
+// Ends the connection with an error, which is sent after the answers to earlier commands.
 void ClientSession::fail_connection(std::string_view code, std::string_view why) {
   auto error = pg::error_response("FATAL", code, why);
   if (!queue_.empty()) {
@@ -360,9 +372,9 @@
   if (fd_) linger();
 }
 
-// The statement stays where it was read; only its timeout is written anew.
+// Returns the statement with a new timeout. Its other parts refer to the input buffer and are not copied.
 Query ClientSession::query(const QueuedCommand& command, Micros timeout) const {
-  constexpr std::size_t kQueryHeader = 5;  // its letter and length
+  constexpr std::size_t kQueryHeader = 5;  // type byte and length
   auto begin = command.stream_offset - consumed_ + kQueryHeader;
   auto text = input_.view().substr(begin, command.message_size - kQueryHeader);
   Query query;
@@ -389,8 +401,8 @@
          input_.view().size() == queue_.front()->size && out_.empty();
 }
 
-// For the answer to the first command in the queue. Where it may be the last one, looks at what has come
-// until now, which may find the client gone.
+// Returns the write mode for the answer to the first command in the queue. If it may be the last answer,
+// reads the input that has arrived until now, which may show that the client is gone and close the session.
 ClientSession::WriteMode ClientSession::mode_for_front() {
   if (is_front_last()) fill();
   if (fd_ && is_front_last() && !input_.is_paused()) return WriteMode::kLast;
@@ -399,7 +411,7 @@
 
 void ClientSession::QueuedCommand::reject(Micros retry_after) {
   auto detail = retry_after.count() > 0 ? fmt::format("{}", retry_after / 1ms) : "";
-  auto error = pg::error_response("ERROR", "53300", "too much to do at the moment", detail);
+  auto error = pg::error_response("ERROR", "53300", "too many requests at the moment", detail);
   session.finish(*this, error + pg::ready_for_query());
 }
 
@@ -411,7 +423,7 @@
   dispatcher_.invariants().check(!command.is_done, Invariant::kSecondAnswer,
                                  [&] { return fmt::format("session {}", number_); });
   command.request = 0;
-  if (!fd_) return;  // writing found the connection broken
+  if (!fd_) return;  // a write failed and closed the session
   command.is_done = true;
   queued_answer_bytes_ += answer.size();
   command.answer = std::move(answer);
