--- a/src/proxy/client_commands.cpp
+++ b/src/proxy/client_commands.cpp
@@ -9,7 +9,8 @@
 
 // A client may request two kinds of encryption before its startup message; one more message is tolerated.
 constexpr int kMostFirstMessages = 4;
-// The minor version N of the protocol version 3.N that a client requests. Above 0 it is negotiated down.
+// Minor version N of the requested protocol version 3.N. If N is above 0, the version is negotiated down
+// to 3.0.
 constexpr std::uint32_t kMinorVersionMask = 0xffff;
 
 }  // namespace
