--- a/src/handover/socket_record.cpp
+++ b/src/handover/socket_record.cpp
@@ -10,7 +10,8 @@
 namespace database_proxy::handover {
 namespace {
 
-// What fits: without the list where that is too long, and then without the cordons that were lifted.
+// Returns the part of the record that fits: without the endpoint list if the record is too long with it, and
+// then also without the cordons that were lifted.
 ProcessRecord shortened(ProcessRecord record) {
   record.cancels.clear();
   record.descriptors = 0;
@@ -20,49 +21,51 @@
   return record;
 }
 
-bool holds_cordons(const ProcessRecord& kept, const ProcessRecord& wanted) {
-  return std::all_of(wanted.cordons.begin(), wanted.cordons.end(), [&kept](auto& mark) {
-    auto found = kept.cordons.find(mark.first);
-    return found != kept.cordons.end() && found->second.changed_at >= mark.second.changed_at;
+bool holds_cordons(const ProcessRecord& stored, const ProcessRecord& required) {
+  return std::all_of(required.cordons.begin(), required.cordons.end(), [&stored](auto& mark) {
+    auto found = stored.cordons.find(mark.first);
+    return found != stored.cordons.end() && found->second.changed_at >= mark.second.changed_at;
   });
 }
 
-// A list that is older counts too where nobody has the newer one any more: the service has begun to count
-// anew.
-bool holds_endpoints(const ProcessRecord& kept, const ProcessRecord& wanted) {
-  if (kept.endpoints == wanted.endpoints || wanted.endpoints.generation == 0) return true;
-  bool is_newer = kept.endpoints.generation >= wanted.endpoints.generation;
-  return is_newer && state_of(kept.process) != ProcessState::kGone;
+// Returns whether the stored endpoint list makes storing the required one unnecessary. A newer stored list
+// does so while its process has not ended. Afterwards an older required list replaces it: no process has the
+// newer list any more, because the discovery service has restarted its count of generations.
+bool holds_endpoints(const ProcessRecord& stored, const ProcessRecord& required) {
+  if (stored.endpoints == required.endpoints || required.endpoints.generation == 0) return true;
+  bool is_newer = stored.endpoints.generation >= required.endpoints.generation;
+  return is_newer && state_of(stored.process) != ProcessState::kGone;
 }
 
 }  // namespace
 
 const std::optional<ProcessRecord>& SocketRecord::read() {
   auto text = note_.read();
-  if (!text || *text == text_) return record_;
-  text_ = *text;
+  if (!text || *text == last_text_) return record_;
+  last_text_ = *text;
   RecordError error = RecordError::kNone;
-  record_ = decode_record(text_, &error);
+  record_ = decode_record(last_text_, &error);
   if (!record_)
     log_(net::Level::kWarning,
-         fmt::format("the record that the listening socket keeps is passed over: {}", describe(error)));
+         fmt::format("the record stored on the listening socket is ignored: {}", describe(error)));
   return record_;
 }
 
-bool SocketRecord::is_kept() const {
-  return record_ && holds_cordons(*record_, kept_) && holds_endpoints(*record_, kept_);
+bool SocketRecord::is_stored() const {
+  return record_ && holds_cordons(*record_, required_) && holds_endpoints(*record_, required_);
 }
 
-bool SocketRecord::keep(const ProcessRecord& own) {
-  kept_ = shortened(own);
+bool SocketRecord::store(const ProcessRecord& own) {
+  required_ = shortened(own);
   read();
-  if (is_kept()) return true;
-  int error = note_.write(encode_record(kept_));
+  if (is_stored()) return true;
+  int error = note_.write(encode_record(required_));
   if (error == 0) read();
   if (std::exchange(is_failing_, error != 0) != is_failing_)
     log_(is_failing_ ? net::Level::kWarning : net::Level::kInfo,
-         is_failing_ ? fmt::format("the listening socket keeps no record: {}", net::message_of(error))
-                     : std::string("the listening socket keeps a record again"));
+         is_failing_
+             ? fmt::format("cannot store a record on the listening socket: {}", net::message_of(error))
+             : std::string("the record on the listening socket is stored again"));
   return error == 0;
 }
 
--- a/src/proxy/answer_reader.cpp
+++ b/src/proxy/answer_reader.cpp
@@ -9,7 +9,7 @@
 
 using routing::AttemptOutcome;
 
-// A fraction falls off: a known position is rounded down.
+// A fraction is cut off, which rounds the position down.
 std::optional<std::int64_t> to_position(std::string_view text) {
   std::int64_t value = 0;
   const char* last = text.data() + text.size();
@@ -43,9 +43,9 @@
     case 'S':  // ParameterStatus
       read_parameter(frame);
       return FrameVerdict::kAccepted;
-    case 'R':  // authentication and BackendKeyData, of the greeting
+    case 'R':  // authentication and BackendKeyData, in the handshake
     case 'K':
-      return phase == ConnectionPhase::kGreeting ? FrameVerdict::kAccepted : FrameVerdict::kMalformed;
+      return phase == ConnectionPhase::kHandshake ? FrameVerdict::kAccepted : FrameVerdict::kMalformed;
     case 'E':
       return read_error(frame);
     case 'T':  // RowDescription
@@ -76,14 +76,14 @@
 
 FrameVerdict AnswerReader::read_row(const pg::Frame& frame, Span message, std::string_view input) {
   auto value = pg::parse_single_column(frame.body);
-  bool has_place = row_description_.size > 0 && data_row_.size == 0;
-  if (!has_place || !value) return FrameVerdict::kMalformed;
+  bool is_expected = row_description_.size > 0 && data_row_.size == 0;
+  if (!is_expected || !value) return FrameVerdict::kMalformed;
   data_row_ = message;
   value_ = {static_cast<std::size_t>(value->data() - input.data()), value->size()};
   return FrameVerdict::kAccepted;
 }
 
-// A report that cannot be read makes only the report useless.
+// A report that cannot be parsed is ignored; the answer stays valid.
 void AnswerReader::read_parameter(const pg::Frame& frame) {
   auto parameter = pg::parse_parameter(frame.body);
   if (!parameter) return;
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -17,52 +17,56 @@
 
 using namespace std::chrono_literals;
 
-// After the word to stop, new connections keep coming for up to 0.4 s and clients keep using theirs. They are
-// served as before until this long has passed; then each connection is closed between requests.
+// After SIGTERM, new connections keep arriving for up to 0.4 s and clients keep using theirs. Both are served
+// as before until kContinueServing has passed; then each connection is closed between requests, and from
+// kRejectAfter on new requests are rejected.
 constexpr Micros kContinueServing = 500ms, kRejectAfter = 700ms;
-// A command that is half there at the end of service has so long to become whole, and is refused then.
+// The time that a command which has arrived in part at kRejectAfter has to arrive completely; then it is
+// rejected.
 constexpr Micros kPartialCommandGrace = 2500ms;
-// Beside a successor: so long before the platform's kill what is open fails, and the process ends. A process
-// may be held up for 0.15 s in between.
-constexpr Micros kLastAnswerBefore = 400ms, kLastCloseBefore = 250ms;
-// A client that does not read its last answers does not keep the proxy up. Requests that are open are never
-// cut off: each ends by its own deadline.
+// With a successor: the times before the platform's kill at which open requests fail, and at which the
+// process ends. They are apart because a process may be held up for 0.15 s in between.
+constexpr Micros kLastAnswerBeforeKill = 400ms, kLastCloseBeforeKill = 250ms;
+// The time after which a client that does not read its last answers no longer delays the shutdown. Open
+// requests are never cut off: each ends by its own deadline.
 constexpr Micros kLongestShutdown = 15s;
-// Standard streams, epoll, the signals, the listener, discovery, the log: and some to spare.
+// The standard streams, epoll, the signals, the listener, discovery and the log, and a few spare descriptors.
 constexpr std::size_t kOwnDescriptors = 16;
-constexpr std::size_t kOfEachProxy = 2;          // of several: each one's epoll, and one to spare
-constexpr std::size_t kReservedDescriptors = 8;  // of these, while another proxy of the process makes room
-// Clients with requests hold a third of the descriptors at most. Two thirds for all clients leave those their
-// part beside as many silent ones, and data servers the last third.
+constexpr std::size_t kDescriptorsPerProxy = 2;  // with several proxies: each one's epoll and a spare one
+constexpr std::size_t kReservedDescriptors = 8;  // of kOwnDescriptors; used while another proxy frees one
+// Clients with requests hold at most a third of the descriptors. With two thirds for all clients, as many
+// silent ones do not crowd them out, and data servers have the last third.
 constexpr double kClientShare = 2.0 / 3;
-// Beside other processes: what each may take up between two looks at the others, as a part of all
-// descriptors; and what a process needs to come up while the others still hold nearly all.
-constexpr std::size_t kGrowthShare = 16, kLeastOverlapDescriptors = 8;
-// One iteration's share of new clients: a flood of them waits in the backlog, where it costs nothing.
+// With other processes on the same socket: kGrowthShare is the divisor for the part of all descriptors by
+// which each process may grow between two checks of the others' usage. kMinOverlapDescriptors is the number
+// of descriptors that a process needs to start while the others still hold nearly all.
+constexpr std::size_t kGrowthShare = 16, kMinOverlapDescriptors = 8;
+// New clients accepted in one iteration: a flood of them waits in the backlog, where it costs nothing.
 constexpr int kAcceptsPerIteration = 16;
-// Where another proxy of this process was asked for room, by then it has closed something.
+// The time within which another proxy of this process, asked for a descriptor, has closed a connection.
 constexpr Micros kAcceptRetry = 5ms;
-// The same where the system is short of something.
+// The delay before accepting again when the system lacks a resource.
 constexpr Micros kShortageRetry = 20ms;
-// Clients that asked once and keep their connection for good use up what all clients together may hold, a
-// third of the descriptors, and the others can open none. So over a quarter, the longest idle ones are
-// closed: never one that has asked so lately that it may be about to ask again.
+// Clients that sent one command and keep their connection open use up the third of the descriptors that
+// clients with requests may hold, and other clients cannot connect. So above a quarter, the clients idle for
+// the longest time are closed, but never one whose last command is so recent that it may be about to send
+// another.
 constexpr std::size_t kActiveClientShare = 4;
-constexpr Micros kTrimEvery = 5ms;
-// Of the memory allowed: what unfinished statements of clients may hold together.
+constexpr Micros kTrimInterval = 5ms;
+// The divisor for the part of the allowed memory that all clients' incomplete statements may hold together.
 constexpr std::size_t kStatementMemoryShare = 4;
-// Discovery's agent answers at once where it has something. Until it has, or for so long, a list from the
-// configuration is not taken for the one in force.
+// Discovery's agent answers at once when it has a list. Until it has answered, or until this time has passed,
+// a list from the configuration is not taken for the current one.
 constexpr Micros kFirstListTimeout = 300ms;
 
 }  // namespace
 
 std::size_t descriptors_allowed(std::size_t all, const OtherProcessesUsage& others, std::size_t own) {
-  auto part = all / (1 + others.processes);
-  bool do_others_keep_to_theirs = others.descriptors <= all - part;
-  if (do_others_keep_to_theirs) return part;
-  auto left = all - std::min(all, others.descriptors + all / kGrowthShare);
-  return std::max(left, std::min(own + kLeastOverlapDescriptors, part));
+  auto equal_share = all / (1 + others.processes);
+  bool are_others_within_share = others.descriptors <= all - equal_share;
+  if (are_others_within_share) return equal_share;
+  auto unused = all - std::min(all, others.descriptors + all / kGrowthShare);
+  return std::max(unused, std::min(own + kMinOverlapDescriptors, equal_share));
 }
 
 Proxy::Proxy(net::Loop& loop, routing::Decider& decider, ProxyOptions options, const net::Log& log)
@@ -79,7 +83,7 @@
       [this](discovery::EndpointListUpdate update) {
         has_discovery_answered_ = true;
         generation_ = update.generation;
-        dispatcher_.list(options_.overlay(std::move(update)));
+        dispatcher_.update_endpoints(options_.overlay(std::move(update)));
       },
       log_);
   if (running_) discovery_->start();
@@ -89,8 +93,8 @@
   if (update.generation < generation_ && !is_restart) return;
   has_discovery_answered_ = true;
   generation_ = update.generation;
-  update.source = discovery::UpdateSource::kOpenWatch;  // the group has watched for this process
-  dispatcher_.list(options_.overlay(std::move(update)));
+  update.source = discovery::UpdateSource::kOpenWatch;  // the group watches discovery for this process
+  dispatcher_.update_endpoints(options_.overlay(std::move(update)));
 }
 
 Proxy::Proxy(net::Loop& loop, routing::Decider& decider, ProxyOptions options, const net::Log& log,
@@ -111,15 +115,15 @@
   dispatcher_.pool().has_descriptor = [this] {
     auto used = descriptors_in_use();
     if (used < descriptors_allowed() || free_descriptor()) return true;
-    // Nothing of this proxy can give way, but something of another may: it closes that while this one goes on
-    // with what is kept back for the proxy's own use.
+    // No connection of this proxy can be closed, but one of another proxy may: that proxy closes it while
+    // this one goes on with the reserved descriptors.
     if (!siblings_ || used >= options_.descriptors + kReservedDescriptors) return false;
     siblings_->request_descriptor();
     return true;
   };
   auto known = options_.known;
   known.reset = true;
-  dispatcher_.list(siblings_ ? known : options_.overlay(known), true);
+  dispatcher_.update_endpoints(siblings_ ? known : options_.overlay(known), true);
   if (options_.listens) open_listener();
 }
 
@@ -150,8 +154,8 @@
   is_accepting_ = true;
 }
 
-// Out of this loop's set, because closing alone would not end the registration of a socket that another
-// process holds as well.
+// Removes the listener from this loop's epoll set. Closing it alone would not end the registration of a
+// socket that another process holds as well.
 void Proxy::stop_accepting() {
   if (std::exchange(is_accepting_, false)) loop_.remove(listener_, &on_listener_);
 }
@@ -198,51 +202,54 @@
 }
 
 void Proxy::share_limits_with(const OtherProcessesUsage& others) {
-  if (others.takes_requests != others_.takes_requests) dispatcher_.share_sessions(others.takes_requests);
-  others_ = others;
+  if (others.takes_requests != other_processes_.takes_requests)
+    dispatcher_.share_sessions(others.takes_requests);
+  other_processes_ = others;
 }
 
 std::size_t Proxy::descriptors_allowed() const {
-  return proxy::descriptors_allowed(options_.descriptors, others_,
+  return proxy::descriptors_allowed(options_.descriptors, other_processes_,
                                     kOwnDescriptors + options_.reserved_descriptors);
 }
 
-// A few an iteration: idle ones go as others need what they hold.
-void Proxy::give_way_to_others() {
+// Closes a few idle connections in each iteration while this process holds more descriptors than it may.
+void Proxy::release_excess_descriptors() {
   for (int i = 0; i < kAcceptsPerIteration && descriptors_in_use() > descriptors_allowed(); ++i)
     if (!free_descriptor()) return;
 }
 
 std::size_t Proxy::descriptors_in_use() const {
   auto own = loop_.watched() + kOwnDescriptors + options_.reserved_descriptors;
-  return siblings_ ? own + kOfEachProxy * options_.count + siblings_->others().descriptors : own;
+  return siblings_ ? own + kDescriptorsPerProxy * options_.count + siblings_->sibling_usage().descriptors
+                   : own;
 }
 
-std::size_t Proxy::clients_in_all() const {
-  return sessions_.size() + (siblings_ ? siblings_->others().clients : 0);
+std::size_t Proxy::total_clients() const {
+  return sessions_.size() + (siblings_ ? siblings_->sibling_usage().clients : 0);
 }
 
 void Proxy::publish() {
   if (!siblings_) return;
-  held_.descriptors = loop_.watched();
-  held_.clients = sessions_.size();
-  held_.statement_bytes = buffered_;
-  // Those that have asked are counted only where trim_idle() may want to know.
-  if (clients_in_all() > options_.descriptors / kActiveClientShare &&
-      loop_.now() - published_at_ >= kTrimEvery) {
+  usage_.descriptors = loop_.watched();
+  usage_.clients = sessions_.size();
+  usage_.statement_bytes = buffered_;
+  // Clients that have sent a command are counted only when trim_idle() may need their number.
+  if (total_clients() > options_.descriptors / kActiveClientShare &&
+      loop_.now() - published_at_ >= kTrimInterval) {
     published_at_ = loop_.now();
-    held_.asked = 0;
-    for (auto& [session, owned] : sessions_) held_.asked += !session->is_lingering() && !session->is_unused();
+    usage_.used_clients = 0;
+    for (auto& [session, owned] : sessions_)
+      usage_.used_clients += !session->is_lingering() && !session->is_unused();
   }
-  siblings_->publish(held_);
+  siblings_->publish(usage_);
 }
 
 void Proxy::accept_all() {
-  accepts_again_ = false;
+  must_retry_accept_ = false;
   if (!backlog_since_) backlog_since_ = loop_.ready_since();
   if (options_.inherited_listener >= 0) net::ensure_non_blocking(listener_);
   for (int accepted = 0; accepted < kAcceptsPerIteration; ++accepted) {
-    if (!has_room_for_client()) return retry_accepting();
+    if (!can_accept_client()) return retry_accepting();
     switch (accept_one()) {
       case AcceptResult::kTryNext:
         continue;
@@ -256,26 +263,27 @@
   loop_.again(&on_listener_);
 }
 
-// Whether one more client may come, after closing others where that helps.
-bool Proxy::has_room_for_client() {
-  auto most = static_cast<double>(descriptors_allowed() - kOwnDescriptors) * kClientShare;
-  bool has_too_many = static_cast<double>(clients_in_all()) >= most;
-  if (has_too_many && !close_client(usual_scope())) return false;
+// Whether one more client may be accepted. Closes another client or an idle connection where that makes it
+// possible.
+bool Proxy::can_accept_client() {
+  auto max_clients = static_cast<double>(descriptors_allowed() - kOwnDescriptors) * kClientShare;
+  bool has_too_many = static_cast<double>(total_clients()) >= max_clients;
+  if (has_too_many && !close_client(default_eviction_scope())) return false;
   return descriptors_in_use() < descriptors_allowed() || free_descriptor();
 }
 
-// The edge has passed: the backlog is looked at again when something has ended.
+// The edge-triggered event is consumed, so accepting is tried again at the end of each iteration.
 void Proxy::retry_accepting() {
-  accepts_again_ = true;
+  must_retry_accept_ = true;
   if (!siblings_) return;
   siblings_->request_descriptor();
   loop_.cancel(&accept_retry_timer_);
   accept_retry_timer_ = loop_.at(loop_.now() + kAcceptRetry, [] {});
 }
 
-// What the system is short of may be there again without anything of this process having ended.
+// The resource that the system lacks may become available without any event in this process, hence the timer.
 void Proxy::accept_after_shortage() {
-  accepts_again_ = true;
+  must_retry_accept_ = true;
   loop_.cancel(&accept_retry_timer_);
   accept_retry_timer_ = loop_.at(loop_.now() + kShortageRetry, [] {});
 }
@@ -288,11 +296,11 @@
     return AcceptResult::kTryNext;
   }
   if (error == EAGAIN || error == EWOULDBLOCK) return AcceptResult::kNoneWaiting;
-  // A client that went before it was accepted takes only itself along.
+  // The client disconnected before it was accepted, which affects no other client.
   if (error == ECONNABORTED || error == EINTR || error == EPROTO) return AcceptResult::kTryNext;
   if (++accepts_without_descriptor_ == 1)
     log_(net::Level::kError, fmt::format("cannot accept clients for now: {}", net::message_of(error)));
-  // Closing a client helps only where this process's own limit is met.
+  // Closing a client helps only when this process's own limit is reached.
   return error == EMFILE && free_descriptor() ? AcceptResult::kTryNext : AcceptResult::kNoDescriptor;
 }
 
@@ -323,18 +331,19 @@
 
 void Proxy::release_descriptor() { free_descriptor(); }
 
-// Frees a descriptor. Clients that have nothing to lose go first, then an idle connection to a data server: a
-// new one costs that server work and the next request time, so silent clients must not drive them out.
+// Frees a descriptor. Lingering and long inactive clients are closed first, then an idle connection to a data
+// server: a new one costs that server work and the next request time, so silent clients must not displace it.
 bool Proxy::free_descriptor() {
-  return close_client(EvictionScope::kNothingToLose) || dispatcher_.pool().close_one_idle() ||
-         close_client(usual_scope());
+  return close_client(EvictionScope::kInactiveOnly) || dispatcher_.pool().close_one_idle() ||
+         close_client(default_eviction_scope());
 }
 
-// Of several proxies, one that has less than its share of the clients leaves it to the others to close some
-// that came just now: its own are too few to choose from.
-EvictionScope Proxy::usual_scope() const {
-  bool has_fair_share = sessions_.size() * options_.count >= clients_in_all();
-  return has_fair_share ? EvictionScope::kAnyIdle : EvictionScope::kNothingToLose;
+// The scope for evicting clients. Of several proxies, one that has less than its share of the clients does
+// not close any that have just connected, because its own are too few to choose from; the others close
+// theirs.
+EvictionScope Proxy::default_eviction_scope() const {
+  bool has_fair_share = sessions_.size() * options_.count >= total_clients();
+  return has_fair_share ? EvictionScope::kAnyIdle : EvictionScope::kInactiveOnly;
 }
 
 namespace {
@@ -342,13 +351,14 @@
 EvictionRank eviction_rank(const ClientSession& session, Micros now) {
   if (session.is_lingering()) return EvictionRank::kLingering;
   auto quiet_for = now - session.idle_since();
-  if (session.is_unused()) return rank_unused(quiet_for, session.is_mid_command());
-  return rank_used(quiet_for, session.is_idle());
+  if (session.is_unused()) return rank_of_unused(quiet_for, session.is_mid_command());
+  return rank_of_used(quiet_for, session.is_idle());
 }
 
 }  // namespace
 
-// Closes the client that can be missed most easily, the longest quiet one of its rank; false: all must stay.
+// Closes the client that ranks first for eviction, the one quiet for the longest time within its rank; false:
+// no client in this scope may be closed.
 bool Proxy::close_client(EvictionScope scope) {
   std::array<ClientSession*, kEvictionRanks> candidates{};
   auto now = loop_.now();
@@ -358,7 +368,7 @@
     auto*& candidate = candidates[rank];
     if (!candidate || session->idle_since() < candidate->idle_since()) candidate = session;
   }
-  for (std::size_t rank = 0; rank < ranks_in(scope); ++rank) {
+  for (std::size_t rank = 0; rank < evictable_rank_count(scope); ++rank) {
     if (!candidates[rank]) continue;
     candidates[rank]->close();
     return true;
@@ -367,49 +377,51 @@
 }
 
 void Proxy::trim_idle() {
-  auto most = options_.descriptors / kActiveClientShare;
-  if (clients_in_all() <= most || loop_.now() - trimmed_at_ < kTrimEvery) return;
+  auto max_clients = options_.descriptors / kActiveClientShare;
+  if (total_clients() <= max_clients || loop_.now() - trimmed_at_ < kTrimInterval) return;
   trimmed_at_ = loop_.now();
   std::vector<ClientSession*> idle;
-  std::size_t asked = 0;
+  std::size_t active_clients = 0;
   for (auto& [session, owned] : sessions_) {
     if (session->is_lingering() || session->is_unused()) continue;
-    ++asked;
+    ++active_clients;
     if (session->is_idle() && loop_.now() - session->idle_since() >= kRecentlyActive) idle.push_back(session);
   }
-  // Of several, each closes its part of what all have too many.
-  auto all = asked + (siblings_ ? siblings_->others().asked : 0);
-  if (all <= most) return;
-  auto own = siblings_ ? (all - most) * asked / all + 1 : all - most;
+  // Of several proxies, each closes its share of the excess over all of them.
+  auto all = active_clients + (siblings_ ? siblings_->sibling_usage().used_clients : 0);
+  if (all <= max_clients) return;
+  auto own = siblings_ ? (all - max_clients) * active_clients / all + 1 : all - max_clients;
   auto count = std::min(own, idle.size());
   std::partial_sort(idle.begin(), idle.begin() + static_cast<std::ptrdiff_t>(count), idle.end(),
                     [](auto* left, auto* right) { return left->idle_since() < right->idle_since(); });
-  // What has arrived since this iteration's events were fetched is read first: whoever asks is not idle.
+  // Input that has arrived since this iteration's events were fetched is read first: a client that has sent a
+  // command is not idle.
   for (std::size_t i = 0; i < count; ++i)
     if (idle[i]->poll_input() && idle[i]->is_idle()) idle[i]->close();
 }
 
 bool Proxy::on_buffered_change(std::ptrdiff_t change) {
   buffered_ += static_cast<std::size_t>(change);
-  return buffered_ + (siblings_ ? siblings_->others().statement_bytes : 0) <=
-         options_.memory / kStatementMemoryShare / (1 + others_.processes);
+  return buffered_ + (siblings_ ? siblings_->sibling_usage().statement_bytes : 0) <=
+         options_.memory / kStatementMemoryShare / (1 + other_processes_.processes);
 }
 
 void Proxy::on_session_closed(ClientSession* session) {
   auto it = sessions_.find(session);
   if (it == sessions_.end()) return;
-  closed_.push_back(std::move(it->second));  // it may be in one of its own calls
+  closed_.push_back(std::move(it->second));  // one of its member functions may be running
   sessions_.erase(it);
 }
 
 void Proxy::on_iteration_end() {
   before_iteration_end();
-  if (accepts_again_ && is_accepting_) accept_all();
-  if (stopping_since_) shutdown_mode_ == ShutdownMode::kLast ? close_idle_clients() : end_what_is_left();
-  if (others_.processes > 0) give_way_to_others();
+  if (must_retry_accept_ && is_accepting_) accept_all();
+  if (stopping_since_)
+    shutdown_mode_ == ShutdownMode::kLast ? close_idle_clients() : enforce_shutdown_limit();
+  if (other_processes_.processes > 0) release_excess_descriptors();
   trim_idle();
   dispatcher_.on_iteration_end();
-  if (!was_ready_ && !is_waiting_for_others_ && dispatcher_.ready()) {
+  if (!was_ready_ && !is_waiting_for_other_processes_ && dispatcher_.ready()) {
     was_ready_ = true;
     start_accepting();
     if (!siblings_) log_(net::Level::kInfo, "ready to serve");
@@ -417,9 +429,10 @@
     std::vector<ClientSession*> all;
     for (auto& [session, owned] : sessions_) all.push_back(session);
     for (auto* session : all) session->resume();
-    dispatcher_.on_iteration_end();  // for what stood behind the empty query
+    dispatcher_.on_iteration_end();  // for requests that were queued behind the empty query
   }
-  // A client that turns out to be gone gives back what it had out.
+  // Flushing may find that a client has disconnected; the dispatcher then handles the requests that it
+  // abandoned.
   while (!to_flush_.empty()) {
     auto open = sessions_.size();
     for (auto* session : std::exchange(to_flush_, {})) session->flush();
@@ -432,7 +445,7 @@
 void Proxy::shut_down(ShutdownMode mode) {
   if (!stopping_since_) begin_shutdown();
   bool has_new_successor = mode == ShutdownMode::kSuccessorServes && shutdown_mode_ == ShutdownMode::kLast;
-  if (has_new_successor) hand_clients_over();
+  if (has_new_successor) close_clients_for_successor();
 }
 
 void Proxy::begin_shutdown() {
@@ -444,24 +457,25 @@
     loop_.at(loop_.now() + after, [] {});
 }
 
-// Each connection ends with its next answer: a client finds both together, and no request of its own on the
-// way. Those that are not used for a while are closed later, as without a successor.
-void Proxy::hand_clients_over() {
+// Closes each connection together with its next answer, so that the client sees both at once and has no
+// request in flight. Connections that stay unused for a while are closed later, as without a successor.
+void Proxy::close_clients_for_successor() {
   shutdown_mode_ = ShutdownMode::kSuccessorServes;
   stop_accepting();
-  auto last_answer = *stopping_since_ + options_.shutdown_limit - kLastAnswerBefore;
-  dispatcher_.answer_by(last_answer);
-  for (auto when : {last_answer, *stopping_since_ + options_.shutdown_limit - kLastCloseBefore})
+  auto last_answer = *stopping_since_ + options_.shutdown_limit - kLastAnswerBeforeKill;
+  dispatcher_.set_latest_deadline(last_answer);
+  for (auto when : {last_answer, *stopping_since_ + options_.shutdown_limit - kLastCloseBeforeKill})
     loop_.at(when, [] {});
   for (auto& [session, owned] : sessions_) session->close_when_idle();
 }
 
-// As without a successor, but that all has its answer, and the process its end, before the platform kills it.
-void Proxy::end_what_is_left() {
-  auto left = *stopping_since_ + options_.shutdown_limit - loop_.now();
+// Closes idle clients as without a successor. In addition, every request gets its answer and the process ends
+// before the platform kills it.
+void Proxy::enforce_shutdown_limit() {
+  auto time_left = *stopping_since_ + options_.shutdown_limit - loop_.now();
   close_idle_clients();
-  if (left <= kLastAnswerBefore) dispatcher_.fail_open_requests("the proxy is shutting down");
-  if (left > kLastCloseBefore) return stop_if_empty();
+  if (time_left <= kLastAnswerBeforeKill) dispatcher_.fail_open_requests("the proxy is shutting down");
+  if (time_left > kLastCloseBeforeKill) return stop_if_empty();
   std::vector<ClientSession*> all;
   for (auto& [session, owned] : sessions_) all.push_back(session);
   for (auto* session : all)
@@ -470,8 +484,8 @@
 }
 
 void Proxy::close_idle_clients() {
-  auto past = loop_.now() - *stopping_since_;
-  if (past < kContinueServing) return;
+  auto elapsed = loop_.now() - *stopping_since_;
+  if (elapsed < kContinueServing) return;
   if (is_accepting_) accept_all();
   std::vector<ClientSession*> all;
   for (auto& [session, owned] : sessions_) all.push_back(session);
@@ -479,14 +493,15 @@
     session->close_when_idle();
     if (sessions_.count(session) && session->is_idle()) session->poll_input();
   }
-  if (past < kRejectAfter) return;
+  if (elapsed < kRejectAfter) return;
   for (auto* session : all) {
     if (!sessions_.count(session)) continue;
     session->reject_new_requests();
-    bool last_word =
-        session->is_lingering() || (session->is_mid_command() && past < kRejectAfter + kPartialCommandGrace);
-    if (last_word ? past >= kLongestShutdown
-                  : !session->is_busy() || (past >= kLongestShutdown && !session->owes_answers()))
+    bool is_in_grace_period = session->is_lingering() ||
+                              (session->is_mid_command() && elapsed < kRejectAfter + kPartialCommandGrace);
+    if (is_in_grace_period
+            ? elapsed >= kLongestShutdown
+            : !session->is_busy() || (elapsed >= kLongestShutdown && !session->has_unanswered_commands()))
       session->close();
   }
   stop_if_empty();
@@ -494,7 +509,7 @@
 
 void Proxy::stop_if_empty() {
   if (!sessions_.empty()) return;
-  if (!siblings_) log_(net::Level::kInfo, dispatcher_.counters().stopped());
+  if (!siblings_) log_(net::Level::kInfo, dispatcher_.counters().summary());
   loop_.stop();
 }
 
--- a/src/request_router/primary_discovery.cpp
+++ b/src/request_router/primary_discovery.cpp
@@ -8,21 +8,24 @@
 namespace request_router::internal {
 namespace {
 
-// While the probe budget has a surplus, a member that has not answered for so many silences, half of the
-// smallest latency objective, is probed rather than tried: a probe costs no request its time.
+// The number of silence limits (four are half of the smallest latency objective) after which a member that
+// has not answered is probed rather than tried with a request, while the probe budget has a surplus: a probe
+// delays no request.
 constexpr int kProbeFirstSilences = 4;
 
-// A member is tried with a write once in so many silences, a quarter of the smallest latency objective.
+// Minimum time between two trials at a member, in silence limits: a quarter of the smallest latency
+// objective.
 constexpr int kTrySilences = 2;
 
-// The longest interval between two rounds of probes, in silences: one smallest latency objective.
-constexpr int kLongestSearchSilences = 8;
+// Maximum interval between two rounds of probes, in silence limits: one smallest latency objective.
+constexpr int kMaxSearchIntervalSilences = 8;
 
-// Attempts of a request that are kept for the primary itself, once it is found.
+// The number of attempts of a request that are reserved for the primary after it is found.
 constexpr int kReservedAttempts = 2;
 
-// The order in which members are tried: seldom tried first, then unknown roles before replicas, warm ones
-// before those that are warming up, then the one furthest on.
+// The order in which members are tried, highest rank first: members with fewer tries of this request, then
+// unknown roles before replicas, members at full capacity before those that are warming up, then the newest
+// position.
 auto trial_rank(const RouterState& state, const PendingRequest& pending, const Member& member) {
   auto tries = std::count_if(pending.attempts.begin(), pending.attempts.end(),
                              [&](const Attempt& attempt) { return attempt.member == member.id; });
@@ -30,19 +33,22 @@
                     member.replication.position);
 }
 
-// Known replicas are tried ever more seldom: when the next one may be.
+// The earliest time of the next trial at a known replica. The interval doubles with each attempt.
 Micros next_replica_trial(const RouterState& state, const Group& group, const PendingRequest& pending) {
   if (pending.attempts.size() < group.members.size()) return state.now;
-  return pending.attempts.back().sent_at + state.spans.silence * (1 << pending.attempts.size());
+  return pending.attempts.back().sent_at + state.spans.silence_limit * (1 << pending.attempts.size());
 }
 
 bool may_try_as_primary(RouterState& state, const Group& group, const PendingRequest& pending,
                         Member& member) {
-  if (!is_usable(state, member, Duty::kPrimary)) return false;
-  Micros quiet_for = state.now - member.liveness.last_response_at;
-  if (state.probe_budget.has_surplus() && quiet_for > state.spans.silence * kProbeFirstSilences) return false;
+  if (!is_usable(state, member, MemberUse::kPrimary)) return false;
+  Micros time_since_response = state.now - member.liveness.last_response_at;
+  if (state.probe_budget.has_surplus() &&
+      time_since_response > state.spans.silence_limit * kProbeFirstSilences)
+    return false;
   bool was_tried = member.role.write_tried_at != kNever;
-  if (was_tried && state.now - member.role.write_tried_at < state.spans.silence * kTrySilences) return false;
+  if (was_tried && state.now - member.role.write_tried_at < state.spans.silence_limit * kTrySilences)
+    return false;
   return has_capacity(state, group, member, pending);
 }
 
@@ -63,21 +69,21 @@
     if (member->role.role != Role::kPrimary) continue;
     if (!newest || member->role.as_of > newest->role.as_of) newest = member;
   }
-  if (!newest || !is_usable(state, *newest, Duty::kPrimary)) return nullptr;
+  if (!newest || !is_usable(state, *newest, MemberUse::kPrimary)) return nullptr;
   return newest;
 }
 
-Member* probe_for_primary(RouterState& state, const Group& group, const PendingRequest& pending) {
+Member* select_primary_trial(RouterState& state, const Group& group, const PendingRequest& pending) {
   bool is_read = pending.request_class->level == ReadLevel::kFresh;
-  if (is_read && state.settings.checks == Checks::kOff) return nullptr;
+  if (is_read && state.settings.lag_check == LagCheck::kOff) return nullptr;
   if (static_cast<int>(pending.attempts.size()) >= state.settings.max_attempts - kReservedAttempts)
     return nullptr;
-  if (group.members.empty()) return nullptr;  // all have gone and are forgotten
-  Micros replicas_from = next_replica_trial(state, group, pending);
+  if (group.members.empty()) return nullptr;  // all members were removed from the list and dropped
+  Micros next_trial_at = next_replica_trial(state, group, pending);
   Member* best = nullptr;
   for (Member* member : group.members) {
     if (!may_try_as_primary(state, group, pending, *member)) continue;
-    if (member->role.role != Role::kUnknown && state.now < replicas_from) continue;
+    if (member->role.role != Role::kUnknown && state.now < next_trial_at) continue;
     if (!best || trial_rank(state, pending, *member) > trial_rank(state, pending, *best)) best = member;
   }
   if (best) best->role.write_tried_at = state.now;
@@ -88,20 +94,20 @@
   PrimarySearch& search = group.primary_search;
   bool is_first = search.started_at == kNever;
   if (!is_first && state.now - search.started_at < search.interval) return;
-  // Where members check nothing, no write is tried out, so there a first search goes beyond the budget.
-  if (state.settings.checks == Checks::kOff && is_first)
+  // Where members do not check requests, no write is tried, so the first search may exceed the probe budget.
+  if (state.settings.lag_check == LagCheck::kOff && is_first)
     state.probe_budget.grant(static_cast<double>(group.members.size()));
   search.started_at = state.now;
-  search.interval = std::min(search.interval * 2, state.spans.silence * kLongestSearchSilences);
+  search.interval = std::min(search.interval * 2, state.spans.silence_limit * kMaxSearchIntervalSilences);
   for (Member* member : group.members) {
-    if (!may_use(state, *member, Duty::kPrimary)) continue;
+    if (!may_use(state, *member, MemberUse::kPrimary)) continue;
     bool is_due = state.now - member->probing.last_sent_at > member->probing.interval;
     if (!member->liveness.is_unresponsive() || is_due) send_probe(state, *member);
   }
 }
 
 void end_primary_search(const RouterState& state, Group& group) {
-  group.primary_search.interval = state.spans.silence;
+  group.primary_search.interval = state.spans.silence_limit;
 }
 
 }  // namespace request_router::internal
--- a/src/request_router/replication_lag.cpp
+++ b/src/request_router/replication_lag.cpp
@@ -7,23 +7,24 @@
 namespace request_router::internal {
 namespace {
 
-// Sessions whose last write is remembered. The number bounds the memory, to about a megabyte; when it is
-// exceeded all are dropped at once, and their reads need the newest of the dropped positions.
+// Maximum number of sessions whose last write is kept, which limits the memory to about a megabyte. When it
+// is reached, all entries are dropped at once, and reads of these sessions need the newest dropped position.
 constexpr std::size_t kMaxSessions = 20000;
 
-// Positions of answers and reports are rounded to a millisecond; that much is taken off to be strict.
+// Positions of answers and reports are rounded to a millisecond. A millisecond is subtracted so that no
+// recorded position is newer than the applied one.
 constexpr Micros kPositionRounding{1000};
 
-// A member keeps up while its reported position is younger than so many half bounds, that is two bounds;
-// from one that lags the rhythm of the reports cannot be learned.
+// A member keeps up while its reported position is younger than this number of half bounds, that is two
+// bounds. The interval and delay of reports cannot be learned from a member that lags.
 constexpr int kKeepsUpHalfBounds = 4;
 
-// A learned interval or delay grows by no more than this factor with each report: the shortest seen counts,
-// and one that has become longer for good is followed within some tens of reports.
+// Maximum growth factor of a learned interval or delay with each report: the shortest observed value counts,
+// and a permanent increase is followed within some tens of reports.
 constexpr double kCadenceGrowth = 1.05;
 
-// A member that turned a read away is tried with a later position after so many silences without an attempt,
-// half of the smallest latency objective, whatever its position is thought to be.
+// The number of silence limits (four are half of the smallest latency objective) without an attempt after
+// which a member that declined a read may be tried again, even for a position later than its estimated one.
 constexpr int kRetryBehindSilences = 4;
 
 Micros smoothed_minimum(Micros known, Micros observed) {
@@ -48,11 +49,11 @@
 void SessionPositions::record_write(std::uint64_t session, Micros position) {
   if (last_writes_.size() >= kMaxSessions) {
     last_writes_.clear();
-    newest_dropped_ = newest_;
+    newest_dropped_ = newest_write_;
   }
   Micros& last = last_writes_.try_emplace(session, kNever).first->second;
   last = std::max(last, position);
-  newest_ = std::max(newest_, last);
+  newest_write_ = std::max(newest_write_, last);
 }
 
 Micros SessionPositions::last_write(std::uint64_t session) const {
@@ -71,7 +72,8 @@
     return has_written ? state.now - *request.write_age : kNever;
   }
   if (!request.key) return kNever;
-  return std::max(state.sessions.last_write(*request.key), state.sessions.last_write_elsewhere(state.now));
+  return std::max(state.sessions.last_write(*request.key),
+                  state.sessions.last_write_by_other_process(state.now));
 }
 
 Micros required_position(const RouterState& state, const PendingRequest& pending) {
@@ -80,14 +82,14 @@
 }
 
 bool may_try_behind(const RouterState& state, const Member& member, Micros required) {
-  if (state.settings.checks == Checks::kOff) return false;
+  if (state.settings.lag_check == LagCheck::kOff) return false;
   const MemberReplication& replication = member.replication;
   bool has_declined = replication.declined_at != kNever;
-  if (has_declined && state.now - replication.declined_at < state.spans.silence) return false;
+  if (has_declined && state.now - replication.declined_at < state.spans.silence_limit) return false;
   if (replication.position == kNever) return true;
   if (state.now - replication.lag + state.settings.catch_up_timeout >= required) return true;
   Micros last_tried = std::max(replication.declined_at, member.last_sent_at);
-  return state.now - last_tried > state.spans.silence * kRetryBehindSilences;
+  return state.now - last_tried > state.spans.silence_limit * kRetryBehindSilences;
 }
 
 void record_position(RouterState& state, Member& member, Micros position) {
@@ -118,7 +120,7 @@
   const RequestClass& request_class = *pending.request_class;
   if (request_class.level == ReadLevel::kWrite && pending.request.key)
     state.sessions.record_write(*pending.request.key, outcome.position.value_or(state.now));
-  if (state.settings.checks == Checks::kOff || member.role.role == Role::kPrimary) return;
+  if (state.settings.lag_check == LagCheck::kOff || member.role.role == Role::kPrimary) return;
   if (request_class.level == ReadLevel::kBounded)
     record_position(state, member, attempt.sent_at - request_class.bound);
   if (pending.required_position != kNever) record_position(state, member, pending.required_position);
--- a/src/request_router/router.cpp
+++ b/src/request_router/router.cpp
@@ -1,9 +1,9 @@
-// The router: passes each event of a batch to the module that handles it, has the groups decided that the
-// events concern, and orders the actions.
+// The router: passes each event of a batch to the module that handles it, decides the groups that the events
+// concern, and orders the actions.
 //
-// Rule: a batch is taken in whole before anything is decided, so that no decision rests on half of what is
-// known at its time. All decisions are made in the modules of this folder; the mechanism and its exceptions
-// are described in docs/design/decisions.md.
+// Rule: all events of a batch are processed before anything is decided, so that each decision is based on
+// everything that is known at its time. All decisions are made in the modules of this folder; the mechanism
+// and its exceptions are described in docs/design/decisions.md.
 #include "request_router/router.h"
 
 #include <algorithm>
@@ -24,17 +24,17 @@
 namespace {
 
 // The keys of the timers that the router sets.
-constexpr std::uint64_t kTickTimer = 1;  // looks at attempts under way, regularly
-constexpr std::uint64_t kWakeTimer = 2;  // has postponed requests decided at a given time
+constexpr std::uint64_t kTickTimer = 1;  // checks attempts in flight at regular intervals
+constexpr std::uint64_t kWakeTimer = 2;  // has postponed requests decided again at a given time
 
-// Has the groups decided anew whose requests were postponed.
+// Schedules the groups with postponed requests for another decision.
 void on_timer(RouterState& state, const TimerFired& timer) {
   for (Group* group : std::exchange(state.waiting_groups, {})) {
     group->is_waiting = false;
     state.request_decision(*group);
   }
   if (timer.key != kTickTimer) return;
-  state.timers.is_tick_now = true;
+  state.timers.tick_fired = true;
   state.timers.is_tick_set = false;
 }
 
@@ -50,38 +50,39 @@
   void operator()(const TimerFired& event) { on_timer(state_, event); }
   void operator()(const ClientGone& event) { state_.pending.erase(event.id); }
   void operator()(const Plan& event) { internal::on_plan(state_, event); }
-  void operator()(const StreamStarted&) {}  // tells nothing that a decision rests on
+  void operator()(const StreamStarted&) {}  // not used by any decision
   void operator()(const PeerMessage&) {}    // this router sends none and expects none
 
  private:
   RouterState& state_;
 };
 
-// Events of one moment may come in several calls: the pause before it is the same for all of them.
+// Events of the same time may arrive in several calls; the pause before that time is the same for all of
+// them.
 void begin_batch(RouterState& state, Micros at) {
   internal::TimerState& timers = state.timers;
   if (at > state.now) {
-    bool is_late = timers.is_tick_set && at - timers.tick_due_at > state.spans.silence;
+    bool is_late = timers.is_tick_set && at - timers.tick_due_at > state.spans.silence_limit;
     timers.paused = is_late ? at - state.now : Micros(0);
   }
   state.now = std::max(state.now, at);
   state.actions.clear();
-  timers.is_tick_now = false;
+  timers.tick_fired = false;
 }
 
-// Looks at the members with attempts or a probe under way, and stops watching those that have none.
+// Checks the members with an attempt or a probe in flight, and stops watching those that have none.
 void check_watched_members(RouterState& state) {
   auto watched = std::move(state.watched_members);
   state.watched_members.clear();
   for (Member* member : watched) {
     member->is_watched = false;
     internal::cancel_and_retry(state, *member);
-    internal::check_for_silence(state, *member);
+    internal::check_responsiveness(state, *member);
     if (member->probing.sent_at != internal::kNever || !member->in_flight.empty()) state.watch(*member);
   }
 }
 
-// By index, because a decision may ask for another one.
+// Iterates by index because a decision may add groups to the list.
 void decide_groups(RouterState& state) {
   state.timers.wake_at = state.now + state.spans.tick;
   for (std::size_t i = 0; i < state.groups_to_decide.size(); ++i)
@@ -97,10 +98,10 @@
     state.actions.emplace_back(SetTimer{kTickTimer, state.spans.tick});
     timers.tick_due_at = next_tick;
   }
-  bool is_wake_pending = timers.wake_set > state.now && timers.wake_set <= timers.wake_at;
+  bool is_wake_pending = timers.wake_due_at > state.now && timers.wake_due_at <= timers.wake_at;
   if (timers.wake_at >= next_tick || is_wake_pending) return;
   state.actions.emplace_back(SetTimer{kWakeTimer, std::max(timers.wake_at - state.now, state.settings.step)});
-  timers.wake_set = timers.wake_at;
+  timers.wake_due_at = timers.wake_at;
 }
 
 }  // namespace
@@ -120,7 +121,7 @@
   begin_batch(state, now);
   EventDispatcher dispatcher(state);
   for (const Event& event : events) std::visit(dispatcher, event);
-  if (state.timers.is_tick_now) check_watched_members(state);
+  if (state.timers.tick_fired) check_watched_members(state);
   decide_groups(state);
   if (state.settings.poll_discovery && !std::exchange(state.subscribed, true))
     state.actions.emplace_back(Subscribe{});
@@ -132,8 +133,8 @@
   state_->sessions.set_shared(std::max(now, state_->now), is_shared);
 }
 
-std::size_t Router::members() const { return state_->members.size(); }
+std::size_t Router::member_count() const { return state_->members.size(); }
 
-double Router::room(MemberId member) const { return internal::surplus_capacity(*state_, member); }
+double Router::surplus_capacity(MemberId member) const { return internal::surplus_capacity(*state_, member); }
 
 }  // namespace request_router
--- a/src/routing/server_clock.cpp
+++ b/src/routing/server_clock.cpp
@@ -7,20 +7,22 @@
 
 using namespace std::chrono_literals;
 
-// Clocks that are kept by the same time service differ by less; a process may also be held up for 0.15 s
-// between the arrival of an answer and its reading.
+// Clocks synchronized by the same time service differ by less than this. It also covers a delay of 0.15 s
+// between the arrival of an answer and the time at which the process reads it.
 constexpr Micros kTolerance = 250ms;
-// Without a primary's word for so long, the wall clock is trusted as long as nothing speaks against it.
+// The time without a primary's answer after which the wall clock is trusted unless there is contrary
+// evidence.
 constexpr Micros kLongestLearning = 2s;
 constexpr Micros kReadInterval = 100ms;
-// A load report is no older than this when it arrives.
+// The greatest age of a load report on arrival.
 constexpr Micros kReportAge = 500ms;
-// From a report alone, only an error beyond this is corrected: it proves the distance no better.
+// A load report alone corrects only errors beyond this, as it does not determine the distance more precisely.
 constexpr Micros kCoarseError = 5s;
-// A server's position has been renewed by then.
+// The time within which a server's position is renewed.
 constexpr Micros kPositionLifetime = 10s;
-// So many answers in a row have to contradict what is known where they make servers look younger.
-constexpr int kAnswersAgainst = 8;
+// The number of consecutive answers that must contradict the known distance where they make servers look
+// younger.
+constexpr int kContradictingAnswers = 8;
 // Positions come in whole milliseconds, rounded down.
 constexpr Micros kRounding = 1ms;
 
@@ -48,7 +50,7 @@
   bool is_stepped = std::chrono::abs(distance - local_distance_) > kTolerance;
   local_distance_ = distance;
   if (is_stepped) forget_confirmation(now);
-  choose(now);
+  update_distance(now);
 }
 
 void ServerClock::forget_confirmation(Micros now) {
@@ -66,16 +68,17 @@
   if (is_far_off) on_evidence(received_at, coarse);
 }
 
-// Whether it would make servers look younger than all that is known so far, and has not been repeated enough.
+// Returns whether the evidence would make servers look younger than the distance known so far does and has
+// not been repeated often enough.
 bool ServerClock::is_doubtful(const Interval& evidence) {
   auto known = evidence_ ? evidence_->least : local_distance_;
   bool is_younger = evidence.greatest < known - kTolerance;
   doubtful_answers_ = is_younger ? doubtful_answers_ + 1 : 0;
-  return is_younger && doubtful_answers_ < kAnswersAgainst;
+  return is_younger && doubtful_answers_ < kContradictingAnswers;
 }
 
-// What two answers prove together is proved better than by each; where they contradict each other, the
-// servers' clock has been stepped.
+// Two answers that agree narrow the interval of the distance. If they contradict each other, the servers'
+// clock has been stepped.
 void ServerClock::on_evidence(Micros now, Interval evidence) {
   if (is_doubtful(evidence)) return;
   if (evidence_) {
@@ -86,10 +89,10 @@
   }
   evidence_ = evidence;
   is_confirmed_ = true;
-  choose(now);
+  update_distance(now);
 }
 
-void ServerClock::choose(Micros now) {
+void ServerClock::update_distance(Micros now) {
   if (!evidence_) {
     // Of two readings that differ, the greater makes servers look older.
     return set_distance(now, is_confirmed_ ? local_distance_ : std::max(local_distance_, distance_));
@@ -113,7 +116,7 @@
   if (unconfirmed_since_ == Micros::min()) unconfirmed_since_ = received_at;
   bool is_in_future = unix_time - received_at > distance_ + kTolerance;
   if (is_in_future) {
-    // No server is ahead of the present: the distance is too small.
+    // A position cannot be in the future, so the distance is too small.
     forget_confirmation(received_at);
     evidence_.reset();
     set_distance(received_at, unix_time - received_at);
--- a/src/routing/unix_clock.h
+++ b/src/routing/unix_clock.h
@@ -1,4 +1,5 @@
-// The one place where Unix time and the loop's monotonic clock meet. Their distance is fixed at the start.
+// Conversion between Unix time and the loop's monotonic clock. The distance between them is fixed at the
+// start.
 #pragma once
 
 #include <algorithm>
@@ -10,12 +11,14 @@
 
 using Micros = std::chrono::microseconds;
 
-// A fixed distance between the two clocks; conversions round to the safe side.
+// A fixed distance between the two clocks. Conversions round to the safe side: down for positions that
+// servers have reached, up for positions that reads must include.
 class UnixClock {
  public:
   // Unix time minus the monotonic clock, in microseconds.
   explicit UnixClock(Micros distance) : distance_(distance) {}
-  // Measured now, and to be measured again: the wall clock may be stepped.
+  // Returns a clock with the distance measured now. The owner must measure it again from time to time, as the
+  // wall clock may be stepped.
   static UnixClock measured() { return live(measure_distance()); }
   static UnixClock live(Micros distance) {
     UnixClock clock(distance);
@@ -25,7 +28,8 @@
   Micros distance() const { return distance_; }
   bool is_live() const { return is_live_; }
 
-  // The tightest of several pairs of readings counts.
+  // Measures the distance several times and returns the one whose pair of monotonic readings is closest
+  // together.
   static Micros measure_distance() {
     using std::chrono::steady_clock, std::chrono::system_clock;
     auto best = steady_clock::duration::max();
@@ -43,18 +47,19 @@
     return distance;
   }
 
-  // A position that a server is known to have reached: never later than it was.
+  // Converts a position that a server has reached, rounded so that it is never too late.
   Micros known(std::int64_t unix_ms) const { return Micros(clamp_to_range(unix_ms) * 1000) - distance_; }
   Micros known_seconds(double unix_s) const {
     return Micros(static_cast<std::int64_t>(std::floor(unix_s * 1e6))) - distance_;
   }
-  // A position that a read must see: never earlier than it is (it comes rounded up to a millisecond).
+  // Converts a position that a read must include. The result is never too early. The input is
+  // rounded up to a whole millisecond.
   Micros required(std::int64_t unix_ms) const {
     return Micros(clamp_to_range(unix_ms) * 1000 + 1) - distance_;
   }
 
  private:
-  // Peers may write any number: what lies outside some thousand years is brought to their edge.
+  // Clamps a time to a range of some thousand years, as peers may write any number.
   static std::int64_t clamp_to_range(std::int64_t unix_ms) {
     return std::clamp<std::int64_t>(unix_ms, 0, 100'000'000'000'000);
   }
--- a/tests/proxy/parsers_test.cpp
+++ b/tests/proxy/parsers_test.cpp
@@ -70,10 +70,10 @@
 }
 
 TEST_CASE("small messages") {
-  CHECK(pg::text_of_query("ab\0"s) == "ab");
-  CHECK_FALSE(pg::text_of_query("ab"));
-  CHECK_FALSE(pg::text_of_query("a\0b\0"s));
-  CHECK_FALSE(pg::text_of_query(""));
+  CHECK(pg::query_text("ab\0"s) == "ab");
+  CHECK_FALSE(pg::query_text("ab"));
+  CHECK_FALSE(pg::query_text("a\0b\0"s));
+  CHECK_FALSE(pg::query_text(""));
   CHECK(pg::parse_parameter("a\0b\0"s)->value == "b");
   CHECK_FALSE(pg::parse_parameter("a\0b"s));
   CHECK_FALSE(pg::parse_parameter("a\0b\0c"s));
@@ -253,13 +253,13 @@
        "Effect"},
       {R"({"listen":"127.0.0.1:1","discovery":"127.0.0.1:1","settings":{"RequestClasses":[
           {"Name":"a","Effect":"pure","TargetMs":9,"DeadlineMs":2}]}})",
-       "aim"},
+       "latency objective"},
       {R"({"listen":"127.0.0.1:1","discovery":"127.0.0.1:1","settings":{"RequestClasses":[
           {"Name":"a","Effect":"token","TargetMs":1,"DeadlineMs":2}]}})",
        "key window"},
       {R"({"listen":"127.0.0.1:1","discovery":"127.0.0.1:1","settings":{"NInstances":0,"RequestClasses":[
           {"Name":"a","Effect":"pure","TargetMs":1,"DeadlineMs":2}]}})",
-       "router"},
+       "number of routers"},
   }));
   try {
     app::parse_config(c.text);
