--- a/src/request_router/failure_detection.cpp
+++ b/src/request_router/failure_detection.cpp
@@ -8,19 +8,18 @@
 namespace request_router::internal {
 namespace {
 
-// The multiple of its usual latency after which an attempt is overdue and its member is checked. Twice is
-// beyond the variation of most requests and early enough to send the request to another member.
+// An attempt is overdue, and its member is checked, after this multiple of the attempt's usual latency. Twice
+// is beyond the variation of most requests and early enough to send the request to another member.
 constexpr double kOverdueRatio = 2;
 
-// The multiple of its usual latency after which an attempt proves its member unresponsive, where members
-// cannot be probed. Twice the time after which it is overdue.
+// Where members cannot be probed, an attempt proves its member unresponsive after this multiple of the
+// attempt's usual latency: twice the time after which it is overdue.
 constexpr double kUnresponsiveRatio = 4;
 
-// The multiple of the usual probe latency after which a probe is lost.
+// A probe counts as lost after this multiple of the usual probe latency.
 constexpr double kLostProbeRatio = 4;
 
-// The multiple of its usual latency after which an attempt counts as lost: hardly any request takes that
-// long.
+// An attempt counts as lost after this multiple of its usual latency: hardly any request takes that long.
 constexpr double kLostAttemptRatio = 5;
 
 // Greater than any latency; the result of the minimum over no attempts.
--- a/src/request_router/health_check_scheduler.h
+++ b/src/request_router/health_check_scheduler.h
@@ -16,7 +16,7 @@
 struct Member;
 struct RouterState;
 
-// The member id of the draw that decides how much of its part of the burst this router starts with.
+// Takes the place of a member id in the draw of this router's initial probe budget.
 constexpr MemberId kProbeBudgetDraw = ~0u;
 
 // The state of the probes of one member.
--- a/src/request_router/zone_routing.h
+++ b/src/request_router/zone_routing.h
@@ -45,7 +45,7 @@
   std::vector<double> class_mix_;  // smoothed share of each class in all reads, while there is a plan
 };
 
-// Whether the request may go to the member by the zones that it drew.
+// Whether the member is in one of the zones drawn for the request, or the request has no plan.
 bool is_allowed_by_plan(const PendingRequest& pending, const Member& member);
 
 // Applies a plan and requests a decision for all groups.
--- a/src/routing/unix_clock.h
+++ b/src/routing/unix_clock.h
@@ -1,5 +1,5 @@
-// Conversion between Unix time and the loop's monotonic clock. The distance between them is fixed at the
-// start.
+// Conversion between Unix time and the loop's monotonic clock. The distance between them is fixed for each
+// object.
 #pragma once
 
 #include <algorithm>
