--- a/src/consensus/input.h
+++ b/src/consensus/input.h
@@ -37,7 +37,7 @@
   enum class What : std::uint8_t { kAddLearner, kPromote, kRemove };
   std::uint64_t ticket = 0;
   What what = What::kAddLearner;
-  NodeId node = kNobody;
+  NodeId node = kNoNode;
 };
 
 // A request to confirm that this node still leads, before it answers a read (section 6.4 of the paper). The
@@ -48,7 +48,7 @@
 
 // A request to hand leadership over.
 struct LeadershipTransfer {
-  NodeId to = kNobody;  // kNobody: the voter whose log is the most advanced
+  NodeId to = kNoNode;  // kNoNode: the voter whose log is the most advanced
 };
 
 // The driver has made a snapshot of its state machine.
--- a/src/consensus/leadership_transfer.h
+++ b/src/consensus/leadership_transfer.h
@@ -31,7 +31,7 @@
   void change_phase(Phase phase) { phase_ = phase; }
 
   Phase phase_ = Phase::kNone;
-  NodeId target_ = kNobody;
+  NodeId target_ = kNoNode;
   Micros deadline_{0};
 };
 
--- a/src/consensus/membership.cpp
+++ b/src/consensus/membership.cpp
@@ -55,7 +55,7 @@
     NodeId id = 0;
     const auto [stop, error] = std::from_chars(text.data() + at + 1, text.data() + end, id);
     if (error != std::errc() || stop != text.data() + end) return std::nullopt;
-    if (id == kNobody || members.has(id)) return std::nullopt;
+    if (id == kNoNode || members.has(id)) return std::nullopt;
     if (text[at] != kVoterMark && text[at] != kLearnerMark) return std::nullopt;
     insert_sorted(text[at] == kVoterMark ? &members.voters : &members.learners, id);
     at = end + 1;
--- a/src/consensus/messages.h
+++ b/src/consensus/messages.h
@@ -24,7 +24,7 @@
     kTimeoutNow
   };
   Type type = Type::kAppendEntries;
-  NodeId from = kNobody, to = kNobody;
+  NodeId from = kNoNode, to = kNoNode;
   Term term = 0;  // of the sender; of a pre-vote and its grant: the term that an election would start
 
   // Vote requests: the index of the candidate's last entry. Appends: of the entry before `entries`. Responses
--- a/src/consensus/options.h
+++ b/src/consensus/options.h
@@ -10,7 +10,7 @@
 
 // Set once, when the node starts. docs/design/group.md tells where the defaults come from.
 struct Options {
-  NodeId self = kNobody;
+  NodeId self = kNoNode;
   std::uint64_t seed = 0;  // of the random election timeouts
 
   Micros heartbeat{100'000};
--- a/src/consensus/raft.cpp
+++ b/src/consensus/raft.cpp
@@ -21,7 +21,7 @@
       snapshot_(std::move(stored.snapshot)),
       election_timer_(options.seed, options.election_min, options.election_max),
       replication_(options) {
-  demand(options_.self != kNobody, "this node has no id");
+  demand(options_.self != kNoNode, "this node has no id");
   demand(options_.heartbeat.count() > 0 && options_.election_min > options_.heartbeat &&
              options_.election_max > options_.election_min,
          "times must rise from heartbeat over the shortest to the longest election timeout");
@@ -83,7 +83,7 @@
   // Followers wait at least as long before they elect another leader, so that one without a majority steps
   // down at about the same time.
   if (options_.check_quorum && !replication_.has_quorum_contact(members(), now_, options_.election_min))
-    return become_follower(hard_state_.term, kNobody, RoleChangeReason::kLostQuorum);
+    return become_follower(hard_state_.term, kNoNode, RoleChangeReason::kLostQuorum);
   transfer_.expire(now_);
   if (now_ >= next_heartbeat_) send_to_all(true);
 }
@@ -120,7 +120,7 @@
   if (!has_log_advanced) return;
   if (is_leader())
     advance_commit_index();
-  else if (leader_ != kNobody)
+  else if (leader_ != kNoNode)
     acknowledge_durable_log(leader_, 0);
 }
 
@@ -128,7 +128,7 @@
   if (role_ == Role::kHalted) return;
   reads_.fail_all(&output_.reads);
   replication_.clear();
-  change_role(Role::kHalted, kNobody, RoleChangeReason::kDiskFailed);
+  change_role(Role::kHalted, kNoNode, RoleChangeReason::kDiskFailed);
 }
 
 void Raft::change_role(Role role, NodeId leader, RoleChangeReason reason) {
@@ -139,7 +139,7 @@
 
 void Raft::save_hard_state() {
   auto saved = hard_state_;
-  if (options_.flaws.vote_not_saved) saved.vote = kNobody;
+  if (options_.flaws.vote_not_saved) saved.vote = kNoNode;
   writes_.save_hard_state(saved, last_index());
 }
 
--- a/src/consensus/raft.h
+++ b/src/consensus/raft.h
@@ -57,7 +57,7 @@
 
   Role role() const { return role_; }
   bool is_leader() const { return role_ == Role::kLeader; }
-  // The leader of this term, or kNobody if it is not known.
+  // The leader of this term, or kNoNode if it is not known.
   NodeId leader() const { return leader_; }
   // When this node was last elected; only meaningful while it leads.
   Micros leader_since() const { return leader_since_; }
@@ -164,7 +164,7 @@
   WriteTracker writes_;
 
   Role role_ = Role::kFollower;
-  NodeId leader_ = kNobody;
+  NodeId leader_ = kNoNode;
   Index commit_ = 0;
   Index applied_ = 0;   // entries up to here were given to the driver
   Index verified_ = 0;  // the log is that of this term's leader up to here
--- a/src/consensus/raft_election.cpp
+++ b/src/consensus/raft_election.cpp
@@ -8,7 +8,7 @@
 void Raft::become_follower(Term term, NodeId leader, RoleChangeReason reason) {
   const bool is_change = term != hard_state_.term || role_ != Role::kFollower || leader_ != leader;
   if (term > hard_state_.term) {
-    hard_state_ = {term, kNobody};
+    hard_state_ = {term, kNoNode};
     verified_ = 0;
     save_hard_state();
   }
@@ -17,7 +17,7 @@
     transfer_.cancel();
     replication_.clear();
   }
-  if (role_ != Role::kFollower || leader_ == kNobody) reset_election_timer();
+  if (role_ != Role::kFollower || leader_ == kNoNode) reset_election_timer();
   votes_.clear();
   if (is_change) change_role(Role::kFollower, leader, reason);
 }
@@ -27,7 +27,7 @@
   reset_election_timer();
   votes_.clear();
   votes_.record(options_.self, true);
-  change_role(Role::kPreCandidate, kNobody, RoleChangeReason::kElectionTimeout);
+  change_role(Role::kPreCandidate, kNoNode, RoleChangeReason::kElectionTimeout);
   request_votes(Message::Type::kRequestPreVote, hard_state_.term + 1, false);
   count_votes();
 }
@@ -38,7 +38,7 @@
   save_hard_state();
   reset_election_timer();
   votes_.clear();
-  change_role(Role::kCandidate, kNobody, reason);
+  change_role(Role::kCandidate, kNoNode, reason);
   request_votes(Message::Type::kRequestVote, hard_state_.term, is_forced);
   count_votes();
 }
@@ -81,7 +81,7 @@
 
 bool Raft::has_leader_contact() const {
   if (is_leader()) return true;
-  return leader_ != kNobody && now_ - last_leader_contact_ < options_.election_min;
+  return leader_ != kNoNode && now_ - last_leader_contact_ < options_.election_min;
 }
 
 void Raft::on_request_vote(const Message& message) {
@@ -106,8 +106,8 @@
 }
 
 void Raft::answer_vote(const Message& message) {
-  if (message.term > hard_state_.term) become_follower(message.term, kNobody, RoleChangeReason::kHigherTerm);
-  const bool has_other_vote = hard_state_.vote != kNobody && hard_state_.vote != message.from;
+  if (message.term > hard_state_.term) become_follower(message.term, kNoNode, RoleChangeReason::kHigherTerm);
+  const bool has_other_vote = hard_state_.vote != kNoNode && hard_state_.vote != message.from;
   Message response;
   response.type = Message::Type::kRequestVoteResponse;
   response.to = message.from;
@@ -128,7 +128,7 @@
   // A granted pre-vote has the term that an election would start.
   const bool is_granted_pre_vote = is_pre_vote && !message.reject;
   if (message.term > hard_state_.term && !is_granted_pre_vote)
-    return become_follower(message.term, kNobody, RoleChangeReason::kHigherTerm);
+    return become_follower(message.term, kNoNode, RoleChangeReason::kHigherTerm);
   if (role_ != (is_pre_vote ? Role::kPreCandidate : Role::kCandidate)) return;
   if (is_granted_pre_vote && message.term != hard_state_.term + 1) return;
   if (!is_pre_vote && message.term != hard_state_.term) return;
--- a/src/consensus/raft_replication.cpp
+++ b/src/consensus/raft_replication.cpp
@@ -106,7 +106,7 @@
 
 void Raft::on_append_entries_response(const Message& message) {
   if (message.term > hard_state_.term)
-    return become_follower(message.term, kNobody, RoleChangeReason::kHigherTerm);
+    return become_follower(message.term, kNoNode, RoleChangeReason::kHigherTerm);
   if (!is_leader() || message.term != hard_state_.term) return;
   auto* peer = replication_.find(message.from);
   if (!peer) return;
@@ -133,7 +133,7 @@
   commit_to(*match);
   send_to_all(true);  // followers learn the commit index at once
   if (!members().has(options_.self) && !membership_.has_uncommitted_change(commit_))
-    become_follower(hard_state_.term, kNobody, RoleChangeReason::kRemoved);
+    become_follower(hard_state_.term, kNoNode, RoleChangeReason::kRemoved);
 }
 
 void Raft::commit_to(Index index) {
--- a/src/consensus/raft_requests.cpp
+++ b/src/consensus/raft_requests.cpp
@@ -63,7 +63,7 @@
   using What = MembershipChange::What;
   const bool is_member = members().has(change.node);
   const bool is_voter = members().votes(change.node);
-  if (change.node == kNobody || (change.what == What::kAddLearner && is_member))
+  if (change.node == kNoNode || (change.what == What::kAddLearner && is_member))
     return "it is a member already";
   if (change.what != What::kAddLearner && !is_member) return "it is no member";
   if (change.what == What::kPromote) {
@@ -104,8 +104,8 @@
 void Raft::on(LeadershipTransfer request) {
   if (!is_leader() || transfer_.is_active()) return;
   NodeId target = request.to;
-  if (target == kNobody) target = replication_.most_advanced_voter(members(), now_, options_.election_min);
-  if (target == kNobody || !members().votes(target) || !replication_.find(target)) return;
+  if (target == kNoNode) target = replication_.most_advanced_voter(members(), now_, options_.election_min);
+  if (target == kNoNode || !members().votes(target) || !replication_.find(target)) return;
   transfer_.begin(target, now_ + options_.election_max);
   request_election_if_caught_up();
 }
--- a/src/consensus/replication.cpp
+++ b/src/consensus/replication.cpp
@@ -110,7 +110,7 @@
 }
 
 NodeId Replication::most_advanced_voter(const Membership& members, Micros now, Micros timeout) const {
-  NodeId found = kNobody;
+  NodeId found = kNoNode;
   Index best_match = 0;
   for (const auto& [id, peer] : peers_) {
     if (!members.votes(id) || now - peer.heard >= timeout || peer.match < best_match) continue;
--- a/src/consensus/replication.h
+++ b/src/consensus/replication.h
@@ -76,7 +76,7 @@
   bool has_quorum_contact(const Membership& members, Micros now, Micros timeout) const;
   // How many voters of `members`, the leader included, have answered a round of this leader within `timeout`.
   std::size_t responsive_voters(const Membership& members, Micros now, Micros timeout) const;
-  // The voter that has answered within `timeout` and whose log matches furthest; kNobody if there is none.
+  // The voter that has answered within `timeout` and whose log matches furthest; kNoNode if there is none.
   NodeId most_advanced_voter(const Membership& members, Micros now, Micros timeout) const;
 
   // What this member, which must be tracked, is sent now: a snapshot, entries, or, with `is_heartbeat`, an
--- a/src/consensus/role.h
+++ b/src/consensus/role.h
@@ -33,7 +33,7 @@
   Role role = Role::kFollower;
   RoleChangeReason reason = RoleChangeReason::kStarted;
   Term term = 0;
-  NodeId leader = kNobody;  // kNobody: not known
+  NodeId leader = kNoNode;  // kNoNode: not known
 };
 
 }  // namespace database_proxy::consensus
--- a/src/consensus/types.h
+++ b/src/consensus/types.h
@@ -20,7 +20,7 @@
 // Identifies one data directory. A node that restarts with an empty directory is a different node, because it
 // does not remember the votes that it granted.
 using NodeId = std::uint64_t;
-constexpr NodeId kNobody = 0;
+constexpr NodeId kNoNode = 0;
 
 // What an entry of the log means. Values are stored and sent: a new one is added at the end.
 enum class EntryType : std::uint8_t {
@@ -41,7 +41,7 @@
 // What a node must remember before it answers a vote request: "currentTerm" and "votedFor" of the paper.
 struct HardState {
   Term term = 0;
-  NodeId vote = kNobody;  // the candidate that received this node's vote in `term`
+  NodeId vote = kNoNode;  // the candidate that received this node's vote in `term`
   bool operator==(const HardState&) const = default;
 };
 
--- a/src/group/admin_commands.cpp
+++ b/src/group/admin_commands.cpp
@@ -142,18 +142,18 @@
 void AdminCommands::transfer_leadership(const peers::EncodedMessage& message) {
   auto route = peers::decode_route(message);
   auto voter = peers::decode_leadership_transfer_request(message).voter;
-  auto target = consensus::kNobody;
+  auto target = consensus::kNoNode;
   if (!voter.empty()) {
     for (auto& [id, name] : connections_.names())
       if (name == voter && consensus_.raft()->members().votes(id)) target = id;
-    if (target == consensus::kNobody) return return_outcome(route, {0, fmt::format("{} is no voter", voter)});
+    if (target == consensus::kNoNode) return return_outcome(route, {0, fmt::format("{} is no voter", voter)});
     if (target == consensus_.id()) {
       // The leader's reason is no failure: the operator has what he asked for.
       AdminAnswer answer{true, "it leads already", peers::AppliedIndex{}};
       return forwarding_.return_response(peers::encode(answer, route));
     }
   }
-  auto named_target = target == consensus::kNobody ? "" : " to " + connections_.name_of(target);
+  auto named_target = target == consensus::kNoNode ? "" : " to " + connections_.name_of(target);
   context_.log(Level::kInfo, fmt::format("hands leadership over{}: asked by the operator", named_target));
   consensus_.transfer_leadership(target);
   return_outcome(route, {});
@@ -163,12 +163,12 @@
   auto route = peers::decode_route(message);
   auto request = peers::decode_membership_change_request(message);
   auto id = request.id;
-  if (id == consensus::kNobody) {
+  if (id == consensus::kNoNode) {
     bool may_be_new = what == MembershipChange::What::kAddLearner;
     for (auto& [known_id, name] : connections_.names())
       if (name == request.node && (may_be_new || consensus_.raft()->members().has(known_id))) id = known_id;
   }
-  if (id == consensus::kNobody)
+  if (id == consensus::kNoNode)
     return return_outcome(route, {0, fmt::format("nothing is known of '{}'", request.node)});
   consensus_.change_members(
       what, id, [this, route](const ProposalOutcome& outcome) { return_outcome(route, outcome); });
--- a/src/group/consensus_driver.cpp
+++ b/src/group/consensus_driver.cpp
@@ -155,9 +155,9 @@
   // Without a majority a node campaigns every second; one line for that is enough.
   bool is_repeated = change.role == consensus::Role::kPreCandidate && last_campaign_logged_ == change.term;
   if (change.role == consensus::Role::kPreCandidate) last_campaign_logged_ = change.term;
-  if (change.leader != consensus::kNobody) last_campaign_logged_ = 0;
+  if (change.leader != consensus::kNoNode) last_campaign_logged_ = 0;
   if (is_repeated) return;
-  bool names_leader = change.leader != consensus::kNobody && change.role != consensus::Role::kLeader;
+  bool names_leader = change.leader != consensus::kNoNode && change.role != consensus::Role::kLeader;
   auto leader = names_leader ? fmt::format(" (leader {})", connections_.name_of(change.leader)) : "";
   context_.log(change.role == consensus::Role::kHalted ? Level::kError : Level::kInfo,
                fmt::format("{} in term {}: {}{}", consensus::text_of(change.role), change.term,
@@ -263,7 +263,7 @@
   if (!raft_) return "it is no voter";
   if (consequence != kRecoveryConsequence)
     return fmt::format("recovery demands the consequence, spelled out: {}", kRecoveryConsequence);
-  if (raft_->leader() != consensus::kNobody) return "a leader is heard of: the majority is not lost";
+  if (raft_->leader() != consensus::kNoNode) return "a leader is heard of: the majority is not lost";
   if (raft_->members().voters.empty()) return "it belongs to no group";
   auto registry = state_.registry();
   for (auto i = state_.applied_index() + 1; i <= raft_->last_index(); ++i) {
@@ -277,7 +277,7 @@
   snapshot->members.voters = {id_};
   snapshot->data = registry.encode();
   consensus::Write first_write;
-  first_write.hard = consensus::HardState{snapshot->term, consensus::kNobody};
+  first_write.hard = consensus::HardState{snapshot->term, consensus::kNoNode};
   first_write.snapshot = snapshot;
   first_write.truncate_from = 1;
   restart(first_write);
--- a/src/group/consensus_driver.h
+++ b/src/group/consensus_driver.h
@@ -60,7 +60,7 @@
   void change_members(consensus::MembershipChange::What what, consensus::NodeId node,
                       CompletionCallback on_completion);
   void confirm_leadership(LeadershipCallback on_result);
-  // kNobody: whoever has the most of the log.
+  // kNoNode: whoever has the most of the log.
   void transfer_leadership(consensus::NodeId voter);
 
   // Makes this node a member of a new group. Every member is given the same command; repeating it is
@@ -111,7 +111,7 @@
   ReplicatedState& state_;
   LeadershipObserver& observer_;
 
-  consensus::NodeId id_ = consensus::kNobody;
+  consensus::NodeId id_ = consensus::kNoNode;
   std::unique_ptr<consensus::Raft> raft_;
   std::vector<consensus::Input> inputs_;
   net::Loop::TimerId step_timer_ = net::Loop::kNoTimer;
--- a/src/group/peer_connections.cpp
+++ b/src/group/peer_connections.cpp
@@ -219,7 +219,7 @@
   if (link.is_dialed() && name != link.peer().name)
     return fmt::format("it is {}, where {} was dialed", name, link.peer().name);
   if (greeting.role != PeerRole::kVoter) return std::nullopt;
-  if (greeting.id == consensus::kNobody || greeting.id == own_id_) return "it has no id of its own";
+  if (greeting.id == consensus::kNoNode || greeting.id == own_id_) return "it has no id of its own";
   if (!find_node(name)) return "it is none of group.nodes";
   return std::nullopt;
 }
--- a/src/group/peer_connections.h
+++ b/src/group/peer_connections.h
@@ -125,7 +125,7 @@
   Listener on_listener_ready_{*this};
   net::Fd listener_;
   int port_ = 0;
-  consensus::NodeId own_id_ = consensus::kNobody;
+  consensus::NodeId own_id_ = consensus::kNoNode;
   std::map<std::string, DialedPeer> dialed_;  // voters, by name
   std::vector<std::unique_ptr<peers::Link>> accepted_links_;
   std::vector<std::unique_ptr<peers::Link>> ended_links_;  // until the turn ends
--- a/src/group/raft_storage.cpp
+++ b/src/group/raft_storage.cpp
@@ -138,8 +138,8 @@
 }
 
 consensus::NodeId RaftStorage::create_identity() {
-  consensus::NodeId id = consensus::kNobody;
-  while (id == consensus::kNobody) {
+  consensus::NodeId id = consensus::kNoNode;
+  while (id == consensus::kNoNode) {
     if (getrandom(&id, sizeof id, 0) != sizeof id) throw std::runtime_error("no random numbers");
     id >>= kIdShift;
   }
--- a/src/peers/admin_codec.cpp
+++ b/src/peers/admin_codec.cpp
@@ -194,7 +194,7 @@
 MembershipChangeRequest decode_membership_change_request(const EncodedMessage& message) {
   return decode_guarded([&] {
     auto& object = message.object();
-    return MembershipChangeRequest{object.value(key::kName, ""), object.value(key::kId, consensus::kNobody)};
+    return MembershipChangeRequest{object.value(key::kName, ""), object.value(key::kId, consensus::kNoNode)};
   });
 }
 
--- a/src/peers/admin_messages.h
+++ b/src/peers/admin_messages.h
@@ -50,7 +50,7 @@
 // The member is named, or given by its id where nobody knows its name.
 struct MembershipChangeRequest {
   std::string node;
-  consensus::NodeId id = consensus::kNobody;  // kNobody: found by the name
+  consensus::NodeId id = consensus::kNoNode;  // kNoNode: found by the name
 };
 // A setting that the group keeps for operators.
 struct PutSettingRequest {
@@ -93,7 +93,7 @@
 struct NodeStatus {
   std::string name, installation;
   PeerRole role = PeerRole::kFollower;
-  consensus::NodeId id = consensus::kNobody;
+  consensus::NodeId id = consensus::kNoNode;
   std::string leader;  // empty: none is known
   consensus::Index applied = 0;
   bool endpoint_list_unavailable = false;      // nothing is heard of the group's endpoint list
@@ -112,7 +112,7 @@
 
 // Of a node that may not belong to a group yet.
 struct NodeIdentity {
-  consensus::NodeId id = consensus::kNobody;
+  consensus::NodeId id = consensus::kNoNode;
   std::string name;
   bool is_initialised = false;
   bool is_voter = false;
@@ -120,7 +120,7 @@
 
 // One member of the consensus group.
 struct MemberStatus {
-  consensus::NodeId id = consensus::kNobody;
+  consensus::NodeId id = consensus::kNoNode;
   std::string name;
   bool is_learner = false;
   bool is_leader = false;
--- a/src/peers/link.h
+++ b/src/peers/link.h
@@ -33,7 +33,7 @@
 struct LinkPeer {
   std::string name;
   PeerRole role = PeerRole::kFollower;
-  consensus::NodeId id = consensus::kNobody;
+  consensus::NodeId id = consensus::kNoNode;
   bool has_greeted = false;
 };
 
--- a/src/peers/message_codec.cpp
+++ b/src/peers/message_codec.cpp
@@ -74,7 +74,7 @@
     greeting.installation = object.at(key::kInstallation).get<std::string>();
     greeting.version = object.at(key::kVersion).get<int>();
     greeting.least_version = object.at(key::kLeastVersion).get<int>();
-    greeting.id = object.value(key::kId, consensus::kNobody);
+    greeting.id = object.value(key::kId, consensus::kNoNode);
     if (object.contains(key::kName)) greeting.node_name = object.at(key::kName).get<std::string>();
     if (object.contains(key::kRole)) greeting.role = role_of(object.at(key::kRole).get<std::string>());
     return greeting;
--- a/src/peers/messages.h
+++ b/src/peers/messages.h
@@ -30,7 +30,7 @@
   int version = 0;
   int least_version = 0;  // that this node still understands
   std::string installation;
-  consensus::NodeId id = consensus::kNobody;  // of a voter's directory
+  consensus::NodeId id = consensus::kNoNode;  // of a voter's directory
   // Absent at a stranger, which is refused for its installation or version before it is asked for them.
   std::optional<std::string> node_name;
   std::optional<PeerRole> role;
--- a/src/testbench/simulation/world.cpp
+++ b/src/testbench/simulation/world.cpp
@@ -402,7 +402,7 @@
   for (auto& job : node.holder->expire(local(node)))
     say(fmt::format("{} lets {} go: its lease has run out", node.name, job));
   auto leader = node.raft->leader();
-  if (leader == rc::kNobody) return;
+  if (leader == rc::kNoNode) return;
   auto question = node.holder->make_renewal_request(local(node), kJobs);
   auto answer = [this, from = n](int at, const own::LeaseRenewalRequest& q) {
     auto& lead = nodes_[at];
@@ -470,7 +470,7 @@
       own::Command publish = own::Publish{job, token, ++values_, "v"};
       if (leader == nodes_[n].id)
         propose(n, publish, [](bool) {});
-      else if (leader != rc::kNobody)
+      else if (leader != rc::kNoNode)
         deliver(n, leader, [this, publish](int l) { propose(l, publish, [](bool) {}); });
     });
   }
