--- a/src/consensus/input.h
+++ b/src/consensus/input.h
@@ -34,9 +34,9 @@
 
 // A change of one member. The ProposalResult has the same ticket.
 struct MembershipChange {
-  enum class What : std::uint8_t { kAddLearner, kPromote, kRemove };
+  enum class Kind : std::uint8_t { kAddLearner, kPromote, kRemove };
   std::uint64_t ticket = 0;
-  What what = What::kAddLearner;
+  Kind kind = Kind::kAddLearner;
   NodeId node = kNoNode;
 };
 
--- a/src/consensus/messages.h
+++ b/src/consensus/messages.h
@@ -30,9 +30,9 @@
   // Vote requests: the index of the candidate's last entry. Appends: of the entry before `entries`. Responses
   // to appends: the highest index known to match, or, with `reject`, a hint where the logs may agree.
   Index index = 0;
-  Term log_term = 0;  // vote requests and appends: the term of the entry at `index`
-  Index commit = 0;   // appends: the leader's commit index
-  Index refused = 0;  // rejected appends: the `index` of the append that did not fit
+  Term log_term = 0;         // vote requests and appends: the term of the entry at `index`
+  Index commit = 0;          // appends: the leader's commit index
+  Index rejected_index = 0;  // rejected appends: the `index` of the append that did not fit
   bool reject = false;
   bool forced = false;      // vote requests: the leader asked for this election with kTimeoutNow
   std::uint64_t round = 0;  // appends and their responses: the heartbeat round that a response confirms
--- a/src/consensus/raft.cpp
+++ b/src/consensus/raft.cpp
@@ -17,7 +17,7 @@
 Raft::Raft(Options options, PersistentState stored, Micros now)
     : options_(options),
       now_(now),
-      hard_state_(stored.hard),
+      hard_state_(stored.hard_state),
       snapshot_(std::move(stored.snapshot)),
       election_timer_(options.seed, options.election_min, options.election_max),
       replication_(options) {
@@ -126,7 +126,7 @@
 
 void Raft::on(WriteFailed /*failed*/) {
   if (role_ == Role::kHalted) return;
-  reads_.fail_all(&output_.reads);
+  reads_.fail_all(&output_.read_results);
   replication_.clear();
   change_role(Role::kHalted, kNoNode, RoleChangeReason::kDiskFailed);
 }
--- a/src/consensus/raft_election.cpp
+++ b/src/consensus/raft_election.cpp
@@ -13,7 +13,7 @@
     save_hard_state();
   }
   if (is_leader()) {
-    reads_.fail_all(&output_.reads);
+    reads_.fail_all(&output_.read_results);
     transfer_.cancel();
     replication_.clear();
   }
@@ -138,7 +138,7 @@
 
 void Raft::on_timeout_now(const Message& message) {
   if (message.term != hard_state_.term || role_ != Role::kFollower || !may_start_election()) return;
-  start_election(true, RoleChangeReason::kHandedOver);
+  start_election(true, RoleChangeReason::kLeadershipTransfer);
 }
 
 }  // namespace database_proxy::consensus
--- a/src/consensus/raft_replication.cpp
+++ b/src/consensus/raft_replication.cpp
@@ -64,7 +64,7 @@
   response.to = message.from;
   response.round = message.round;
   response.reject = true;
-  response.refused = message.index;
+  response.rejected_index = message.index;
   response.index = hint;
   send(std::move(response));
 }
@@ -110,10 +110,10 @@
   if (!is_leader() || message.term != hard_state_.term) return;
   auto* peer = replication_.find(message.from);
   if (!peer) return;
-  peer->heard = now_;
+  peer->last_contact = now_;
   peer->round = std::max(peer->round, message.round);
   if (message.reject) {
-    if (peer->on_rejected(message.refused, message.index)) send_to(message.from, false);
+    if (peer->on_rejected(message.rejected_index, message.index)) send_to(message.from, false);
     return confirm_reads();
   }
   peer->on_accepted(message.index, log_.base_index());
@@ -140,7 +140,7 @@
   if (index <= commit_) return;
   commit_ = std::min(index, last_index());
   for (; applied_ < commit_; ++applied_) {
-    if (const auto* entry = log_.entry(applied_ + 1)) output_.committed.push_back(*entry);
+    if (const auto* entry = log_.entry(applied_ + 1)) output_.committed_entries.push_back(*entry);
   }
 }
 
--- a/src/consensus/raft_requests.cpp
+++ b/src/consensus/raft_requests.cpp
@@ -9,20 +9,20 @@
 
 constexpr const char* kNotRejected = "";
 
-bool is_rejected(const char* why) { return *why != '\0'; }
+bool is_rejected(const char* reason) { return *reason != '\0'; }
 
 }  // namespace
 
 void Raft::on(Proposal& proposal) {
   ProposalResult result;
   result.ticket = proposal.ticket;
-  result.why = proposal_rejection();
-  if (!is_rejected(result.why)) {
+  result.rejection_reason = proposal_rejection();
+  if (!is_rejected(result.rejection_reason)) {
     result.index = append_as_leader(EntryType::kCommand, std::move(proposal.data));
     result.term = hard_state_.term;
     send_to_all(false);
   }
-  output_.proposed.push_back(result);
+  output_.proposal_results.push_back(result);
 }
 
 const char* Raft::proposal_rejection() const {
@@ -35,14 +35,14 @@
 void Raft::on(const MembershipChange& change) {
   ProposalResult result;
   result.ticket = change.ticket;
-  result.why = membership_change_rejection(change);
-  if (!is_rejected(result.why)) {
+  result.rejection_reason = membership_change_rejection(change);
+  if (!is_rejected(result.rejection_reason)) {
     result.index = append_as_leader(EntryType::kMembers, members_after(change).encode());
     result.term = hard_state_.term;
     replication_.update_members(members(), last_index(), now_);
     send_to_all(false);
   }
-  output_.proposed.push_back(result);
+  output_.proposal_results.push_back(result);
 }
 
 const char* Raft::membership_change_rejection(const MembershipChange& change) const {
@@ -51,7 +51,7 @@
   // Without a committed entry of its own term, a leader may overlook a change that its predecessor began.
   if (membership_.has_uncommitted_change(commit_) || !has_committed_in_current_term())
     return "another change of members is under way";
-  if (const char* why = member_rejection(change); is_rejected(why)) return why;
+  if (const char* reason = member_rejection(change); is_rejected(reason)) return reason;
   // A majority of the voters that are left must respond. Otherwise this change would be the last one ever.
   const auto remaining = members_after(change);
   if (replication_.responsive_voters(remaining, now_, options_.election_max) < remaining.majority())
@@ -60,31 +60,31 @@
 }
 
 const char* Raft::member_rejection(const MembershipChange& change) const {
-  using What = MembershipChange::What;
+  using Kind = MembershipChange::Kind;
   const bool is_member = members().has(change.node);
   const bool is_voter = members().votes(change.node);
-  if (change.node == kNoNode || (change.what == What::kAddLearner && is_member))
+  if (change.node == kNoNode || (change.kind == Kind::kAddLearner && is_member))
     return "it is a member already";
-  if (change.what != What::kAddLearner && !is_member) return "it is no member";
-  if (change.what == What::kPromote) {
+  if (change.kind != Kind::kAddLearner && !is_member) return "it is no member";
+  if (change.kind == Kind::kPromote) {
     if (is_voter) return "it votes already";
     const auto* peer = replication_.find(change.node);
     if (!peer || peer->match + options_.caught_up < commit_) return "it has not caught up yet";
   }
-  if (change.what == What::kRemove && is_voter && members().voters.size() == 1) return "it is the last voter";
+  if (change.kind == Kind::kRemove && is_voter && members().voters.size() == 1) return "it is the last voter";
   return kNotRejected;
 }
 
 Membership Raft::members_after(const MembershipChange& change) const {
   auto changed = members();
-  switch (change.what) {
-    case MembershipChange::What::kAddLearner:
+  switch (change.kind) {
+    case MembershipChange::Kind::kAddLearner:
       changed.add_learner(change.node);
       break;
-    case MembershipChange::What::kPromote:
+    case MembershipChange::Kind::kPromote:
       changed.add_voter(change.node);
       break;
-    case MembershipChange::What::kRemove:
+    case MembershipChange::Kind::kRemove:
       changed.remove(change.node);
       break;
   }
@@ -92,13 +92,13 @@
 }
 
 void Raft::on(ReadRequest request) {
-  if (!has_committed_in_current_term()) return output_.reads.push_back({request.ticket, false});
+  if (!has_committed_in_current_term()) return output_.read_results.push_back({request.ticket, false});
   reads_.add(request.ticket, replication_.round() + 1);
 }
 
 void Raft::confirm_reads() {
   if (reads_.empty() || !is_leader()) return;
-  reads_.confirm(replication_.majority_round(members()), &output_.reads);
+  reads_.confirm(replication_.majority_round(members()), &output_.read_results);
 }
 
 void Raft::on(LeadershipTransfer request) {
--- a/src/consensus/raft_snapshot.cpp
+++ b/src/consensus/raft_snapshot.cpp
@@ -47,8 +47,8 @@
   log_.reset(snapshot.index, snapshot.term);
   membership_.reset(snapshot.index, snapshot.members);
   commit_ = applied_ = verified_ = snapshot.index;
-  output_.restored = snapshot_;
-  output_.committed.clear();
+  output_.snapshot_to_restore = snapshot_;
+  output_.committed_entries.clear();
   writes_.install_snapshot(snapshot_);
 }
 
--- a/src/consensus/replication.cpp
+++ b/src/consensus/replication.cpp
@@ -25,9 +25,9 @@
 
 }  // namespace
 
-bool PeerProgress::on_rejected(Index refused, Index hint) {
-  if (is_snapshot_outstanding || refused <= match) return false;
-  next = std::max(match + 1, std::min(refused, hint + 1));
+bool PeerProgress::on_rejected(Index rejected_index, Index hint) {
+  if (is_snapshot_outstanding || rejected_index <= match) return false;
+  next = std::max(match + 1, std::min(rejected_index, hint + 1));
   is_append_outstanding = false;
   return true;
 }
@@ -54,7 +54,7 @@
     if (id == self_ || peers_.count(id)) return;
     auto& peer = peers_[id];
     peer.next = last_index + 1;
-    peer.heard = now;
+    peer.last_contact = now;
   };
   for (auto id : members.voters) track(id);
   for (auto id : members.learners) track(id);
@@ -95,7 +95,7 @@
 bool Replication::has_quorum_contact(const Membership& members, Micros now, Micros timeout) const {
   std::size_t in_contact = members.votes(self_) ? 1 : 0;
   for (const auto& [id, peer] : peers_) {
-    if (members.votes(id) && now - peer.heard < timeout) ++in_contact;
+    if (members.votes(id) && now - peer.last_contact < timeout) ++in_contact;
   }
   return in_contact >= members.majority();
 }
@@ -104,7 +104,7 @@
   std::size_t responsive = members.votes(self_) ? 1 : 0;
   for (const auto& [id, peer] : peers_) {
     const bool has_answered = peer.round > 0;
-    if (members.votes(id) && has_answered && now - peer.heard < timeout) ++responsive;
+    if (members.votes(id) && has_answered && now - peer.last_contact < timeout) ++responsive;
   }
   return responsive;
 }
@@ -113,7 +113,7 @@
   NodeId found = kNoNode;
   Index best_match = 0;
   for (const auto& [id, peer] : peers_) {
-    if (!members.votes(id) || now - peer.heard >= timeout || peer.match < best_match) continue;
+    if (!members.votes(id) || now - peer.last_contact >= timeout || peer.match < best_match) continue;
     found = id;
     best_match = peer.match;
   }
--- a/src/consensus/replication.h
+++ b/src/consensus/replication.h
@@ -25,12 +25,13 @@
   bool is_append_outstanding = false, is_snapshot_outstanding = false;
   Index snapshot_index = 0;  // of the outstanding snapshot
   Micros last_sent{0};       // when the outstanding append or snapshot was sent
-  Micros heard{0};  // when its last answer arrived; before the first one, when this leader began to track it
+  Micros last_contact{
+      0};  // when its last answer arrived; before the first one, when this leader began to track it
   std::uint64_t round = 0;  // the last heartbeat round that it has answered; 0: none
 
-  // The member rejected an append at `refused`; `hint` is where the logs may agree. Returns whether another
-  // append is to be sent: not for an outdated answer, nor while a snapshot is outstanding.
-  bool on_rejected(Index refused, Index hint);
+  // The member rejected an append at `rejected_index`; `hint` is where the logs may agree. Returns whether
+  // another append is to be sent: not for an outdated answer, nor while a snapshot is outstanding.
+  bool on_rejected(Index rejected_index, Index hint);
   // The member's log matches up to `index`. `base_index` is that of the leader's log.
   void on_accepted(Index index, Index base_index);
 };
--- a/src/consensus/role.cpp
+++ b/src/consensus/role.cpp
@@ -32,7 +32,7 @@
       return "somebody has a higher term";
     case RoleChangeReason::kLostQuorum:
       return "no majority answered for an election timeout";
-    case RoleChangeReason::kHandedOver:
+    case RoleChangeReason::kLeadershipTransfer:
       return "asked by the leader";
     case RoleChangeReason::kRemoved:
       return "no longer a member";
--- a/src/consensus/role.h
+++ b/src/consensus/role.h
@@ -14,14 +14,14 @@
 // Why a role, term or leader changed.
 enum class RoleChangeReason : std::uint8_t {
   kStarted,
-  kElectionTimeout,  // no message of a leader arrived for an election timeout
-  kElected,          // by a majority
-  kLeaderContact,    // a message of this term's leader arrived
-  kHigherTerm,       // another node has a higher term
-  kLostQuorum,       // no majority answered the leader for an election timeout
-  kHandedOver,       // the leader asked this node to start an election
-  kRemoved,          // this node is no longer a member
-  kDiskFailed,       // the store failed, so that this node can promise nothing any more
+  kElectionTimeout,     // no message of a leader arrived for an election timeout
+  kElected,             // by a majority
+  kLeaderContact,       // a message of this term's leader arrived
+  kHigherTerm,          // another node has a higher term
+  kLostQuorum,          // no majority answered the leader for an election timeout
+  kLeadershipTransfer,  // the leader asked this node to start an election
+  kRemoved,             // this node is no longer a member
+  kDiskFailed,          // the store failed, so that this node can promise nothing any more
 };
 
 // The names in log lines and in the operator's status. Tests of operators compare them.
--- a/src/consensus/snapshot.h
+++ b/src/consensus/snapshot.h
@@ -24,7 +24,7 @@
 // What a node finds in its store when it starts. `entries` are contiguous; if they begin at or before the
 // snapshot's index, the first of them only tells the term at its index.
 struct PersistentState {
-  HardState hard;
+  HardState hard_state;
   SnapshotPtr snapshot;  // null: none
   std::vector<Entry> entries;
 };
--- a/src/consensus/write_tracker.cpp
+++ b/src/consensus/write_tracker.cpp
@@ -15,8 +15,8 @@
   return writes_.back();
 }
 
-void WriteTracker::save_hard_state(const HardState& hard, Index last_index) {
-  current_write(last_index).hard = hard;
+void WriteTracker::save_hard_state(const HardState& hard_state, Index last_index) {
+  current_write(last_index).hard_state = hard_state;
   hard_state_write_ = last_write_;
 }
 
--- a/src/consensus/write_tracker.h
+++ b/src/consensus/write_tracker.h
@@ -22,7 +22,7 @@
   explicit WriteTracker(Index durable_index) : durable_index_(durable_index) {}
 
   // The following add to the current write, or begin one. `last_index` is that of the log at the time.
-  void save_hard_state(const HardState& hard, Index last_index);
+  void save_hard_state(const HardState& hard_state, Index last_index);
   void append(const Entry& entry);
   void take_snapshot(SnapshotPtr snapshot, Index last_index);
   // Removes entries before `index` from the store. It belongs to the write of take_snapshot().
--- a/src/group/admin_commands.cpp
+++ b/src/group/admin_commands.cpp
@@ -75,7 +75,7 @@
   member.is_leader = raft->leader() == id;
   auto peer = raft->peers().find(id);
   if (peer != raft->peers().end()) {
-    auto last_contact = net::monotonic_now() - peer->second.heard;
+    auto last_contact = net::monotonic_now() - peer->second.last_contact;
     member.progress = {peer->second.match, last_contact.count() / 1000};
   } else if (id == consensus_.id()) {
     member.progress = {raft->durable(), 0};
@@ -117,11 +117,11 @@
     case AdminCommand::kStepDown:
       return transfer_leadership(message);
     case AdminCommand::kAddLearner:
-      return change_members(message, MembershipChange::What::kAddLearner);
+      return change_members(message, MembershipChange::Kind::kAddLearner);
     case AdminCommand::kPromoteLearner:
-      return change_members(message, MembershipChange::What::kPromote);
+      return change_members(message, MembershipChange::Kind::kPromote);
     case AdminCommand::kRemoveMember:
-      return change_members(message, MembershipChange::What::kRemove);
+      return change_members(message, MembershipChange::Kind::kRemove);
     case AdminCommand::kPutSetting:
       return put_setting(message);
     case AdminCommand::kGetSetting:
@@ -159,12 +159,12 @@
   return_outcome(route, {});
 }
 
-void AdminCommands::change_members(const peers::EncodedMessage& message, MembershipChange::What what) {
+void AdminCommands::change_members(const peers::EncodedMessage& message, MembershipChange::Kind what) {
   auto route = peers::decode_route(message);
   auto request = peers::decode_membership_change_request(message);
   auto id = request.id;
   if (id == consensus::kNoNode) {
-    bool may_be_new = what == MembershipChange::What::kAddLearner;
+    bool may_be_new = what == MembershipChange::Kind::kAddLearner;
     for (auto& [known_id, name] : connections_.names())
       if (name == request.node && (may_be_new || consensus_.raft()->members().has(known_id))) id = known_id;
   }
--- a/src/group/admin_commands.h
+++ b/src/group/admin_commands.h
@@ -53,7 +53,7 @@
   peers::AdminAnswer recover(const peers::EncodedMessage& message);
 
   void transfer_leadership(const peers::EncodedMessage& message);
-  void change_members(const peers::EncodedMessage& message, consensus::MembershipChange::What what);
+  void change_members(const peers::EncodedMessage& message, consensus::MembershipChange::Kind what);
   void put_setting(const peers::EncodedMessage& message);
   void get_setting(const peers::EncodedMessage& message);
   void return_outcome(const peers::Route& route, const ProposalOutcome& outcome);
--- a/src/group/consensus_driver.cpp
+++ b/src/group/consensus_driver.cpp
@@ -80,11 +80,11 @@
   inputs_.emplace_back(consensus::Proposal{ticket, command});
 }
 
-void ConsensusDriver::change_members(consensus::MembershipChange::What what, consensus::NodeId node,
+void ConsensusDriver::change_members(consensus::MembershipChange::Kind what, consensus::NodeId node,
                                      CompletionCallback on_completion) {
   consensus::MembershipChange change;
   change.ticket = ++last_ticket_;
-  change.what = what;
+  change.kind = what;
   change.node = node;
   proposals_by_ticket_[change.ticket] = std::move(on_completion);
   inputs_.emplace_back(change);
@@ -139,16 +139,16 @@
   for (auto& change : output.role_changes) log_role_change(change);
   for (auto& write : output.writes) storage_.write(write_number_base_ + write.number, write);
   send_when_durable(std::move(output.messages));
-  if (output.restored) {
-    if (auto registry = ownership::LeaseRegistry::decode(output.restored->data))
-      state_.restore(std::move(*registry), output.restored->index);
-    snapshot_index_ = output.restored->index;
+  if (output.snapshot_to_restore) {
+    if (auto registry = ownership::LeaseRegistry::decode(output.snapshot_to_restore->data))
+      state_.restore(std::move(*registry), output.snapshot_to_restore->index);
+    snapshot_index_ = output.snapshot_to_restore->index;
   }
-  apply_committed(output.committed);
+  apply_committed(output.committed_entries);
   take_snapshot_if_due();
   report_leadership();
-  assign_positions(output.proposed);
-  complete_reads(output.reads);
+  assign_positions(output.proposal_results);
+  complete_reads(output.read_results);
 }
 
 void ConsensusDriver::log_role_change(const consensus::RoleChange& change) {
@@ -164,10 +164,10 @@
                            consensus::text_of(change.reason), leader));
 }
 
-void ConsensusDriver::send_when_durable(std::vector<consensus::Outgoing> messages) {
+void ConsensusDriver::send_when_durable(std::vector<consensus::OutgoingMessage> messages) {
   for (auto& outgoing : messages) {
-    auto after_write = write_number_base_ + outgoing.after;
-    if (outgoing.after > 0 && after_write > durable_write_)
+    auto after_write = write_number_base_ + outgoing.required_write;
+    if (outgoing.required_write > 0 && after_write > durable_write_)
       unsent_.push_back({after_write, std::move(outgoing.message)});
     else
       connections_.send_consensus(outgoing.message);
@@ -220,7 +220,7 @@
     auto on_completion = std::move(found->second);
     proposals_by_ticket_.erase(found);
     if (result.index == 0)
-      on_completion({0, result.why});
+      on_completion({0, result.rejection_reason});
     else
       proposals_in_log_[{result.index, result.term}] = std::move(on_completion);
   }
@@ -252,7 +252,7 @@
   snapshot->members = members;
   snapshot->data = ownership::LeaseRegistry().encode();
   consensus::Write first_write;
-  first_write.hard = consensus::HardState{std::max<consensus::Term>(1, raft_->term()), raft_->vote()};
+  first_write.hard_state = consensus::HardState{std::max<consensus::Term>(1, raft_->term()), raft_->vote()};
   first_write.snapshot = snapshot;
   restart(first_write);
   context_.log(Level::kInfo, fmt::format("the group begins, {} voters", members.voters.size()));
@@ -277,7 +277,7 @@
   snapshot->members.voters = {id_};
   snapshot->data = registry.encode();
   consensus::Write first_write;
-  first_write.hard = consensus::HardState{snapshot->term, consensus::kNoNode};
+  first_write.hard_state = consensus::HardState{snapshot->term, consensus::kNoNode};
   first_write.snapshot = snapshot;
   first_write.truncate_from = 1;
   restart(first_write);
@@ -291,7 +291,7 @@
   write_number_base_ += kRestartWriteGap;
   storage_.write(write_number_base_, first_write);
   consensus::PersistentState stored;
-  stored.hard = *first_write.hard;
+  stored.hard_state = *first_write.hard_state;
   stored.snapshot = first_write.snapshot;
   inputs_.clear();
   unsent_.clear();
--- a/src/group/consensus_driver.h
+++ b/src/group/consensus_driver.h
@@ -57,7 +57,7 @@
 
   void receive(consensus::Message message);
   void propose(const std::string& command, CompletionCallback on_completion);
-  void change_members(consensus::MembershipChange::What what, consensus::NodeId node,
+  void change_members(consensus::MembershipChange::Kind what, consensus::NodeId node,
                       CompletionCallback on_completion);
   void confirm_leadership(LeadershipCallback on_result);
   // kNoNode: whoever has the most of the log.
@@ -97,7 +97,7 @@
 
   void carry_out(consensus::Output output);
   void log_role_change(const consensus::RoleChange& change);
-  void send_when_durable(std::vector<consensus::Outgoing> messages);
+  void send_when_durable(std::vector<consensus::OutgoingMessage> messages);
   void apply_committed(const std::vector<consensus::Entry>& entries);
   void log_members(const consensus::Membership& members) const;
   void take_snapshot_if_due();
--- a/src/group/raft_storage.cpp
+++ b/src/group/raft_storage.cpp
@@ -44,8 +44,8 @@
 
 state::Batch to_batch(const consensus::Write& write) {
   state::Batch batch;
-  if (write.hard)
-    batch.changes.emplace_back(kHardStateKey, to_cbor(json::array({write.hard->term, write.hard->vote})));
+  if (write.hard_state)
+    batch.changes.emplace_back(kHardStateKey, to_cbor(json::array({write.hard_state->term, write.hard_state->vote})));
   if (write.snapshot) batch.changes.emplace_back(kSnapshotKey, peers::encode_snapshot(*write.snapshot));
   if (write.truncate_from) batch.removals.emplace_back(log_key(write.truncate_from), kLogEnd);
   if (write.drop_before) batch.removals.emplace_back(kLogBegin, log_key(write.drop_before));
@@ -122,7 +122,7 @@
   consensus::PersistentState state;
   if (auto text = store_->read(kHardStateKey)) {
     auto array = json::from_cbor(*text);
-    state.hard = {array.at(0).get<consensus::Term>(), array.at(1).get<consensus::NodeId>()};
+    state.hard_state = {array.at(0).get<consensus::Term>(), array.at(1).get<consensus::NodeId>()};
   }
   if (auto text = store_->read(kSnapshotKey)) {
     state.snapshot = peers::decode_snapshot(*text);
--- a/src/peers/codec.cpp
+++ b/src/peers/codec.cpp
@@ -144,7 +144,7 @@
   add_unless_zero(&object, kMessageIndex, message.index);
   add_unless_zero(&object, kLogTerm, message.log_term);
   add_unless_zero(&object, kCommit, message.commit);
-  add_unless_zero(&object, kRefusedIndex, message.refused);
+  add_unless_zero(&object, kRefusedIndex, message.rejected_index);
   add_unless_zero(&object, kReject, message.reject);
   add_unless_zero(&object, kForced, message.forced);
   add_unless_zero(&object, kRound, message.round);
@@ -168,7 +168,7 @@
     message.index = object.value(kMessageIndex, Index{0});
     message.log_term = object.value(kLogTerm, Term{0});
     message.commit = object.value(kCommit, Index{0});
-    message.refused = object.value(kRefusedIndex, Index{0});
+    message.rejected_index = object.value(kRefusedIndex, Index{0});
     message.reject = object.value(kReject, false);
     message.forced = object.value(kForced, false);
     message.round = object.value(kRound, std::uint64_t{0});
--- a/src/testbench/simulation/model.cpp
+++ b/src/testbench/simulation/model.cpp
@@ -27,7 +27,7 @@
 
 std::string print(const rc::Message& m) {
   auto s = fmt::format("{}:{}>{} t{} i{} l{} c{} r{} x{}", static_cast<int>(m.type), m.from, m.to, m.term,
-                       m.index, m.log_term, m.commit, m.refused, m.reject);
+                       m.index, m.log_term, m.commit, m.rejected_index, m.reject);
   for (auto& e : m.entries) s += fmt::format(" {}/{}", e.term, e.data);
   return s;
 }
@@ -101,7 +101,7 @@
     first->members = members;
     for (int i = 0; i < options_.nodes; ++i) {
       rc::PersistentState stored;
-      stored.hard.term = 1;
+      stored.hard_state.term = 1;
       stored.snapshot = first;
       s.disks.push_back(stored);
       s.nodes.emplace_back(node_options(i), stored, Micros(0));
@@ -157,7 +157,7 @@
                   fmt::format("the leader of term {} lacks the committed entry {}", turn.term, index));
         }
       for (auto& m : out.messages) {
-        if (torn && m.after > 0) continue;
+        if (torn && m.required_write > 0) continue;
         auto to = static_cast<std::size_t>(m.message.to - 1);
         if (m.message.term < s.nodes[to].term()) continue;
         auto& queue = s.links[{m.message.from, m.message.to}];
@@ -168,14 +168,14 @@
         s.nodes[at] = rc::Raft(node_options(i), s.disks[at], Micros(0));
         return true;
       }
-      for (auto& e : out.committed) {
+      for (auto& e : out.committed_entries) {
         auto [it, fresh] = s.committed.emplace(e.index, std::pair(e, node.term()));
         if (!fresh && !(it->second.first == e))
           return fail(fmt::format("node {} commits another entry at {}", i + 1, e.index));
       }
       for (auto& w : out.writes) {
         auto& d = s.disks[at];
-        if (w.hard) d.hard = *w.hard;
+        if (w.hard_state) d.hard_state = *w.hard_state;
         if (w.truncate_from) std::erase_if(d.entries, [&](auto& e) { return e.index >= w.truncate_from; });
         d.entries.insert(d.entries.end(), w.append.begin(), w.append.end());
         inputs.clear();
--- a/src/testbench/simulation/world.cpp
+++ b/src/testbench/simulation/world.cpp
@@ -209,7 +209,7 @@
 
 // Carries a stored state over one write, as the disk does.
 void carry(rc::PersistentState* s, const rc::Write& w) {
-  if (w.hard) s->hard = *w.hard;
+  if (w.hard_state) s->hard_state = *w.hard_state;
   if (w.snapshot) s->snapshot = w.snapshot;
   if (w.truncate_from) std::erase_if(s->entries, [&](auto& e) { return e.index >= w.truncate_from; });
   if (w.drop_before) std::erase_if(s->entries, [&](auto& e) { return e.index < w.drop_before; });
@@ -285,30 +285,30 @@
     });
   }
   for (auto& m : out.messages) {
-    if (m.after > node.durable_write)
-      node.unsent.emplace_back(m.after, std::move(m.message));
+    if (m.required_write > node.durable_write)
+      node.unsent.emplace_back(m.required_write, std::move(m.message));
     else
       deliver(n, m.message.to,
               [this, m = std::move(m.message)](int to) { step(to, {rc::MessageReceived{m}}); });
   }
-  if (out.restored) {
-    auto ledger = own::LeaseRegistry::decode(out.restored->data);
+  if (out.snapshot_to_restore) {
+    auto ledger = own::LeaseRegistry::decode(out.snapshot_to_restore->data);
     demand(ledger.has_value(), "a snapshot that cannot be read");
-    auto known = states_.find(out.restored->index);
-    demand(known == states_.end() || known->second == out.restored->data,
-           fmt::format("{} is given another state at {}", node.name, out.restored->index));
+    auto known = states_.find(out.snapshot_to_restore->index);
+    demand(known == states_.end() || known->second == out.snapshot_to_restore->data,
+           fmt::format("{} is given another state at {}", node.name, out.snapshot_to_restore->index));
     node.ledger = *ledger;
     node.ledger.flaw_token_not_compared = options_.mutant == Mutant::kTokenNotCompared;
   }
-  for (auto& entry : out.committed) apply(n, entry);
-  for (auto& p : out.proposed) {
+  for (auto& entry : out.committed_entries) apply(n, entry);
+  for (auto& p : out.proposal_results) {
     auto it = node.tickets.find(p.ticket);
     if (it == node.tickets.end()) continue;
     auto call = std::move(it->second);
     node.tickets.erase(it);
     call(p);
   }
-  for (auto& r : out.reads) {
+  for (auto& r : out.read_results) {
     auto it = node.reads.find(r.ticket);
     if (it == node.reads.end()) continue;
     auto call = std::move(it->second);
@@ -519,13 +519,13 @@
     auto& members = lead.raft->members();
     std::optional<rc::MembershipChange> change;
     for (auto id : members.voters)
-      if (wiped_.count(id)) change = rc::MembershipChange{0, rc::MembershipChange::What::kRemove, id};
+      if (wiped_.count(id)) change = rc::MembershipChange{0, rc::MembershipChange::Kind::kRemove, id};
     if (!change)
       for (auto& node : nodes_) {
         if (!node.up || members.votes(node.id)) continue;
         change = rc::MembershipChange{0,
-                                      members.has(node.id) ? rc::MembershipChange::What::kPromote
-                                                           : rc::MembershipChange::What::kAddLearner,
+                                      members.has(node.id) ? rc::MembershipChange::Kind::kPromote
+                                                           : rc::MembershipChange::Kind::kAddLearner,
                                       node.id};
         break;
       }
@@ -635,7 +635,7 @@
       for (std::size_t i = 0; i < nodes_.size(); ++i)
         if (nodes_[i].up && nodes_[i].paused_until <= now_ && nodes_[i].raft->is_leader())
           at_node(static_cast<int>(i), now_, [this, i, id = node.id] {
-            step(static_cast<int>(i), {rc::MembershipChange{0, rc::MembershipChange::What::kRemove, id}});
+            step(static_cast<int>(i), {rc::MembershipChange{0, rc::MembershipChange::Kind::kRemove, id}});
           });
       return;
   }
@@ -703,7 +703,7 @@
   if (grown) first->members.voters.resize(1);
   for (int i = 0; i < count; ++i) {
     if (grown && i > 0) continue;
-    nodes_[static_cast<std::size_t>(i)].disk.durable.hard.term = 1;
+    nodes_[static_cast<std::size_t>(i)].disk.durable.hard_state.term = 1;
     nodes_[static_cast<std::size_t>(i)].disk.durable.snapshot = first;
   }
   auto faults = draw_faults();
--- a/tests/consensus/consensus_test.cpp
+++ b/tests/consensus/consensus_test.cpp
@@ -29,7 +29,7 @@
   snapshot->index = snapshot->term = 1;
   snapshot->members.voters = {1, 2, 3};
   consensus::PersistentState stored;
-  stored.hard.term = term;
+  stored.hard_state.term = term;
   stored.snapshot = snapshot;
   return stored;
 }
@@ -89,8 +89,8 @@
   ASSERT_EQ(output.messages.size(), 1u);
   EXPECT_FALSE(output.messages[0].message.reject);
   ASSERT_EQ(output.writes.size(), 1u);
-  EXPECT_EQ(output.writes[0].hard, (consensus::HardState{2, 2}));
-  EXPECT_EQ(output.messages[0].after, output.writes[0].number);
+  EXPECT_EQ(output.writes[0].hard_state, (consensus::HardState{2, 2}));
+  EXPECT_EQ(output.messages[0].required_write, output.writes[0].number);
   EXPECT_TRUE(node.step(1s, {MessageReceived{message_from(3, Message::Type::kRequestVote, 2)}})
                   .messages[0]
                   .message.reject);
@@ -128,11 +128,11 @@
   node.step(now, {MessageReceived{append_response(2, 2)}});
   EXPECT_TRUE(node.has_committed_in_current_term());
   auto output = node.step(now, {consensus::ReadRequest{7}});
-  EXPECT_TRUE(output.reads.empty());
+  EXPECT_TRUE(output.read_results.empty());
   output = node.step(now + 20s, {consensus::Tick{}});  // as after SIGSTOP
   EXPECT_EQ(node.role(), Role::kFollower);
-  ASSERT_EQ(output.reads.size(), 1u);
-  EXPECT_FALSE(output.reads[0].confirmed);
+  ASSERT_EQ(output.read_results.size(), 1u);
+  EXPECT_FALSE(output.read_results[0].confirmed);
 }
 
 TEST(Leader, ConfirmsAReadByARoundThatBeganAfterIt) {
@@ -142,10 +142,10 @@
   auto output = node.step(now, {consensus::ReadRequest{7}});
   std::uint64_t round = 0;
   for (const auto& outgoing : output.messages) round = std::max(round, outgoing.message.round);
-  EXPECT_TRUE(node.step(now, {MessageReceived{append_response(2, 2, round - 1)}}).reads.empty());
+  EXPECT_TRUE(node.step(now, {MessageReceived{append_response(2, 2, round - 1)}}).read_results.empty());
   output = node.step(now, {MessageReceived{append_response(2, 2, round)}});
-  ASSERT_EQ(output.reads.size(), 1u);
-  EXPECT_TRUE(output.reads[0].confirmed);
+  ASSERT_EQ(output.read_results.size(), 1u);
+  EXPECT_TRUE(output.read_results[0].confirmed);
 }
 
 TEST(Leader, WithASlowDiskCommitsByTheOthers) {
@@ -153,10 +153,10 @@
   auto node = make_leader(&now);
   node.step(now, {MessageReceived{append_response(2, 2)}});
   auto output = node.step(now, {consensus::Proposal{1, "x"}});
-  ASSERT_EQ(output.proposed[0].index, 3u);
+  ASSERT_EQ(output.proposal_results[0].index, 3u);
   // The entry is not durable at the leader itself.
-  EXPECT_TRUE(node.step(now, {MessageReceived{append_response(2, 3)}}).committed.empty());
-  EXPECT_EQ(node.step(now, {MessageReceived{append_response(3, 3)}}).committed.size(), 1u);
+  EXPECT_TRUE(node.step(now, {MessageReceived{append_response(2, 3)}}).committed_entries.empty());
+  EXPECT_EQ(node.step(now, {MessageReceived{append_response(3, 3)}}).committed_entries.size(), 1u);
 }
 
 TEST(Leader, WhoseDiskFailsHaltsAndGrantsNoVote) {
@@ -182,17 +182,18 @@
 }
 
 TEST(Membership, ARemovalThatLeavesTooFewResponsiveVotersIsRejected) {
-  using What = consensus::MembershipChange::What;
+  using Kind = consensus::MembershipChange::Kind;
   Micros now;
   auto node = make_leader(&now);
   node.step(now, {MessageReceived{append_response(2, 2, 1)}});  // node 3 has not answered in this term
-  auto output = node.step(now, {consensus::MembershipChange{1, What::kRemove, 2}});
-  EXPECT_EQ(output.proposed[0].index, 0u);
-  EXPECT_STREQ(output.proposed[0].why, "too few of the voters that would be left are heard of");
-  output = node.step(now, {consensus::MembershipChange{2, What::kRemove, 3}});
-  EXPECT_NE(output.proposed[0].index, 0u);
-  output = node.step(now, {consensus::MembershipChange{3, What::kAddLearner, 9}});
-  EXPECT_STREQ(output.proposed[0].why, "another change of members is under way");
+  auto output = node.step(now, {consensus::MembershipChange{1, Kind::kRemove, 2}});
+  EXPECT_EQ(output.proposal_results[0].index, 0u);
+  EXPECT_STREQ(output.proposal_results[0].rejection_reason,
+               "too few of the voters that would be left are heard of");
+  output = node.step(now, {consensus::MembershipChange{2, Kind::kRemove, 3}});
+  EXPECT_NE(output.proposal_results[0].index, 0u);
+  output = node.step(now, {consensus::MembershipChange{3, Kind::kAddLearner, 9}});
+  EXPECT_STREQ(output.proposal_results[0].rejection_reason, "another change of members is under way");
 }
 
 TEST(Snapshots, ALateOneKeepsTheAcknowledgedEntriesBehindIt) {
@@ -210,7 +211,7 @@
   output = node.step(1s, {MessageReceived{install}});
   EXPECT_EQ(node.last_index(), 3u);
   EXPECT_EQ(node.commit(), 2u);
-  EXPECT_FALSE(output.restored);
+  EXPECT_FALSE(output.snapshot_to_restore);
 }
 
 // A leader of nodes 1 to 3 whose own disk and node 2 answer at once, and which takes a snapshot after each
@@ -244,7 +245,7 @@
 // The index of the snapshot that is sent to the node; 0: none.
 Index snapshot_sent_to(NodeId id, const consensus::Output& output) {
   Index index = 0;
-  for (const auto& [message, after] : output.messages) {
+  for (const auto& [message, required_write] : output.messages) {
     if (message.type == Message::Type::kInstallSnapshot && message.to == id) index = message.snapshot->index;
   }
   return index;
@@ -259,7 +260,7 @@
   leader.grow(10);
   auto rejection = message_from(3, Message::Type::kAppendEntriesResponse, 2, 1);
   rejection.reject = true;
-  rejection.refused = leader.node().first_index();
+  rejection.rejected_index = leader.node().first_index();
   const auto first = snapshot_sent_to(3, leader.receive(rejection));
   ASSERT_GT(first, 0u);
   leader.grow(10);
--- a/tests/formats/wire_format_test.cpp
+++ b/tests/formats/wire_format_test.cpp
@@ -50,7 +50,7 @@
   message.index = 1030;
   message.log_term = 4;
   message.commit = 1029;
-  message.refused = 1028;
+  message.rejected_index = 1028;
   message.reject = true;
   message.forced = true;
   message.round = 17;
@@ -168,7 +168,7 @@
   EXPECT_EQ(got.index, expected.index);
   EXPECT_EQ(got.log_term, expected.log_term);
   EXPECT_EQ(got.commit, expected.commit);
-  EXPECT_EQ(got.refused, expected.refused);
+  EXPECT_EQ(got.rejected_index, expected.rejected_index);
   EXPECT_EQ(got.reject, expected.reject);
   EXPECT_EQ(got.forced, expected.forced);
   EXPECT_EQ(got.round, expected.round);
