--- a/src/consensus/raft.cpp
+++ b/src/consensus/raft.cpp
@@ -19,11 +19,12 @@
       now_(now),
       hard_state_(stored.hard_state),
       snapshot_(std::move(stored.snapshot)),
-      election_timer_(options.seed, options.election_min, options.election_max),
+      election_timer_(options.seed, options.election_timeout_min, options.election_timeout_max),
       replication_(options) {
   demand(options_.self != kNoNode, "this node has no id");
-  demand(options_.heartbeat.count() > 0 && options_.election_min > options_.heartbeat &&
-             options_.election_max > options_.election_min,
+  demand(options_.heartbeat_interval.count() > 0 &&
+             options_.election_timeout_min > options_.heartbeat_interval &&
+             options_.election_timeout_max > options_.election_timeout_min,
          "times must rise from heartbeat over the shortest to the longest election timeout");
   if (snapshot_) {
     log_ = RaftLog(snapshot_->index, snapshot_->term);
@@ -82,7 +83,8 @@
   }
   // Followers wait at least as long before they elect another leader, so that one without a majority steps
   // down at about the same time.
-  if (options_.check_quorum && !replication_.has_quorum_contact(members(), now_, options_.election_min))
+  if (options_.check_quorum &&
+      !replication_.has_quorum_contact(members(), now_, options_.election_timeout_min))
     return become_follower(hard_state_.term, kNoNode, RoleChangeReason::kLostQuorum);
   transfer_.expire(now_);
   if (now_ >= next_heartbeat_) send_to_all(true);
--- a/src/consensus/raft_election.cpp
+++ b/src/consensus/raft_election.cpp
@@ -81,13 +81,13 @@
 
 bool Raft::has_leader_contact() const {
   if (is_leader()) return true;
-  return leader_ != kNoNode && now_ - last_leader_contact_ < options_.election_min;
+  return leader_ != kNoNode && now_ - last_leader_contact_ < options_.election_timeout_min;
 }
 
 void Raft::on_request_vote(const Message& message) {
   // A node in contact with a leader ignores candidates, so that one that was cut off or removed cannot
   // disturb the group (section 4.2.3).
-  const bool may_ignore = options_.sticky && !message.forced && message.term >= hard_state_.term;
+  const bool may_ignore = options_.leader_stickiness && !message.forced && message.term >= hard_state_.term;
   if (may_ignore && has_leader_contact()) return;
   if (message.type == Message::Type::kRequestPreVote)
     answer_pre_vote(message);
--- a/src/consensus/raft_replication.cpp
+++ b/src/consensus/raft_replication.cpp
@@ -29,7 +29,7 @@
 void Raft::send_to_all(bool is_heartbeat) {
   if (is_heartbeat) {
     replication_.begin_round();
-    next_heartbeat_ = now_ + options_.heartbeat;
+    next_heartbeat_ = now_ + options_.heartbeat_interval;
   }
   for (const auto& [id, peer] : peers()) send_to(id, is_heartbeat);
   if (is_heartbeat) confirm_reads();
--- a/src/consensus/raft_requests.cpp
+++ b/src/consensus/raft_requests.cpp
@@ -28,7 +28,7 @@
 const char* Raft::proposal_rejection() const {
   if (!is_leader()) return "this node does not lead";
   if (transfer_.is_active()) return "leadership is being handed over";
-  if (last_index() - commit_ >= options_.uncommitted) return "too much is not committed yet";
+  if (last_index() - commit_ >= options_.max_uncommitted_entries) return "too much is not committed yet";
   return kNotRejected;
 }
 
@@ -54,7 +54,7 @@
   if (const char* reason = member_rejection(change); is_rejected(reason)) return reason;
   // A majority of the voters that are left must respond. Otherwise this change would be the last one ever.
   const auto remaining = members_after(change);
-  if (replication_.responsive_voters(remaining, now_, options_.election_max) < remaining.majority())
+  if (replication_.responsive_voters(remaining, now_, options_.election_timeout_max) < remaining.majority())
     return "too few of the voters that would be left are heard of";
   return kNotRejected;
 }
@@ -69,7 +69,7 @@
   if (change.kind == Kind::kPromote) {
     if (is_voter) return "it votes already";
     const auto* peer = replication_.find(change.node);
-    if (!peer || peer->match + options_.caught_up < commit_) return "it has not caught up yet";
+    if (!peer || peer->match + options_.max_promotion_lag < commit_) return "it has not caught up yet";
   }
   if (change.kind == Kind::kRemove && is_voter && members().voters.size() == 1) return "it is the last voter";
   return kNotRejected;
@@ -104,9 +104,10 @@
 void Raft::on(LeadershipTransfer request) {
   if (!is_leader() || transfer_.is_active()) return;
   NodeId target = request.to;
-  if (target == kNoNode) target = replication_.most_advanced_voter(members(), now_, options_.election_min);
+  if (target == kNoNode)
+    target = replication_.most_advanced_voter(members(), now_, options_.election_timeout_min);
   if (target == kNoNode || !members().votes(target) || !replication_.find(target)) return;
-  transfer_.begin(target, now_ + options_.election_max);
+  transfer_.begin(target, now_ + options_.election_timeout_max);
   request_election_if_caught_up();
 }
 
--- a/src/consensus/raft_snapshot.cpp
+++ b/src/consensus/raft_snapshot.cpp
@@ -22,8 +22,8 @@
 
 // Some entries before the snapshot remain, so that followers a little behind need no snapshot.
 void Raft::compact_log(Index snapshot_index) {
-  if (snapshot_index <= options_.trailing) return;
-  const Index base = snapshot_index - options_.trailing;
+  if (snapshot_index <= options_.trailing_entries) return;
+  const Index base = snapshot_index - options_.trailing_entries;
   if (base <= log_.base_index()) return;
   log_.compact_to(base);
   writes_.drop_before(base);  // the entry at the base stays in the store, since it tells the term there
--- a/src/consensus/replication.cpp
+++ b/src/consensus/replication.cpp
@@ -122,9 +122,9 @@
 
 void Replication::expire_lost_messages(PeerProgress& peer, Micros now) const {
   const auto elapsed = now - peer.last_sent;
-  if (peer.is_snapshot_outstanding && elapsed >= heartbeat_ * kSnapshotTimeoutHeartbeats)
+  if (peer.is_snapshot_outstanding && elapsed >= heartbeat_interval_ * kSnapshotTimeoutHeartbeats)
     peer.is_snapshot_outstanding = false;
-  if (peer.is_append_outstanding && elapsed >= heartbeat_ * kAppendTimeoutHeartbeats) {
+  if (peer.is_append_outstanding && elapsed >= heartbeat_interval_ * kAppendTimeoutHeartbeats) {
     peer.is_append_outstanding = false;
     peer.next = peer.match + 1;
   }
@@ -163,10 +163,10 @@
 // Adds as many entries as one message may carry, but at least one, however large.
 void Replication::add_entries(Message& message, Index first, const RaftLog& log) const {
   std::size_t bytes = 0;
-  for (Index i = first; i <= log.last_index() && message.entries.size() < batch_entries_; ++i) {
+  for (Index i = first; i <= log.last_index() && message.entries.size() < max_batch_entries_; ++i) {
     const auto& entry = *log.entry(i);
     bytes += entry.data.size() + kEntryOverheadBytes;
-    if (bytes > batch_bytes_ && !message.entries.empty()) break;
+    if (bytes > max_batch_bytes_ && !message.entries.empty()) break;
     message.entries.push_back(entry);
   }
 }
--- a/src/consensus/replication.h
+++ b/src/consensus/replication.h
@@ -49,9 +49,9 @@
  public:
   explicit Replication(const Options& options)
       : self_(options.self),
-        heartbeat_(options.heartbeat),
-        batch_entries_(options.batch_entries),
-        batch_bytes_(options.batch_bytes) {}
+        heartbeat_interval_(options.heartbeat_interval),
+        max_batch_entries_(options.max_batch_entries),
+        max_batch_bytes_(options.max_batch_bytes) {}
 
   // Begins for a leader that has just been elected; clear() is for one that no longer leads.
   void start(const Membership& members, Index last_index, Micros now);
@@ -89,8 +89,8 @@
   void add_entries(Message& message, Index first, const RaftLog& log) const;
 
   NodeId self_;
-  Micros heartbeat_;
-  std::size_t batch_entries_, batch_bytes_;
+  Micros heartbeat_interval_;
+  std::size_t max_batch_entries_, max_batch_bytes_;
   std::map<NodeId, PeerProgress> peers_;
   std::uint64_t round_ = 0;
 };
--- a/src/group/consensus_driver.cpp
+++ b/src/group/consensus_driver.cpp
@@ -49,9 +49,9 @@
   consensus::Options options;
   options.self = id_;
   options.seed = context_.random();
-  options.heartbeat = context_.options.heartbeat;
-  options.election_min = context_.options.election_min;
-  options.election_max = context_.options.election_max;
+  options.heartbeat_interval = context_.options.heartbeat;
+  options.election_timeout_min = context_.options.election_min;
+  options.election_timeout_max = context_.options.election_max;
   ownership::LeaseRegistry registry;
   Index index = 0;
   if (stored.snapshot) {
--- a/src/testbench/simulation/model.cpp
+++ b/src/testbench/simulation/model.cpp
@@ -120,8 +120,8 @@
   rc::Options node_options(int i) const {
     rc::Options o;
     o.self = static_cast<rc::NodeId>(i + 1);
-    o.pre_vote = o.sticky = o.check_quorum = false;
-    o.batch_entries = 1;
+    o.pre_vote = o.leader_stickiness = o.check_quorum = false;
+    o.max_batch_entries = 1;
     o.flaws.vote_not_saved = options_.mutant == Mutant::kVoteNotSaved;
     o.flaws.commits_old_terms = options_.mutant == Mutant::kCommitsOldTerms;
     return o;
--- a/src/testbench/simulation/world.cpp
+++ b/src/testbench/simulation/world.cpp
@@ -165,7 +165,7 @@
   rc::Options o;
   o.self = node.id;
   o.seed = random_();
-  o.trailing = 20;
+  o.trailing_entries = 20;
   o.flaws.vote_not_saved = options_.mutant == Mutant::kVoteNotSaved;
   o.flaws.commits_old_terms = options_.mutant == Mutant::kCommitsOldTerms;
   own::LeaseOptions lease;
--- a/tests/consensus/consensus_test.cpp
+++ b/tests/consensus/consensus_test.cpp
@@ -254,7 +254,7 @@
 // Found by seed 6853: a follower whose snapshot was outdated when it arrived waited 3 s for the next.
 TEST(Snapshots, AnOutdatedOneIsFollowedByTheNextAtOnce) {
   auto options = options_of(1);
-  options.trailing = 2;
+  options.trailing_entries = 2;
   GrowingLeader leader(options);
   ASSERT_TRUE(leader.node().is_leader());
   leader.grow(10);
