--- a/src/consensus/election.cpp
+++ b/src/consensus/election.cpp
@@ -21,7 +21,7 @@
   if (members.voters.empty()) return false;
   std::size_t granted = 0;
   for (const auto& [voter, is_granted] : votes_) {
-    if (is_granted && members.votes(voter)) ++granted;
+    if (is_granted && members.is_voter(voter)) ++granted;
   }
   return granted >= members.majority();
 }
--- a/src/consensus/membership.cpp
+++ b/src/consensus/membership.cpp
@@ -8,8 +8,8 @@
 namespace database_proxy::consensus {
 namespace {
 
-constexpr char kVoterMark = 'v';
-constexpr char kLearnerMark = 'l';
+constexpr char kVoterPrefix = 'v';
+constexpr char kLearnerPrefix = 'l';
 
 bool contains(const std::vector<NodeId>& ids, NodeId id) {
   return std::binary_search(ids.begin(), ids.end(), id);
@@ -21,7 +21,7 @@
 
 }  // namespace
 
-bool Membership::votes(NodeId id) const { return contains(voters, id); }
+bool Membership::is_voter(NodeId id) const { return contains(voters, id); }
 
 bool Membership::has(NodeId id) const { return contains(voters, id) || contains(learners, id); }
 
@@ -42,8 +42,8 @@
 
 std::string Membership::encode() const {
   std::string text;
-  for (auto id : voters) text += kVoterMark + std::to_string(id) + " ";
-  for (auto id : learners) text += kLearnerMark + std::to_string(id) + " ";
+  for (auto id : voters) text += kVoterPrefix + std::to_string(id) + " ";
+  for (auto id : learners) text += kLearnerPrefix + std::to_string(id) + " ";
   return text;
 }
 
@@ -56,8 +56,8 @@
     const auto [stop, error] = std::from_chars(text.data() + at + 1, text.data() + end, id);
     if (error != std::errc() || stop != text.data() + end) return std::nullopt;
     if (id == kNoNode || members.has(id)) return std::nullopt;
-    if (text[at] != kVoterMark && text[at] != kLearnerMark) return std::nullopt;
-    insert_sorted(text[at] == kVoterMark ? &members.voters : &members.learners, id);
+    if (text[at] != kVoterPrefix && text[at] != kLearnerPrefix) return std::nullopt;
+    insert_sorted(text[at] == kVoterPrefix ? &members.voters : &members.learners, id);
     at = end + 1;
   }
   return members;
@@ -74,9 +74,9 @@
 }
 
 bool MembershipHistory::is_voter_until_committed(NodeId id, Index commit) const {
-  if (latest().votes(id)) return true;
+  if (latest().is_voter(id)) return true;
   if (entries_.size() < 2 || !has_uncommitted_change(commit)) return false;
-  return entries_[entries_.size() - 2].members.votes(id);
+  return entries_[entries_.size() - 2].members.is_voter(id);
 }
 
 void MembershipHistory::append(Index index, Membership members) {
--- a/src/consensus/membership.h
+++ b/src/consensus/membership.h
@@ -19,7 +19,7 @@
   std::vector<NodeId> voters, learners;
 
   // Whether the node is a voter.
-  bool votes(NodeId id) const;
+  bool is_voter(NodeId id) const;
   // Whether the node is a voter or a learner.
   bool has(NodeId id) const;
   // How many voters form a majority.
--- a/src/consensus/raft.cpp
+++ b/src/consensus/raft.cpp
@@ -8,7 +8,7 @@
 namespace database_proxy::consensus {
 namespace {
 
-void demand(bool is_valid, const char* problem) {
+void require(bool is_valid, const char* problem) {
   if (!is_valid) throw std::invalid_argument(std::string("impossible state of the group: ") + problem);
 }
 
@@ -21,18 +21,18 @@
       snapshot_(std::move(stored.snapshot)),
       election_timer_(options.seed, options.election_timeout_min, options.election_timeout_max),
       replication_(options) {
-  demand(options_.self != kNoNode, "this node has no id");
-  demand(options_.heartbeat_interval.count() > 0 &&
-             options_.election_timeout_min > options_.heartbeat_interval &&
-             options_.election_timeout_max > options_.election_timeout_min,
-         "times must rise from heartbeat over the shortest to the longest election timeout");
+  require(options_.self != kNoNode, "this node has no id");
+  require(options_.heartbeat_interval.count() > 0 &&
+              options_.election_timeout_min > options_.heartbeat_interval &&
+              options_.election_timeout_max > options_.election_timeout_min,
+          "times must rise from heartbeat over the shortest to the longest election timeout");
   if (snapshot_) {
     log_ = RaftLog(snapshot_->index, snapshot_->term);
     membership_.reset(snapshot_->index, snapshot_->members);
   }
   restore_entries(std::move(stored.entries));
-  demand(!snapshot_ || last_index() >= snapshot_->index, "the log ends before the snapshot");
-  commit_ = applied_ = snapshot_index();
+  require(!snapshot_ || last_index() >= snapshot_->index, "the log ends before the snapshot");
+  commit_index_ = applied_index_ = snapshot_index();
   writes_ = WriteTracker(last_index());
   reset_election_timer();
 }
@@ -40,17 +40,18 @@
 void Raft::restore_entries(std::vector<Entry> entries) {
   std::size_t first = 0;
   if (!entries.empty() && entries[0].index <= log_.base_index()) {
-    demand(entries[0].index > 0, "an entry at index 0");
+    require(entries[0].index > 0, "an entry at index 0");
     log_ = RaftLog(entries[0].index, entries[0].term);
     first = 1;
   }
   for (std::size_t i = first; i < entries.size(); ++i) {
     auto& entry = entries[i];
-    demand(entry.index == last_index() + 1, "a gap in the log");
-    demand(entry.term >= log_.last_term() && entry.term <= hard_state_.term, "terms of the log out of order");
+    require(entry.index == last_index() + 1, "a gap in the log");
+    require(entry.term >= log_.last_term() && entry.term <= hard_state_.term,
+            "terms of the log out of order");
     if (entry.type == EntryType::kMembers && entry.index > snapshot_index()) {
       auto members = Membership::decode(entry.data);
-      demand(members.has_value(), "an entry of members that cannot be read");
+      require(members.has_value(), "an entry of members that cannot be read");
       membership_.append(entry.index, std::move(*members));
     }
     log_.append(std::move(entry));
@@ -161,8 +162,8 @@
   add(hard_state_.term);
   add(hard_state_.vote);
   add(leader_);
-  add(commit_);
-  add(verified_);
+  add(commit_index_);
+  add(verified_index_);
   add(log_.base_index());
   for (const auto& entry : log_.entries()) {
     add(entry.term);
--- a/src/consensus/raft.h
+++ b/src/consensus/raft.h
@@ -63,7 +63,7 @@
   Micros leader_since() const { return leader_since_; }
   // Whether it leads and has committed an entry of its term. Until then its commit index may be older than
   // that of the leader before, so that it must not answer reads (section 6.4).
-  bool has_committed_in_current_term() const { return is_leader() && commit_ >= first_index_of_term_; }
+  bool has_committed_in_current_term() const { return is_leader() && commit_index_ >= first_index_of_term_; }
 
   Term term() const { return hard_state_.term; }
   NodeId vote() const { return hard_state_.vote; }
@@ -72,11 +72,11 @@
   // What a leader knows about the other members; empty on other nodes.
   const std::map<NodeId, Peer>& peers() const { return replication_.peers(); }
 
-  Index commit() const { return commit_; }
+  Index commit_index() const { return commit_index_; }
   Index first_index() const { return log_.base_index() + 1; }
   Index last_index() const { return log_.last_index(); }
   // This node's log is durable up to here.
-  Index durable() const { return writes_.durable_index(); }
+  Index durable_index() const { return writes_.durable_index(); }
   // The term of the entry at `index`; 0: not known.
   Term term_at(Index index) const { return log_.term_at(index); }
   // The entry at `index`, or null if it is not in memory. Valid until the next step.
@@ -112,7 +112,9 @@
   void become_leader();
   // One whose own removal is not committed yet may still be elected: the others may need its log to go on
   // (section 4.2.2).
-  bool may_start_election() const { return membership_.is_voter_until_committed(options_.self, commit_); }
+  bool may_start_election() const {
+    return membership_.is_voter_until_committed(options_.self, commit_index_);
+  }
   bool is_log_up_to_date(const Message& message) const;
   bool has_leader_contact() const;
   void request_votes(Message::Type type, Term term, bool is_forced);
@@ -165,9 +167,9 @@
 
   Role role_ = Role::kFollower;
   NodeId leader_ = kNoNode;
-  Index commit_ = 0;
-  Index applied_ = 0;   // entries up to here were given to the driver
-  Index verified_ = 0;  // the log is that of this term's leader up to here
+  Index commit_index_ = 0;
+  Index applied_index_ = 0;   // entries up to here were given to the driver
+  Index verified_index_ = 0;  // the log is that of this term's leader up to here
 
   ElectionTimer election_timer_;
   VoteTally votes_;
--- a/src/consensus/raft_election.cpp
+++ b/src/consensus/raft_election.cpp
@@ -9,7 +9,7 @@
   const bool is_change = term != hard_state_.term || role_ != Role::kFollower || leader_ != leader;
   if (term > hard_state_.term) {
     hard_state_ = {term, kNoNode};
-    verified_ = 0;
+    verified_index_ = 0;
     save_hard_state();
   }
   if (is_leader()) {
@@ -34,7 +34,7 @@
 
 void Raft::start_election(bool is_forced, RoleChangeReason reason) {
   hard_state_ = {hard_state_.term + 1, options_.self};
-  verified_ = 0;
+  verified_index_ = 0;
   save_hard_state();
   reset_election_timer();
   votes_.clear();
--- a/src/consensus/raft_replication.cpp
+++ b/src/consensus/raft_replication.cpp
@@ -36,7 +36,7 @@
 }
 
 void Raft::send_to(NodeId id, bool is_heartbeat) {
-  const LeaderView view{log_, snapshot_, commit_, now_};
+  const LeaderView view{log_, snapshot_, commit_index_, now_};
   if (auto message = replication_.next_message(id, view, is_heartbeat)) send(std::move(*message));
 }
 
@@ -51,10 +51,10 @@
   on_leader_contact(message);
   skip_compacted_entries(message);
   if (message.index > last_index() || log_.term_at(message.index) != message.log_term)
-    return reject_append(message, log_.conflict_hint(message.index, commit_));
+    return reject_append(message, log_.conflict_hint(message.index, commit_index_));
   if (!store_entries(message)) return;
-  verified_ = std::max<Index>(verified_, message.index + message.entries.size());
-  commit_to(std::min(message.commit, verified_));
+  verified_index_ = std::max<Index>(verified_index_, message.index + message.entries.size());
+  commit_to(std::min(message.commit, verified_index_));
   acknowledge_durable_log(message.from, message.round);
 }
 
@@ -86,7 +86,7 @@
     if (entry.index != expected) return false;  // no leader sends a gap
     if (expected <= last_index()) {
       if (log_.term_at(expected) == entry.term) continue;
-      if (expected <= commit_) return false;  // no leader contradicts what is committed
+      if (expected <= commit_index_) return false;  // no leader contradicts what is committed
       truncate_from(expected);
     }
     append_entry(std::move(entry));
@@ -100,7 +100,7 @@
   response.type = Message::Type::kAppendEntriesResponse;
   response.to = leader;
   response.round = round;
-  response.index = std::min(verified_, durable());
+  response.index = std::min(verified_index_, durable_index());
   send(std::move(response));
 }
 
@@ -126,21 +126,21 @@
 }
 
 void Raft::advance_commit_index() {
-  const auto match = replication_.majority_match(members(), durable());
-  if (!match || *match <= commit_) return;
+  const auto match = replication_.majority_match(members(), durable_index());
+  if (!match || *match <= commit_index_) return;
   // A majority commits only entries of the leader's own term, and older ones with them (section 3.6.2).
   if (log_.term_at(*match) != hard_state_.term && !options_.flaws.commits_old_terms) return;
   commit_to(*match);
   send_to_all(true);  // followers learn the commit index at once
-  if (!members().has(options_.self) && !membership_.has_uncommitted_change(commit_))
+  if (!members().has(options_.self) && !membership_.has_uncommitted_change(commit_index_))
     become_follower(hard_state_.term, kNoNode, RoleChangeReason::kRemoved);
 }
 
 void Raft::commit_to(Index index) {
-  if (index <= commit_) return;
-  commit_ = std::min(index, last_index());
-  for (; applied_ < commit_; ++applied_) {
-    if (const auto* entry = log_.entry(applied_ + 1)) output_.committed_entries.push_back(*entry);
+  if (index <= commit_index_) return;
+  commit_index_ = std::min(index, last_index());
+  for (; applied_index_ < commit_index_; ++applied_index_) {
+    if (const auto* entry = log_.entry(applied_index_ + 1)) output_.committed_entries.push_back(*entry);
   }
 }
 
--- a/src/consensus/raft_requests.cpp
+++ b/src/consensus/raft_requests.cpp
@@ -28,7 +28,8 @@
 const char* Raft::proposal_rejection() const {
   if (!is_leader()) return "this node does not lead";
   if (transfer_.is_active()) return "leadership is being handed over";
-  if (last_index() - commit_ >= options_.max_uncommitted_entries) return "too much is not committed yet";
+  if (last_index() - commit_index_ >= options_.max_uncommitted_entries)
+    return "too much is not committed yet";
   return kNotRejected;
 }
 
@@ -49,7 +50,7 @@
   if (!is_leader()) return "this node does not lead";
   if (transfer_.is_active()) return "leadership is being handed over";
   // Without a committed entry of its own term, a leader may overlook a change that its predecessor began.
-  if (membership_.has_uncommitted_change(commit_) || !has_committed_in_current_term())
+  if (membership_.has_uncommitted_change(commit_index_) || !has_committed_in_current_term())
     return "another change of members is under way";
   if (const char* reason = member_rejection(change); is_rejected(reason)) return reason;
   // A majority of the voters that are left must respond. Otherwise this change would be the last one ever.
@@ -62,14 +63,14 @@
 const char* Raft::member_rejection(const MembershipChange& change) const {
   using Kind = MembershipChange::Kind;
   const bool is_member = members().has(change.node);
-  const bool is_voter = members().votes(change.node);
+  const bool is_voter = members().is_voter(change.node);
   if (change.node == kNoNode || (change.kind == Kind::kAddLearner && is_member))
     return "it is a member already";
   if (change.kind != Kind::kAddLearner && !is_member) return "it is no member";
   if (change.kind == Kind::kPromote) {
     if (is_voter) return "it votes already";
     const auto* peer = replication_.find(change.node);
-    if (!peer || peer->match + options_.max_promotion_lag < commit_) return "it has not caught up yet";
+    if (!peer || peer->match + options_.max_promotion_lag < commit_index_) return "it has not caught up yet";
   }
   if (change.kind == Kind::kRemove && is_voter && members().voters.size() == 1) return "it is the last voter";
   return kNotRejected;
@@ -106,7 +107,7 @@
   NodeId target = request.to;
   if (target == kNoNode)
     target = replication_.most_advanced_voter(members(), now_, options_.election_timeout_min);
-  if (target == kNoNode || !members().votes(target) || !replication_.find(target)) return;
+  if (target == kNoNode || !members().is_voter(target) || !replication_.find(target)) return;
   transfer_.begin(target, now_ + options_.election_timeout_max);
   request_election_if_caught_up();
 }
--- a/src/consensus/raft_snapshot.cpp
+++ b/src/consensus/raft_snapshot.cpp
@@ -8,7 +8,7 @@
 namespace database_proxy::consensus {
 
 void Raft::on(SnapshotTaken& taken) {
-  if (taken.index <= snapshot_index() || taken.index > applied_) return;
+  if (taken.index <= snapshot_index() || taken.index > applied_index_) return;
   auto snapshot = std::make_shared<Snapshot>();
   snapshot->index = taken.index;
   snapshot->term = log_.term_at(taken.index);
@@ -16,7 +16,7 @@
   snapshot->data = std::move(taken.data);
   snapshot_ = std::move(snapshot);
   membership_.compact_to(taken.index);
-  writes_.take_snapshot(snapshot_, last_index());
+  writes_.save_snapshot(snapshot_, last_index());
   compact_log(taken.index);
 }
 
@@ -33,20 +33,20 @@
   if (message.term < hard_state_.term || !message.snapshot) return;
   on_leader_contact(message);
   const auto& snapshot = *message.snapshot;
-  if (snapshot.index <= commit_) {
-    verified_ = std::max(verified_, commit_);
+  if (snapshot.index <= commit_index_) {
+    verified_index_ = std::max(verified_index_, commit_index_);
     return acknowledge_durable_log(leader_, 0);
   }
   // Entries behind it may have been acknowledged already: where they fit, they stay (chapter 5).
   if (snapshot.index <= last_index() && log_.term_at(snapshot.index) == snapshot.term) {
-    verified_ = std::max(verified_, snapshot.index);
+    verified_index_ = std::max(verified_index_, snapshot.index);
     commit_to(snapshot.index);
     return acknowledge_durable_log(leader_, 0);
   }
   snapshot_ = message.snapshot;
   log_.reset(snapshot.index, snapshot.term);
   membership_.reset(snapshot.index, snapshot.members);
-  commit_ = applied_ = verified_ = snapshot.index;
+  commit_index_ = applied_index_ = verified_index_ = snapshot.index;
   output_.snapshot_to_restore = snapshot_;
   output_.committed_entries.clear();
   writes_.install_snapshot(snapshot_);
--- a/src/consensus/replication.cpp
+++ b/src/consensus/replication.cpp
@@ -93,18 +93,18 @@
 }
 
 bool Replication::has_quorum_contact(const Membership& members, Micros now, Micros timeout) const {
-  std::size_t in_contact = members.votes(self_) ? 1 : 0;
+  std::size_t in_contact = members.is_voter(self_) ? 1 : 0;
   for (const auto& [id, peer] : peers_) {
-    if (members.votes(id) && now - peer.last_contact < timeout) ++in_contact;
+    if (members.is_voter(id) && now - peer.last_contact < timeout) ++in_contact;
   }
   return in_contact >= members.majority();
 }
 
 std::size_t Replication::responsive_voters(const Membership& members, Micros now, Micros timeout) const {
-  std::size_t responsive = members.votes(self_) ? 1 : 0;
+  std::size_t responsive = members.is_voter(self_) ? 1 : 0;
   for (const auto& [id, peer] : peers_) {
     const bool has_answered = peer.round > 0;
-    if (members.votes(id) && has_answered && now - peer.last_contact < timeout) ++responsive;
+    if (members.is_voter(id) && has_answered && now - peer.last_contact < timeout) ++responsive;
   }
   return responsive;
 }
@@ -113,7 +113,7 @@
   NodeId found = kNoNode;
   Index best_match = 0;
   for (const auto& [id, peer] : peers_) {
-    if (!members.votes(id) || now - peer.last_contact >= timeout || peer.match < best_match) continue;
+    if (!members.is_voter(id) || now - peer.last_contact >= timeout || peer.match < best_match) continue;
     found = id;
     best_match = peer.match;
   }
--- a/src/consensus/write_tracker.cpp
+++ b/src/consensus/write_tracker.cpp
@@ -25,7 +25,7 @@
   pending_.back().last_index = entry.index;
 }
 
-void WriteTracker::take_snapshot(SnapshotPtr snapshot, Index last_index) {
+void WriteTracker::save_snapshot(SnapshotPtr snapshot, Index last_index) {
   current_write(last_index).snapshot = std::move(snapshot);
 }
 
--- a/src/consensus/write_tracker.h
+++ b/src/consensus/write_tracker.h
@@ -24,8 +24,8 @@
   // The following add to the current write, or begin one. `last_index` is that of the log at the time.
   void save_hard_state(const HardState& hard_state, Index last_index);
   void append(const Entry& entry);
-  void take_snapshot(SnapshotPtr snapshot, Index last_index);
-  // Removes entries before `index` from the store. It belongs to the write of take_snapshot().
+  void save_snapshot(SnapshotPtr snapshot, Index last_index);
+  // Removes entries before `index` from the store. It belongs to the write of save_snapshot().
   void drop_before(Index index) { writes_.back().drop_before = index; }
 
   // The following begin a write of their own.
--- a/src/group/admin_commands.cpp
+++ b/src/group/admin_commands.cpp
@@ -78,7 +78,7 @@
     auto last_contact = net::monotonic_now() - peer->second.last_contact;
     member.progress = {peer->second.match, last_contact.count() / 1000};
   } else if (id == consensus_.id()) {
-    member.progress = {raft->durable(), 0};
+    member.progress = {raft->durable_index(), 0};
   }
   return member;
 }
@@ -145,7 +145,7 @@
   auto target = consensus::kNoNode;
   if (!voter.empty()) {
     for (auto& [id, name] : connections_.names())
-      if (name == voter && consensus_.raft()->members().votes(id)) target = id;
+      if (name == voter && consensus_.raft()->members().is_voter(id)) target = id;
     if (target == consensus::kNoNode) return return_outcome(route, {0, fmt::format("{} is no voter", voter)});
     if (target == consensus_.id()) {
       // The leader's reason is no failure: the operator has what he asked for.
--- a/src/group/consensus_driver.cpp
+++ b/src/group/consensus_driver.cpp
@@ -241,7 +241,7 @@
 std::optional<std::string> ConsensusDriver::bootstrap(consensus::Membership members) {
   if (!raft_) return "it is none of group.nodes";
   std::sort(members.voters.begin(), members.voters.end());
-  if (!members.votes(id_)) return "it is not among the members";
+  if (!members.is_voter(id_)) return "it is not among the members";
   if (raft_->snapshot_index() > 0 || raft_->last_index() > 0) {
     bool is_repeated = raft_->term_at(1) == 1 && raft_->members() == members;
     if (is_repeated) return std::nullopt;
--- a/src/testbench/simulation/world.cpp
+++ b/src/testbench/simulation/world.cpp
@@ -522,7 +522,7 @@
       if (wiped_.count(id)) change = rc::MembershipChange{0, rc::MembershipChange::Kind::kRemove, id};
     if (!change)
       for (auto& node : nodes_) {
-        if (!node.up || members.votes(node.id)) continue;
+        if (!node.up || members.is_voter(node.id)) continue;
         change = rc::MembershipChange{0,
                                       members.has(node.id) ? rc::MembershipChange::Kind::kPromote
                                                            : rc::MembershipChange::Kind::kAddLearner,
@@ -664,12 +664,12 @@
   for (auto& node : nodes_) {
     demand(node.up, "a node is down at the end");
     leading += node.raft->is_leader();
-    commit = std::max(commit, node.raft->commit());
+    commit = std::max(commit, node.raft->commit_index());
   }
   demand(leading == 1, fmt::format("{} leaders at the end, with all faults over", leading));
   for (auto& node : nodes_) {
-    demand(node.raft->commit() + 50 >= commit,
-           fmt::format("{} is {} entries behind at the end", node.name, commit - node.raft->commit()));
+    demand(node.raft->commit_index() + 50 >= commit,
+           fmt::format("{} is {} entries behind at the end", node.name, commit - node.raft->commit_index()));
     for (auto& job : kJobs) {
       auto* held = node.ledger.job(job);
       demand(held && !held->owner.empty(), "nobody owns " + job + " at the end");
@@ -731,8 +731,8 @@
           !node.up ? "down"
                    : fmt::format("{}, term {}, leader {}, log {} to {}, commit {}, durable {}, members {}",
                                  rc::text_of(node.raft->role()), node.raft->term(), node.raft->leader(),
-                                 node.raft->first_index(), node.raft->last_index(), node.raft->commit(),
-                                 node.raft->durable(), node.raft->members().encode())));
+                                 node.raft->first_index(), node.raft->last_index(), node.raft->commit_index(),
+                                 node.raft->durable_index(), node.raft->members().encode())));
   }
   return std::move(result_);
 }
--- a/tests/consensus/consensus_test.cpp
+++ b/tests/consensus/consensus_test.cpp
@@ -210,29 +210,29 @@
   install.snapshot = snapshot;
   output = node.step(1s, {MessageReceived{install}});
   EXPECT_EQ(node.last_index(), 3u);
-  EXPECT_EQ(node.commit(), 2u);
+  EXPECT_EQ(node.commit_index(), 2u);
   EXPECT_FALSE(output.snapshot_to_restore);
 }
 
 // A leader of nodes 1 to 3 whose own disk and node 2 answer at once, and which takes a snapshot after each
 // growth.
-class GrowingLeader {
+class LeaderWithSnapshots {
  public:
-  explicit GrowingLeader(consensus::Options options) : node_(options, three_voters(), 0us) {
+  explicit LeaderWithSnapshots(consensus::Options options) : node_(options, three_voters(), 0us) {
     consensus::Output elected;
     now_ = elect(node_, &elected);
   }
   consensus::Output receive(Message message) {
     return node_.step(now_, {MessageReceived{std::move(message)}});
   }
-  void grow(int entries) {
+  void append_and_snapshot(int entries) {
     for (int i = 0; i < entries; ++i) {
       auto output = node_.step(now_, {consensus::Proposal{1, "x"}});
       for (const auto& write : output.writes) last_write_ = std::max(last_write_, write.number);
       node_.step(now_,
                  {MessageReceived{append_response(2, node_.last_index())}, WriteCompleted{last_write_}});
     }
-    node_.step(now_, {consensus::SnapshotTaken{node_.commit(), "state"}});
+    node_.step(now_, {consensus::SnapshotTaken{node_.commit_index(), "state"}});
   }
   const Raft& node() const { return node_; }
 
@@ -255,15 +255,15 @@
 TEST(Snapshots, AnOutdatedOneIsFollowedByTheNextAtOnce) {
   auto options = options_of(1);
   options.trailing_entries = 2;
-  GrowingLeader leader(options);
+  LeaderWithSnapshots leader(options);
   ASSERT_TRUE(leader.node().is_leader());
-  leader.grow(10);
+  leader.append_and_snapshot(10);
   auto rejection = message_from(3, Message::Type::kAppendEntriesResponse, 2, 1);
   rejection.reject = true;
   rejection.rejected_index = leader.node().first_index();
   const auto first = snapshot_sent_to(3, leader.receive(rejection));
   ASSERT_GT(first, 0u);
-  leader.grow(10);
+  leader.append_and_snapshot(10);
   ASSERT_GT(leader.node().first_index(), first + 1);
   EXPECT_EQ(snapshot_sent_to(3, leader.receive(append_response(3, first))), leader.node().snapshot_index());
 }
@@ -343,16 +343,16 @@
   ownership::LeaseRegistry registry;
   registry.apply(5, ownership::Grant{"j", "a", 0});
   manager.on_elected(10s);
-  std::string new_owner;
+  std::string new_holder;
   Micros now = 10s;
-  for (int i = 0; i < 200 && new_owner.empty(); ++i, now += 200ms) {
+  for (int i = 0; i < 200 && new_holder.empty(); ++i, now += 200ms) {
     manager.on_renewal_request(now, renewal_request("a", static_cast<std::uint64_t>(i), {{"j", 5, 3}}),
                                registry);
     manager.on_renewal_request(now, renewal_request("b", static_cast<std::uint64_t>(i)), registry);
     for (const auto& command : manager.propose(now, registry))
-      new_owner = std::get<ownership::Grant>(command).owner;
+      new_holder = std::get<ownership::Grant>(command).owner;
   }
-  EXPECT_EQ(new_owner, "b");
+  EXPECT_EQ(new_holder, "b");
   EXPECT_GE(now, 10s + options.idle + options.safe_reassignment_delay());
 }
 
