--- a/src/consensus/election.h
+++ b/src/consensus/election.h
@@ -1,4 +1,4 @@
-// The parts of an election that are not messages: the timeout that starts it, and the count of votes.
+// The local state of an election: the timeout that starts it, and the tally of votes.
 #pragma once
 
 #include <cstddef>
@@ -10,13 +10,14 @@
 
 namespace database_proxy::consensus {
 
-// The random election timeout of section 3.4 of the Raft paper. The same seed gives the same timeouts.
+// The randomized election timeout of section 3.4 of the Raft paper. The same seed gives the same sequence of
+// timeouts.
 class ElectionTimer {
  public:
-  // Timeouts are at least `min` and less than `max`.
+  // Draws timeouts of at least `min` and less than `max`.
   ElectionTimer(std::uint64_t seed, Micros min, Micros max) : random_state_(seed), min_(min), max_(max) {}
 
-  // Draws a new timeout, which begins now.
+  // Draws a new timeout and starts it at `now`.
   void reset(Micros now);
   Micros deadline() const { return deadline_; }
   bool has_expired(Micros now) const { return now >= deadline_; }
@@ -29,15 +30,15 @@
   Micros deadline_{0};
 };
 
-// The votes that a candidate or pre-candidate has received in its current attempt.
+// The responses that a candidate or pre-candidate has received in its current election.
 class VoteTally {
  public:
   void clear() { votes_.clear(); }
-  // A later answer of the same voter replaces the earlier one.
+  // Records a voter's response, which replaces an earlier one of the same voter.
   void record(NodeId voter, bool is_granted) { votes_[voter] = is_granted; }
-  // Whether a majority of the voters has granted its vote. Never the case in a group without voters.
+  // Returns whether a majority of the voters has granted its vote; always false in a group without voters.
   bool has_majority(const Membership& members) const;
-  // The answers so far; true: granted.
+  // The responses so far, by voter; true: granted.
   const std::map<NodeId, bool>& votes() const { return votes_; }
 
  private:
--- a/src/consensus/input.h
+++ b/src/consensus/input.h
@@ -1,4 +1,4 @@
-// What a driver may feed into Raft::step().
+// The inputs that a driver passes to Raft::step().
 #pragma once
 
 #include <cstdint>
@@ -10,29 +10,30 @@
 
 namespace database_proxy::consensus {
 
-// The time that Raft::due() named has come.
+// The time that Raft::due() returned has been reached.
 struct Tick {};
 
-// A message of another node arrived.
+// A message from another node was received.
 struct MessageReceived {
   Message message;
 };
 
-// All writes up to this one are durable.
+// All writes up to and including this number are durable.
 struct WriteCompleted {
   std::uint64_t number = 0;
 };
 
-// The store is full or broken. From now on this node promises nothing.
+// A write failed because the store is full or defective. From now on this node grants no vote and
+// acknowledges no entry, since it could not persist them.
 struct WriteFailed {};
 
-// A command for the replicated state machine. The ProposalResult has the same ticket.
+// A command for the replicated state machine. Its ProposalResult carries the same ticket.
 struct Proposal {
   std::uint64_t ticket = 0;
   std::string data;
 };
 
-// A change of one member. The ProposalResult has the same ticket.
+// The addition, promotion or removal of one member. Its ProposalResult carries the same ticket.
 struct MembershipChange {
   enum class Kind : std::uint8_t { kAddLearner, kPromote, kRemove };
   std::uint64_t ticket = 0;
@@ -40,20 +41,22 @@
   NodeId node = kNoNode;
 };
 
-// A request to confirm that this node still leads, before it answers a read (section 6.4 of the paper). The
-// ReadResult has the same ticket.
+// A request to confirm that this node is still the leader before it serves a read (section 6.4 of the Raft
+// paper). Its ReadResult carries the same ticket.
 struct ReadRequest {
   std::uint64_t ticket = 0;
 };
 
-// A request to hand leadership over.
+// A request to transfer leadership to another voter.
 struct LeadershipTransfer {
-  NodeId to = kNoNode;  // kNoNode: the voter whose log is the most advanced
+  NodeId to = kNoNode;  // kNoNode: the responsive voter whose log matches furthest
 };
 
-// The driver has made a snapshot of its state machine.
+// The driver has taken a snapshot of its state machine.
 struct SnapshotTaken {
-  Index index = 0;  // of the last applied entry that it contains; ignored unless after the last snapshot
+  // Index of the last applied entry that the snapshot contains. The input is ignored unless this is after the
+  // previous snapshot.
+  Index index = 0;
   std::string data;
 };
 
--- a/src/consensus/leadership_transfer.h
+++ b/src/consensus/leadership_transfer.h
@@ -1,20 +1,21 @@
-// The handing over of leadership (section 3.10 of the Raft paper).
+// Leadership transfer (section 3.10 of the Raft paper).
 //
-// The leader takes no more proposals, waits until the log of the target matches its own, and then tells the
-// target to start an election at once. It leads on if no election has succeeded by the deadline.
+// The leader rejects new proposals, waits until the target's log matches its own, and then sends the target a
+// TimeoutNow message, which makes it start an election at once. If no election has succeeded by the deadline,
+// the leader resumes normal operation.
 #pragma once
 
 #include "consensus/types.h"
 
 namespace database_proxy::consensus {
 
-// How far a leader's transfer has come. The leader owns it, and cancels it when it stops leading.
+// The progress of a leader's transfer. The leader owns it, and cancels it when it steps down.
 class TransferProgress {
  public:
   enum class Phase : std::uint8_t {
     kNone,
-    kCatchingUp,         // the target's log does not match the leader's yet
-    kElectionRequested,  // the target was told to start an election
+    kCatchingUp,         // the target's log does not yet match the leader's
+    kElectionRequested,  // TimeoutNow has been sent to the target
   };
 
   void begin(NodeId target, Micros deadline);
--- a/src/consensus/messages.h
+++ b/src/consensus/messages.h
@@ -1,4 +1,4 @@
-// The message that nodes of a group exchange. One structure serves all types; src/peers encodes it.
+// The message that the nodes of a group exchange. One structure serves all types; src/peers encodes it.
 #pragma once
 
 #include <cstdint>
@@ -10,9 +10,9 @@
 namespace database_proxy::consensus {
 
 // A remote procedure call of the Raft paper, or its response. Fields that a type does not use keep their
-// default.
+// default value.
 struct Message {
-  // Values are sent: a new one is added at the end.
+  // The values are sent between nodes: a new one must be added at the end.
   enum class Type : std::uint8_t {
     kRequestPreVote,
     kRequestPreVoteResponse,
@@ -25,17 +25,19 @@
   };
   Type type = Type::kAppendEntries;
   NodeId from = kNoNode, to = kNoNode;
-  Term term = 0;  // of the sender; of a pre-vote and its grant: the term that an election would start
+  // The sender's term; in a pre-vote request and its grant, the term that the election would start.
+  Term term = 0;
 
-  // Vote requests: the index of the candidate's last entry. Appends: of the entry before `entries`. Responses
-  // to appends: the highest index known to match, or, with `reject`, a hint where the logs may agree.
+  // Vote requests: index of the candidate's last entry. Appends: index of the entry before `entries`.
+  // Responses to appends: the highest index known to match or, with `reject`, a hint for the highest index at
+  // which the logs may agree.
   Index index = 0;
   Term log_term = 0;         // vote requests and appends: the term of the entry at `index`
   Index commit = 0;          // appends: the leader's commit index
-  Index rejected_index = 0;  // rejected appends: the `index` of the append that did not fit
+  Index rejected_index = 0;  // rejected appends: the `index` of the rejected append
   bool reject = false;
-  bool forced = false;      // vote requests: the leader asked for this election with kTimeoutNow
-  std::uint64_t round = 0;  // appends and their responses: the heartbeat round that a response confirms
+  bool forced = false;      // vote requests: the leader requested this election with kTimeoutNow
+  std::uint64_t round = 0;  // appends and their responses: the heartbeat round that a response acknowledges
   std::vector<Entry> entries;
   SnapshotPtr snapshot;  // kInstallSnapshot
 };
--- a/src/consensus/options.h
+++ b/src/consensus/options.h
@@ -8,30 +8,33 @@
 
 namespace database_proxy::consensus {
 
-// Set once, when the node starts. docs/design/group.md tells where the defaults come from.
+// Fixed when the node starts. docs/design/group.md explains the defaults.
 struct Options {
   NodeId self = kNoNode;
-  std::uint64_t seed = 0;  // of the random election timeouts
+  std::uint64_t seed = 0;  // of the randomized election timeouts
 
   Micros heartbeat_interval{100'000};
-  // An election timeout is drawn between these two each time, so that candidates seldom collide. The default
-  // lets several heartbeats be late before an election starts.
+  // Each election timeout is drawn at random from this range, so that split votes are rare. With the
+  // defaults, an election starts only after several heartbeats are missing.
   Micros election_timeout_min{600'000}, election_timeout_max{1'200'000};
 
-  // The most that one append carries.
+  // Limits of one append, in entries and in bytes.
   std::size_t max_batch_entries = 256, max_batch_bytes = 256 * 1024;
-  // Entries that remain in the log before a snapshot, for followers that are a little behind.
+  // Number of entries before a snapshot that stay in the log, so that followers that are slightly behind need
+  // no snapshot.
   std::size_t trailing_entries = 512;
-  // Proposals are rejected while so many entries are not committed.
+  // Proposals are rejected while this many entries are not yet committed.
   std::size_t max_uncommitted_entries = 4096;
-  // A learner that is at most so many entries behind the commit index may be promoted.
+  // A learner may be promoted if it is at most this many entries behind the commit index.
   std::size_t max_promotion_lag = 64;
 
-  // Pre-votes, ignored vote requests while a leader is known, and a leader that steps down without a majority
-  // (sections 9.6, 4.2.3 and 6.2 of the paper). Only the model check turns them off, since it has no times.
+  // Pre-vote (section 9.6 of the Raft paper), ignoring vote requests while in contact with a leader (section
+  // 4.2.3), and a leader's step-down when it has lost contact with a majority (section 6.2). Only the model
+  // check turns them off, because it does not model time.
   bool pre_vote = true, leader_stickiness = true, check_quorum = true;
 
-  // Rules taken away, only for the simulator, which must find each of them. No configuration sets them.
+  // Deliberate violations of the protocol for the simulator and the model check, whose tests verify that each
+  // is detected. No configuration sets them.
   struct Flaws {
     bool vote_not_saved = false, commits_old_terms = false;
   } flaws{};
--- a/src/consensus/output.h
+++ b/src/consensus/output.h
@@ -1,4 +1,4 @@
-// What Raft::step() asks its driver to do.
+// The output of Raft::step(): what the driver has to do.
 #pragma once
 
 #include <cstdint>
@@ -11,9 +11,9 @@
 
 namespace database_proxy::consensus {
 
-// One transaction of the store. Its parts are carried out in this order, all or none.
+// One atomic transaction of the store. Its parts are applied in the order of the fields.
 struct Write {
-  std::uint64_t number = 0;  // rises by one with each write
+  std::uint64_t number = 0;  // increases by one with each write
   std::optional<HardState> hard_state;
   SnapshotPtr snapshot;     // null: unchanged
   Index truncate_from = 0;  // entries at this index and later are removed; 0: none
@@ -24,29 +24,29 @@
 // A message for another node.
 struct OutgoingMessage {
   Message message;
-  std::uint64_t required_write = 0;  // it is sent once the write of this number is durable; 0: at once
+  std::uint64_t required_write = 0;  // the write that must be durable before the message is sent; 0: none
 };
 
-// The answer to a Proposal or a MembershipChange.
+// The result of a Proposal or a MembershipChange.
 struct ProposalResult {
   std::uint64_t ticket = 0;
-  Index index = 0;                    // 0: rejected, nothing was changed
-  Term term = 0;                      // it is in force once the entry of this term is committed at `index`
-  const char* rejection_reason = "";  // rejected: a sentence for the operator
+  Index index = 0;                    // of the new entry; 0: rejected, and nothing was changed
+  Term term = 0;                      // the proposal succeeds if the entry committed at `index` has this term
+  const char* rejection_reason = "";  // text for the operator; empty unless rejected
 };
 
-// The answer to a ReadRequest.
+// The result of a ReadRequest.
 struct ReadResult {
   std::uint64_t ticket = 0;
-  bool confirmed = false;  // false: this node does not lead, or leads no longer
+  bool confirmed = false;  // false: this node is not the leader, or could not confirm that it still is
 };
 
-// All that one step asks for.
+// All output of one step.
 struct Output {
   std::vector<Write> writes;
   std::vector<OutgoingMessage> messages;
-  SnapshotPtr
-      snapshot_to_restore;  // not null: it replaces the state machine, before `committed_entries` are applied
+  // If not null, it replaces the state of the state machine before `committed_entries` are applied.
+  SnapshotPtr snapshot_to_restore;
   std::vector<Entry> committed_entries;
   std::vector<ProposalResult> proposal_results;
   std::vector<ReadResult> read_results;
--- a/src/consensus/read_index.h
+++ b/src/consensus/read_index.h
@@ -1,7 +1,8 @@
-// Reads that wait until the leader knows that it still leads (section 6.4 of the Raft paper).
+// Linearizable reads by read index (section 6.4 of the Raft paper): reads wait until the leader has confirmed
+// that it is still the leader.
 //
-// A read is confirmed once a majority has answered a heartbeat round that began after the read. All reads
-// that arrive in one step share the next round.
+// A read is confirmed once a majority has acknowledged a heartbeat round that began after the read was
+// received. All reads received in one step share the next round.
 #pragma once
 
 #include <cstdint>
@@ -12,19 +13,20 @@
 
 namespace database_proxy::consensus {
 
-// The reads that wait. Raft owns it; it is empty on a node that does not lead.
+// The pending reads. Raft owns it; it is empty on a node that is not the leader.
 class ReadIndex {
  public:
-  // Adds a read that `round` or a later one confirms, and asks for such a round.
+  // Adds a read that `round` or a later round confirms, and requests a new round.
   void add(std::uint64_t ticket, std::uint64_t round);
   bool empty() const { return pending_.empty(); }
 
-  // Answers the reads that this round confirms.
+  // Adds a confirmed result for each pending read that `round` confirms.
   void confirm(std::uint64_t round, std::vector<ReadResult>* results);
-  // Answers all reads as not confirmed, because this node no longer leads.
+  // Adds an unconfirmed result for each pending read, because this node is no longer the leader.
   void fail_all(std::vector<ReadResult>* results);
 
-  // Whether a read waits for a round that has not begun. The caller begins one.
+  // Returns whether a pending read needs a round that has not begun, and clears the request: the caller
+  // begins the round.
   bool take_round_request() { return std::exchange(is_round_requested_, false); }
 
  private:
--- a/src/consensus/role.h
+++ b/src/consensus/role.h
@@ -1,4 +1,4 @@
-// The role that a node has in its group, and why it changes.
+// The role of a node in its group, and the reasons for a role change.
 #pragma once
 
 #include <cstdint>
@@ -7,28 +7,29 @@
 
 namespace database_proxy::consensus {
 
-// The states of a Raft node. kPreCandidate is the pre-vote phase (section 9.6 of the paper), kHalted the
-// final state of a node whose store has failed.
+// The states of a Raft node. kPreCandidate is the pre-vote phase (section 9.6 of the Raft paper); kHalted is
+// the final state of a node whose store has failed.
 enum class Role : std::uint8_t { kFollower, kPreCandidate, kCandidate, kLeader, kHalted };
 
-// Why a role, term or leader changed.
+// The reason for a change of role, term or leader.
 enum class RoleChangeReason : std::uint8_t {
   kStarted,
-  kElectionTimeout,     // no message of a leader arrived for an election timeout
+  kElectionTimeout,     // no message from a leader was received within the election timeout
   kElected,             // by a majority
-  kLeaderContact,       // a message of this term's leader arrived
+  kLeaderContact,       // a message from the leader of this term was received
   kHigherTerm,          // another node has a higher term
-  kLostQuorum,          // no majority answered the leader for an election timeout
-  kLeadershipTransfer,  // the leader asked this node to start an election
+  kLostQuorum,          // no majority responded to the leader within the election timeout
+  kLeadershipTransfer,  // the leader requested that this node start an election
   kRemoved,             // this node is no longer a member
-  kDiskFailed,          // the store failed, so that this node can promise nothing any more
+  kDiskFailed,          // the store failed, so that this node cannot persist votes or entries
 };
 
-// The names in log lines and in the operator's status. Tests of operators compare them.
+// Return the text for log lines; that of the role is also part of the operators' status output, which
+// operators' tests compare.
 const char* text_of(Role role);
 const char* text_of(RoleChangeReason reason);
 
-// A change of role, term or leader, for the log and for those who act upon leadership.
+// A change of role, term or leader, for log lines and for components that act on leadership.
 struct RoleChange {
   Role role = Role::kFollower;
   RoleChangeReason reason = RoleChangeReason::kStarted;
