--- a/src/consensus/election.cpp
+++ b/src/consensus/election.cpp
@@ -7,8 +7,8 @@
   deadline_ = now + min_ + Micros(static_cast<std::int64_t>(next_random() % span));
 }
 
-// SplitMix64 (Steele, Lea and Flood, "Fast Splittable Pseudorandom Number Generators", 2014): small, and the
-// same on every platform, unlike the distributions of the standard library.
+// SplitMix64 (Steele, Lea and Flood, "Fast Splittable Pseudorandom Number Generators", 2014). It is small and
+// gives the same values on every platform, unlike the distributions of the standard library.
 std::uint64_t ElectionTimer::next_random() {
   random_state_ += 0x9e3779b97f4a7c15;
   std::uint64_t mixed = random_state_;
--- a/src/consensus/raft.cpp
+++ b/src/consensus/raft.cpp
@@ -82,8 +82,8 @@
     if (election_timer_.has_expired(now_) && may_start_election()) start_pre_vote();
     return;
   }
-  // Followers wait at least as long before they elect another leader, so that one without a majority steps
-  // down at about the same time.
+  // Followers wait at least the minimum election timeout before they elect another leader. A leader that has
+  // lost contact with a majority therefore steps down at about the time when a new one may be elected.
   if (options_.check_quorum &&
       !replication_.has_quorum_contact(members(), now_, options_.election_timeout_min))
     return become_follower(hard_state_.term, kNoNode, RoleChangeReason::kLostQuorum);
@@ -115,7 +115,7 @@
 void Raft::on(WriteCompleted completed) {
   if (role_ == Role::kHalted) return;
   const bool has_log_advanced = writes_.complete(completed.number);
-  // A candidate's vote for itself counts once it is durable, like any other.
+  // Like any vote, a candidate's vote for itself counts only once it is durable.
   if (role_ == Role::kCandidate && writes_.is_hard_state_durable()) {
     votes_.record(options_.self, true);
     count_votes();
--- a/src/consensus/raft.h
+++ b/src/consensus/raft.h
@@ -1,22 +1,20 @@
 // The replicated log of a small group: Raft as published (Ongaro, "Consensus: Bridging Theory and Practice",
-// 2014), with pre-vote, check-quorum, snapshots, members that change one at a time, learners, leadership
-// transfer, and reads that a heartbeat round confirms. docs/design/group.md tells which alternatives were
-// weighed.
+// 2014), with pre-vote, check-quorum, snapshots, single-server membership changes, learners, leadership
+// transfer, and reads that are confirmed by a heartbeat round. docs/design/group.md explains the alternatives
+// that were considered.
 //
-// The module is pure: it has no clock, no I/O and no thread. Inputs and the time go in, writes and messages
-// come out, and the same inputs give the same outputs. Times are microseconds on the caller's monotonic
-// clock.
+// The module is deterministic and has no clock, I/O or threads: step() takes the time and inputs and returns
+// writes and messages, and the same inputs give the same outputs. Times are microseconds on the caller's
+// monotonic clock.
 //
-// The driver, which is src/group in a daemon and the simulator in tests, keeps this contract:
-// - Writes are carried out in order, each completely or not at all, and reported by WriteCompleted once they
-// are
-//   durable.
-// - A message is sent no earlier than the write that it names in `after` is durable.
-// - `restored`, then `committed`, are applied in order. Nothing is applied twice.
+// The driver (src/group in a daemon, the simulator in tests) must keep this contract:
+// - It applies writes in order, each atomically, and reports them with WriteCompleted once they are durable.
+// - It does not send a message before the write named by its `required_write` is durable.
+// - It applies `snapshot_to_restore`, then `committed_entries` in order. Nothing is applied twice.
 //
-// This header includes the rest of the module. Each part has its state and its rule in a header of its own;
-// Raft joins them: raft.cpp has the inputs that concern no single part, and the other raft_*.cpp one part
-// each.
+// This header includes the rest of the module. Each part of the protocol has its state and rules in a header
+// of its own, and Raft combines them: raft.cpp handles the inputs that belong to no single part, and each of
+// the other raft_*.cpp files implements one part.
 #pragma once
 
 #include <cstdint>
@@ -41,66 +39,68 @@
 
 namespace database_proxy::consensus {
 
-// One node of the group. It is a value: the model check copies it. All calls come from one thread at a time.
+// One node of the group. It is copyable, because the model check copies it. It is not thread-safe: calls must
+// not be concurrent.
 class Raft {
  public:
   using Peer = PeerProgress;
 
-  // Throws std::invalid_argument for options or a stored state that no node can have. Nothing else throws.
+  // Throws std::invalid_argument if the options or the stored state are invalid. No other function throws.
   Raft(Options options, PersistentState stored, Micros now);
 
-  // Handles the inputs in order and returns what the driver is to do. A `now` before an earlier one counts as
-  // that.
+  // Handles the inputs in order and returns what the driver has to do. If `now` is before that of an earlier
+  // call, the earlier one is used.
   Output step(Micros now, std::vector<Input> inputs);
-  // The driver calls step() with a Tick by then. Micros::max(): no timer runs.
+  // Returns the time by which the driver must call step() with a Tick; Micros::max() if no timer is running.
   Micros due() const;
 
   Role role() const { return role_; }
   bool is_leader() const { return role_ == Role::kLeader; }
-  // The leader of this term, or kNoNode if it is not known.
+  // The leader of the current term, or kNoNode if it is not known.
   NodeId leader() const { return leader_; }
-  // When this node was last elected; only meaningful while it leads.
+  // The time at which this node was last elected; only meaningful while it is the leader.
   Micros leader_since() const { return leader_since_; }
-  // Whether it leads and has committed an entry of its term. Until then its commit index may be older than
-  // that of the leader before, so that it must not answer reads (section 6.4).
+  // Returns whether this node is the leader and has committed an entry of its term. Before that, its commit
+  // index may be behind that of the previous leader, so that it must not serve reads (section 6.4).
   bool has_committed_in_current_term() const { return is_leader() && commit_index_ >= first_index_of_term_; }
 
   Term term() const { return hard_state_.term; }
   NodeId vote() const { return hard_state_.vote; }
-  // The membership in force, committed or not.
+  // The membership in effect, committed or not.
   const Membership& members() const { return membership_.latest(); }
-  // What a leader knows about the other members; empty on other nodes.
+  // The leader's progress records of the other members; empty on a node that is not the leader.
   const std::map<NodeId, Peer>& peers() const { return replication_.peers(); }
 
   Index commit_index() const { return commit_index_; }
   Index first_index() const { return log_.base_index() + 1; }
   Index last_index() const { return log_.last_index(); }
-  // This node's log is durable up to here.
+  // The index up to which this node's log is durable.
   Index durable_index() const { return writes_.durable_index(); }
-  // The term of the entry at `index`; 0: not known.
+  // Returns the term of the entry at `index`; 0 if it is not known.
   Term term_at(Index index) const { return log_.term_at(index); }
-  // The entry at `index`, or null if it is not in memory. Valid until the next step.
+  // Returns the entry at `index`, or null if it is not in memory. The pointer is valid until the next step.
   const Entry* entry(Index index) const { return log_.entry(index); }
-  // 0: there is no snapshot.
+  // The index of the latest snapshot; 0 if there is none.
   Index snapshot_index() const { return snapshot_ ? snapshot_->index : 0; }
 
-  // All that decides what the node does next, except for times. The model check recognises states by it.
+  // Returns a text of all state that determines the node's further behaviour, except for times. The model
+  // check identifies states by it.
   std::string fingerprint() const;
 
  private:
-  // raft.cpp: construction, inputs that concern no single part, and what all parts use.
+  // raft.cpp: construction, inputs that belong to no single part, and functions shared by all parts.
   void restore_entries(std::vector<Entry> entries);
   void on(Tick tick);
   void on(MessageReceived& received);
   void on(WriteCompleted completed);
   void on(WriteFailed failed);
-  // The only function that changes role and leader. It reports the change.
+  // Changes role and leader, and reports the change. No other function changes them.
   void change_role(Role role, NodeId leader, RoleChangeReason reason);
   void reset_election_timer() { election_timer_.reset(now_); }
   void save_hard_state();
   void send(Message message);
 
-  // raft_election.cpp: votes, and the changes of role that follow from them (sections 3.4 and 9.6).
+  // raft_election.cpp: votes and the resulting role changes (sections 3.4 and 9.6).
   void on_request_vote(const Message& message);
   void answer_pre_vote(const Message& message);
   void answer_vote(const Message& message);
@@ -110,8 +110,8 @@
   void start_pre_vote();
   void start_election(bool is_forced, RoleChangeReason reason);
   void become_leader();
-  // One whose own removal is not committed yet may still be elected: the others may need its log to go on
-  // (section 4.2.2).
+  // Returns whether this node may become a candidate. A node whose own removal is not yet committed still
+  // may: the other members may need the entries of its log to make progress (section 4.2.2).
   bool may_start_election() const {
     return membership_.is_voter_until_committed(options_.self, commit_index_);
   }
@@ -120,13 +120,14 @@
   void request_votes(Message::Type type, Term term, bool is_forced);
   void count_votes();
 
-  // raft_replication.cpp: the log of leader and followers (section 3.5).
+  // raft_replication.cpp: log replication from the leader to the other members (section 3.5).
   void on_append_entries(Message& message);
   void on_append_entries_response(const Message& message);
   void on_leader_contact(const Message& message);
   void reject_append(const Message& message, Index hint);
   void skip_compacted_entries(Message& message) const;
-  // Returns whether the entries continue the log from the message's `index`.
+  // Stores the entries of an append. Returns false at the first entry that leaves a gap after the message's
+  // `index` or contradicts a committed entry; the entries before it are stored.
   bool store_entries(Message& message);
   void acknowledge_durable_log(NodeId leader, std::uint64_t round);
   Index append_as_leader(EntryType type, std::string data);
@@ -137,17 +138,17 @@
   void advance_commit_index();
   void commit_to(Index index);
 
-  // raft_snapshot.cpp: compaction and snapshots of the leader (chapter 5).
+  // raft_snapshot.cpp: log compaction, and snapshots received from the leader (chapter 5).
   void on(SnapshotTaken& taken);
   void on_install_snapshot(const Message& message);
   void compact_log(Index snapshot_index);
 
-  // raft_requests.cpp: what clients and operators ask a leader for.
+  // raft_requests.cpp: requests of clients and operators to the leader.
   void on(Proposal& proposal);
   void on(const MembershipChange& change);
   void on(ReadRequest request);
   void on(LeadershipTransfer request);
-  // Each returns why the request is rejected, or an empty text.
+  // Each returns the reason for rejecting the request, or an empty string.
   const char* proposal_rejection() const;
   const char* membership_change_rejection(const MembershipChange& change) const;
   const char* member_rejection(const MembershipChange& change) const;
@@ -157,7 +158,7 @@
 
   Options options_;
   Micros now_;
-  Output output_;  // of the step under way
+  Output output_;  // of the current step
 
   HardState hard_state_;
   SnapshotPtr snapshot_;
@@ -168,15 +169,16 @@
   Role role_ = Role::kFollower;
   NodeId leader_ = kNoNode;
   Index commit_index_ = 0;
-  Index applied_index_ = 0;   // entries up to here were given to the driver
-  Index verified_index_ = 0;  // the log is that of this term's leader up to here
+  Index applied_index_ = 0;   // entries up to this index were returned to the driver
+  Index verified_index_ = 0;  // the log is known to match that of this term's leader up to this index
 
   ElectionTimer election_timer_;
   VoteTally votes_;
-  // When the leader's last message arrived. It starts in the distant past, without overflow in a difference.
+  // When the last message from the leader was received. The initial value is far in the past, but a
+  // difference to it does not overflow.
   Micros last_leader_contact_{INT64_MIN / 4};
 
-  // Of a leader only.
+  // State of a leader only.
   Replication replication_;
   ReadIndex reads_;
   TransferProgress transfer_;
--- a/src/consensus/raft_election.cpp
+++ b/src/consensus/raft_election.cpp
@@ -1,4 +1,4 @@
-// Elections: how a node becomes candidate, leader and follower.
+// Elections: the transitions between follower, pre-candidate, candidate and leader.
 #include <utility>
 
 #include "consensus/raft.h"
@@ -48,7 +48,7 @@
   replication_.start(members(), last_index(), now_);
   transfer_.cancel();
   change_role(Role::kLeader, options_.self, RoleChangeReason::kElected);
-  // Only an entry of its own term tells the leader what is committed (section 6.4).
+  // A leader learns the current commit index only by committing an entry of its own term (section 6.4).
   first_index_of_term_ = append_as_leader(EntryType::kNoOp, "");
   send_to_all(true);
 }
@@ -85,8 +85,8 @@
 }
 
 void Raft::on_request_vote(const Message& message) {
-  // A node in contact with a leader ignores candidates, so that one that was cut off or removed cannot
-  // disturb the group (section 4.2.3).
+  // A node that is in contact with a leader ignores candidates, so that a node that was partitioned or
+  // removed cannot disrupt the group (section 4.2.3).
   const bool may_ignore = options_.leader_stickiness && !message.forced && message.term >= hard_state_.term;
   if (may_ignore && has_leader_contact()) return;
   if (message.type == Message::Type::kRequestPreVote)
@@ -95,7 +95,7 @@
     answer_vote(message);
 }
 
-// A pre-vote promises nothing, so that neither term nor vote change.
+// A pre-vote is not binding, so neither the term nor the vote changes.
 void Raft::answer_pre_vote(const Message& message) {
   Message response;
   response.type = Message::Type::kRequestPreVoteResponse;
@@ -125,7 +125,7 @@
 
 void Raft::on_request_vote_response(const Message& message) {
   const bool is_pre_vote = message.type == Message::Type::kRequestPreVoteResponse;
-  // A granted pre-vote has the term that an election would start.
+  // A granted pre-vote carries the term that the election would start, which is higher than the current one.
   const bool is_granted_pre_vote = is_pre_vote && !message.reject;
   if (message.term > hard_state_.term && !is_granted_pre_vote)
     return become_follower(message.term, kNoNode, RoleChangeReason::kHigherTerm);
--- a/src/consensus/raft_replication.cpp
+++ b/src/consensus/raft_replication.cpp
@@ -1,4 +1,4 @@
-// Log replication: appends of a leader, their responses, and the commit index.
+// Log replication: appends from the leader, their responses, and the commit index.
 #include <algorithm>
 #include <optional>
 #include <utility>
@@ -69,7 +69,8 @@
   send(std::move(response));
 }
 
-// Entries up to the base are committed, so that the leader has the same and they need no comparison.
+// Entries up to the base are committed. The leader therefore has the same entries, and they need no
+// comparison.
 void Raft::skip_compacted_entries(Message& message) const {
   if (message.index >= log_.base_index()) return;
   const auto skipped = std::min<std::size_t>(log_.base_index() - message.index, message.entries.size());
@@ -83,10 +84,10 @@
   Index expected = message.index;
   for (auto& entry : message.entries) {
     ++expected;
-    if (entry.index != expected) return false;  // no leader sends a gap
+    if (entry.index != expected) return false;  // invalid: a leader sends contiguous entries
     if (expected <= last_index()) {
       if (log_.term_at(expected) == entry.term) continue;
-      if (expected <= commit_index_) return false;  // no leader contradicts what is committed
+      if (expected <= commit_index_) return false;  // invalid: conflicts with a committed entry
       truncate_from(expected);
     }
     append_entry(std::move(entry));
@@ -94,7 +95,7 @@
   return true;
 }
 
-// Tells the leader how far this node's log is both the leader's and durable.
+// Reports to the leader the index up to which this node's log matches the leader's and is durable.
 void Raft::acknowledge_durable_log(NodeId leader, std::uint64_t round) {
   Message response;
   response.type = Message::Type::kAppendEntriesResponse;
@@ -119,7 +120,8 @@
   peer->on_accepted(message.index, log_.base_index());
   advance_commit_index();
   confirm_reads();
-  // A leader whose own removal is now committed has stepped down, and tracks no peer any more.
+  // A leader whose own removal has just been committed has stepped down and no longer tracks its peers, so
+  // that `peer` is not valid any more.
   if (!is_leader()) return;
   if (peer->next <= last_index()) send_to(message.from, false);
   request_election_if_caught_up();
@@ -128,10 +130,11 @@
 void Raft::advance_commit_index() {
   const auto match = replication_.majority_match(members(), durable_index());
   if (!match || *match <= commit_index_) return;
-  // A majority commits only entries of the leader's own term, and older ones with them (section 3.6.2).
+  // Only entries of the leader's own term are committed by counting replicas; earlier entries are committed
+  // with them (section 3.6.2).
   if (log_.term_at(*match) != hard_state_.term && !options_.flaws.commits_old_terms) return;
   commit_to(*match);
-  send_to_all(true);  // followers learn the commit index at once
+  send_to_all(true);  // informs the other members of the new commit index at once
   if (!members().has(options_.self) && !membership_.has_uncommitted_change(commit_index_))
     become_follower(hard_state_.term, kNoNode, RoleChangeReason::kRemoved);
 }
--- a/src/consensus/raft_requests.cpp
+++ b/src/consensus/raft_requests.cpp
@@ -1,5 +1,5 @@
-// What a leader is asked for by clients and operators: proposals, changes of members, confirmed reads, and
-// the transfer of leadership.
+// Requests of clients and operators to the leader: proposals, membership changes, confirmed reads, and
+// leadership transfer.
 #include <utility>
 
 #include "consensus/raft.h"
@@ -49,11 +49,13 @@
 const char* Raft::membership_change_rejection(const MembershipChange& change) const {
   if (!is_leader()) return "this node does not lead";
   if (transfer_.is_active()) return "leadership is being handed over";
-  // Without a committed entry of its own term, a leader may overlook a change that its predecessor began.
+  // Before it has committed an entry of its own term, a leader may not know of a membership change that its
+  // predecessor began.
   if (membership_.has_uncommitted_change(commit_index_) || !has_committed_in_current_term())
     return "another change of members is under way";
   if (const char* reason = member_rejection(change); is_rejected(reason)) return reason;
-  // A majority of the voters that are left must respond. Otherwise this change would be the last one ever.
+  // A majority of the remaining voters must be responsive. Otherwise this change could not be committed, and
+  // no later change could be made either.
   const auto remaining = members_after(change);
   if (replication_.responsive_voters(remaining, now_, options_.election_timeout_max) < remaining.majority())
     return "too few of the voters that would be left are heard of";
--- a/src/consensus/raft_snapshot.cpp
+++ b/src/consensus/raft_snapshot.cpp
@@ -1,4 +1,4 @@
-// Snapshots: those of this node's own state machine, which compact its log, and those that a leader sends.
+// Snapshots: those of this node's own state machine, which compact its log, and those received from a leader.
 #include <algorithm>
 #include <memory>
 #include <utility>
@@ -20,13 +20,13 @@
   compact_log(taken.index);
 }
 
-// Some entries before the snapshot remain, so that followers a little behind need no snapshot.
+// Keeps some entries before the snapshot, so that followers that are slightly behind need no snapshot.
 void Raft::compact_log(Index snapshot_index) {
   if (snapshot_index <= options_.trailing_entries) return;
   const Index base = snapshot_index - options_.trailing_entries;
   if (base <= log_.base_index()) return;
   log_.compact_to(base);
-  writes_.drop_before(base);  // the entry at the base stays in the store, since it tells the term there
+  writes_.drop_before(base);  // the base entry stays in the store, since its term is needed after a restart
 }
 
 void Raft::on_install_snapshot(const Message& message) {
@@ -37,7 +37,8 @@
     verified_index_ = std::max(verified_index_, commit_index_);
     return acknowledge_durable_log(leader_, 0);
   }
-  // Entries behind it may have been acknowledged already: where they fit, they stay (chapter 5).
+  // Entries after the snapshot's index may already have been acknowledged. They are kept if the entry at that
+  // index matches (chapter 5).
   if (snapshot.index <= last_index() && log_.term_at(snapshot.index) == snapshot.term) {
     verified_index_ = std::max(verified_index_, snapshot.index);
     commit_to(snapshot.index);
--- a/src/consensus/replication.cpp
+++ b/src/consensus/replication.cpp
@@ -8,16 +8,17 @@
 namespace database_proxy::consensus {
 namespace {
 
-// An append that is not answered counts as lost after so many heartbeats: one is the time that an answer may
-// take.
+// An unanswered append is considered lost after this many heartbeat intervals: a response may take one of
+// them.
 constexpr int kAppendTimeoutHeartbeats = 2;
-// A snapshot is sent again after so many heartbeats, 3 s by default: a large one takes a while to send and
-// store.
+// An unanswered snapshot is sent again after this many heartbeat intervals, 3 s by default, because sending
+// and storing a large one takes time.
 constexpr int kSnapshotTimeoutHeartbeats = 30;
-// Bytes that an entry adds to a message besides its data: an estimate of its term, index, type and encoding.
+// Estimated size of an entry in a message besides its data: term, index, type and encoding.
 constexpr std::size_t kEntryOverheadBytes = 32;
 
-// The highest value that a majority has reached; `values` has one for each voter and is not empty.
+// Returns the highest value that a majority has reached. `values` has one element for each voter and is not
+// empty.
 std::uint64_t reached_by_majority(std::vector<std::uint64_t> values, std::size_t majority) {
   std::sort(values.begin(), values.end(), std::greater<>());
   return values[majority - 1];
@@ -34,11 +35,12 @@
 
 void PeerProgress::on_accepted(Index index, Index base_index) {
   match = std::max(match, index);
-  if (match + 1 >= next) {  // all that was sent is durable there
+  if (match + 1 >= next) {  // all entries sent so far are durable on the member
     next = match + 1;
     is_append_outstanding = false;
   }
-  // The log may have been compacted beyond the snapshot meanwhile. A newer one then follows at once.
+  // The leader's log may meanwhile have been compacted beyond the outstanding snapshot; a newer snapshot is
+  // then sent at once.
   if (is_snapshot_outstanding && match >= std::min(snapshot_index, base_index))
     is_snapshot_outstanding = false;
 }
@@ -160,7 +162,7 @@
   return message;
 }
 
-// Adds as many entries as one message may carry, but at least one, however large.
+// Adds entries up to the batch limits, but at least one entry, whatever its size.
 void Replication::add_entries(Message& message, Index first, const RaftLog& log) const {
   std::size_t bytes = 0;
   for (Index i = first; i <= log.last_index() && message.entries.size() < max_batch_entries_; ++i) {
--- a/src/consensus/replication.h
+++ b/src/consensus/replication.h
@@ -1,8 +1,9 @@
-// What a leader knows about the other members, and which message each of them is sent next.
+// The replication progress of the other members, as the leader knows it, and the choice of the next message
+// to each of them.
 //
-// Each member has at most one append with entries or one snapshot on its way; the next goes out with its
-// answer. Heartbeats without entries go out regardless. A message that is not answered in time counts as
-// lost.
+// At most one append with entries or one snapshot is outstanding for each member; the next is sent after its
+// response. Heartbeats without entries are sent regardless. A message that is not answered in time is
+// considered lost.
 #pragma once
 
 #include <cstddef>
@@ -18,25 +19,26 @@
 
 namespace database_proxy::consensus {
 
-// What the leader knows about one other member.
+// The replication progress of one other member.
 struct PeerProgress {
-  Index match = 0;  // its log is the leader's, and durable, up to here
-  Index next = 1;   // the first entry that it is sent next
+  Index match = 0;  // its log matches the leader's, and is durable, up to this index
+  Index next = 1;   // index of the next entry to send to it
   bool is_append_outstanding = false, is_snapshot_outstanding = false;
   Index snapshot_index = 0;  // of the outstanding snapshot
   Micros last_sent{0};       // when the outstanding append or snapshot was sent
-  Micros last_contact{
-      0};  // when its last answer arrived; before the first one, when this leader began to track it
-  std::uint64_t round = 0;  // the last heartbeat round that it has answered; 0: none
+  // When its last response was received; before the first response, when this leader began to track it.
+  Micros last_contact{0};
+  std::uint64_t round = 0;  // the latest heartbeat round that it has acknowledged; 0: none
 
-  // The member rejected an append at `rejected_index`; `hint` is where the logs may agree. Returns whether
-  // another append is to be sent: not for an outdated answer, nor while a snapshot is outstanding.
+  // Handles the rejection of an append at `rejected_index`; `hint` is the highest index at which the logs may
+  // agree. Returns whether another append must be sent: not after an outdated response, and not while a
+  // snapshot is outstanding.
   bool on_rejected(Index rejected_index, Index hint);
-  // The member's log matches up to `index`. `base_index` is that of the leader's log.
+  // Records that the member's log matches up to `index`. `base_index` is the base index of the leader's log.
   void on_accepted(Index index, Index base_index);
 };
 
-// The leader's state that its messages are made of, valid for one call.
+// The leader's state from which its messages are built, valid for one call.
 struct LeaderView {
   const RaftLog& log;
   const SnapshotPtr& snapshot;
@@ -44,7 +46,7 @@
   Micros now;
 };
 
-// The progress of all other members. Empty on a node that does not lead. Raft owns it.
+// The progress of all other members. Raft owns it; it is empty on a node that is not the leader.
 class Replication {
  public:
   explicit Replication(const Options& options)
@@ -53,35 +55,38 @@
         max_batch_entries_(options.max_batch_entries),
         max_batch_bytes_(options.max_batch_bytes) {}
 
-  // Begins for a leader that has just been elected; clear() is for one that no longer leads.
+  // Starts tracking all other members, for a newly elected leader; clear() is called when the leader steps
+  // down.
   void start(const Membership& members, Index last_index, Micros now);
   void clear() { peers_.clear(); }
-  // Tracks the members that have joined, and no longer those that have left.
+  // Starts tracking members that were added, and stops tracking those that were removed.
   void update_members(const Membership& members, Index last_index, Micros now);
 
   const std::map<NodeId, PeerProgress>& peers() const { return peers_; }
-  // The progress of a member, or null where none is tracked.
+  // Returns the progress of a member, or null if the member is not tracked.
   PeerProgress* find(NodeId id);
   const PeerProgress* find(NodeId id) const;
 
-  // The current heartbeat round, which appends carry and their responses return.
+  // The current heartbeat round. Appends carry it, and their responses echo it.
   std::uint64_t round() const { return round_; }
   void begin_round() { ++round_; }
 
-  // The highest index that is durable on a majority; the leader's own log is durable up to `own_durable`.
-  // Returns nothing where there are no voters.
+  // Returns the highest index that is durable on a majority, or nullopt if there are no voters. The leader's
+  // own log is durable up to `own_durable`.
   std::optional<Index> majority_match(const Membership& members, Index own_durable) const;
-  // The latest round that a majority has answered. There must be voters.
+  // Returns the latest round that a majority has acknowledged. There must be voters.
   std::uint64_t majority_round(const Membership& members) const;
-  // Whether a majority, the leader included, has answered within `timeout`.
+  // Returns whether a majority, including the leader, has responded within `timeout`.
   bool has_quorum_contact(const Membership& members, Micros now, Micros timeout) const;
-  // How many voters of `members`, the leader included, have answered a round of this leader within `timeout`.
+  // Returns the number of voters of `members`, including the leader, that have acknowledged a round of this
+  // leader and have responded within `timeout`.
   std::size_t responsive_voters(const Membership& members, Micros now, Micros timeout) const;
-  // The voter that has answered within `timeout` and whose log matches furthest; kNoNode if there is none.
+  // Returns the voter whose log matches furthest among those that have responded within `timeout`; kNoNode if
+  // there is none.
   NodeId most_advanced_voter(const Membership& members, Micros now, Micros timeout) const;
 
-  // What this member, which must be tracked, is sent now: a snapshot, entries, or, with `is_heartbeat`, an
-  // append without any. Returns nothing where there is nothing to send.
+  // Returns the message to send to this member, which must be tracked: a snapshot, an append with entries or,
+  // if `is_heartbeat`, an append without entries. Returns nullopt if there is nothing to send.
   std::optional<Message> next_message(NodeId id, const LeaderView& view, bool is_heartbeat);
 
  private:
