--- a/src/consensus/raft.cpp
+++ b/src/consensus/raft.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 void require(bool is_valid, const char* problem) {
-  if (!is_valid) throw std::invalid_argument(std::string("impossible state of the group: ") + problem);
+  if (!is_valid) throw std::invalid_argument(std::string("invalid Raft options or stored state: ") + problem);
 }
 
 }  // namespace
@@ -21,11 +21,11 @@
       snapshot_(std::move(stored.snapshot)),
       election_timer_(options.seed, options.election_timeout_min, options.election_timeout_max),
       replication_(options) {
-  require(options_.self != kNoNode, "this node has no id");
+  require(options_.self != kNoNode, "the node id is not set");
   require(options_.heartbeat_interval.count() > 0 &&
               options_.election_timeout_min > options_.heartbeat_interval &&
               options_.election_timeout_max > options_.election_timeout_min,
-          "times must rise from heartbeat over the shortest to the longest election timeout");
+          "heartbeat interval, minimum and maximum election timeout must be positive and in ascending order");
   if (snapshot_) {
     log_ = RaftLog(snapshot_->index, snapshot_->term);
     membership_.reset(snapshot_->index, snapshot_->members);
@@ -40,18 +40,18 @@
 void Raft::restore_entries(std::vector<Entry> entries) {
   std::size_t first = 0;
   if (!entries.empty() && entries[0].index <= log_.base_index()) {
-    require(entries[0].index > 0, "an entry at index 0");
+    require(entries[0].index > 0, "the log has an entry at index 0");
     log_ = RaftLog(entries[0].index, entries[0].term);
     first = 1;
   }
   for (std::size_t i = first; i < entries.size(); ++i) {
     auto& entry = entries[i];
-    require(entry.index == last_index() + 1, "a gap in the log");
+    require(entry.index == last_index() + 1, "the log has a gap");
     require(entry.term >= log_.last_term() && entry.term <= hard_state_.term,
-            "terms of the log out of order");
+            "the terms of the log decrease or exceed the stored term");
     if (entry.type == EntryType::kMembers && entry.index > snapshot_index()) {
       auto members = Membership::decode(entry.data);
-      require(members.has_value(), "an entry of members that cannot be read");
+      require(members.has_value(), "a membership entry cannot be decoded");
       membership_.append(entry.index, std::move(*members));
     }
     log_.append(std::move(entry));
--- a/src/consensus/raft_requests.cpp
+++ b/src/consensus/raft_requests.cpp
@@ -26,10 +26,10 @@
 }
 
 const char* Raft::proposal_rejection() const {
-  if (!is_leader()) return "this node does not lead";
-  if (transfer_.is_active()) return "leadership is being handed over";
+  if (!is_leader()) return "this node is not the leader";
+  if (transfer_.is_active()) return "a leadership transfer is in progress";
   if (last_index() - commit_index_ >= options_.max_uncommitted_entries)
-    return "too much is not committed yet";
+    return "too many entries are not yet committed";
   return kNotRejected;
 }
 
@@ -47,18 +47,18 @@
 }
 
 const char* Raft::membership_change_rejection(const MembershipChange& change) const {
-  if (!is_leader()) return "this node does not lead";
-  if (transfer_.is_active()) return "leadership is being handed over";
+  if (!is_leader()) return "this node is not the leader";
+  if (transfer_.is_active()) return "a leadership transfer is in progress";
   // Before it has committed an entry of its own term, a leader may not know of a membership change that its
   // predecessor began.
   if (membership_.has_uncommitted_change(commit_index_) || !has_committed_in_current_term())
-    return "another change of members is under way";
+    return "another membership change is in progress";
   if (const char* reason = member_rejection(change); is_rejected(reason)) return reason;
   // A majority of the remaining voters must be responsive. Otherwise this change could not be committed, and
   // no later change could be made either.
   const auto remaining = members_after(change);
   if (replication_.responsive_voters(remaining, now_, options_.election_timeout_max) < remaining.majority())
-    return "too few of the voters that would be left are heard of";
+    return "too few of the remaining voters are responsive";
   return kNotRejected;
 }
 
@@ -67,14 +67,16 @@
   const bool is_member = members().has(change.node);
   const bool is_voter = members().is_voter(change.node);
   if (change.node == kNoNode || (change.kind == Kind::kAddLearner && is_member))
-    return "it is a member already";
-  if (change.kind != Kind::kAddLearner && !is_member) return "it is no member";
+    return "the node is already a member";
+  if (change.kind != Kind::kAddLearner && !is_member) return "the node is not a member";
   if (change.kind == Kind::kPromote) {
-    if (is_voter) return "it votes already";
+    if (is_voter) return "the node is already a voter";
     const auto* peer = replication_.find(change.node);
-    if (!peer || peer->match + options_.max_promotion_lag < commit_index_) return "it has not caught up yet";
+    if (!peer || peer->match + options_.max_promotion_lag < commit_index_)
+      return "the node has not yet caught up with the leader's log";
   }
-  if (change.kind == Kind::kRemove && is_voter && members().voters.size() == 1) return "it is the last voter";
+  if (change.kind == Kind::kRemove && is_voter && members().voters.size() == 1)
+    return "the node is the last voter";
   return kNotRejected;
 }
 
--- a/src/consensus/role.cpp
+++ b/src/consensus/role.cpp
@@ -23,21 +23,21 @@
     case RoleChangeReason::kStarted:
       return "started";
     case RoleChangeReason::kElectionTimeout:
-      return "no leader was heard of";
+      return "no contact with a leader within the election timeout";
     case RoleChangeReason::kElected:
       return "elected by a majority";
     case RoleChangeReason::kLeaderContact:
-      return "heard of the leader of this term";
+      return "received a message from the leader of this term";
     case RoleChangeReason::kHigherTerm:
-      return "somebody has a higher term";
+      return "another node has a higher term";
     case RoleChangeReason::kLostQuorum:
-      return "no majority answered for an election timeout";
+      return "no response from a majority within the election timeout";
     case RoleChangeReason::kLeadershipTransfer:
-      return "asked by the leader";
+      return "leadership transfer requested by the leader";
     case RoleChangeReason::kRemoved:
       return "no longer a member";
     case RoleChangeReason::kDiskFailed:
-      return "its disk failed";
+      return "disk write failed";
   }
   return "?";
 }
--- a/tests/consensus/consensus_test.cpp
+++ b/tests/consensus/consensus_test.cpp
@@ -188,12 +188,11 @@
   node.step(now, {MessageReceived{append_response(2, 2, 1)}});  // node 3 has not answered in this term
   auto output = node.step(now, {consensus::MembershipChange{1, Kind::kRemove, 2}});
   EXPECT_EQ(output.proposal_results[0].index, 0u);
-  EXPECT_STREQ(output.proposal_results[0].rejection_reason,
-               "too few of the voters that would be left are heard of");
+  EXPECT_STREQ(output.proposal_results[0].rejection_reason, "too few of the remaining voters are responsive");
   output = node.step(now, {consensus::MembershipChange{2, Kind::kRemove, 3}});
   EXPECT_NE(output.proposal_results[0].index, 0u);
   output = node.step(now, {consensus::MembershipChange{3, Kind::kAddLearner, 9}});
-  EXPECT_STREQ(output.proposal_results[0].rejection_reason, "another change of members is under way");
+  EXPECT_STREQ(output.proposal_results[0].rejection_reason, "another membership change is in progress");
 }
 
 TEST(Snapshots, ALateOneKeepsTheAcknowledgedEntriesBehindIt) {
