--- a/tests/consensus/consensus_test.cpp
+++ b/tests/consensus/consensus_test.cpp
@@ -1,6 +1,6 @@
-// Raft and the leases of jobs: each rule as a test of its own, many of them found by a seed of the simulator.
-// Then the simulator itself: a fixed range of seeds, the model check of a small scope, and mutants that both
-// must find.
+// Tests of Raft and of job leases, one for each rule; several are regression tests for failures that a seed
+// of the simulator found. They are followed by tests of the simulator itself: a fixed range of seeds, the
+// exhaustive model check of a small scope, and mutants that the two must detect.
 #include <gtest/gtest.h>
 
 #include "consensus/raft.h"
@@ -23,7 +23,8 @@
 using consensus::Term;
 using consensus::WriteCompleted;
 
-// What nodes 1, 2 and 3 store once their group is made: a snapshot at index 1 of term 1.
+// Returns the persistent state of nodes 1, 2 and 3 after their group was bootstrapped: a snapshot at index 1
+// of term 1.
 consensus::PersistentState three_voters(Term term = 1) {
   auto snapshot = std::make_shared<consensus::Snapshot>();
   snapshot->index = snapshot->term = 1;
@@ -61,8 +62,8 @@
   return message;
 }
 
-// Elects the node in term 2 at the time of its election timeout, which is returned. Its first entry is not
-// durable.
+// Makes the node the leader of term 2 at its election timeout, and returns that time. The leader's first
+// entry is not yet durable.
 Micros elect(Raft& node, consensus::Output* elected) {
   const Micros now = node.due();
   node.step(now, {consensus::Tick{}});
@@ -74,7 +75,7 @@
   return now;
 }
 
-// Node 1 leads in term 2. Its first entry is durable there, and on no other node.
+// Returns node 1 as the leader of term 2. Its first entry is durable on node 1 only.
 Raft make_leader(Micros* now) {
   auto node = make_node(1);
   consensus::Output elected;
@@ -110,7 +111,7 @@
   EXPECT_EQ(node.term(), 9u);
 }
 
-TEST(Votes, OfACandidateForItselfCountOnlyOnceDurable) {
+TEST(Votes, OfACandidateForItselfCountOnlyOnceTheyAreDurable) {
   auto stored = three_voters();
   auto single_voter = std::make_shared<consensus::Snapshot>(*stored.snapshot);
   single_voter->members.voters = {1};
@@ -129,7 +130,7 @@
   EXPECT_TRUE(node.has_committed_in_current_term());
   auto output = node.step(now, {consensus::ReadRequest{7}});
   EXPECT_TRUE(output.read_results.empty());
-  output = node.step(now + 20s, {consensus::Tick{}});  // as after SIGSTOP
+  output = node.step(now + 20s, {consensus::Tick{}});  // as after a pause of the process by SIGSTOP
   EXPECT_EQ(node.role(), Role::kFollower);
   ASSERT_EQ(output.read_results.size(), 1u);
   EXPECT_FALSE(output.read_results[0].confirmed);
@@ -148,13 +149,13 @@
   EXPECT_TRUE(output.read_results[0].confirmed);
 }
 
-TEST(Leader, WithASlowDiskCommitsByTheOthers) {
+TEST(Leader, WithASlowDiskCommitsOnceTheOtherVotersHaveTheEntry) {
   Micros now;
   auto node = make_leader(&now);
   node.step(now, {MessageReceived{append_response(2, 2)}});
   auto output = node.step(now, {consensus::Proposal{1, "x"}});
   ASSERT_EQ(output.proposal_results[0].index, 3u);
-  // The entry is not durable at the leader itself.
+  // The entry is not yet durable on the leader itself.
   EXPECT_TRUE(node.step(now, {MessageReceived{append_response(2, 3)}}).committed_entries.empty());
   EXPECT_EQ(node.step(now, {MessageReceived{append_response(3, 3)}}).committed_entries.size(), 1u);
 }
@@ -169,7 +170,8 @@
       node.step(now, {MessageReceived{message_from(2, Message::Type::kRequestVote, 9)}}).messages.empty());
 }
 
-// Found by seed 189: only the removed node had the entry that the others needed, and it started no election.
+// Regression test (simulator seed 189): only the removed node had the entry that the others needed, and it
+// did not start an election.
 TEST(Membership, ANodeWhoseRemovalIsNotCommittedMayStartAnElection) {
   auto stored = three_voters(2);
   consensus::Membership remaining;
@@ -195,7 +197,7 @@
   EXPECT_STREQ(output.proposal_results[0].rejection_reason, "another membership change is in progress");
 }
 
-TEST(Snapshots, ALateOneKeepsTheAcknowledgedEntriesBehindIt) {
+TEST(Snapshots, ALateSnapshotKeepsTheAcknowledgedEntriesAfterIt) {
   auto node = make_node(1);
   auto append = message_from(2, Message::Type::kAppendEntries, 2);
   append.entries = {{2, 2, EntryType::kCommand, "a"}, {2, 3, EntryType::kCommand, "b"}};
@@ -213,8 +215,8 @@
   EXPECT_FALSE(output.snapshot_to_restore);
 }
 
-// A leader of nodes 1 to 3 whose own disk and node 2 answer at once, and which takes a snapshot after each
-// growth.
+// Node 1 as the leader of nodes 1 to 3. Its own writes and the appends to node 2 complete at once, and it
+// takes a snapshot after each batch of entries.
 class LeaderWithSnapshots {
  public:
   explicit LeaderWithSnapshots(consensus::Options options) : node_(options, three_voters(), 0us) {
@@ -241,7 +243,7 @@
   std::uint64_t last_write_ = 0;
 };
 
-// The index of the snapshot that is sent to the node; 0: none.
+// Returns the index of the snapshot that the output sends to the node; 0 if there is none.
 Index snapshot_sent_to(NodeId id, const consensus::Output& output) {
   Index index = 0;
   for (const auto& [message, required_write] : output.messages) {
@@ -250,8 +252,9 @@
   return index;
 }
 
-// Found by seed 6853: a follower whose snapshot was outdated when it arrived waited 3 s for the next.
-TEST(Snapshots, AnOutdatedOneIsFollowedByTheNextAtOnce) {
+// Regression test (simulator seed 6853): a follower whose snapshot was outdated when it arrived waited 3 s
+// for the next one.
+TEST(Snapshots, AnOutdatedSnapshotIsFollowedByANewerOneAtOnce) {
   auto options = options_of(1);
   options.trailing_entries = 2;
   LeaderWithSnapshots leader(options);
@@ -267,7 +270,7 @@
   EXPECT_EQ(snapshot_sent_to(3, leader.receive(append_response(3, first))), leader.node().snapshot_index());
 }
 
-TEST(PersistentState, ThatNoNodeCanHaveIsRejectedAtTheStart) {
+TEST(PersistentState, IsRejectedAtTheStartIfItIsInvalid) {
   auto with_gap = three_voters(2);
   with_gap.entries = {{2, 2, EntryType::kCommand, ""}, {2, 4, EntryType::kCommand, ""}};
   EXPECT_THROW(make_node(1, with_gap), std::invalid_argument);
@@ -286,7 +289,7 @@
   return {node, number, {"j"}, std::move(holds)};
 }
 
-TEST(Leases, AJobGoesToAnotherNodeOnlyAfterTheSafeReassignmentDelay) {
+TEST(Leases, AJobIsGrantedToAnotherNodeOnlyAfterTheSafeReassignmentDelay) {
   ownership::LeaseOptions options;
   ownership::LeaseManager manager(options);
   ownership::LeaseRegistry registry;
@@ -303,7 +306,8 @@
   EXPECT_EQ(std::get<ownership::Grant>(commands[0]).owner, "b");
 }
 
-// Found by seed 32: a grant that took long to be committed, while its old owner was still being renewed.
+// Regression test (simulator seed 32): a grant took long to be committed, and the lease of the previous
+// holder was still renewed meanwhile.
 TEST(Leases, AreNotRenewedWhileAGrantIsBeingCommitted) {
   ownership::LeaseOptions options;
   ownership::LeaseManager manager(options);
@@ -317,13 +321,13 @@
   manager.on_renewal_request(10s + options.safe_reassignment_delay() + 1ms, renewal_request("a", 2),
                              registry);
   EXPECT_TRUE(manager.renewal_response("a", 2, registry).granted.empty());
-  manager.on_proposal_finished("j");  // it came to nothing
+  manager.on_proposal_finished("j");  // the grant was not applied
   manager.on_renewal_request(10s + options.safe_reassignment_delay() + 2ms, renewal_request("a", 3),
                              registry);
   EXPECT_EQ(manager.renewal_response("a", 3, registry).granted.size(), 1u);
 }
 
-TEST(Leases, RunFromTheTimeAtWhichTheRequestWasSent) {
+TEST(Leases, AreMeasuredFromTheTimeAtWhichTheRequestWasSent) {
   ownership::LeaseOptions options;
   ownership::LeaseClient client("a", options);
   auto request = client.make_renewal_request(10s, {"j"});
@@ -331,12 +335,12 @@
   client.on_renewal_response(10s + options.length - 1ms, response);
   EXPECT_TRUE(client.holds("j", 10s + options.length - 1us));
   EXPECT_FALSE(client.holds("j", 10s + options.length));
-  client.on_renewal_response(10s + 1ms, response);  // the same answer again
+  client.on_renewal_response(10s + 1ms, response);  // a duplicate of the response
   EXPECT_EQ(client.until("j"), 10s + options.length);
   EXPECT_EQ(client.expire(10s + options.length), std::vector<std::string>{"j"});
 }
 
-TEST(Leases, AnOwnerWithoutProgressLosesItsJob) {
+TEST(Leases, ALeaseHolderWithoutProgressLosesItsJob) {
   ownership::LeaseOptions options;
   ownership::LeaseManager manager(options);
   ownership::LeaseRegistry registry;
@@ -393,7 +397,7 @@
   registry.apply(5, ownership::Grant{"j", "a", 0}, &token);
   EXPECT_EQ(token, 5u);
   EXPECT_EQ(registry.apply(6, ownership::Grant{"j", "b", 0}),
-            ownership::LeaseRegistry::ApplyResult::kVoid);  // overtaken
+            ownership::LeaseRegistry::ApplyResult::kVoid);  // the job has another token by now
   registry.apply(7, ownership::Grant{"j", "b", 5});
   EXPECT_EQ(registry.apply(8, ownership::Publish{"j", 5, 1, "old"}),
             ownership::LeaseRegistry::ApplyResult::kStale);
@@ -437,7 +441,7 @@
   EXPECT_GT(first.history.size(), 5u);
 }
 
-TEST(Simulation, FindsTheMutantsOfLeasesAndDirectories) {
+TEST(Simulation, DetectsTheMutantsOfLeasesAndDirectories) {
   using testbench::simulation::Mutant;
   for (auto mutant : {Mutant::kNoCheck, Mutant::kTokenNotCompared, Mutant::kLostDirectoryVotes}) {
     bool found = false;
@@ -451,7 +455,7 @@
   }
 }
 
-TEST(SmallScope, IsExploredExhaustivelyAndFindsMutants) {
+TEST(SmallScope, IsExploredExhaustivelyAndMutantsAreDetected) {
   using namespace testbench::simulation;
   ScopeOptions scope;
   scope.elections = 2;
