--- a/src/consensus/raft.cpp
+++ b/src/consensus/raft.cpp
@@ -51,7 +51,7 @@
             "the terms of the log decrease or exceed the stored term");
     if (entry.type == EntryType::kMembers && entry.index > snapshot_index()) {
       auto members = Membership::decode(entry.data);
-      require(members.has_value(), "a membership entry cannot be decoded");
+      require(members.has_value(), "a membership entry cannot be read");
       membership_.append(entry.index, std::move(*members));
     }
     log_.append(std::move(entry));
