--- a/src/consensus/raft.cpp
+++ b/src/consensus/raft.cpp
@@ -8,8 +8,8 @@
 namespace database_proxy::consensus {
 namespace {
 
-void demand(bool is_valid, const char* problem) {
-  if (!is_valid) throw std::invalid_argument(std::string("impossible state of the group: ") + problem);
+void require(bool is_valid, const char* problem) {
+  if (!is_valid) throw std::invalid_argument(std::string("invalid Raft options or stored state: ") + problem);
 }
 
 }  // namespace
@@ -17,21 +17,22 @@
 Raft::Raft(Options options, PersistentState stored, Micros now)
     : options_(options),
       now_(now),
-      hard_state_(stored.hard),
+      hard_state_(stored.hard_state),
       snapshot_(std::move(stored.snapshot)),
-      election_timer_(options.seed, options.election_min, options.election_max),
+      election_timer_(options.seed, options.election_timeout_min, options.election_timeout_max),
       replication_(options) {
-  demand(options_.self != kNobody, "this node has no id");
-  demand(options_.heartbeat.count() > 0 && options_.election_min > options_.heartbeat &&
-             options_.election_max > options_.election_min,
-         "times must rise from heartbeat over the shortest to the longest election timeout");
+  require(options_.self != kNoNode, "the node id is not set");
+  require(options_.heartbeat_interval.count() > 0 &&
+              options_.election_timeout_min > options_.heartbeat_interval &&
+              options_.election_timeout_max > options_.election_timeout_min,
+          "heartbeat interval, minimum and maximum election timeout must be positive and in ascending order");
   if (snapshot_) {
     log_ = RaftLog(snapshot_->index, snapshot_->term);
     membership_.reset(snapshot_->index, snapshot_->members);
   }
   restore_entries(std::move(stored.entries));
-  demand(!snapshot_ || last_index() >= snapshot_->index, "the log ends before the snapshot");
-  commit_ = applied_ = snapshot_index();
+  require(!snapshot_ || last_index() >= snapshot_->index, "the log ends before the snapshot");
+  commit_index_ = applied_index_ = snapshot_index();
   writes_ = WriteTracker(last_index());
   reset_election_timer();
 }
@@ -39,17 +40,18 @@
 void Raft::restore_entries(std::vector<Entry> entries) {
   std::size_t first = 0;
   if (!entries.empty() && entries[0].index <= log_.base_index()) {
-    demand(entries[0].index > 0, "an entry at index 0");
+    require(entries[0].index > 0, "the log has an entry at index 0");
     log_ = RaftLog(entries[0].index, entries[0].term);
     first = 1;
   }
   for (std::size_t i = first; i < entries.size(); ++i) {
     auto& entry = entries[i];
-    demand(entry.index == last_index() + 1, "a gap in the log");
-    demand(entry.term >= log_.last_term() && entry.term <= hard_state_.term, "terms of the log out of order");
+    require(entry.index == last_index() + 1, "the log has a gap");
+    require(entry.term >= log_.last_term() && entry.term <= hard_state_.term,
+            "the terms of the log decrease or exceed the stored term");
     if (entry.type == EntryType::kMembers && entry.index > snapshot_index()) {
       auto members = Membership::decode(entry.data);
-      demand(members.has_value(), "an entry of members that cannot be read");
+      require(members.has_value(), "a membership entry cannot be read");
       membership_.append(entry.index, std::move(*members));
     }
     log_.append(std::move(entry));
@@ -80,10 +82,11 @@
     if (election_timer_.has_expired(now_) && may_start_election()) start_pre_vote();
     return;
   }
-  // Followers wait at least as long before they elect another leader, so that one without a majority steps
-  // down at about the same time.
-  if (options_.check_quorum && !replication_.has_quorum_contact(members(), now_, options_.election_min))
-    return become_follower(hard_state_.term, kNobody, RoleChangeReason::kLostQuorum);
+  // Followers wait at least the minimum election timeout before they elect another leader. A leader that has
+  // lost contact with a majority therefore steps down at about the time when a new one may be elected.
+  if (options_.check_quorum &&
+      !replication_.has_quorum_contact(members(), now_, options_.election_timeout_min))
+    return become_follower(hard_state_.term, kNoNode, RoleChangeReason::kLostQuorum);
   transfer_.expire(now_);
   if (now_ >= next_heartbeat_) send_to_all(true);
 }
@@ -112,7 +115,7 @@
 void Raft::on(WriteCompleted completed) {
   if (role_ == Role::kHalted) return;
   const bool has_log_advanced = writes_.complete(completed.number);
-  // A candidate's vote for itself counts once it is durable, like any other.
+  // Like any vote, a candidate's vote for itself counts only once it is durable.
   if (role_ == Role::kCandidate && writes_.is_hard_state_durable()) {
     votes_.record(options_.self, true);
     count_votes();
@@ -120,15 +123,15 @@
   if (!has_log_advanced) return;
   if (is_leader())
     advance_commit_index();
-  else if (leader_ != kNobody)
+  else if (leader_ != kNoNode)
     acknowledge_durable_log(leader_, 0);
 }
 
 void Raft::on(WriteFailed /*failed*/) {
   if (role_ == Role::kHalted) return;
-  reads_.fail_all(&output_.reads);
+  reads_.fail_all(&output_.read_results);
   replication_.clear();
-  change_role(Role::kHalted, kNobody, RoleChangeReason::kDiskFailed);
+  change_role(Role::kHalted, kNoNode, RoleChangeReason::kDiskFailed);
 }
 
 void Raft::change_role(Role role, NodeId leader, RoleChangeReason reason) {
@@ -139,7 +142,7 @@
 
 void Raft::save_hard_state() {
   auto saved = hard_state_;
-  if (options_.flaws.vote_not_saved) saved.vote = kNobody;
+  if (options_.flaws.vote_not_saved) saved.vote = kNoNode;
   writes_.save_hard_state(saved, last_index());
 }
 
@@ -159,8 +162,8 @@
   add(hard_state_.term);
   add(hard_state_.vote);
   add(leader_);
-  add(commit_);
-  add(verified_);
+  add(commit_index_);
+  add(verified_index_);
   add(log_.base_index());
   for (const auto& entry : log_.entries()) {
     add(entry.term);
--- a/src/consensus/raft_requests.cpp
+++ b/src/consensus/raft_requests.cpp
@@ -1,5 +1,5 @@
-// What a leader is asked for by clients and operators: proposals, changes of members, confirmed reads, and
-// the transfer of leadership.
+// Requests of clients and operators to the leader: proposals, membership changes, confirmed reads, and
+// leadership transfer.
 #include <utility>
 
 #include "consensus/raft.h"
@@ -9,82 +9,87 @@
 
 constexpr const char* kNotRejected = "";
 
-bool is_rejected(const char* why) { return *why != '\0'; }
+bool is_rejected(const char* reason) { return *reason != '\0'; }
 
 }  // namespace
 
 void Raft::on(Proposal& proposal) {
   ProposalResult result;
   result.ticket = proposal.ticket;
-  result.why = proposal_rejection();
-  if (!is_rejected(result.why)) {
+  result.rejection_reason = proposal_rejection();
+  if (!is_rejected(result.rejection_reason)) {
     result.index = append_as_leader(EntryType::kCommand, std::move(proposal.data));
     result.term = hard_state_.term;
     send_to_all(false);
   }
-  output_.proposed.push_back(result);
+  output_.proposal_results.push_back(result);
 }
 
 const char* Raft::proposal_rejection() const {
-  if (!is_leader()) return "this node does not lead";
-  if (transfer_.is_active()) return "leadership is being handed over";
-  if (last_index() - commit_ >= options_.uncommitted) return "too much is not committed yet";
+  if (!is_leader()) return "this node is not the leader";
+  if (transfer_.is_active()) return "a leadership transfer is in progress";
+  if (last_index() - commit_index_ >= options_.max_uncommitted_entries)
+    return "too many entries are not yet committed";
   return kNotRejected;
 }
 
 void Raft::on(const MembershipChange& change) {
   ProposalResult result;
   result.ticket = change.ticket;
-  result.why = membership_change_rejection(change);
-  if (!is_rejected(result.why)) {
+  result.rejection_reason = membership_change_rejection(change);
+  if (!is_rejected(result.rejection_reason)) {
     result.index = append_as_leader(EntryType::kMembers, members_after(change).encode());
     result.term = hard_state_.term;
     replication_.update_members(members(), last_index(), now_);
     send_to_all(false);
   }
-  output_.proposed.push_back(result);
+  output_.proposal_results.push_back(result);
 }
 
 const char* Raft::membership_change_rejection(const MembershipChange& change) const {
-  if (!is_leader()) return "this node does not lead";
-  if (transfer_.is_active()) return "leadership is being handed over";
-  // Without a committed entry of its own term, a leader may overlook a change that its predecessor began.
-  if (membership_.has_uncommitted_change(commit_) || !has_committed_in_current_term())
-    return "another change of members is under way";
-  if (const char* why = member_rejection(change); is_rejected(why)) return why;
-  // A majority of the voters that are left must respond. Otherwise this change would be the last one ever.
+  if (!is_leader()) return "this node is not the leader";
+  if (transfer_.is_active()) return "a leadership transfer is in progress";
+  // Before it has committed an entry of its own term, a leader may not know of a membership change that its
+  // predecessor began.
+  if (membership_.has_uncommitted_change(commit_index_) || !has_committed_in_current_term())
+    return "another membership change is in progress";
+  if (const char* reason = member_rejection(change); is_rejected(reason)) return reason;
+  // A majority of the remaining voters must be responsive. Otherwise this change could not be committed, and
+  // no later change could be made either.
   const auto remaining = members_after(change);
-  if (replication_.responsive_voters(remaining, now_, options_.election_max) < remaining.majority())
-    return "too few of the voters that would be left are heard of";
+  if (replication_.responsive_voters(remaining, now_, options_.election_timeout_max) < remaining.majority())
+    return "too few of the remaining voters are responsive";
   return kNotRejected;
 }
 
 const char* Raft::member_rejection(const MembershipChange& change) const {
-  using What = MembershipChange::What;
+  using Kind = MembershipChange::Kind;
   const bool is_member = members().has(change.node);
-  const bool is_voter = members().votes(change.node);
-  if (change.node == kNobody || (change.what == What::kAddLearner && is_member))
-    return "it is a member already";
-  if (change.what != What::kAddLearner && !is_member) return "it is no member";
-  if (change.what == What::kPromote) {
-    if (is_voter) return "it votes already";
+  const bool is_voter = members().is_voter(change.node);
+  if (change.node == kNoNode || (change.kind == Kind::kAddLearner && is_member))
+    return "the node is already a member";
+  if (change.kind != Kind::kAddLearner && !is_member) return "the node is not a member";
+  if (change.kind == Kind::kPromote) {
+    if (is_voter) return "the node is already a voter";
     const auto* peer = replication_.find(change.node);
-    if (!peer || peer->match + options_.caught_up < commit_) return "it has not caught up yet";
+    if (!peer || peer->match + options_.max_promotion_lag < commit_index_)
+      return "the node has not yet caught up with the leader's log";
   }
-  if (change.what == What::kRemove && is_voter && members().voters.size() == 1) return "it is the last voter";
+  if (change.kind == Kind::kRemove && is_voter && members().voters.size() == 1)
+    return "the node is the last voter";
   return kNotRejected;
 }
 
 Membership Raft::members_after(const MembershipChange& change) const {
   auto changed = members();
-  switch (change.what) {
-    case MembershipChange::What::kAddLearner:
+  switch (change.kind) {
+    case MembershipChange::Kind::kAddLearner:
       changed.add_learner(change.node);
       break;
-    case MembershipChange::What::kPromote:
+    case MembershipChange::Kind::kPromote:
       changed.add_voter(change.node);
       break;
-    case MembershipChange::What::kRemove:
+    case MembershipChange::Kind::kRemove:
       changed.remove(change.node);
       break;
   }
@@ -92,21 +97,22 @@
 }
 
 void Raft::on(ReadRequest request) {
-  if (!has_committed_in_current_term()) return output_.reads.push_back({request.ticket, false});
+  if (!has_committed_in_current_term()) return output_.read_results.push_back({request.ticket, false});
   reads_.add(request.ticket, replication_.round() + 1);
 }
 
 void Raft::confirm_reads() {
   if (reads_.empty() || !is_leader()) return;
-  reads_.confirm(replication_.majority_round(members()), &output_.reads);
+  reads_.confirm(replication_.majority_round(members()), &output_.read_results);
 }
 
 void Raft::on(LeadershipTransfer request) {
   if (!is_leader() || transfer_.is_active()) return;
   NodeId target = request.to;
-  if (target == kNobody) target = replication_.most_advanced_voter(members(), now_, options_.election_min);
-  if (target == kNobody || !members().votes(target) || !replication_.find(target)) return;
-  transfer_.begin(target, now_ + options_.election_max);
+  if (target == kNoNode)
+    target = replication_.most_advanced_voter(members(), now_, options_.election_timeout_min);
+  if (target == kNoNode || !members().is_voter(target) || !replication_.find(target)) return;
+  transfer_.begin(target, now_ + options_.election_timeout_max);
   request_election_if_caught_up();
 }
 
--- a/src/consensus/replication.cpp
+++ b/src/consensus/replication.cpp
@@ -8,16 +8,17 @@
 namespace database_proxy::consensus {
 namespace {
 
-// An append that is not answered counts as lost after so many heartbeats: one is the time that an answer may
-// take.
+// An unanswered append is considered lost after this many heartbeat intervals: a response may take one of
+// them.
 constexpr int kAppendTimeoutHeartbeats = 2;
-// A snapshot is sent again after so many heartbeats, 3 s by default: a large one takes a while to send and
-// store.
+// An unanswered snapshot is sent again after this many heartbeat intervals, 3 s by default, because sending
+// and storing a large one takes time.
 constexpr int kSnapshotTimeoutHeartbeats = 30;
-// Bytes that an entry adds to a message besides its data: an estimate of its term, index, type and encoding.
+// Estimated size of an entry in a message besides its data: term, index, type and encoding.
 constexpr std::size_t kEntryOverheadBytes = 32;
 
-// The highest value that a majority has reached; `values` has one for each voter and is not empty.
+// Returns the highest value that a majority has reached. `values` has one element for each voter and is not
+// empty.
 std::uint64_t reached_by_majority(std::vector<std::uint64_t> values, std::size_t majority) {
   std::sort(values.begin(), values.end(), std::greater<>());
   return values[majority - 1];
@@ -25,20 +26,21 @@
 
 }  // namespace
 
-bool PeerProgress::on_rejected(Index refused, Index hint) {
-  if (is_snapshot_outstanding || refused <= match) return false;
-  next = std::max(match + 1, std::min(refused, hint + 1));
+bool PeerProgress::on_rejected(Index rejected_index, Index hint) {
+  if (is_snapshot_outstanding || rejected_index <= match) return false;
+  next = std::max(match + 1, std::min(rejected_index, hint + 1));
   is_append_outstanding = false;
   return true;
 }
 
 void PeerProgress::on_accepted(Index index, Index base_index) {
   match = std::max(match, index);
-  if (match + 1 >= next) {  // all that was sent is durable there
+  if (match + 1 >= next) {  // all entries sent so far are durable on the member
     next = match + 1;
     is_append_outstanding = false;
   }
-  // The log may have been compacted beyond the snapshot meanwhile. A newer one then follows at once.
+  // The leader's log may meanwhile have been compacted beyond the outstanding snapshot; a newer snapshot is
+  // then sent at once.
   if (is_snapshot_outstanding && match >= std::min(snapshot_index, base_index))
     is_snapshot_outstanding = false;
 }
@@ -54,7 +56,7 @@
     if (id == self_ || peers_.count(id)) return;
     auto& peer = peers_[id];
     peer.next = last_index + 1;
-    peer.heard = now;
+    peer.last_contact = now;
   };
   for (auto id : members.voters) track(id);
   for (auto id : members.learners) track(id);
@@ -93,27 +95,27 @@
 }
 
 bool Replication::has_quorum_contact(const Membership& members, Micros now, Micros timeout) const {
-  std::size_t in_contact = members.votes(self_) ? 1 : 0;
+  std::size_t in_contact = members.is_voter(self_) ? 1 : 0;
   for (const auto& [id, peer] : peers_) {
-    if (members.votes(id) && now - peer.heard < timeout) ++in_contact;
+    if (members.is_voter(id) && now - peer.last_contact < timeout) ++in_contact;
   }
   return in_contact >= members.majority();
 }
 
 std::size_t Replication::responsive_voters(const Membership& members, Micros now, Micros timeout) const {
-  std::size_t responsive = members.votes(self_) ? 1 : 0;
+  std::size_t responsive = members.is_voter(self_) ? 1 : 0;
   for (const auto& [id, peer] : peers_) {
     const bool has_answered = peer.round > 0;
-    if (members.votes(id) && has_answered && now - peer.heard < timeout) ++responsive;
+    if (members.is_voter(id) && has_answered && now - peer.last_contact < timeout) ++responsive;
   }
   return responsive;
 }
 
 NodeId Replication::most_advanced_voter(const Membership& members, Micros now, Micros timeout) const {
-  NodeId found = kNobody;
+  NodeId found = kNoNode;
   Index best_match = 0;
   for (const auto& [id, peer] : peers_) {
-    if (!members.votes(id) || now - peer.heard >= timeout || peer.match < best_match) continue;
+    if (!members.is_voter(id) || now - peer.last_contact >= timeout || peer.match < best_match) continue;
     found = id;
     best_match = peer.match;
   }
@@ -122,9 +124,9 @@
 
 void Replication::expire_lost_messages(PeerProgress& peer, Micros now) const {
   const auto elapsed = now - peer.last_sent;
-  if (peer.is_snapshot_outstanding && elapsed >= heartbeat_ * kSnapshotTimeoutHeartbeats)
+  if (peer.is_snapshot_outstanding && elapsed >= heartbeat_interval_ * kSnapshotTimeoutHeartbeats)
     peer.is_snapshot_outstanding = false;
-  if (peer.is_append_outstanding && elapsed >= heartbeat_ * kAppendTimeoutHeartbeats) {
+  if (peer.is_append_outstanding && elapsed >= heartbeat_interval_ * kAppendTimeoutHeartbeats) {
     peer.is_append_outstanding = false;
     peer.next = peer.match + 1;
   }
@@ -160,13 +162,13 @@
   return message;
 }
 
-// Adds as many entries as one message may carry, but at least one, however large.
+// Adds entries up to the batch limits, but at least one entry, whatever its size.
 void Replication::add_entries(Message& message, Index first, const RaftLog& log) const {
   std::size_t bytes = 0;
-  for (Index i = first; i <= log.last_index() && message.entries.size() < batch_entries_; ++i) {
+  for (Index i = first; i <= log.last_index() && message.entries.size() < max_batch_entries_; ++i) {
     const auto& entry = *log.entry(i);
     bytes += entry.data.size() + kEntryOverheadBytes;
-    if (bytes > batch_bytes_ && !message.entries.empty()) break;
+    if (bytes > max_batch_bytes_ && !message.entries.empty()) break;
     message.entries.push_back(entry);
   }
 }
--- a/src/consensus/write_tracker.cpp
+++ b/src/consensus/write_tracker.cpp
@@ -15,8 +15,8 @@
   return writes_.back();
 }
 
-void WriteTracker::save_hard_state(const HardState& hard, Index last_index) {
-  current_write(last_index).hard = hard;
+void WriteTracker::save_hard_state(const HardState& hard_state, Index last_index) {
+  current_write(last_index).hard_state = hard_state;
   hard_state_write_ = last_write_;
 }
 
@@ -25,7 +25,7 @@
   pending_.back().last_index = entry.index;
 }
 
-void WriteTracker::take_snapshot(SnapshotPtr snapshot, Index last_index) {
+void WriteTracker::save_snapshot(SnapshotPtr snapshot, Index last_index) {
   current_write(last_index).snapshot = std::move(snapshot);
 }
 
--- a/src/group/consensus_driver.cpp
+++ b/src/group/consensus_driver.cpp
@@ -49,9 +49,9 @@
   consensus::Options options;
   options.self = id_;
   options.seed = context_.random();
-  options.heartbeat = context_.options.heartbeat;
-  options.election_min = context_.options.election_min;
-  options.election_max = context_.options.election_max;
+  options.heartbeat_interval = context_.options.heartbeat;
+  options.election_timeout_min = context_.options.election_min;
+  options.election_timeout_max = context_.options.election_max;
   ownership::LeaseRegistry registry;
   Index index = 0;
   if (stored.snapshot) {
@@ -80,11 +80,11 @@
   inputs_.emplace_back(consensus::Proposal{ticket, command});
 }
 
-void ConsensusDriver::change_members(consensus::MembershipChange::What what, consensus::NodeId node,
+void ConsensusDriver::change_members(consensus::MembershipChange::Kind what, consensus::NodeId node,
                                      CompletionCallback on_completion) {
   consensus::MembershipChange change;
   change.ticket = ++last_ticket_;
-  change.what = what;
+  change.kind = what;
   change.node = node;
   proposals_by_ticket_[change.ticket] = std::move(on_completion);
   inputs_.emplace_back(change);
@@ -139,35 +139,35 @@
   for (auto& change : output.role_changes) log_role_change(change);
   for (auto& write : output.writes) storage_.write(write_number_base_ + write.number, write);
   send_when_durable(std::move(output.messages));
-  if (output.restored) {
-    if (auto registry = ownership::LeaseRegistry::decode(output.restored->data))
-      state_.restore(std::move(*registry), output.restored->index);
-    snapshot_index_ = output.restored->index;
+  if (output.snapshot_to_restore) {
+    if (auto registry = ownership::LeaseRegistry::decode(output.snapshot_to_restore->data))
+      state_.restore(std::move(*registry), output.snapshot_to_restore->index);
+    snapshot_index_ = output.snapshot_to_restore->index;
   }
-  apply_committed(output.committed);
+  apply_committed(output.committed_entries);
   take_snapshot_if_due();
   report_leadership();
-  assign_positions(output.proposed);
-  complete_reads(output.reads);
+  assign_positions(output.proposal_results);
+  complete_reads(output.read_results);
 }
 
 void ConsensusDriver::log_role_change(const consensus::RoleChange& change) {
   // Without a majority a node campaigns every second; one line for that is enough.
   bool is_repeated = change.role == consensus::Role::kPreCandidate && last_campaign_logged_ == change.term;
   if (change.role == consensus::Role::kPreCandidate) last_campaign_logged_ = change.term;
-  if (change.leader != consensus::kNobody) last_campaign_logged_ = 0;
+  if (change.leader != consensus::kNoNode) last_campaign_logged_ = 0;
   if (is_repeated) return;
-  bool names_leader = change.leader != consensus::kNobody && change.role != consensus::Role::kLeader;
+  bool names_leader = change.leader != consensus::kNoNode && change.role != consensus::Role::kLeader;
   auto leader = names_leader ? fmt::format(" (leader {})", connections_.name_of(change.leader)) : "";
   context_.log(change.role == consensus::Role::kHalted ? Level::kError : Level::kInfo,
                fmt::format("{} in term {}: {}{}", consensus::text_of(change.role), change.term,
                            consensus::text_of(change.reason), leader));
 }
 
-void ConsensusDriver::send_when_durable(std::vector<consensus::Outgoing> messages) {
+void ConsensusDriver::send_when_durable(std::vector<consensus::OutgoingMessage> messages) {
   for (auto& outgoing : messages) {
-    auto after_write = write_number_base_ + outgoing.after;
-    if (outgoing.after > 0 && after_write > durable_write_)
+    auto after_write = write_number_base_ + outgoing.required_write;
+    if (outgoing.required_write > 0 && after_write > durable_write_)
       unsent_.push_back({after_write, std::move(outgoing.message)});
     else
       connections_.send_consensus(outgoing.message);
@@ -220,7 +220,7 @@
     auto on_completion = std::move(found->second);
     proposals_by_ticket_.erase(found);
     if (result.index == 0)
-      on_completion({0, result.why});
+      on_completion({0, result.rejection_reason});
     else
       proposals_in_log_[{result.index, result.term}] = std::move(on_completion);
   }
@@ -241,7 +241,7 @@
 std::optional<std::string> ConsensusDriver::bootstrap(consensus::Membership members) {
   if (!raft_) return "it is none of group.nodes";
   std::sort(members.voters.begin(), members.voters.end());
-  if (!members.votes(id_)) return "it is not among the members";
+  if (!members.is_voter(id_)) return "it is not among the members";
   if (raft_->snapshot_index() > 0 || raft_->last_index() > 0) {
     bool is_repeated = raft_->term_at(1) == 1 && raft_->members() == members;
     if (is_repeated) return std::nullopt;
@@ -252,7 +252,7 @@
   snapshot->members = members;
   snapshot->data = ownership::LeaseRegistry().encode();
   consensus::Write first_write;
-  first_write.hard = consensus::HardState{std::max<consensus::Term>(1, raft_->term()), raft_->vote()};
+  first_write.hard_state = consensus::HardState{std::max<consensus::Term>(1, raft_->term()), raft_->vote()};
   first_write.snapshot = snapshot;
   restart(first_write);
   context_.log(Level::kInfo, fmt::format("the group begins, {} voters", members.voters.size()));
@@ -263,7 +263,7 @@
   if (!raft_) return "it is no voter";
   if (consequence != kRecoveryConsequence)
     return fmt::format("recovery demands the consequence, spelled out: {}", kRecoveryConsequence);
-  if (raft_->leader() != consensus::kNobody) return "a leader is heard of: the majority is not lost";
+  if (raft_->leader() != consensus::kNoNode) return "a leader is heard of: the majority is not lost";
   if (raft_->members().voters.empty()) return "it belongs to no group";
   auto registry = state_.registry();
   for (auto i = state_.applied_index() + 1; i <= raft_->last_index(); ++i) {
@@ -277,7 +277,7 @@
   snapshot->members.voters = {id_};
   snapshot->data = registry.encode();
   consensus::Write first_write;
-  first_write.hard = consensus::HardState{snapshot->term, consensus::kNobody};
+  first_write.hard_state = consensus::HardState{snapshot->term, consensus::kNoNode};
   first_write.snapshot = snapshot;
   first_write.truncate_from = 1;
   restart(first_write);
@@ -291,7 +291,7 @@
   write_number_base_ += kRestartWriteGap;
   storage_.write(write_number_base_, first_write);
   consensus::PersistentState stored;
-  stored.hard = *first_write.hard;
+  stored.hard_state = *first_write.hard_state;
   stored.snapshot = first_write.snapshot;
   inputs_.clear();
   unsent_.clear();
--- a/src/group/consensus_driver.h
+++ b/src/group/consensus_driver.h
@@ -57,10 +57,10 @@
 
   void receive(consensus::Message message);
   void propose(const std::string& command, CompletionCallback on_completion);
-  void change_members(consensus::MembershipChange::What what, consensus::NodeId node,
+  void change_members(consensus::MembershipChange::Kind what, consensus::NodeId node,
                       CompletionCallback on_completion);
   void confirm_leadership(LeadershipCallback on_result);
-  // kNobody: whoever has the most of the log.
+  // kNoNode: whoever has the most of the log.
   void transfer_leadership(consensus::NodeId voter);
 
   // Makes this node a member of a new group. Every member is given the same command; repeating it is
@@ -97,7 +97,7 @@
 
   void carry_out(consensus::Output output);
   void log_role_change(const consensus::RoleChange& change);
-  void send_when_durable(std::vector<consensus::Outgoing> messages);
+  void send_when_durable(std::vector<consensus::OutgoingMessage> messages);
   void apply_committed(const std::vector<consensus::Entry>& entries);
   void log_members(const consensus::Membership& members) const;
   void take_snapshot_if_due();
@@ -111,7 +111,7 @@
   ReplicatedState& state_;
   LeadershipObserver& observer_;
 
-  consensus::NodeId id_ = consensus::kNobody;
+  consensus::NodeId id_ = consensus::kNoNode;
   std::unique_ptr<consensus::Raft> raft_;
   std::vector<consensus::Input> inputs_;
   net::Loop::TimerId step_timer_ = net::Loop::kNoTimer;
--- a/src/testbench/simulation/world.cpp
+++ b/src/testbench/simulation/world.cpp
@@ -165,7 +165,7 @@
   rc::Options o;
   o.self = node.id;
   o.seed = random_();
-  o.trailing = 20;
+  o.trailing_entries = 20;
   o.flaws.vote_not_saved = options_.mutant == Mutant::kVoteNotSaved;
   o.flaws.commits_old_terms = options_.mutant == Mutant::kCommitsOldTerms;
   own::LeaseOptions lease;
@@ -209,7 +209,7 @@
 
 // Carries a stored state over one write, as the disk does.
 void carry(rc::PersistentState* s, const rc::Write& w) {
-  if (w.hard) s->hard = *w.hard;
+  if (w.hard_state) s->hard_state = *w.hard_state;
   if (w.snapshot) s->snapshot = w.snapshot;
   if (w.truncate_from) std::erase_if(s->entries, [&](auto& e) { return e.index >= w.truncate_from; });
   if (w.drop_before) std::erase_if(s->entries, [&](auto& e) { return e.index < w.drop_before; });
@@ -285,30 +285,30 @@
     });
   }
   for (auto& m : out.messages) {
-    if (m.after > node.durable_write)
-      node.unsent.emplace_back(m.after, std::move(m.message));
+    if (m.required_write > node.durable_write)
+      node.unsent.emplace_back(m.required_write, std::move(m.message));
     else
       deliver(n, m.message.to,
               [this, m = std::move(m.message)](int to) { step(to, {rc::MessageReceived{m}}); });
   }
-  if (out.restored) {
-    auto ledger = own::LeaseRegistry::decode(out.restored->data);
+  if (out.snapshot_to_restore) {
+    auto ledger = own::LeaseRegistry::decode(out.snapshot_to_restore->data);
     demand(ledger.has_value(), "a snapshot that cannot be read");
-    auto known = states_.find(out.restored->index);
-    demand(known == states_.end() || known->second == out.restored->data,
-           fmt::format("{} is given another state at {}", node.name, out.restored->index));
+    auto known = states_.find(out.snapshot_to_restore->index);
+    demand(known == states_.end() || known->second == out.snapshot_to_restore->data,
+           fmt::format("{} is given another state at {}", node.name, out.snapshot_to_restore->index));
     node.ledger = *ledger;
     node.ledger.flaw_token_not_compared = options_.mutant == Mutant::kTokenNotCompared;
   }
-  for (auto& entry : out.committed) apply(n, entry);
-  for (auto& p : out.proposed) {
+  for (auto& entry : out.committed_entries) apply(n, entry);
+  for (auto& p : out.proposal_results) {
     auto it = node.tickets.find(p.ticket);
     if (it == node.tickets.end()) continue;
     auto call = std::move(it->second);
     node.tickets.erase(it);
     call(p);
   }
-  for (auto& r : out.reads) {
+  for (auto& r : out.read_results) {
     auto it = node.reads.find(r.ticket);
     if (it == node.reads.end()) continue;
     auto call = std::move(it->second);
@@ -402,7 +402,7 @@
   for (auto& job : node.holder->expire(local(node)))
     say(fmt::format("{} lets {} go: its lease has run out", node.name, job));
   auto leader = node.raft->leader();
-  if (leader == rc::kNobody) return;
+  if (leader == rc::kNoNode) return;
   auto question = node.holder->make_renewal_request(local(node), kJobs);
   auto answer = [this, from = n](int at, const own::LeaseRenewalRequest& q) {
     auto& lead = nodes_[at];
@@ -470,7 +470,7 @@
       own::Command publish = own::Publish{job, token, ++values_, "v"};
       if (leader == nodes_[n].id)
         propose(n, publish, [](bool) {});
-      else if (leader != rc::kNobody)
+      else if (leader != rc::kNoNode)
         deliver(n, leader, [this, publish](int l) { propose(l, publish, [](bool) {}); });
     });
   }
@@ -519,13 +519,13 @@
     auto& members = lead.raft->members();
     std::optional<rc::MembershipChange> change;
     for (auto id : members.voters)
-      if (wiped_.count(id)) change = rc::MembershipChange{0, rc::MembershipChange::What::kRemove, id};
+      if (wiped_.count(id)) change = rc::MembershipChange{0, rc::MembershipChange::Kind::kRemove, id};
     if (!change)
       for (auto& node : nodes_) {
-        if (!node.up || members.votes(node.id)) continue;
+        if (!node.up || members.is_voter(node.id)) continue;
         change = rc::MembershipChange{0,
-                                      members.has(node.id) ? rc::MembershipChange::What::kPromote
-                                                           : rc::MembershipChange::What::kAddLearner,
+                                      members.has(node.id) ? rc::MembershipChange::Kind::kPromote
+                                                           : rc::MembershipChange::Kind::kAddLearner,
                                       node.id};
         break;
       }
@@ -635,7 +635,7 @@
       for (std::size_t i = 0; i < nodes_.size(); ++i)
         if (nodes_[i].up && nodes_[i].paused_until <= now_ && nodes_[i].raft->is_leader())
           at_node(static_cast<int>(i), now_, [this, i, id = node.id] {
-            step(static_cast<int>(i), {rc::MembershipChange{0, rc::MembershipChange::What::kRemove, id}});
+            step(static_cast<int>(i), {rc::MembershipChange{0, rc::MembershipChange::Kind::kRemove, id}});
           });
       return;
   }
@@ -664,12 +664,12 @@
   for (auto& node : nodes_) {
     demand(node.up, "a node is down at the end");
     leading += node.raft->is_leader();
-    commit = std::max(commit, node.raft->commit());
+    commit = std::max(commit, node.raft->commit_index());
   }
   demand(leading == 1, fmt::format("{} leaders at the end, with all faults over", leading));
   for (auto& node : nodes_) {
-    demand(node.raft->commit() + 50 >= commit,
-           fmt::format("{} is {} entries behind at the end", node.name, commit - node.raft->commit()));
+    demand(node.raft->commit_index() + 50 >= commit,
+           fmt::format("{} is {} entries behind at the end", node.name, commit - node.raft->commit_index()));
     for (auto& job : kJobs) {
       auto* held = node.ledger.job(job);
       demand(held && !held->owner.empty(), "nobody owns " + job + " at the end");
@@ -703,7 +703,7 @@
   if (grown) first->members.voters.resize(1);
   for (int i = 0; i < count; ++i) {
     if (grown && i > 0) continue;
-    nodes_[static_cast<std::size_t>(i)].disk.durable.hard.term = 1;
+    nodes_[static_cast<std::size_t>(i)].disk.durable.hard_state.term = 1;
     nodes_[static_cast<std::size_t>(i)].disk.durable.snapshot = first;
   }
   auto faults = draw_faults();
@@ -731,8 +731,8 @@
           !node.up ? "down"
                    : fmt::format("{}, term {}, leader {}, log {} to {}, commit {}, durable {}, members {}",
                                  rc::text_of(node.raft->role()), node.raft->term(), node.raft->leader(),
-                                 node.raft->first_index(), node.raft->last_index(), node.raft->commit(),
-                                 node.raft->durable(), node.raft->members().encode())));
+                                 node.raft->first_index(), node.raft->last_index(), node.raft->commit_index(),
+                                 node.raft->durable_index(), node.raft->members().encode())));
   }
   return std::move(result_);
 }
--- a/tests/consensus/consensus_test.cpp
+++ b/tests/consensus/consensus_test.cpp
@@ -1,6 +1,6 @@
-// Raft and the leases of jobs: each rule as a test of its own, many of them found by a seed of the simulator.
-// Then the simulator itself: a fixed range of seeds, the model check of a small scope, and mutants that both
-// must find.
+// Tests of Raft and of job leases, one for each rule; several are regression tests for failures that a seed
+// of the simulator found. They are followed by tests of the simulator itself: a fixed range of seeds, the
+// exhaustive model check of a small scope, and mutants that the two must detect.
 #include <gtest/gtest.h>
 
 #include "consensus/raft.h"
@@ -23,13 +23,14 @@
 using consensus::Term;
 using consensus::WriteCompleted;
 
-// What nodes 1, 2 and 3 store once their group is made: a snapshot at index 1 of term 1.
+// Returns the persistent state of nodes 1, 2 and 3 after their group was bootstrapped: a snapshot at index 1
+// of term 1.
 consensus::PersistentState three_voters(Term term = 1) {
   auto snapshot = std::make_shared<consensus::Snapshot>();
   snapshot->index = snapshot->term = 1;
   snapshot->members.voters = {1, 2, 3};
   consensus::PersistentState stored;
-  stored.hard.term = term;
+  stored.hard_state.term = term;
   stored.snapshot = snapshot;
   return stored;
 }
@@ -61,8 +62,8 @@
   return message;
 }
 
-// Elects the node in term 2 at the time of its election timeout, which is returned. Its first entry is not
-// durable.
+// Makes the node the leader of term 2 at its election timeout, and returns that time. The leader's first
+// entry is not yet durable.
 Micros elect(Raft& node, consensus::Output* elected) {
   const Micros now = node.due();
   node.step(now, {consensus::Tick{}});
@@ -74,7 +75,7 @@
   return now;
 }
 
-// Node 1 leads in term 2. Its first entry is durable there, and on no other node.
+// Returns node 1 as the leader of term 2. Its first entry is durable on node 1 only.
 Raft make_leader(Micros* now) {
   auto node = make_node(1);
   consensus::Output elected;
@@ -89,8 +90,8 @@
   ASSERT_EQ(output.messages.size(), 1u);
   EXPECT_FALSE(output.messages[0].message.reject);
   ASSERT_EQ(output.writes.size(), 1u);
-  EXPECT_EQ(output.writes[0].hard, (consensus::HardState{2, 2}));
-  EXPECT_EQ(output.messages[0].after, output.writes[0].number);
+  EXPECT_EQ(output.writes[0].hard_state, (consensus::HardState{2, 2}));
+  EXPECT_EQ(output.messages[0].required_write, output.writes[0].number);
   EXPECT_TRUE(node.step(1s, {MessageReceived{message_from(3, Message::Type::kRequestVote, 2)}})
                   .messages[0]
                   .message.reject);
@@ -110,7 +111,7 @@
   EXPECT_EQ(node.term(), 9u);
 }
 
-TEST(Votes, OfACandidateForItselfCountOnlyOnceDurable) {
+TEST(Votes, OfACandidateForItselfCountOnlyOnceTheyAreDurable) {
   auto stored = three_voters();
   auto single_voter = std::make_shared<consensus::Snapshot>(*stored.snapshot);
   single_voter->members.voters = {1};
@@ -128,11 +129,11 @@
   node.step(now, {MessageReceived{append_response(2, 2)}});
   EXPECT_TRUE(node.has_committed_in_current_term());
   auto output = node.step(now, {consensus::ReadRequest{7}});
-  EXPECT_TRUE(output.reads.empty());
-  output = node.step(now + 20s, {consensus::Tick{}});  // as after SIGSTOP
+  EXPECT_TRUE(output.read_results.empty());
+  output = node.step(now + 20s, {consensus::Tick{}});  // as after a pause of the process by SIGSTOP
   EXPECT_EQ(node.role(), Role::kFollower);
-  ASSERT_EQ(output.reads.size(), 1u);
-  EXPECT_FALSE(output.reads[0].confirmed);
+  ASSERT_EQ(output.read_results.size(), 1u);
+  EXPECT_FALSE(output.read_results[0].confirmed);
 }
 
 TEST(Leader, ConfirmsAReadByARoundThatBeganAfterIt) {
@@ -142,21 +143,21 @@
   auto output = node.step(now, {consensus::ReadRequest{7}});
   std::uint64_t round = 0;
   for (const auto& outgoing : output.messages) round = std::max(round, outgoing.message.round);
-  EXPECT_TRUE(node.step(now, {MessageReceived{append_response(2, 2, round - 1)}}).reads.empty());
+  EXPECT_TRUE(node.step(now, {MessageReceived{append_response(2, 2, round - 1)}}).read_results.empty());
   output = node.step(now, {MessageReceived{append_response(2, 2, round)}});
-  ASSERT_EQ(output.reads.size(), 1u);
-  EXPECT_TRUE(output.reads[0].confirmed);
+  ASSERT_EQ(output.read_results.size(), 1u);
+  EXPECT_TRUE(output.read_results[0].confirmed);
 }
 
-TEST(Leader, WithASlowDiskCommitsByTheOthers) {
+TEST(Leader, WithASlowDiskCommitsOnceTheOtherVotersHaveTheEntry) {
   Micros now;
   auto node = make_leader(&now);
   node.step(now, {MessageReceived{append_response(2, 2)}});
   auto output = node.step(now, {consensus::Proposal{1, "x"}});
-  ASSERT_EQ(output.proposed[0].index, 3u);
-  // The entry is not durable at the leader itself.
-  EXPECT_TRUE(node.step(now, {MessageReceived{append_response(2, 3)}}).committed.empty());
-  EXPECT_EQ(node.step(now, {MessageReceived{append_response(3, 3)}}).committed.size(), 1u);
+  ASSERT_EQ(output.proposal_results[0].index, 3u);
+  // The entry is not yet durable on the leader itself.
+  EXPECT_TRUE(node.step(now, {MessageReceived{append_response(2, 3)}}).committed_entries.empty());
+  EXPECT_EQ(node.step(now, {MessageReceived{append_response(3, 3)}}).committed_entries.size(), 1u);
 }
 
 TEST(Leader, WhoseDiskFailsHaltsAndGrantsNoVote) {
@@ -169,7 +170,8 @@
       node.step(now, {MessageReceived{message_from(2, Message::Type::kRequestVote, 9)}}).messages.empty());
 }
 
-// Found by seed 189: only the removed node had the entry that the others needed, and it started no election.
+// Regression test (simulator seed 189): only the removed node had the entry that the others needed, and it
+// did not start an election.
 TEST(Membership, ANodeWhoseRemovalIsNotCommittedMayStartAnElection) {
   auto stored = three_voters(2);
   consensus::Membership remaining;
@@ -182,20 +184,20 @@
 }
 
 TEST(Membership, ARemovalThatLeavesTooFewResponsiveVotersIsRejected) {
-  using What = consensus::MembershipChange::What;
+  using Kind = consensus::MembershipChange::Kind;
   Micros now;
   auto node = make_leader(&now);
   node.step(now, {MessageReceived{append_response(2, 2, 1)}});  // node 3 has not answered in this term
-  auto output = node.step(now, {consensus::MembershipChange{1, What::kRemove, 2}});
-  EXPECT_EQ(output.proposed[0].index, 0u);
-  EXPECT_STREQ(output.proposed[0].why, "too few of the voters that would be left are heard of");
-  output = node.step(now, {consensus::MembershipChange{2, What::kRemove, 3}});
-  EXPECT_NE(output.proposed[0].index, 0u);
-  output = node.step(now, {consensus::MembershipChange{3, What::kAddLearner, 9}});
-  EXPECT_STREQ(output.proposed[0].why, "another change of members is under way");
+  auto output = node.step(now, {consensus::MembershipChange{1, Kind::kRemove, 2}});
+  EXPECT_EQ(output.proposal_results[0].index, 0u);
+  EXPECT_STREQ(output.proposal_results[0].rejection_reason, "too few of the remaining voters are responsive");
+  output = node.step(now, {consensus::MembershipChange{2, Kind::kRemove, 3}});
+  EXPECT_NE(output.proposal_results[0].index, 0u);
+  output = node.step(now, {consensus::MembershipChange{3, Kind::kAddLearner, 9}});
+  EXPECT_STREQ(output.proposal_results[0].rejection_reason, "another membership change is in progress");
 }
 
-TEST(Snapshots, ALateOneKeepsTheAcknowledgedEntriesBehindIt) {
+TEST(Snapshots, ALateSnapshotKeepsTheAcknowledgedEntriesAfterIt) {
   auto node = make_node(1);
   auto append = message_from(2, Message::Type::kAppendEntries, 2);
   append.entries = {{2, 2, EntryType::kCommand, "a"}, {2, 3, EntryType::kCommand, "b"}};
@@ -209,29 +211,29 @@
   install.snapshot = snapshot;
   output = node.step(1s, {MessageReceived{install}});
   EXPECT_EQ(node.last_index(), 3u);
-  EXPECT_EQ(node.commit(), 2u);
-  EXPECT_FALSE(output.restored);
+  EXPECT_EQ(node.commit_index(), 2u);
+  EXPECT_FALSE(output.snapshot_to_restore);
 }
 
-// A leader of nodes 1 to 3 whose own disk and node 2 answer at once, and which takes a snapshot after each
-// growth.
-class GrowingLeader {
+// Node 1 as the leader of nodes 1 to 3. Its own writes and the appends to node 2 complete at once, and it
+// takes a snapshot after each batch of entries.
+class LeaderWithSnapshots {
  public:
-  explicit GrowingLeader(consensus::Options options) : node_(options, three_voters(), 0us) {
+  explicit LeaderWithSnapshots(consensus::Options options) : node_(options, three_voters(), 0us) {
     consensus::Output elected;
     now_ = elect(node_, &elected);
   }
   consensus::Output receive(Message message) {
     return node_.step(now_, {MessageReceived{std::move(message)}});
   }
-  void grow(int entries) {
+  void append_and_snapshot(int entries) {
     for (int i = 0; i < entries; ++i) {
       auto output = node_.step(now_, {consensus::Proposal{1, "x"}});
       for (const auto& write : output.writes) last_write_ = std::max(last_write_, write.number);
       node_.step(now_,
                  {MessageReceived{append_response(2, node_.last_index())}, WriteCompleted{last_write_}});
     }
-    node_.step(now_, {consensus::SnapshotTaken{node_.commit(), "state"}});
+    node_.step(now_, {consensus::SnapshotTaken{node_.commit_index(), "state"}});
   }
   const Raft& node() const { return node_; }
 
@@ -241,33 +243,34 @@
   std::uint64_t last_write_ = 0;
 };
 
-// The index of the snapshot that is sent to the node; 0: none.
+// Returns the index of the snapshot that the output sends to the node; 0 if there is none.
 Index snapshot_sent_to(NodeId id, const consensus::Output& output) {
   Index index = 0;
-  for (const auto& [message, after] : output.messages) {
+  for (const auto& [message, required_write] : output.messages) {
     if (message.type == Message::Type::kInstallSnapshot && message.to == id) index = message.snapshot->index;
   }
   return index;
 }
 
-// Found by seed 6853: a follower whose snapshot was outdated when it arrived waited 3 s for the next.
-TEST(Snapshots, AnOutdatedOneIsFollowedByTheNextAtOnce) {
+// Regression test (simulator seed 6853): a follower whose snapshot was outdated when it arrived waited 3 s
+// for the next one.
+TEST(Snapshots, AnOutdatedSnapshotIsFollowedByANewerOneAtOnce) {
   auto options = options_of(1);
-  options.trailing = 2;
-  GrowingLeader leader(options);
+  options.trailing_entries = 2;
+  LeaderWithSnapshots leader(options);
   ASSERT_TRUE(leader.node().is_leader());
-  leader.grow(10);
+  leader.append_and_snapshot(10);
   auto rejection = message_from(3, Message::Type::kAppendEntriesResponse, 2, 1);
   rejection.reject = true;
-  rejection.refused = leader.node().first_index();
+  rejection.rejected_index = leader.node().first_index();
   const auto first = snapshot_sent_to(3, leader.receive(rejection));
   ASSERT_GT(first, 0u);
-  leader.grow(10);
+  leader.append_and_snapshot(10);
   ASSERT_GT(leader.node().first_index(), first + 1);
   EXPECT_EQ(snapshot_sent_to(3, leader.receive(append_response(3, first))), leader.node().snapshot_index());
 }
 
-TEST(PersistentState, ThatNoNodeCanHaveIsRejectedAtTheStart) {
+TEST(PersistentState, IsRejectedAtTheStartIfItIsInvalid) {
   auto with_gap = three_voters(2);
   with_gap.entries = {{2, 2, EntryType::kCommand, ""}, {2, 4, EntryType::kCommand, ""}};
   EXPECT_THROW(make_node(1, with_gap), std::invalid_argument);
@@ -286,7 +289,7 @@
   return {node, number, {"j"}, std::move(holds)};
 }
 
-TEST(Leases, AJobGoesToAnotherNodeOnlyAfterTheSafeReassignmentDelay) {
+TEST(Leases, AJobIsGrantedToAnotherNodeOnlyAfterTheSafeReassignmentDelay) {
   ownership::LeaseOptions options;
   ownership::LeaseManager manager(options);
   ownership::LeaseRegistry registry;
@@ -303,7 +306,8 @@
   EXPECT_EQ(std::get<ownership::Grant>(commands[0]).owner, "b");
 }
 
-// Found by seed 32: a grant that took long to be committed, while its old owner was still being renewed.
+// Regression test (simulator seed 32): a grant took long to be committed, and the lease of the previous
+// holder was still renewed meanwhile.
 TEST(Leases, AreNotRenewedWhileAGrantIsBeingCommitted) {
   ownership::LeaseOptions options;
   ownership::LeaseManager manager(options);
@@ -317,13 +321,13 @@
   manager.on_renewal_request(10s + options.safe_reassignment_delay() + 1ms, renewal_request("a", 2),
                              registry);
   EXPECT_TRUE(manager.renewal_response("a", 2, registry).granted.empty());
-  manager.on_proposal_finished("j");  // it came to nothing
+  manager.on_proposal_finished("j");  // the grant was not applied
   manager.on_renewal_request(10s + options.safe_reassignment_delay() + 2ms, renewal_request("a", 3),
                              registry);
   EXPECT_EQ(manager.renewal_response("a", 3, registry).granted.size(), 1u);
 }
 
-TEST(Leases, RunFromTheTimeAtWhichTheRequestWasSent) {
+TEST(Leases, AreMeasuredFromTheTimeAtWhichTheRequestWasSent) {
   ownership::LeaseOptions options;
   ownership::LeaseClient client("a", options);
   auto request = client.make_renewal_request(10s, {"j"});
@@ -331,27 +335,27 @@
   client.on_renewal_response(10s + options.length - 1ms, response);
   EXPECT_TRUE(client.holds("j", 10s + options.length - 1us));
   EXPECT_FALSE(client.holds("j", 10s + options.length));
-  client.on_renewal_response(10s + 1ms, response);  // the same answer again
+  client.on_renewal_response(10s + 1ms, response);  // a duplicate of the response
   EXPECT_EQ(client.until("j"), 10s + options.length);
   EXPECT_EQ(client.expire(10s + options.length), std::vector<std::string>{"j"});
 }
 
-TEST(Leases, AnOwnerWithoutProgressLosesItsJob) {
+TEST(Leases, ALeaseHolderWithoutProgressLosesItsJob) {
   ownership::LeaseOptions options;
   ownership::LeaseManager manager(options);
   ownership::LeaseRegistry registry;
   registry.apply(5, ownership::Grant{"j", "a", 0});
   manager.on_elected(10s);
-  std::string new_owner;
+  std::string new_holder;
   Micros now = 10s;
-  for (int i = 0; i < 200 && new_owner.empty(); ++i, now += 200ms) {
+  for (int i = 0; i < 200 && new_holder.empty(); ++i, now += 200ms) {
     manager.on_renewal_request(now, renewal_request("a", static_cast<std::uint64_t>(i), {{"j", 5, 3}}),
                                registry);
     manager.on_renewal_request(now, renewal_request("b", static_cast<std::uint64_t>(i)), registry);
     for (const auto& command : manager.propose(now, registry))
-      new_owner = std::get<ownership::Grant>(command).owner;
+      new_holder = std::get<ownership::Grant>(command).owner;
   }
-  EXPECT_EQ(new_owner, "b");
+  EXPECT_EQ(new_holder, "b");
   EXPECT_GE(now, 10s + options.idle + options.safe_reassignment_delay());
 }
 
@@ -393,7 +397,7 @@
   registry.apply(5, ownership::Grant{"j", "a", 0}, &token);
   EXPECT_EQ(token, 5u);
   EXPECT_EQ(registry.apply(6, ownership::Grant{"j", "b", 0}),
-            ownership::LeaseRegistry::ApplyResult::kVoid);  // overtaken
+            ownership::LeaseRegistry::ApplyResult::kVoid);  // the job has another token by now
   registry.apply(7, ownership::Grant{"j", "b", 5});
   EXPECT_EQ(registry.apply(8, ownership::Publish{"j", 5, 1, "old"}),
             ownership::LeaseRegistry::ApplyResult::kStale);
@@ -437,7 +441,7 @@
   EXPECT_GT(first.history.size(), 5u);
 }
 
-TEST(Simulation, FindsTheMutantsOfLeasesAndDirectories) {
+TEST(Simulation, DetectsTheMutantsOfLeasesAndDirectories) {
   using testbench::simulation::Mutant;
   for (auto mutant : {Mutant::kNoCheck, Mutant::kTokenNotCompared, Mutant::kLostDirectoryVotes}) {
     bool found = false;
@@ -451,7 +455,7 @@
   }
 }
 
-TEST(SmallScope, IsExploredExhaustivelyAndFindsMutants) {
+TEST(SmallScope, IsExploredExhaustivelyAndMutantsAreDetected) {
   using namespace testbench::simulation;
   ScopeOptions scope;
   scope.elections = 2;
