--- a/src/app/group_runner.cpp
+++ b/src/app/group_runner.cpp
@@ -198,11 +198,11 @@
 
 void GroupRunner::start() {
   node_->start();
-  if (zone_observer_) look_timer_ = loop_.at(loop_.now() + group::kObserveEvery, [this] { look(); });
+  if (zone_observer_) look_timer_ = loop_.at(loop_.now() + group::kObservationInterval, [this] { look(); });
 }
 
 void GroupRunner::look() {
-  look_timer_ = loop_.at(loop_.now() + group::kObserveEvery, [this] { look(); });
+  look_timer_ = loop_.at(loop_.now() + group::kObservationInterval, [this] { look(); });
   node_->submit_observation(zone_observer_->observer().take_observation(
       loop_.now(), node_->adopted_plan_number(),
       [this](const std::string& server) { return decider_.spare_capacity(server); }));
--- a/src/group/consensus_driver.cpp
+++ b/src/group/consensus_driver.cpp
@@ -19,8 +19,8 @@
 // Entries between two snapshots: the log on the disk stays below two thousand.
 constexpr Index kSnapshotInterval = 1024;
 // What one step returns may call for another. More rounds in one turn would be a fault.
-constexpr int kMostRounds = 64;
-constexpr std::size_t kMostProposals = 4096;
+constexpr int kMaxRounds = 64;
+constexpr std::size_t kMaxPendingProposals = 4096;
 // A state that an operator imposes gets write numbers far above all that are still on their way.
 constexpr std::uint64_t kRestartWriteGap = 1'000'000;
 // A recovered group begins so far above its log that no token of a lost node is granted again.
@@ -73,7 +73,7 @@
 }
 
 void ConsensusDriver::propose(const std::string& command, CompletionCallback on_completion) {
-  if (proposals_by_ticket_.size() + proposals_in_log_.size() >= kMostProposals)
+  if (proposals_by_ticket_.size() + proposals_in_log_.size() >= kMaxPendingProposals)
     return on_completion({0, "too much is under way"});
   auto ticket = ++last_ticket_;
   proposals_by_ticket_[ticket] = std::move(on_completion);
@@ -123,7 +123,7 @@
 
 void ConsensusDriver::step() {
   if (!raft_) return;
-  for (int round = 0; round < kMostRounds; ++round) {
+  for (int round = 0; round < kMaxRounds; ++round) {
     auto now = net::monotonic_now();
     if (inputs_.empty() && now < raft_->due()) break;
     auto inputs = std::exchange(inputs_, {});
--- a/src/group/endpoint_list_publisher.cpp
+++ b/src/group/endpoint_list_publisher.cpp
@@ -86,7 +86,7 @@
 }
 
 void EndpointListPublisher::report_status(Micros now) {
-  bool is_answered = last_answer_.count() > 0 && now - last_answer_ < kListKnown;
+  bool is_answered = last_answer_.count() > 0 && now - last_answer_ < kEndpointListValidity;
   if (now - last_status_ < kStatusInterval || !is_answered) return;
   last_status_ = now;
   peers::EndpointListStatus status;
--- a/src/group/endpoint_list_subscriber.cpp
+++ b/src/group/endpoint_list_subscriber.cpp
@@ -218,7 +218,7 @@
 // Copies go out after a change only; in between this tells that the last one is still valid.
 void EndpointListSubscriber::send_confirmation() {
   bool is_answered =
-      last_fallback_answer_.count() > 0 && net::monotonic_now() - last_fallback_answer_ <= kListKnown;
+      last_fallback_answer_.count() > 0 && net::monotonic_now() - last_fallback_answer_ <= kEndpointListValidity;
   if (!fallback_watch_ || !is_answered) return;
   peers::EndpointListConfirmation confirmation{effective_list_.generation, unix_ms()};
   connections_.disseminate(peers::encode(confirmation), nullptr);
--- a/src/group/follower_replication.cpp
+++ b/src/group/follower_replication.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 // A follower further behind gets the complete state: one frame instead of thousands of commands.
-constexpr consensus::Index kMostCommandsBehind = 4096;
+constexpr consensus::Index kMaxCommandsBehind = 4096;
 
 }  // namespace
 
@@ -26,7 +26,7 @@
 
 bool FollowerReplication::can_send_commands_since(consensus::Index index) const {
   return index > 0 && index + 1 >= consensus_.raft()->first_index() &&
-         state_.applied_index() - index <= kMostCommandsBehind;
+         state_.applied_index() - index <= kMaxCommandsBehind;
 }
 
 std::string FollowerReplication::make_commands_frame(consensus::Index from) const {
--- a/src/group/node.h
+++ b/src/group/node.h
@@ -57,7 +57,7 @@
 
   // This process needs load reports of a server: for a while its health check job reports on it.
   void subscribe_to_load(const std::string& server);
-  // What this process observed of zones of data servers since the last call, every kObserveEvery.
+  // What this process observed of zones of data servers since the last call, every kObservationInterval.
   void submit_observation(placement::Observation observation);
   // Of the plan that this process follows; 0: it follows none.
   std::uint64_t adopted_plan_number() const;
--- a/src/group/options.h
+++ b/src/group/options.h
@@ -15,12 +15,12 @@
 using Micros = std::chrono::microseconds;
 
 // Between two observations of a proxy, two sums of a voter, and two rounds of planning.
-constexpr Micros kObserveEvery{500'000};
+constexpr Micros kObservationInterval{500'000};
 // The list service may keep a poll open for 5 s, and an answer is given 1 s more: whoever has had none for 7
 // s does not know the current endpoint list any more.
-constexpr Micros kListKnown{7'000'000};
+constexpr Micros kEndpointListValidity{7'000'000};
 // Proxies whose observations one voter keeps; more are ignored.
-constexpr std::size_t kMostPlaced = 4096;
+constexpr std::size_t kMaxObservedProxies = 4096;
 
 // A voter, as the operator's file names it.
 struct NodeAddress {
--- a/src/group/placement_job.cpp
+++ b/src/group/placement_job.cpp
@@ -46,7 +46,7 @@
 
 void PlacementJob::start() {
   if (!builder_) return;
-  auto first = context_.random_time_within(kObserveEvery);
+  auto first = context_.random_time_within(kObservationInterval);
   round_timer_ = context_.loop.at(first, [this] { run_placement(); });
 }
 
@@ -84,7 +84,7 @@
 // ---- Rounds
 
 void PlacementJob::run_placement() {
-  round_timer_ = context_.loop.at(context_.loop.now() + kObserveEvery, [this] { run_placement(); });
+  round_timer_ = context_.loop.at(context_.loop.now() + kObservationInterval, [this] { run_placement(); });
   auto now = net::monotonic_now();
   auto sum = builder_->sum(now);
   if (!leases_.holds(kPlacementJob, now)) {
--- a/src/group/placement_job.h
+++ b/src/group/placement_job.h
@@ -34,7 +34,7 @@
                PlanSubscriber& plans, LoadReportGossip& gossip);
 
   bool is_enabled() const { return builder_.has_value(); }
-  // Rounds follow each other every kObserveEvery, from a random time on; none where it is not enabled.
+  // Rounds follow each other every kObservationInterval, from a random time on; none where it is not enabled.
   void start();
 
   // What this process observed, taken at this time of its own wall clock.
--- a/src/group/plan_builder.cpp
+++ b/src/group/plan_builder.cpp
@@ -41,7 +41,7 @@
 
 void PlanBuilder::add_observation(const std::string& proxy, placement::Observation observation, Micros age,
                                   Micros now) {
-  if (by_proxy_.size() >= kMostPlaced && !by_proxy_.contains(proxy)) return;
+  if (by_proxy_.size() >= kMaxObservedProxies && !by_proxy_.contains(proxy)) return;
   by_proxy_[proxy] = {std::move(observation), now - std::max(Micros(0), age), now};
 }
 
@@ -83,7 +83,7 @@
   drop_expired(&by_voter_, now);
   placement::Input input;
   input.now = unix_ms;
-  input.seconds = static_cast<double>(kObserveEvery.count()) / 1e6;
+  input.seconds = static_cast<double>(kObservationInterval.count()) / 1e6;
   input.seen = sum_of(by_voter_, now);
   demand_.debounce(input.seen, input.seconds);
   input.asked = demand_.rates();
--- a/src/group/plan_builder.h
+++ b/src/group/plan_builder.h
@@ -20,7 +20,7 @@
  public:
   explicit PlanBuilder(const PlacementOptions& options);
 
-  // A voter's. `age`: since the observation was taken. Beyond kMostPlaced proxies a new one is ignored.
+  // A voter's. `age`: since the observation was taken. Beyond kMaxObservedProxies proxies a new one is ignored.
   void add_observation(const std::string& proxy, placement::Observation observation, Micros age, Micros now);
   void remove_proxy(const std::string& proxy);
   // Of all proxies: the health that was observed lately, and the demand of a longer time.
--- a/src/group/replicated_state.cpp
+++ b/src/group/replicated_state.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 // A replaced lease holder that goes on for a while is logged at first and then once in so many effects.
-constexpr std::uint64_t kLogEveryRejected = 1000;
+constexpr std::uint64_t kRejectionLogInterval = 1000;
 
 }  // namespace
 
@@ -49,7 +49,7 @@
 
 bool ReplicatedState::admit_effect(const std::string& job, ownership::Token token) {
   if (fencing_token_guard_.admit(job, token)) return true;
-  if (++rejected_effects_ == 1 || rejected_effects_ % kLogEveryRejected == 0)
+  if (++rejected_effects_ == 1 || rejected_effects_ % kRejectionLogInterval == 0)
     context_.log(net::Level::kWarning,
                  fmt::format("turned down facts of {} with the old token {} ({} so far)", job, token,
                              rejected_effects_));
