--- a/src/app/group_runner.cpp
+++ b/src/app/group_runner.cpp
@@ -134,7 +134,7 @@
     setrlimit(RLIMIT_NOFILE, &limit);
   }
   options.seed = seed;
-  options.spread = std::max(options.spread, kPollSpacing * settings.routers);
+  options.fallback_jitter = std::max(options.fallback_jitter, kPollSpacing * settings.routers);
   if (options.probe_every.count() == 0) {
     // Replicas are asked in turn: of two, one was asked within a third of the bound, which leaves two thirds
     // for lag and the way here; of one, it is asked twice as often.
--- a/src/app/operator_file.cpp
+++ b/src/app/operator_file.cpp
@@ -100,20 +100,20 @@
       auto span = [&](const char* key, group::Micros* to) {
         if (p.contains(key)) *to = group::Micros(p.at(key).get<std::int64_t>() * 1000);
       };
-      span("keep_ms", &places.keep);
+      span("keep_ms", &places.contact_timeout);
       span("dwell_ms", &places.minimum_phase_duration);
       span("open_after_ms", &places.open_after);
-      span("step_ms", &places.step);
+      span("step_ms", &places.step_every);
     }
-    if (o.voter()) o.jobs = {"list", "probe"};
-    if (o.voter() && o.placement) o.jobs.push_back("placement");
+    if (o.is_voter()) o.jobs = {"list", "probe"};
+    if (o.is_voter() && o.placement) o.jobs.push_back("placement");
     o.jobs = g.value("jobs", o.jobs);
     auto millis = [&](const char* key, group::Micros* to) {
       if (g.contains(key)) *to = group::Micros(g.at(key).get<std::int64_t>() * 1000);
     };
     millis("heartbeat_ms", &o.heartbeat);
     millis("lease_ms", &o.lease);
-    millis("fallback_ms", &o.fallback);
+    millis("fallback_ms", &o.fallback_timeout);
     millis("probe_every_ms", &o.probe_every);
     if (g.contains("election_ms")) {
       o.election_min = group::Micros(g.at("election_ms").at(0).get<std::int64_t>() * 1000);
@@ -175,9 +175,9 @@
   if (running.group && read.group) {
     auto &c = *running.group, &d = *read.group;
     differs(c.installation != d.installation || c.name != d.name || c.listen != d.listen ||
-                c.directory != d.directory || c.voter() != d.voter() || c.jobs != d.jobs ||
+                c.directory != d.directory || c.is_voter() != d.is_voter() || c.jobs != d.jobs ||
                 c.heartbeat != d.heartbeat || c.election_min != d.election_min ||
-                c.election_max != d.election_max || c.lease != d.lease || c.fallback != d.fallback ||
+                c.election_max != d.election_max || c.lease != d.lease || c.fallback_timeout != d.fallback_timeout ||
                 c.probe_every != d.probe_every || c.placement != d.placement,
             "group (all but nodes)");
   }
--- a/src/group/endpoint_list_subscriber.cpp
+++ b/src/group/endpoint_list_subscriber.cpp
@@ -60,7 +60,7 @@
 
 // Spread over the nodes, so that they do not all turn to the list service at once.
 void EndpointListSubscriber::draw_fallback_delay() {
-  fallback_delay_ = context_.options.fallback + context_.random_below(context_.options.spread);
+  fallback_delay_ = context_.options.fallback_timeout + context_.random_below(context_.options.fallback_jitter);
 }
 
 void EndpointListSubscriber::on_discovery_changed() {
@@ -117,7 +117,7 @@
 }
 
 void EndpointListSubscriber::on_owner_status(const peers::EndpointListStatus& status) {
-  if (age_of_unix_ms(status.sent_at_unix_ms) > context_.options.fallback) return;
+  if (age_of_unix_ms(status.sent_at_unix_ms) > context_.options.fallback_timeout) return;
   // A holder whose newest list has not reached this node is no contact: the list here is out of date.
   if (is_published_ && effective_list_.generation >= status.generation) last_contact_ = net::monotonic_now();
 }
@@ -143,7 +143,7 @@
 void EndpointListSubscriber::on_confirmation(peers::Link& link, const peers::EncodedMessage& message) {
   if (link.peer().role != peers::PeerRole::kVoter) return;
   auto confirmation = peers::decode_endpoint_list_confirmation(message);
-  if (age_of_unix_ms(confirmation.sent_at_unix_ms) > context_.options.fallback) return;
+  if (age_of_unix_ms(confirmation.sent_at_unix_ms) > context_.options.fallback_timeout) return;
   connections_.disseminate(message, &link);
   if (effective_list_.generation >= confirmation.generation && selector_.has_list())
     last_contact_ = net::monotonic_now();
@@ -159,7 +159,7 @@
     if (!selector_.consider(Source::kPeer, copy.installation, std::move(list), copy.published_at_unix_ms))
       return;
     // A copy that a voter kept on its disk says nothing of today.
-    if (age_of_unix_ms(copy.published_at_unix_ms) <= context_.options.fallback)
+    if (age_of_unix_ms(copy.published_at_unix_ms) <= context_.options.fallback_timeout)
       last_contact_ = net::monotonic_now();
     put_into_effect(false);
     connections_.disseminate(message, &link);
--- a/src/group/endpoint_list_subscriber.h
+++ b/src/group/endpoint_list_subscriber.h
@@ -1,7 +1,7 @@
 // Which endpoint list is in effect at this node, and what happens when the group no longer provides one.
 //
 // The list normally comes through the replicated state. When nothing is heard of the lease holder of the job
-// `list` for Options::fallback and a random share of Options::spread, the group counts as unavailable: a
+// `list` for Options::fallback_timeout and a random share of Options::fallback_jitter, the group counts as unavailable: a
 // voter then polls the list service itself and sends copies of what it gets to the other voters and to all
 // followers, so that hundreds of followers need not poll; a follower that hears nothing of a voter either is
 // told to poll by itself. Which of several lists is in effect is decided in endpoint_list/.
--- a/src/group/node_context.h
+++ b/src/group/node_context.h
@@ -34,7 +34,7 @@
   NodeContext& operator=(const NodeContext&) = delete;
 
   // Voters keep the log; all other nodes follow one of them. It never changes while the process runs.
-  bool is_voter() const { return options.voter(); }
+  bool is_voter() const { return options.is_voter(); }
   const std::string& name() const { return options.name; }
   void log(net::Level level, const std::string& line) const { log_sink(level, "group: " + line); }
 
--- a/src/group/options.cpp
+++ b/src/group/options.cpp
@@ -32,7 +32,7 @@
 }
 
 void check_own_place(const Options& options) {
-  if (!options.voter()) {
+  if (!options.is_voter()) {
     require(options.listen.empty(),
             fmt::format("group.listen: {} is none of group.nodes, and only voters listen", options.name));
     return;
@@ -46,17 +46,17 @@
 void check_placement(const Options& options) {
   bool runs_placement = std::count(options.jobs.begin(), options.jobs.end(), "placement") > 0;
   require(!runs_placement || options.placement, "group.jobs: placement needs the section group.placement");
-  require(!runs_placement || options.voter(), "group.jobs: placement is a voter's");
+  require(!runs_placement || options.is_voter(), "group.jobs: placement is a voter's");
   if (!options.placement) return;
   require(!options.placement->regions.empty(), "group.placement.regions names no zone");
   require(options.placement->requests_per_weight > 0, "group.placement.requests_per_weight is missing");
-  require(options.placement->keep > options.election_max,
+  require(options.placement->contact_timeout > options.election_max,
           "group.placement.keep_ms must be longer than an election");
 }
 
 }  // namespace
 
-bool Options::voter() const {
+bool Options::is_voter() const {
   return std::any_of(nodes.begin(), nodes.end(), [&](auto& node) { return node.name == name; });
 }
 
--- a/src/group/options.h
+++ b/src/group/options.h
@@ -37,9 +37,9 @@
   // As in placement::Options.
   Micros minimum_phase_duration{10'000'000};
   Micros open_after{5'000'000};
-  Micros step{2'000'000};
+  Micros step_every{2'000'000};
   // A proxy that has no contact with the group for this long leaves the plan and decides for itself.
-  Micros keep{10'000'000};
+  Micros contact_timeout{10'000'000};
   // From the platform's settings.
   Micros warm_up{0};
   double initial_capacity_share = 1;
@@ -58,18 +58,18 @@
   Micros election_min{600'000};
   Micros election_max{1'200'000};
   Micros lease{2'000'000};
-  // Without contact with the owner of the endpoint list for this long, and a random part of `spread` more,
+  // Without contact with the owner of the endpoint list for this long, and a random part of `fallback_jitter` more,
   // the group counts as unavailable. The random part keeps proxies that lose it together from polling
   // together.
-  Micros fallback{3'000'000};
-  Micros spread{1'000'000};
+  Micros fallback_timeout{3'000'000};
+  Micros fallback_jitter{1'000'000};
   // Between two health checks of one replica; 0: two thirds of the tightest bound on the age of reads.
   Micros probe_every{0};
   std::uint64_t seed = 0;
   std::optional<PlacementOptions> placement;  // none: each proxy decides for itself where its reads go
 
   // Whether this process is one of `nodes`.
-  bool voter() const;
+  bool is_voter() const;
 };
 
 // Throws std::invalid_argument with one line.
--- a/src/group/plan_builder.cpp
+++ b/src/group/plan_builder.cpp
@@ -28,7 +28,7 @@
   placement::Options planner;
   planner.minimum_phase_duration = options.minimum_phase_duration / Micros(1000);
   planner.open_after = options.open_after / Micros(1000);
-  planner.step_every = options.step / Micros(1000);
+  planner.step_every = options.step_every / Micros(1000);
   return planner;
 }
 
--- a/src/group/plan_subscriber.cpp
+++ b/src/group/plan_subscriber.cpp
@@ -79,7 +79,7 @@
 
 void PlanSubscriber::check_last_contact() {
   if (!context_.options.placement || plan_.number == 0) return;
-  bool is_in_contact = net::monotonic_now() - last_contact_ <= context_.options.placement->keep;
+  bool is_in_contact = net::monotonic_now() - last_contact_ <= context_.options.placement->contact_timeout;
   if (is_in_contact == is_following_) return;
   if (is_in_contact)
     adopt_plan();
--- a/src/group/plan_subscriber.h
+++ b/src/group/plan_subscriber.h
@@ -1,5 +1,5 @@
 // The plan of zones as the group has committed it, and whether this process follows it. A process that hears
-// nothing of the plan's owner for PlacementOptions::keep leaves the plan and decides for itself, until it
+// nothing of the plan's owner for PlacementOptions::contact_timeout leaves the plan and decides for itself, until it
 // hears of the owner again.
 //
 // Belongs to the group's thread, except adopted_plan_number(). Without Options::placement nothing happens.
--- a/tests/formats/peer_messages_test.cpp
+++ b/tests/formats/peer_messages_test.cpp
@@ -243,7 +243,7 @@
   options.nodes = {{"a", "127.0.0.1:1"}, {"b", listener.address()}, {"c", "127.0.0.1:3"}};
   options.election_min = group::Micros(60'000'000);
   options.election_max = group::Micros(100'000'000);
-  options.lease = options.placement->keep = group::Micros(200'000'000);
+  options.lease = options.placement->contact_timeout = group::Micros(200'000'000);
   TestNode node(options);
   node.node().start();
   auto dialed = listener.accept_peer();
--- a/tests/formats/test_node.h
+++ b/tests/formats/test_node.h
@@ -56,7 +56,7 @@
   options.nodes = std::move(nodes);
   options.seed = 7;
   options.probe_every = group::Micros(200'000);
-  if (options.voter()) options.listen = "127.0.0.1:0";
+  if (options.is_voter()) options.listen = "127.0.0.1:0";
   return options;
 }
 
