--- a/src/app/group_runner.h
+++ b/src/app/group_runner.h
@@ -21,7 +21,7 @@
               net::Log log);
   ~GroupRunner() override;
   void start();
-  void leave() { node_->hand_over(); }
+  void leave() { node_->resign(); }
   void reconfigure(const std::string& discovery, std::vector<group::NodeAddress> nodes) {
     node_->reconfigure(discovery, std::move(nodes));
   }
--- a/src/group/consensus_driver.cpp
+++ b/src/group/consensus_driver.cpp
@@ -38,7 +38,7 @@
     start(std::move(stored));
   };
   auto on_written_in_store_thread = [this](std::uint64_t number, const std::string& error) {
-    context_.mailbox.post([this, number, error] { on_written(number, error); });
+    context_.task_queue.post([this, number, error] { on_written(number, error); });
   };
   auto entries = storage_.open(start_consensus, on_written_in_store_thread);
   connections_.set_own_id(id_);
--- a/src/group/node.cpp
+++ b/src/group/node.cpp
@@ -10,9 +10,9 @@
 namespace database_proxy::group {
 
 Node::Node(Options options, std::string discovery, discovery::PollingSchedule schedule,
-           discovery::EndpointListUpdate known, NodeHost& host, net::Log log)
+           discovery::EndpointListUpdate initial_list, NodeHost& host, net::Log log)
     : modules_(std::make_unique<NodeModules>(std::move(options), std::move(discovery), schedule,
-                                             std::move(known), host, std::move(log))) {}
+                                             std::move(initial_list), host, std::move(log))) {}
 
 Node::~Node() { stop(); }
 
@@ -30,8 +30,8 @@
   modules_->close_storage();
 }
 
-void Node::hand_over() {
-  modules_->post([](NodeModules& modules) { modules.hand_over(); });
+void Node::resign() {
+  modules_->post([](NodeModules& modules) { modules.resign(); });
 }
 
 void Node::subscribe_to_load(const std::string& server) {
--- a/src/group/node.h
+++ b/src/group/node.h
@@ -35,12 +35,12 @@
 // Constructed, started and stopped by the process; everything else happens in its own thread.
 class Node {
  public:
-  // Opens a voter's directory and listens. `discovery`: the list service's address. `known`: the endpoint
+  // Opens a voter's directory and listens. `discovery`: the list service's address. `initial_list`: the endpoint
   // list that the process has from elsewhere. Throws std::runtime_error with one line for a directory of
   // another installation or in use and for a port in use, std::invalid_argument for options that check()
   // rejects.
   Node(Options options, std::string discovery, discovery::PollingSchedule schedule,
-       discovery::EndpointListUpdate known, NodeHost& host, net::Log log);
+       discovery::EndpointListUpdate initial_list, NodeHost& host, net::Log log);
   ~Node();
   Node(const Node&) = delete;
   Node& operator=(const Node&) = delete;
@@ -49,7 +49,7 @@
   void start();
   // Hands its jobs and its leadership over, which takes about a second at most. The thread goes on until
   // stop().
-  void hand_over();
+  void resign();
   // Ends the thread, after what was given to the disk is written.
   void stop();
 
--- a/src/group/node_context.cpp
+++ b/src/group/node_context.cpp
@@ -24,7 +24,7 @@
       discovery_address(std::move(discovery)),
       polling_schedule(schedule),
       log_sink(std::move(sink)),
-      mailbox(loop),
+      task_queue(loop),
       random_state_(options.seed ^ kSeedMask) {
   // Nodes that are configured with one seed still draw differently.
   for (unsigned char letter : options.name) random_state_ = (random_state_ ^ letter) * kFnvPrime;
--- a/src/group/node_context.h
+++ b/src/group/node_context.h
@@ -1,7 +1,7 @@
 // What all modules of one node share: its options, its event loop, its log and its source of randomness. It
 // outlives them.
 //
-// Everything here belongs to the group's thread, except the mailbox, which takes calls from any thread.
+// Everything here belongs to the group's thread, except the task_queue, which takes calls from any thread.
 #pragma once
 
 #include <cstdint>
@@ -52,7 +52,7 @@
   discovery::PollingSchedule polling_schedule;
   net::Log log_sink;
   net::Loop loop;
-  net::TaskQueue mailbox;
+  net::TaskQueue task_queue;
 
  private:
   std::uint64_t random_state_;
