--- a/src/group/admin_commands.cpp
+++ b/src/group/admin_commands.cpp
@@ -52,7 +52,7 @@
 
 void AdminCommands::pass_to_leader(peers::Link& link, const peers::EncodedMessage& message) {
   auto routed = peers::with_type_and_route(message, peers::MessageType::kForwardedCommand,
-                                           forwarding_.route_below(link));
+                                           forwarding_.downstream_route(link));
   if (!forwarding_.send_to_leader(routed))
     link.send(peers::encode(AdminAnswer{false, "no leader is known", {}}));
 }
--- a/src/group/consensus_driver.cpp
+++ b/src/group/consensus_driver.cpp
@@ -92,7 +92,7 @@
 
 void ConsensusDriver::confirm_leadership(LeadershipCallback on_result) {
   auto ticket = ++last_ticket_;
-  reads_[ticket] = std::move(on_result);
+  pending_confirmations_[ticket] = std::move(on_result);
   inputs_.emplace_back(consensus::ReadRequest{ticket});
 }
 
@@ -146,19 +146,19 @@
   }
   apply_committed(output.committed);
   take_snapshot_if_due();
-  report_leadership();
-  assign_positions(output.proposed);
-  complete_reads(output.reads);
+  notify_leadership_change();
+  record_log_positions(output.proposed);
+  complete_confirmations(output.reads);
 }
 
 void ConsensusDriver::log_role_change(const consensus::RoleChange& change) {
   // Without a majority a node campaigns every second; one line for that is enough.
-  bool is_repeated = change.role == consensus::Role::kPreCandidate && last_campaign_logged_ == change.term;
-  if (change.role == consensus::Role::kPreCandidate) last_campaign_logged_ = change.term;
-  if (change.leader != consensus::kNobody) last_campaign_logged_ = 0;
+  bool is_repeated = change.role == consensus::Role::kPreCandidate && last_logged_campaign_term_ == change.term;
+  if (change.role == consensus::Role::kPreCandidate) last_logged_campaign_term_ = change.term;
+  if (change.leader != consensus::kNobody) last_logged_campaign_term_ = 0;
   if (is_repeated) return;
-  bool names_leader = change.leader != consensus::kNobody && change.role != consensus::Role::kLeader;
-  auto leader = names_leader ? fmt::format(" (leader {})", connections_.name_of(change.leader)) : "";
+  bool shows_leader = change.leader != consensus::kNobody && change.role != consensus::Role::kLeader;
+  auto leader = shows_leader ? fmt::format(" (leader {})", connections_.name_of(change.leader)) : "";
   context_.log(change.role == consensus::Role::kHalted ? Level::kError : Level::kInfo,
                fmt::format("{} in term {}: {}{}", consensus::text_of(change.role), change.term,
                            consensus::text_of(change.reason), leader));
@@ -203,7 +203,7 @@
   inputs_.emplace_back(consensus::SnapshotTaken{snapshot_index_, state_.registry().encode()});
 }
 
-void ConsensusDriver::report_leadership() {
+void ConsensusDriver::notify_leadership_change() {
   bool was_leader = last_role_ == consensus::Role::kLeader;
   last_role_ = raft_->role();
   if (raft_->is_leader() && !was_leader) observer_.on_elected();
@@ -213,7 +213,7 @@
     on_completion({0, "unknown: leadership was lost"});
 }
 
-void ConsensusDriver::assign_positions(const std::vector<consensus::ProposalResult>& results) {
+void ConsensusDriver::record_log_positions(const std::vector<consensus::ProposalResult>& results) {
   for (auto& result : results) {
     auto found = proposals_by_ticket_.find(result.ticket);
     if (found == proposals_by_ticket_.end()) continue;
@@ -226,12 +226,12 @@
   }
 }
 
-void ConsensusDriver::complete_reads(const std::vector<consensus::ReadResult>& results) {
+void ConsensusDriver::complete_confirmations(const std::vector<consensus::ReadResult>& results) {
   for (auto& result : results) {
-    auto found = reads_.find(result.ticket);
-    if (found == reads_.end()) continue;
+    auto found = pending_confirmations_.find(result.ticket);
+    if (found == pending_confirmations_.end()) continue;
     auto on_result = std::move(found->second);
-    reads_.erase(found);
+    pending_confirmations_.erase(found);
     on_result(result.confirmed);
   }
 }
--- a/src/group/consensus_driver.h
+++ b/src/group/consensus_driver.h
@@ -101,9 +101,9 @@
   void apply_committed(const std::vector<consensus::Entry>& entries);
   void log_members(const consensus::Membership& members) const;
   void take_snapshot_if_due();
-  void report_leadership();
-  void assign_positions(const std::vector<consensus::ProposalResult>& results);
-  void complete_reads(const std::vector<consensus::ReadResult>& results);
+  void notify_leadership_change();
+  void record_log_positions(const std::vector<consensus::ProposalResult>& results);
+  void complete_confirmations(const std::vector<consensus::ReadResult>& results);
 
   NodeContext& context_;
   RaftStorage& storage_;
@@ -116,7 +116,7 @@
   std::vector<consensus::Input> inputs_;
   net::Loop::TimerId step_timer_ = net::Loop::kNoTimer;
   consensus::Role last_role_ = consensus::Role::kFollower;
-  std::optional<consensus::Term> last_campaign_logged_;
+  std::optional<consensus::Term> last_logged_campaign_term_;
   consensus::Index snapshot_index_ = 0;
 
   // Raft numbers its writes from 1 when it is started; the storage's numbers go on.
@@ -128,7 +128,7 @@
   std::uint64_t last_ticket_ = 0;
   std::map<std::uint64_t, CompletionCallback> proposals_by_ticket_;  // not in the log yet
   std::map<EntryPosition, CompletionCallback> proposals_in_log_;     // not committed yet
-  std::map<std::uint64_t, LeadershipCallback> reads_;
+  std::map<std::uint64_t, LeadershipCallback> pending_confirmations_;
 };
 
 }  // namespace database_proxy::group
--- a/src/group/leader_forwarding.cpp
+++ b/src/group/leader_forwarding.cpp
@@ -21,7 +21,7 @@
   bool is_from_voter = link.peer().role == peers::PeerRole::kVoter;
   bool is_proposal = request.type() == peers::MessageType::kProposal;
   if (!is_from_voter && is_proposal && !peers::has_command(request)) return;
-  auto routed = is_from_voter ? request : peers::with_route(request, route_below(link));
+  auto routed = is_from_voter ? request : peers::with_route(request, downstream_route(link));
   if (send_to_leader(routed) || !is_proposal) return;
   peers::ProposalResult result;
   result.route = peers::decode_route(routed);
--- a/src/group/leader_forwarding.h
+++ b/src/group/leader_forwarding.h
@@ -49,7 +49,7 @@
   // Of requests that this node makes itself.
   peers::Route own_route() const { return {context_.name(), context_.name()}; }
   // Of requests that come from below this node.
-  peers::Route route_below(const peers::Link& link) const { return {link.peer().name, context_.name()}; }
+  peers::Route downstream_route(const peers::Link& link) const { return {link.peer().name, context_.name()}; }
 
  private:
   NodeContext& context_;
--- a/src/group/options.cpp
+++ b/src/group/options.cpp
@@ -11,8 +11,8 @@
 namespace database_proxy::group {
 namespace {
 
-void require(bool holds, const std::string& complaint) {
-  if (!holds) throw std::invalid_argument(complaint);
+void require(bool condition, const std::string& message) {
+  if (!condition) throw std::invalid_argument(message);
 }
 
 void check_nodes(const std::vector<NodeAddress>& nodes) {
@@ -31,7 +31,7 @@
   }
 }
 
-void check_own_place(const Options& options) {
+void check_own_role(const Options& options) {
   if (!options.is_voter()) {
     require(options.listen.empty(),
             fmt::format("group.listen: {} is none of group.nodes, and only voters listen", options.name));
@@ -64,7 +64,7 @@
   require(!options.installation.empty(), "group.installation is missing");
   require(!options.name.empty(), "group.name, this node's own, is missing");
   check_nodes(options.nodes);
-  check_own_place(options);
+  check_own_role(options);
   require(
       options.heartbeat * 4 <= options.election_min && options.election_min * 3 <= options.election_max * 2,
       "group.election_ms must be four heartbeats at least, its end half as much again");
--- a/src/group/placement_job.cpp
+++ b/src/group/placement_job.cpp
@@ -177,7 +177,7 @@
     return;
   }
   auto routed = peers::with_type_and_route(message, peers::MessageType::kPlacementCommand,
-                                           forwarding_.route_below(link));
+                                           forwarding_.downstream_route(link));
   if (job->owner == context_.name()) return on_routed_command(routed);
   if (connections_.send_to_voter(job->owner, routed)) return;
   refuse_here(fmt::format("{}, which owns the job placement, is out of reach of this node", job->owner));
