--- a/src/group/node.h
+++ b/src/group/node.h
@@ -1,18 +1,19 @@
-// One node of the group, in a thread of its own. It joins the modules of this folder: each of them owns its
-// state and says in its header what it does; the node passes events from one to another and decides nothing.
+// One node of the group, in a thread of its own. It connects the modules of this folder. Each module owns its
+// state and documents its task in its header; the node forwards events between the modules and makes no
+// decisions.
 //
 //   peer_connections      links to other daemons
-//   consensus_driver      the replicated log of a voter, on raft_storage
-//   replicated_state      what the log has made: leases, the published list and plan
-//   follower_replication  the same for followers
+//   consensus_driver      the replicated log of a voter, stored by raft_storage
+//   replicated_state      the state built from the log: leases, the published endpoint list and plan
+//   follower_replication  replication of that state to followers
 //   leader_forwarding     requests to the leader, responses back
-//   lease_session         leases on jobs, held and granted
+//   lease_session         leases on jobs, as lease holder and as leader
 //   endpoint_list_...     the job `list`: publisher, and subscriber with its fallback
 //   health_check_job      the jobs `probe N`, with load_report_gossip
 //   placement_job         the job `placement`, with plan_builder and plan_subscriber
-//   admin_commands        what operators ask
+//   admin_commands        commands of operators
 //
-// docs/design/group.md tells why it is built like this.
+// docs/design/group.md gives the reasons for this design.
 #pragma once
 
 #include <cstdint>
@@ -32,13 +33,14 @@
 
 class NodeModules;
 
-// Constructed, started and stopped by the process; everything else happens in its own thread.
+// One node of the group. The process constructs, starts and stops it; everything else runs in the node's own
+// thread.
 class Node {
  public:
-  // Opens a voter's directory and listens. `discovery`: the list service's address. `initial_list`: the endpoint
-  // list that the process has from elsewhere. Throws std::runtime_error with one line for a directory of
-  // another installation or in use and for a port in use, std::invalid_argument for options that check()
-  // rejects.
+  // Opens the directory of a voter and listens. `discovery`: the list service's address. `initial_list`: the
+  // endpoint list that the process already has from another source. Throws std::runtime_error with a one-line
+  // message for a directory that belongs to another installation or is in use, and for a port in use;
+  // std::invalid_argument for options that check() rejects.
   Node(Options options, std::string discovery, discovery::PollingSchedule schedule,
        discovery::EndpointListUpdate initial_list, NodeHost& host, net::Log log);
   ~Node();
@@ -47,21 +49,24 @@
 
   // Starts the thread.
   void start();
-  // Hands its jobs and its leadership over, which takes about a second at most. The thread goes on until
-  // stop().
+  // Releases all leases and, on the leader, transfers leadership, which takes about a second at most. The
+  // thread runs on until stop().
   void resign();
-  // Ends the thread, after what was given to the disk is written.
+  // Stops the thread and waits until everything passed to the storage is written.
   void stop();
 
-  // All of these from any thread.
+  // The functions below may be called from any thread.
 
-  // This process needs load reports of a server: for a while its health check job reports on it.
+  // Subscribes to load reports of a server: for a while, the health check job of its shard group sends
+  // reports on it.
   void subscribe_to_load(const std::string& server);
-  // What this process observed of zones of data servers since the last call, every kObservationInterval.
+  // Submits what this process has observed of zones of data servers since the last call. To be called every
+  // kObservationInterval.
   void submit_observation(placement::Observation observation);
-  // Of the plan that this process follows; 0: it follows none.
+  // Returns the number of the plan that this process follows; 0: it follows none.
   std::uint64_t adopted_plan_number() const;
-  // What may change while it runs: where the list service and the voters are.
+  // Applies the options that may change while the node runs: the addresses of the list service and of the
+  // voters.
   void reconfigure(std::string discovery, std::vector<NodeAddress> nodes);
 
   int port() const;  // 0: not listening
--- a/src/group/node_context.cpp
+++ b/src/group/node_context.cpp
@@ -6,7 +6,7 @@
 namespace database_proxy::group {
 namespace {
 
-// Distinguishes the node's draws from those of other users of the same seed.
+// Makes the node's random numbers differ from those of other users of the same seed.
 constexpr std::uint64_t kSeedMask = 0x6c77677270;
 constexpr std::uint64_t kFnvPrime = 1099511628211;
 
@@ -26,7 +26,7 @@
       log_sink(std::move(sink)),
       task_queue(loop),
       random_state_(options.seed ^ kSeedMask) {
-  // Nodes that are configured with one seed still draw differently.
+  // The name is mixed in, so that nodes with the same configured seed draw different numbers.
   for (unsigned char letter : options.name) random_state_ = (random_state_ ^ letter) * kFnvPrime;
   check(options);
 }
--- a/src/group/node_context.h
+++ b/src/group/node_context.h
@@ -1,7 +1,7 @@
-// What all modules of one node share: its options, its event loop, its log and its source of randomness. It
-// outlives them.
+// What all modules of one node share: its options, event loop, log and source of randomness. The context
+// outlives the modules.
 //
-// Everything here belongs to the group's thread, except the task_queue, which takes calls from any thread.
+// Belongs to the group's thread, except the task queue, which accepts tasks from any thread.
 #pragma once
 
 #include <cstdint>
@@ -16,13 +16,14 @@
 
 namespace database_proxy::group {
 
-// Status messages between nodes go out this often: twice a second, so that five in a row can be lost within
-// the shortest interval after which anybody draws a conclusion (2.5 s, a link's silence).
+// Interval of status messages between nodes. At two messages a second, five in a row can be lost within 2.5
+// s, the shortest time after which a node reacts to missing messages (on a silent link).
 constexpr Micros kStatusInterval{500'000};
 
-// Milliseconds of the wall clock.
+// Returns the wall clock's time in milliseconds since the Unix epoch.
 std::int64_t unix_ms();
-// Since a time that may have been taken by another node's wall clock; negative where that one is ahead.
+// Returns the time elapsed since `taken_at_unix_ms`, which may come from another node's wall clock. Negative
+// if that clock is ahead of this node's.
 Micros age_of_unix_ms(std::int64_t taken_at_unix_ms);
 
 // Constructed first and destroyed last of all parts of a node.
@@ -33,18 +34,20 @@
   NodeContext(const NodeContext&) = delete;
   NodeContext& operator=(const NodeContext&) = delete;
 
-  // Voters keep the log; all other nodes follow one of them. It never changes while the process runs.
+  // Returns whether this node is a voter. Voters store the log; every other node follows one of them. The
+  // role never changes while the process runs.
   bool is_voter() const { return options.is_voter(); }
   const std::string& name() const { return options.name; }
   void log(net::Level level, const std::string& line) const { log_sink(level, "group: " + line); }
 
+  // Returns 64 random bits.
   std::uint64_t random();
-  // At least 0 and below `span`.
+  // Returns a random duration of at least 0 and less than `span`.
   Micros random_below(Micros span);
-  // At a random time within `span` from now.
+  // Returns a random time within `span` from now.
   Micros random_time_within(Micros span);
 
-  // Replaces what the timer was set to.
+  // Cancels `*timer` if it is set, and sets it to run `call` at `when`.
   void set_timer(net::Loop::TimerId* timer, Micros when, std::function<void()> call);
 
   Options options;
--- a/src/group/node_host.h
+++ b/src/group/node_host.h
@@ -1,7 +1,8 @@
-// What a node needs of the process that it runs in, and what it tells it.
+// The interface of a node to the process that it runs in: the notifications that the process receives, and
+// the health checker that it provides.
 //
-// All calls are made in the group's thread, except that the first endpoint list may come from the thread that
-// constructs the node. The host outlives the node.
+// All calls are made in the group's thread, except that the first on_effective_endpoint_list() may come from
+// the thread that constructs the node. The host outlives the node.
 #pragma once
 
 #include <memory>
@@ -22,16 +23,17 @@
  public:
   virtual ~NodeHost() = default;
 
-  // Complete; in effect from now on. `is_restart`: its generation is lower than that of the last one, since
-  // the list service was reset.
+  // Passes the complete endpoint list that is in effect from now on. `is_restart`: its generation is lower
+  // than that of the previous list, because the list service was reset.
   virtual void on_effective_endpoint_list(const discovery::EndpointListUpdate& list, bool is_restart) = 0;
+  // Passes new load reports of data servers.
   virtual void on_load_reports(std::vector<LoadReport> reports) = 0;
-  // Whether the group provides the endpoint list, and who polls the list service where it does not.
+  // Reports whether the group provides the endpoint list and, if not, who polls the list service.
   virtual void on_group_unavailable(EndpointListFallback fallback) = 0;
-  // The plan to follow from now on; nullopt: the process decides for itself.
+  // Passes the plan to follow from now on; nullopt: the process makes its own routing decisions.
   virtual void on_plan_adopted(const std::optional<placement::Plan>& plan) = 0;
 
-  // Called once, while the node is constructed.
+  // Creates the node's health checker. Called once, while the node is constructed.
   virtual std::unique_ptr<HealthChecker> make_health_checker(net::Loop& loop,
                                                              HealthCheckCallback on_result) = 0;
 };
--- a/src/group/options.h
+++ b/src/group/options.h
@@ -1,5 +1,5 @@
-// The operator's file on the group (section `group`), and the check of what cannot be. The fields are named
-// like their keys; what a key means to operators is in docs/operations/group.md.
+// The section `group` of the operator's file, and its validation. A field is named after its key unless its
+// comment names the key; docs/operations/group.md documents the keys for operators.
 #pragma once
 
 #include <chrono>
@@ -14,15 +14,17 @@
 
 using Micros = std::chrono::microseconds;
 
-// Between two observations of a proxy, two sums of a voter, and two rounds of planning.
+// Interval between two observations of a proxy, between two sums of a voter, and between two rounds of
+// planning.
 constexpr Micros kObservationInterval{500'000};
-// The list service may keep a poll open for 5 s, and an answer is given 1 s more: whoever has had none for 7
-// s does not know the current endpoint list any more.
+// Time for which an answer of the list service shows that the endpoint list is current. The list service may
+// keep a poll open for 5 s, and its answer may take 1 s more; a node that has had no answer for 7 s no longer
+// knows the current list.
 constexpr Micros kEndpointListValidity{7'000'000};
-// Proxies whose observations one voter keeps; more are ignored.
+// Number of proxies whose observations one voter stores; observations of further proxies are ignored.
 constexpr std::size_t kMaxObservedProxies = 4096;
 
-// A voter, as the operator's file names it.
+// The name and address of a voter, as given in the operator's file.
 struct NodeAddress {
   std::string name;
   std::string address;
@@ -31,16 +33,18 @@
 
 // The section group.placement.
 struct PlacementOptions {
-  std::map<std::string, std::string> regions;  // by zone
-  // Requests a second that a warm data server of weight 1 can serve; the plan sends a zone less than that.
+  std::map<std::string, std::string> regions;  // region of each zone
+  // Requests per second that a warm data server of weight 1 can serve; the plan assigns a zone less than
+  // that.
   double requests_per_weight = 0;
-  // As in placement::Options.
+  // Thresholds of placement::Options. Keys: dwell_ms, open_after_ms, step_ms.
   Micros minimum_phase_duration{10'000'000};
   Micros open_after{5'000'000};
   Micros step_every{2'000'000};
-  // A proxy that has no contact with the group for this long leaves the plan and decides for itself.
+  // Key: keep_ms. A proxy that has had no contact with the group for this long stops following the plan and
+  // makes its own routing decisions.
   Micros contact_timeout{10'000'000};
-  // From the platform's settings.
+  // Slow start of data servers, from the platform's settings instead of the operator's file.
   Micros warm_up{0};
   double initial_capacity_share = 1;
   bool operator==(const PlacementOptions&) const = default;
@@ -48,31 +52,33 @@
 
 // The section group.
 struct Options {
-  std::string installation;        // a peer of another one is refused
+  std::string installation;        // peers of another installation are rejected
   std::string name;                // of this process; unique in the installation
-  std::string listen;              // a voter's, for the other daemons
-  std::string directory;           // a voter's log and identity
-  std::vector<NodeAddress> nodes;  // the voters; a process that is not among them follows
-  std::vector<std::string> jobs;   // that this node is eligible for: list, probe, placement
+  std::string listen;              // address on which a voter accepts other daemons
+  std::string directory;           // of a voter's log and identity
+  std::vector<NodeAddress> nodes;  // the voters; any other process is a follower
+  std::vector<std::string> jobs;   // jobs that this node is eligible for: list, probe, placement
   Micros heartbeat{100'000};
   Micros election_min{600'000};
   Micros election_max{1'200'000};
   Micros lease{2'000'000};
-  // Without contact with the owner of the endpoint list for this long, and a random part of `fallback_jitter` more,
-  // the group counts as unavailable. The random part keeps proxies that lose it together from polling
-  // together.
+  // Key: fallback_ms. The group counts as unavailable after this time without contact with the lease holder
+  // of the job `list`, plus a random part of `fallback_jitter`. The random part keeps proxies that lose
+  // contact at the same time from polling at the same time.
   Micros fallback_timeout{3'000'000};
   Micros fallback_jitter{1'000'000};
-  // Between two health checks of one replica; 0: two thirds of the tightest bound on the age of reads.
+  // Interval between two health checks of one replica; 0: two thirds of the tightest bound on the age of
+  // reads.
   Micros probe_every{0};
   std::uint64_t seed = 0;
-  std::optional<PlacementOptions> placement;  // none: each proxy decides for itself where its reads go
+  std::optional<PlacementOptions> placement;  // nullopt: each proxy decides where its own reads go
 
-  // Whether this process is one of `nodes`.
+  // Returns whether this process is one of `nodes`.
   bool is_voter() const;
 };
 
-// Throws std::invalid_argument with one line.
+// Checks the options for missing and contradictory values. Throws std::invalid_argument with a one-line
+// message.
 void check(const Options& options);
 
 }  // namespace database_proxy::group
