--- a/src/group/consensus_driver.cpp
+++ b/src/group/consensus_driver.cpp
@@ -16,16 +16,18 @@
 using consensus::Index;
 using net::Level;
 
-// Entries between two snapshots: the log on the disk stays below two thousand.
+// Number of applied entries between two snapshots; it keeps the log on disk below two thousand entries.
 constexpr Index kSnapshotInterval = 1024;
-// What one step returns may call for another. More rounds in one turn would be a fault.
+// The output of one step may require another one. Needing more rounds in one loop iteration would be a fault.
 constexpr int kMaxRounds = 64;
 constexpr std::size_t kMaxPendingProposals = 4096;
-// A state that an operator imposes gets write numbers far above all that are still on their way.
+// Bootstrap and recovery replace the stored state. The write numbers of the new state start this far above
+// those of the old one, so that old writes still in progress are not taken for new ones.
 constexpr std::uint64_t kRestartWriteGap = 1'000'000;
-// A recovered group begins so far above its log that no token of a lost node is granted again.
+// A recovered group starts this far above the last index of its log, so that no fencing token that a lost
+// node may have granted is granted again.
 constexpr Index kRecoveryIndexGap = 1'000'000;
-// Without a time at which consensus needs a step, it is looked at this often.
+// Interval of steps while no timer of consensus is running.
 constexpr Micros kIdleStepInterval = 1s;
 
 constexpr const char* kRecoveryConsequence = "what only the lost nodes knew is gone";
@@ -132,7 +134,8 @@
   }
   auto due = raft_->due();
   auto wake_at = due == Micros::max() ? context_.loop.now() + kIdleStepInterval : due;
-  context_.set_timer(&step_timer_, wake_at, [] {});  // the turn that it causes steps
+  context_.set_timer(&step_timer_, wake_at,
+                     [] {});  // step() runs in the loop iteration that the timer causes
 }
 
 void ConsensusDriver::carry_out(consensus::Output output) {
@@ -152,8 +155,9 @@
 }
 
 void ConsensusDriver::log_role_change(const consensus::RoleChange& change) {
-  // Without a majority a node campaigns every second; one line for that is enough.
-  bool is_repeated = change.role == consensus::Role::kPreCandidate && last_logged_campaign_term_ == change.term;
+  // Without a majority, a node starts a pre-vote about every second; one log line a term is enough.
+  bool is_repeated =
+      change.role == consensus::Role::kPreCandidate && last_logged_campaign_term_ == change.term;
   if (change.role == consensus::Role::kPreCandidate) last_logged_campaign_term_ = change.term;
   if (change.leader != consensus::kNobody) last_logged_campaign_term_ = 0;
   if (is_repeated) return;
@@ -236,7 +240,7 @@
   }
 }
 
-// ---- What operators impose
+// ---- Operators' changes of the stored state
 
 std::optional<std::string> ConsensusDriver::bootstrap(consensus::Membership members) {
   if (!raft_) return "it is none of group.nodes";
@@ -286,7 +290,7 @@
   return std::nullopt;
 }
 
-// The new state follows everything that was written for the old one.
+// Starts consensus again with a new state, whose first write follows all writes of the old state.
 void ConsensusDriver::restart(const consensus::Write& first_write) {
   write_number_base_ += kRestartWriteGap;
   storage_.write(write_number_base_, first_write);
--- a/src/group/consensus_driver.h
+++ b/src/group/consensus_driver.h
@@ -1,9 +1,10 @@
-// Drives a voter's consensus: collects inputs, steps consensus/raft.h, and carries out what it returns.
-// Writes go to the storage, messages to the peers once the writes that they depend on are durable, committed
-// commands to the replicated state. A follower has no consensus; for it nothing here happens.
+// Drives a voter's consensus: collects inputs, calls Raft::step() (consensus/raft.h) and carries out its
+// output. Writes go to the storage, messages to the peers once the writes that they depend on are durable,
+// committed commands to the replicated state. A follower of the group runs no consensus; its driver does
+// nothing.
 //
-// Belongs to the group's thread. When the disk fails, this voter promises nothing any more: it steps down and
-// stays halted until the process is restarted.
+// Belongs to the group's thread. When the disk fails, this voter no longer votes or acknowledges anything: it
+// steps down and stays halted until the process is restarted.
 #pragma once
 
 #include <cstdint>
@@ -23,7 +24,7 @@
 
 namespace database_proxy::group {
 
-// Told by a voter that begins or ceases to lead.
+// Notified when this voter becomes leader or loses leadership.
 class LeadershipObserver {
  public:
   virtual ~LeadershipObserver() = default;
@@ -31,49 +32,54 @@
   virtual void on_leadership_lost() = 0;
 };
 
-// What became of a command, or of a change of the members.
+// The outcome of a proposed command or membership change.
 struct ProposalOutcome {
-  consensus::Index index = 0;          // where it is committed; 0: it is not, as far as this node knows
-  std::optional<std::string> failure;  // a sentence for the operator
+  consensus::Index index = 0;          // of the committed entry; 0: not committed, as far as this node knows
+  std::optional<std::string> failure;  // the reason, a sentence for the operator
 };
 
-// A voter's consensus; idle at a follower.
+// The consensus of a voter; idle on a follower.
 class ConsensusDriver {
  public:
   using CompletionCallback = std::function<void(const ProposalOutcome& outcome)>;
-  // `is_confirmed`: this node led after the request was made.
+  // `is_confirmed`: this node was still leader after the request was made.
   using LeadershipCallback = std::function<void(bool is_confirmed)>;
 
   ConsensusDriver(NodeContext& context, RaftStorage& storage, PeerConnections& connections,
                   ReplicatedState& state, LeadershipObserver& observer)
       : context_(context), storage_(storage), connections_(connections), state_(state), observer_(observer) {}
 
-  // A voter's; before the group's thread starts. Returns the entries of the log that it found. Throws
-  // std::runtime_error with one line.
+  // Opens the storage of a voter and starts consensus; to be called before the group's thread starts. Returns
+  // the log entries that the storage contains. Throws std::runtime_error with a one-line message.
   std::vector<consensus::Entry> open();
-  // Processes all inputs. To be called in each turn of the loop; it wakes the loop when the next step is due.
+  // Processes all inputs. To be called in each loop iteration; sets a timer that wakes the loop when the next
+  // step is due.
   void step();
   bool has_inputs() const { return !inputs_.empty(); }
 
+  // Queues a message of another voter as input.
   void receive(consensus::Message message);
+  // Proposes a command for the log; only a leader accepts it.
   void propose(const std::string& command, CompletionCallback on_completion);
   void change_members(consensus::MembershipChange::What what, consensus::NodeId node,
                       CompletionCallback on_completion);
+  // Confirms by a round of heartbeats that this node still leads.
   void confirm_leadership(LeadershipCallback on_result);
-  // kNobody: whoever has the most of the log.
+  // Transfers leadership to `voter`; kNobody: to the voter with the most advanced log.
   void transfer_leadership(consensus::NodeId voter);
 
-  // Makes this node a member of a new group. Every member is given the same command; repeating it is
-  // harmless. Returns why it is not possible.
+  // Makes this node a member of a new group. Every member must receive the same command; repeating it has no
+  // effect. Returns the reason if it is not possible.
   std::optional<std::string> bootstrap(consensus::Membership members);
-  // Goes on as the only voter, with everything in the own log. What the others had committed without this
-  // node is lost. Returns why it is not possible.
+  // Makes this node the only voter, with all entries of its own log. What the other nodes had committed
+  // without this node is lost. Returns the reason if it is not possible.
   std::optional<std::string> recover(const std::string& consequence);
 
-  // nullptr at followers.
+  // Returns nullptr on followers.
   const consensus::Raft* raft() const { return raft_.get(); }
   bool is_leader() const { return raft_ && raft_->is_leader(); }
-  // A new leader knows what is committed only once it has committed an entry of its own.
+  // Returns whether this node may answer requests as leader. A new leader knows what is committed only once
+  // it has committed an entry of its own term.
   bool may_answer_as_leader() const { return raft_ && raft_->has_committed_in_current_term(); }
   consensus::NodeId id() const { return id_; }
   const std::string& disk_error() const { return disk_error_; }  // empty: none
@@ -119,7 +125,8 @@
   std::optional<consensus::Term> last_logged_campaign_term_;
   consensus::Index snapshot_index_ = 0;
 
-  // Raft numbers its writes from 1 when it is started; the storage's numbers go on.
+  // Raft numbers its writes from 1 each time it is started, while the storage's numbers keep rising. The base
+  // is the difference.
   std::uint64_t write_number_base_ = 0;
   std::uint64_t durable_write_ = 0;
   std::vector<UnsentMessage> unsent_;
--- a/src/group/follower_replication.cpp
+++ b/src/group/follower_replication.cpp
@@ -9,7 +9,7 @@
 namespace database_proxy::group {
 namespace {
 
-// A follower further behind gets the complete state: one frame instead of thousands of commands.
+// A follower that is further behind receives the complete state: one frame instead of thousands of commands.
 constexpr consensus::Index kMaxCommandsBehind = 4096;
 
 }  // namespace
@@ -42,7 +42,7 @@
 
 void FollowerReplication::send_updates() {
   if (!consensus_.raft()) return;
-  std::map<consensus::Index, std::string> command_frames;  // most followers stand at the same index
+  std::map<consensus::Index, std::string> command_frames;  // by index, which is the same for most followers
   std::string state_frame;
   for (auto& [name, follower] : connections_.downstream()) {
     if (!follower.is_following || follower.sent_index >= state_.applied_index()) continue;
@@ -85,7 +85,7 @@
 void FollowerReplication::on_committed_commands(peers::Link& link, const peers::EncodedMessage& message) {
   last_contact_ = context_.loop.now();
   auto committed = peers::decode_committed_commands(message);
-  if (committed.from > state_.applied_index()) {  // something in between was lost on the way
+  if (committed.from > state_.applied_index()) {  // commands in between were lost
     link.send(peers::encode(peers::FollowRequest{state_.applied_index()}));
     return;
   }
--- a/src/group/follower_replication.h
+++ b/src/group/follower_replication.h
@@ -1,8 +1,10 @@
-// How followers learn what the group has agreed on: each asks its voter for what comes after the index that
-// it has, and is sent committed commands from then on, or the complete state where the voter's log does not
-// reach back so far. Voters also tell their followers twice a second which leader they know.
+// Replication of the committed state to followers, which are the processes that are not in group.nodes. Each
+// follower requests from its voter what comes after the index that it has applied. From then on the voter
+// sends it committed commands, or the complete state if the voter's log does not reach back that far. Twice a
+// second, voters also inform their followers of the leader that they know.
 //
-// Belongs to the group's thread. A follower that lacks something in between asks again from where it stands.
+// Belongs to the group's thread. A follower that detects a gap repeats its request from the index that it has
+// applied.
 #pragma once
 
 #include <string>
@@ -21,21 +23,21 @@
                       ReplicatedState& state)
       : context_(context), connections_(connections), consensus_(consensus), state_(state) {}
 
-  // The voter's side. False: the sender is no follower of this node.
+  // The voter's side. Returns false if the sender is not a follower of this node.
   bool on_follow_request(peers::Link& link, const peers::EncodedMessage& message);
-  // To every follower that lacks something. To be called in each turn of the loop.
+  // Sends updates to every follower that is behind. To be called in each loop iteration.
   void send_updates();
   void send_leader_status();
 
-  // The follower's side; `link` is the one that it dialed.
+  // The follower's side. `link` is the link to its voter, which this node dialed.
   void on_upstream_connected(peers::Link& link);
   void on_state_transfer(const peers::EncodedMessage& message);
   void on_committed_commands(peers::Link& link, const peers::EncodedMessage& message);
   void on_leader_status(const peers::EncodedMessage& message);
 
-  // Either side's; empty: none is known.
+  // Returns the leader's name, on either side; empty: no leader is known.
   std::string leader_name() const;
-  // Since a follower last heard of a leader; 0 at voters.
+  // Returns the time since a follower last had contact with a leader through its voter; 0 on voters.
   Micros state_age() const;
 
  private:
@@ -46,8 +48,8 @@
   PeerConnections& connections_;
   ConsensusDriver& consensus_;
   ReplicatedState& state_;
-  std::string upstream_leader_;  // as a follower's voter knows it
-  Micros last_contact_{0};       // of a follower with a leader, by way of its voter
+  std::string upstream_leader_;  // the leader that a follower's voter knows
+  Micros last_contact_{0};       // of a follower with a leader, through its voter
 };
 
 }  // namespace database_proxy::group
--- a/src/group/leader_forwarding.h
+++ b/src/group/leader_forwarding.h
@@ -1,9 +1,10 @@
-// The way of requests to the leader and of their responses back, wherever in the group a node is. A follower
-// sends to its voter; the first voter on the way writes the route into the request (who asked, and by which
-// voter it is reached) and passes it to the leader; the response goes back by the same voter.
+// Forwards requests from any node of the group to the leader, and the responses back. A follower sends a
+// request to its voter. The first voter that a request passes writes the route into it (the requesting node,
+// and the voter through which that node is reached) and forwards it to the leader; the response returns
+// through the same voter.
 //
-// Belongs to the group's thread. Nothing is kept or repeated here: whoever makes a request repeats it when no
-// response comes.
+// Belongs to the group's thread. Nothing is stored or retried here: the requesting node repeats a request
+// that gets no response.
 #pragma once
 
 #include <string>
@@ -16,17 +17,18 @@
 
 namespace database_proxy::group {
 
-// Told of requests that reach the leader, and of responses that reach who asked.
+// Notified of requests that reach the leader, and of responses that reach the requesting node.
 class ForwardingEvents {
  public:
   virtual ~ForwardingEvents() = default;
-  // This node leads; the request is its own or another node's. The response goes to return_response().
+  // A request of this node or another one reached this node, which leads. The response is passed to
+  // return_response().
   virtual void on_leader_request(const peers::EncodedMessage& request) = 0;
-  // To a request of this node.
+  // A response to a request of this node arrived.
   virtual void on_response(const peers::EncodedMessage& response) = 0;
 };
 
-// Sends requests to the leader and responses to who asked.
+// Sends requests to the leader, and responses to the requesting nodes.
 class LeaderForwarding {
  public:
   LeaderForwarding(NodeContext& context, PeerConnections& connections, ConsensusDriver& consensus,
@@ -37,18 +39,19 @@
         replication_(replication),
         events_(events) {}
 
-  // False: no leader is known or reachable.
+  // Returns false if no leader is known or reachable.
   bool send_to_leader(const peers::EncodedMessage& request);
-  // A command of this node's own, without interest in the result: the registry shows whether it was applied.
+  // Proposes a command of this node and ignores the result: the registry shows whether it was applied.
   void propose(const std::string& command);
-  // A request that came over a link.
+  // Forwards a request that arrived over a link.
   void forward_request(const peers::Link& link, const peers::EncodedMessage& request);
-  // Towards the node that the response's route names.
+  // Sends a response towards the node that its route names.
   void return_response(const peers::EncodedMessage& response);
 
-  // Of requests that this node makes itself.
+  // Returns the route of requests that this node makes itself.
   peers::Route own_route() const { return {context_.name(), context_.name()}; }
-  // Of requests that come from below this node.
+  // Returns the route of requests that arrive from a downstream node, which is a follower or an operator's
+  // program.
   peers::Route downstream_route(const peers::Link& link) const { return {link.peer().name, context_.name()}; }
 
  private:
--- a/src/group/raft_storage.cpp
+++ b/src/group/raft_storage.cpp
@@ -14,7 +14,7 @@
 
 using nlohmann::json;
 
-// The stored format: names and version are read by every version of this program.
+// The stored format. All versions of this program read these names and this version number.
 constexpr int kStoreVersion = 1;
 constexpr const char* kStoreName = "group";
 constexpr const char* kIdentityKey = "identity";
@@ -26,10 +26,10 @@
 constexpr const char* kNodeId = "id";
 constexpr const char* kNodeName = "name";
 
-// Keeps ids below 2^52, so that they survive readers that hold every number as a double.
+// Keeps ids below 2^52, so that they stay exact in readers that store every number as a double.
 constexpr int kIdShift = 12;
 
-// Big-endian, so that the store's order of keys is the log's order.
+// Returns the key of a log entry. The index is big-endian, so that the store sorts the keys in log order.
 std::string log_key(consensus::Index index) {
   std::string key = kLogBegin;
   for (int shift = 56; shift >= 0; shift -= 8) key.push_back(static_cast<char>(index >> shift & 0xff));
@@ -72,7 +72,7 @@
   writer_->write(number, to_batch(write));
 }
 
-// nullopt: the directory has no identity yet, and an open store is ready for one.
+// Returns nullopt if the directory has no identity yet; the store is then open and ready for a new one.
 std::optional<std::vector<consensus::Entry>> RaftStorage::load_or_quarantine(
     const StartConsensus& start_consensus) {
   auto& directory = context_.options.directory;
--- a/src/group/replicated_state.cpp
+++ b/src/group/replicated_state.cpp
@@ -9,7 +9,8 @@
 namespace database_proxy::group {
 namespace {
 
-// A replaced lease holder that goes on for a while is logged at first and then once in so many effects.
+// A replaced lease holder may continue for a while: its first rejected effect is logged, and then one in this
+// many.
 constexpr std::uint64_t kRejectionLogInterval = 1000;
 
 }  // namespace
--- a/src/group/replicated_state.h
+++ b/src/group/replicated_state.h
@@ -1,8 +1,8 @@
-// What the group has agreed on, as far as this node knows: the lease registry, and the index of the last log
-// entry that is in it. A voter applies the entries that consensus commits, a follower those that its voter
-// sends. Also the guard against effects of lease holders that have been replaced.
+// What the group has committed, as far as this node knows: the lease registry, and the index of the last log
+// entry applied to it. A voter applies the entries that consensus commits, a follower those that its voter
+// sends. Also rejects effects of lease holders that have been replaced.
 //
-// Belongs to the group's thread. Observers are called after the registry has changed.
+// Belongs to the group's thread. Observers are notified after the registry has changed.
 #pragma once
 
 #include <string>
@@ -13,39 +13,39 @@
 
 namespace database_proxy::group {
 
-// Told of changes that a module has to act on.
+// Notified of changes that other modules act on.
 class ReplicatedStateObserver {
  public:
   virtual ~ReplicatedStateObserver() = default;
-  // A grant of this job was applied, whether it had an effect or not.
+  // A grant of this job was applied, whether or not it took effect.
   virtual void on_grant_applied(const std::string& job) = 0;
-  // The registry may hold another endpoint list, or another plan.
+  // The registry may contain a new endpoint list or a new plan, respectively.
   virtual void on_endpoint_list_published() = 0;
   virtual void on_plan_published() = 0;
 };
 
-// The lease registry with its index.
+// The lease registry and the index up to which it is applied.
 class ReplicatedState {
  public:
   ReplicatedState(NodeContext& context, ReplicatedStateObserver& observer)
       : context_(context), observer_(observer) {}
 
-  // Replaces everything, as a snapshot or a state transfer does.
+  // Replaces the complete state, as a snapshot or a state transfer does.
   void restore(ownership::LeaseRegistry registry, consensus::Index index);
-  // One committed command. One of a newer version is skipped, as it is at every node of this version.
+  // Applies one committed command. A command of a newer version is skipped, as on every node of this version.
   void apply(consensus::Index index, const std::string& command);
-  // Entries without a command were committed up to here.
+  // Records that all entries up to this index are applied; those without a command change nothing else.
   void set_applied_index(consensus::Index index) { applied_index_ = index; }
 
   const ownership::LeaseRegistry& registry() const { return registry_; }
   consensus::Index applied_index() const { return applied_index_; }
-  // nullptr: the job was never granted.
+  // Returns the state of a job; nullptr: the job was never granted.
   const ownership::JobState* job(const std::string& name) const { return registry_.job(name); }
 
-  // Whether an effect with this token may count. False where a newer token of the job is known: the sender's
-  // lease has passed to somebody else.
+  // Returns whether an effect with this fencing token is accepted. It is rejected if a newer token of the job
+  // is known, because the sender's lease has then passed to another node.
   bool admit_effect(const std::string& job, ownership::Token token);
-  // Effects that were rejected for their token, here and in the registry.
+  // Returns the number of effects rejected for their stale token, here and in the registry.
   std::uint64_t rejected_effects() const { return rejected_effects_ + registry_.stale(); }
 
  private:
