--- a/src/group/consensus_driver.cpp
+++ b/src/group/consensus_driver.cpp
@@ -58,7 +58,7 @@
   Index index = 0;
   if (stored.snapshot) {
     auto decoded = ownership::LeaseRegistry::decode(stored.snapshot->data);
-    if (!decoded) throw std::invalid_argument("its snapshot holds no ledger");
+    if (!decoded) throw std::invalid_argument("its snapshot contains no lease registry");
     registry = *decoded;
     index = stored.snapshot->index;
   }
@@ -76,7 +76,7 @@
 
 void ConsensusDriver::propose(const std::string& command, CompletionCallback on_completion) {
   if (proposals_by_ticket_.size() + proposals_in_log_.size() >= kMaxPendingProposals)
-    return on_completion({0, "too much is under way"});
+    return on_completion({0, "too many proposals are pending"});
   auto ticket = ++last_ticket_;
   proposals_by_ticket_[ticket] = std::move(on_completion);
   inputs_.emplace_back(consensus::Proposal{ticket, command});
@@ -134,8 +134,7 @@
   }
   auto due = raft_->due();
   auto wake_at = due == Micros::max() ? context_.loop.now() + kIdleStepInterval : due;
-  context_.set_timer(&step_timer_, wake_at,
-                     [] {});  // step() runs in the loop iteration that the timer causes
+  context_.set_timer(&step_timer_, wake_at, [] {});  // its loop iteration calls step()
 }
 
 void ConsensusDriver::carry_out(consensus::Output output) {
@@ -155,7 +154,7 @@
 }
 
 void ConsensusDriver::log_role_change(const consensus::RoleChange& change) {
-  // Without a majority, a node starts a pre-vote about every second; one log line a term is enough.
+  // Without a majority, a node starts a pre-vote about every second; one log line per term is enough.
   bool is_repeated =
       change.role == consensus::Role::kPreCandidate && last_logged_campaign_term_ == change.term;
   if (change.role == consensus::Role::kPreCandidate) last_logged_campaign_term_ = change.term;
@@ -243,13 +242,13 @@
 // ---- Operators' changes of the stored state
 
 std::optional<std::string> ConsensusDriver::bootstrap(consensus::Membership members) {
-  if (!raft_) return "it is none of group.nodes";
+  if (!raft_) return "this node is none of group.nodes";
   std::sort(members.voters.begin(), members.voters.end());
-  if (!members.votes(id_)) return "it is not among the members";
+  if (!members.votes(id_)) return "this node is not among the members";
   if (raft_->snapshot_index() > 0 || raft_->last_index() > 0) {
     bool is_repeated = raft_->term_at(1) == 1 && raft_->members() == members;
     if (is_repeated) return std::nullopt;
-    return "it belongs to a group already";
+    return "this node already belongs to a group";
   }
   auto snapshot = std::make_shared<consensus::Snapshot>();
   snapshot->index = snapshot->term = 1;
@@ -259,16 +258,16 @@
   first_write.hard = consensus::HardState{std::max<consensus::Term>(1, raft_->term()), raft_->vote()};
   first_write.snapshot = snapshot;
   restart(first_write);
-  context_.log(Level::kInfo, fmt::format("the group begins, {} voters", members.voters.size()));
+  context_.log(Level::kInfo, fmt::format("group bootstrapped with {} voters", members.voters.size()));
   return std::nullopt;
 }
 
 std::optional<std::string> ConsensusDriver::recover(const std::string& consequence) {
-  if (!raft_) return "it is no voter";
+  if (!raft_) return "this node is not a voter";
   if (consequence != kRecoveryConsequence)
-    return fmt::format("recovery demands the consequence, spelled out: {}", kRecoveryConsequence);
+    return fmt::format("recovery requires the consequence, spelled out: {}", kRecoveryConsequence);
   if (raft_->leader() != consensus::kNobody) return "a leader is heard of: the majority is not lost";
-  if (raft_->members().voters.empty()) return "it belongs to no group";
+  if (raft_->members().voters.empty()) return "this node belongs to no group";
   auto registry = state_.registry();
   for (auto i = state_.applied_index() + 1; i <= raft_->last_index(); ++i) {
     auto* entry = raft_->entry(i);
@@ -286,7 +285,8 @@
   first_write.truncate_from = 1;
   restart(first_write);
   context_.log(Level::kWarning,
-               "recovered by the operator: this node is the only voter, what only the others knew is gone");
+               "recovered by the operator: this node is the only voter; entries that only the other nodes "
+               "had are lost");
   return std::nullopt;
 }
 
--- a/src/group/follower_replication.cpp
+++ b/src/group/follower_replication.cpp
@@ -42,7 +42,7 @@
 
 void FollowerReplication::send_updates() {
   if (!consensus_.raft()) return;
-  std::map<consensus::Index, std::string> command_frames;  // by index, which is the same for most followers
+  std::map<consensus::Index, std::string> command_frames;  // by the followers' index; most share one
   std::string state_frame;
   for (auto& [name, follower] : connections_.downstream()) {
     if (!follower.is_following || follower.sent_index >= state_.applied_index()) continue;
--- a/src/group/node_context.h
+++ b/src/group/node_context.h
@@ -16,8 +16,9 @@
 
 namespace database_proxy::group {
 
-// Interval of status messages between nodes. At two messages a second, five in a row can be lost within 2.5
-// s, the shortest time after which a node reacts to missing messages (on a silent link).
+// Interval of status messages between nodes. At two messages a second, five in a row can be lost within the
+// shortest time after which a node reacts to missing messages: a link is closed when it has been silent for
+// 2.5 s.
 constexpr Micros kStatusInterval{500'000};
 
 // Returns the wall clock's time in milliseconds since the Unix epoch.
--- a/src/group/raft_storage.cpp
+++ b/src/group/raft_storage.cpp
@@ -82,9 +82,11 @@
     if (e.code != state::StoreErrorCode::kCorrupt) throw;
     store_.reset();
     auto quarantined_as = state::quarantine_corrupt_file(directory, kStoreName);
-    context_.log(net::Level::kError,
-                 fmt::format("its directory is torn ({}) and was set aside as {}; this node begins anew",
-                             e.what(), quarantined_as));
+    context_.log(
+        net::Level::kError,
+        fmt::format(
+            "its directory is corrupt ({}) and was set aside as {}; this node starts with a new identity",
+            e.what(), quarantined_as));
   }
   store_ = state::open_store(directory, kStoreName, kStoreVersion);
   return std::nullopt;
@@ -140,7 +142,8 @@
 consensus::NodeId RaftStorage::create_identity() {
   consensus::NodeId id = consensus::kNobody;
   while (id == consensus::kNobody) {
-    if (getrandom(&id, sizeof id, 0) != sizeof id) throw std::runtime_error("no random numbers");
+    if (getrandom(&id, sizeof id, 0) != sizeof id)
+      throw std::runtime_error("cannot read random bytes for the id of this node");
     id >>= kIdShift;
   }
   state::Batch first;
--- a/src/group/replicated_state.cpp
+++ b/src/group/replicated_state.cpp
@@ -33,7 +33,7 @@
   auto* publish = std::get_if<ownership::Publish>(&*command);
   if (publish && registry_.stale() > rejected_before)
     context_.log(net::Level::kWarning,
-                 fmt::format("turned down an effect of {} with an old token", publish->job));
+                 fmt::format("turned down an effect of job {} with a stale token", publish->job));
   if (auto* grant = std::get_if<ownership::Grant>(&*command)) on_grant(*grant, granted);
   if (!publish) return;
   if (publish->job == kEndpointListJob) observer_.on_endpoint_list_published();
@@ -52,7 +52,7 @@
   if (fencing_token_guard_.admit(job, token)) return true;
   if (++rejected_effects_ == 1 || rejected_effects_ % kRejectionLogInterval == 0)
     context_.log(net::Level::kWarning,
-                 fmt::format("turned down facts of {} with the old token {} ({} so far)", job, token,
+                 fmt::format("turned down a report of job {} with the stale token {} ({} so far)", job, token,
                              rejected_effects_));
   return false;
 }
