--- a/src/group/consensus_driver.cpp
+++ b/src/group/consensus_driver.cpp
@@ -134,7 +134,7 @@
   }
   auto due = raft_->due();
   auto wake_at = due == Micros::max() ? context_.loop.now() + kIdleStepInterval : due;
-  context_.set_timer(&step_timer_, wake_at, [] {});  // its loop iteration calls step()
+  context_.set_timer(&step_timer_, wake_at, [] {});  // the iteration that it causes calls step()
 }
 
 void ConsensusDriver::carry_out(consensus::Output output) {
--- a/src/group/node_context.h
+++ b/src/group/node_context.h
@@ -1,5 +1,5 @@
-// What all modules of one node share: its options, event loop, log and source of randomness. The context
-// outlives the modules.
+// The state that all modules of one node share: its options, event loop, log and source of randomness. The
+// context outlives the modules.
 //
 // Belongs to the group's thread, except the task queue, which accepts tasks from any thread.
 #pragma once
--- a/src/group/options.h
+++ b/src/group/options.h
@@ -59,6 +59,7 @@
   std::vector<NodeAddress> nodes;  // the voters; any other process is a follower
   std::vector<std::string> jobs;   // jobs that this node is eligible for: list, probe, placement
   Micros heartbeat{100'000};
+  // Key: election_ms, the lower and the upper end of the election timeout.
   Micros election_min{600'000};
   Micros election_max{1'200'000};
   Micros lease{2'000'000};
--- a/src/group/replicated_state.h
+++ b/src/group/replicated_state.h
@@ -1,6 +1,6 @@
-// What the group has committed, as far as this node knows: the lease registry, and the index of the last log
-// entry applied to it. A voter applies the entries that consensus commits, a follower those that its voter
-// sends. Also rejects effects of lease holders that have been replaced.
+// The state that the group has committed, as far as this node knows it: the lease registry, and the index of
+// the last log entry applied to it. A voter applies the entries that consensus commits, a follower those that
+// its voter sends. Also rejects effects of lease holders that have been replaced.
 //
 // Belongs to the group's thread. Observers are notified after the registry has changed.
 #pragma once
