--- a/src/app/group_runner.cpp
+++ b/src/app/group_runner.cpp
@@ -134,7 +134,7 @@
     setrlimit(RLIMIT_NOFILE, &limit);
   }
   options.seed = seed;
-  options.spread = std::max(options.spread, kPollSpacing * settings.routers);
+  options.fallback_jitter = std::max(options.fallback_jitter, kPollSpacing * settings.routers);
   if (options.probe_every.count() == 0) {
     // Replicas are asked in turn: of two, one was asked within a third of the bound, which leaves two thirds
     // for lag and the way here; of one, it is asked twice as often.
@@ -198,11 +198,11 @@
 
 void GroupRunner::start() {
   node_->start();
-  if (zone_observer_) look_timer_ = loop_.at(loop_.now() + group::kObserveEvery, [this] { look(); });
+  if (zone_observer_) look_timer_ = loop_.at(loop_.now() + group::kObservationInterval, [this] { look(); });
 }
 
 void GroupRunner::look() {
-  look_timer_ = loop_.at(loop_.now() + group::kObserveEvery, [this] { look(); });
+  look_timer_ = loop_.at(loop_.now() + group::kObservationInterval, [this] { look(); });
   node_->submit_observation(zone_observer_->observer().take_observation(
       loop_.now(), node_->adopted_plan_number(),
       [this](const std::string& server) { return decider_.spare_capacity(server); }));
--- a/src/group/consensus_driver.cpp
+++ b/src/group/consensus_driver.cpp
@@ -16,16 +16,18 @@
 using consensus::Index;
 using net::Level;
 
-// Entries between two snapshots: the log on the disk stays below two thousand.
+// Number of applied entries between two snapshots; it keeps the log on disk below two thousand entries.
 constexpr Index kSnapshotInterval = 1024;
-// What one step returns may call for another. More rounds in one turn would be a fault.
-constexpr int kMostRounds = 64;
-constexpr std::size_t kMostProposals = 4096;
-// A state that an operator imposes gets write numbers far above all that are still on their way.
+// The output of one step may require another one. Needing more rounds in one loop iteration would be a fault.
+constexpr int kMaxRounds = 64;
+constexpr std::size_t kMaxPendingProposals = 4096;
+// Bootstrap and recovery replace the stored state. The write numbers of the new state start this far above
+// those of the old one, so that old writes still in progress are not taken for new ones.
 constexpr std::uint64_t kRestartWriteGap = 1'000'000;
-// A recovered group begins so far above its log that no token of a lost node is granted again.
+// A recovered group starts this far above the last index of its log, so that no fencing token that a lost
+// node may have granted is granted again.
 constexpr Index kRecoveryIndexGap = 1'000'000;
-// Without a time at which consensus needs a step, it is looked at this often.
+// Interval of steps while no timer of consensus is running.
 constexpr Micros kIdleStepInterval = 1s;
 
 constexpr const char* kRecoveryConsequence = "what only the lost nodes knew is gone";
@@ -38,7 +40,7 @@
     start(std::move(stored));
   };
   auto on_written_in_store_thread = [this](std::uint64_t number, const std::string& error) {
-    context_.mailbox.post([this, number, error] { on_written(number, error); });
+    context_.task_queue.post([this, number, error] { on_written(number, error); });
   };
   auto entries = storage_.open(start_consensus, on_written_in_store_thread);
   connections_.set_own_id(id_);
@@ -56,7 +58,7 @@
   Index index = 0;
   if (stored.snapshot) {
     auto decoded = ownership::LeaseRegistry::decode(stored.snapshot->data);
-    if (!decoded) throw std::invalid_argument("its snapshot holds no ledger");
+    if (!decoded) throw std::invalid_argument("its snapshot contains no lease registry");
     registry = *decoded;
     index = stored.snapshot->index;
   }
@@ -73,8 +75,8 @@
 }
 
 void ConsensusDriver::propose(const std::string& command, CompletionCallback on_completion) {
-  if (proposals_by_ticket_.size() + proposals_in_log_.size() >= kMostProposals)
-    return on_completion({0, "too much is under way"});
+  if (proposals_by_ticket_.size() + proposals_in_log_.size() >= kMaxPendingProposals)
+    return on_completion({0, "too many proposals are pending"});
   auto ticket = ++last_ticket_;
   proposals_by_ticket_[ticket] = std::move(on_completion);
   inputs_.emplace_back(consensus::Proposal{ticket, command});
@@ -92,7 +94,7 @@
 
 void ConsensusDriver::confirm_leadership(LeadershipCallback on_result) {
   auto ticket = ++last_ticket_;
-  reads_[ticket] = std::move(on_result);
+  pending_confirmations_[ticket] = std::move(on_result);
   inputs_.emplace_back(consensus::ReadRequest{ticket});
 }
 
@@ -123,7 +125,7 @@
 
 void ConsensusDriver::step() {
   if (!raft_) return;
-  for (int round = 0; round < kMostRounds; ++round) {
+  for (int round = 0; round < kMaxRounds; ++round) {
     auto now = net::monotonic_now();
     if (inputs_.empty() && now < raft_->due()) break;
     auto inputs = std::exchange(inputs_, {});
@@ -132,7 +134,7 @@
   }
   auto due = raft_->due();
   auto wake_at = due == Micros::max() ? context_.loop.now() + kIdleStepInterval : due;
-  context_.set_timer(&step_timer_, wake_at, [] {});  // the turn that it causes steps
+  context_.set_timer(&step_timer_, wake_at, [] {});  // the iteration that it causes calls step()
 }
 
 void ConsensusDriver::carry_out(consensus::Output output) {
@@ -146,19 +148,20 @@
   }
   apply_committed(output.committed_entries);
   take_snapshot_if_due();
-  report_leadership();
-  assign_positions(output.proposal_results);
-  complete_reads(output.read_results);
+  notify_leadership_change();
+  record_log_positions(output.proposal_results);
+  complete_confirmations(output.read_results);
 }
 
 void ConsensusDriver::log_role_change(const consensus::RoleChange& change) {
-  // Without a majority a node campaigns every second; one line for that is enough.
-  bool is_repeated = change.role == consensus::Role::kPreCandidate && last_campaign_logged_ == change.term;
-  if (change.role == consensus::Role::kPreCandidate) last_campaign_logged_ = change.term;
-  if (change.leader != consensus::kNoNode) last_campaign_logged_ = 0;
+  // Without a majority, a node starts a pre-vote about every second; one log line per term is enough.
+  bool is_repeated =
+      change.role == consensus::Role::kPreCandidate && last_logged_campaign_term_ == change.term;
+  if (change.role == consensus::Role::kPreCandidate) last_logged_campaign_term_ = change.term;
+  if (change.leader != consensus::kNoNode) last_logged_campaign_term_ = 0;
   if (is_repeated) return;
-  bool names_leader = change.leader != consensus::kNoNode && change.role != consensus::Role::kLeader;
-  auto leader = names_leader ? fmt::format(" (leader {})", connections_.name_of(change.leader)) : "";
+  bool shows_leader = change.leader != consensus::kNoNode && change.role != consensus::Role::kLeader;
+  auto leader = shows_leader ? fmt::format(" (leader {})", connections_.name_of(change.leader)) : "";
   context_.log(change.role == consensus::Role::kHalted ? Level::kError : Level::kInfo,
                fmt::format("{} in term {}: {}{}", consensus::text_of(change.role), change.term,
                            consensus::text_of(change.reason), leader));
@@ -203,7 +206,7 @@
   inputs_.emplace_back(consensus::SnapshotTaken{snapshot_index_, state_.registry().encode()});
 }
 
-void ConsensusDriver::report_leadership() {
+void ConsensusDriver::notify_leadership_change() {
   bool was_leader = last_role_ == consensus::Role::kLeader;
   last_role_ = raft_->role();
   if (raft_->is_leader() && !was_leader) observer_.on_elected();
@@ -213,7 +216,7 @@
     on_completion({0, "unknown: leadership was lost"});
 }
 
-void ConsensusDriver::assign_positions(const std::vector<consensus::ProposalResult>& results) {
+void ConsensusDriver::record_log_positions(const std::vector<consensus::ProposalResult>& results) {
   for (auto& result : results) {
     auto found = proposals_by_ticket_.find(result.ticket);
     if (found == proposals_by_ticket_.end()) continue;
@@ -226,26 +229,26 @@
   }
 }
 
-void ConsensusDriver::complete_reads(const std::vector<consensus::ReadResult>& results) {
+void ConsensusDriver::complete_confirmations(const std::vector<consensus::ReadResult>& results) {
   for (auto& result : results) {
-    auto found = reads_.find(result.ticket);
-    if (found == reads_.end()) continue;
+    auto found = pending_confirmations_.find(result.ticket);
+    if (found == pending_confirmations_.end()) continue;
     auto on_result = std::move(found->second);
-    reads_.erase(found);
+    pending_confirmations_.erase(found);
     on_result(result.confirmed);
   }
 }
 
-// ---- What operators impose
+// ---- Operators' changes of the stored state
 
 std::optional<std::string> ConsensusDriver::bootstrap(consensus::Membership members) {
-  if (!raft_) return "it is none of group.nodes";
+  if (!raft_) return "this node is none of group.nodes";
   std::sort(members.voters.begin(), members.voters.end());
-  if (!members.is_voter(id_)) return "it is not among the members";
+  if (!members.is_voter(id_)) return "this node is not among the members";
   if (raft_->snapshot_index() > 0 || raft_->last_index() > 0) {
     bool is_repeated = raft_->term_at(1) == 1 && raft_->members() == members;
     if (is_repeated) return std::nullopt;
-    return "it belongs to a group already";
+    return "this node already belongs to a group";
   }
   auto snapshot = std::make_shared<consensus::Snapshot>();
   snapshot->index = snapshot->term = 1;
@@ -255,16 +258,16 @@
   first_write.hard_state = consensus::HardState{std::max<consensus::Term>(1, raft_->term()), raft_->vote()};
   first_write.snapshot = snapshot;
   restart(first_write);
-  context_.log(Level::kInfo, fmt::format("the group begins, {} voters", members.voters.size()));
+  context_.log(Level::kInfo, fmt::format("group bootstrapped with {} voters", members.voters.size()));
   return std::nullopt;
 }
 
 std::optional<std::string> ConsensusDriver::recover(const std::string& consequence) {
-  if (!raft_) return "it is no voter";
+  if (!raft_) return "this node is not a voter";
   if (consequence != kRecoveryConsequence)
-    return fmt::format("recovery demands the consequence, spelled out: {}", kRecoveryConsequence);
+    return fmt::format("recovery requires the consequence, spelled out: {}", kRecoveryConsequence);
   if (raft_->leader() != consensus::kNoNode) return "a leader is heard of: the majority is not lost";
-  if (raft_->members().voters.empty()) return "it belongs to no group";
+  if (raft_->members().voters.empty()) return "this node belongs to no group";
   auto registry = state_.registry();
   for (auto i = state_.applied_index() + 1; i <= raft_->last_index(); ++i) {
     auto* entry = raft_->entry(i);
@@ -282,11 +285,12 @@
   first_write.truncate_from = 1;
   restart(first_write);
   context_.log(Level::kWarning,
-               "recovered by the operator: this node is the only voter, what only the others knew is gone");
+               "recovered by the operator: this node is the only voter; entries that only the other nodes "
+               "had are lost");
   return std::nullopt;
 }
 
-// The new state follows everything that was written for the old one.
+// Starts consensus again with a new state, whose first write follows all writes of the old state.
 void ConsensusDriver::restart(const consensus::Write& first_write) {
   write_number_base_ += kRestartWriteGap;
   storage_.write(write_number_base_, first_write);
--- a/src/group/follower_replication.cpp
+++ b/src/group/follower_replication.cpp
@@ -9,8 +9,8 @@
 namespace database_proxy::group {
 namespace {
 
-// A follower further behind gets the complete state: one frame instead of thousands of commands.
-constexpr consensus::Index kMostCommandsBehind = 4096;
+// A follower that is further behind receives the complete state: one frame instead of thousands of commands.
+constexpr consensus::Index kMaxCommandsBehind = 4096;
 
 }  // namespace
 
@@ -26,7 +26,7 @@
 
 bool FollowerReplication::can_send_commands_since(consensus::Index index) const {
   return index > 0 && index + 1 >= consensus_.raft()->first_index() &&
-         state_.applied_index() - index <= kMostCommandsBehind;
+         state_.applied_index() - index <= kMaxCommandsBehind;
 }
 
 std::string FollowerReplication::make_commands_frame(consensus::Index from) const {
@@ -42,7 +42,7 @@
 
 void FollowerReplication::send_updates() {
   if (!consensus_.raft()) return;
-  std::map<consensus::Index, std::string> command_frames;  // most followers stand at the same index
+  std::map<consensus::Index, std::string> command_frames;  // by the followers' index; most share one
   std::string state_frame;
   for (auto& [name, follower] : connections_.downstream()) {
     if (!follower.is_following || follower.sent_index >= state_.applied_index()) continue;
@@ -85,7 +85,7 @@
 void FollowerReplication::on_committed_commands(peers::Link& link, const peers::EncodedMessage& message) {
   last_contact_ = context_.loop.now();
   auto committed = peers::decode_committed_commands(message);
-  if (committed.from > state_.applied_index()) {  // something in between was lost on the way
+  if (committed.from > state_.applied_index()) {  // commands in between were lost
     link.send(peers::encode(peers::FollowRequest{state_.applied_index()}));
     return;
   }
--- a/src/group/replicated_state.cpp
+++ b/src/group/replicated_state.cpp
@@ -9,8 +9,9 @@
 namespace database_proxy::group {
 namespace {
 
-// A replaced lease holder that goes on for a while is logged at first and then once in so many effects.
-constexpr std::uint64_t kLogEveryRejected = 1000;
+// A replaced lease holder may continue for a while: its first rejected effect is logged, and then one in this
+// many.
+constexpr std::uint64_t kRejectionLogInterval = 1000;
 
 }  // namespace
 
@@ -32,7 +33,7 @@
   auto* publish = std::get_if<ownership::Publish>(&*command);
   if (publish && registry_.stale() > rejected_before)
     context_.log(net::Level::kWarning,
-                 fmt::format("turned down an effect of {} with an old token", publish->job));
+                 fmt::format("turned down an effect of job {} with a stale token", publish->job));
   if (auto* grant = std::get_if<ownership::Grant>(&*command)) on_grant(*grant, granted);
   if (!publish) return;
   if (publish->job == kEndpointListJob) observer_.on_endpoint_list_published();
@@ -49,9 +50,9 @@
 
 bool ReplicatedState::admit_effect(const std::string& job, ownership::Token token) {
   if (fencing_token_guard_.admit(job, token)) return true;
-  if (++rejected_effects_ == 1 || rejected_effects_ % kLogEveryRejected == 0)
+  if (++rejected_effects_ == 1 || rejected_effects_ % kRejectionLogInterval == 0)
     context_.log(net::Level::kWarning,
-                 fmt::format("turned down facts of {} with the old token {} ({} so far)", job, token,
+                 fmt::format("turned down a report of job {} with the stale token {} ({} so far)", job, token,
                              rejected_effects_));
   return false;
 }
