--- a/src/group/admin_commands.cpp
+++ b/src/group/admin_commands.cpp
@@ -144,7 +144,7 @@
   auto voter = peers::decode_leadership_transfer_request(message).voter;
   auto target = consensus::kNobody;
   if (!voter.empty()) {
-    for (auto& [id, name] : connections_.names())
+    for (auto& [id, name] : connections_.voter_names())
       if (name == voter && consensus_.raft()->members().votes(id)) target = id;
     if (target == consensus::kNobody) return return_outcome(route, {0, fmt::format("{} is no voter", voter)});
     if (target == consensus_.id()) {
@@ -165,7 +165,7 @@
   auto id = request.id;
   if (id == consensus::kNobody) {
     bool may_be_new = what == MembershipChange::What::kAddLearner;
-    for (auto& [known_id, name] : connections_.names())
+    for (auto& [known_id, name] : connections_.voter_names())
       if (name == request.node && (may_be_new || consensus_.raft()->members().has(known_id))) id = known_id;
   }
   if (id == consensus::kNobody)
--- a/src/group/peer_connections.cpp
+++ b/src/group/peer_connections.cpp
@@ -22,13 +22,13 @@
 
 // The pause after a dial that failed doubles from the one to the other; each is drawn between half and whole,
 // so that nodes which lost a voter together do not return together.
-constexpr Micros kFirstRedialPause = 100ms;
-constexpr Micros kLongestRedialPause = 1s;
-constexpr int kMostDoublings = 4;
+constexpr Micros kInitialRedialBackoff = 100ms;
+constexpr Micros kMaxRedialBackoff = 1s;
+constexpr int kMaxBackoffDoublings = 4;
 // Links that were accepted; more are closed at once.
-constexpr std::size_t kMostAcceptedLinks = 4096;
+constexpr std::size_t kMaxAcceptedLinks = 4096;
 // Of one turn of the loop, so that a flood of connections does not starve the rest.
-constexpr int kMostAcceptedPerIteration = 64;
+constexpr int kMaxAcceptsPerIteration = 64;
 
 }  // namespace
 
@@ -50,12 +50,12 @@
 
 void PeerConnections::set_own_id(consensus::NodeId id) {
   own_id_ = id;
-  names_[id] = context_.name();
+  voter_names_[id] = context_.name();
 }
 
 std::string PeerConnections::name_of(consensus::NodeId id) const {
-  auto found = names_.find(id);
-  return found == names_.end() ? "" : found->second;
+  auto found = voter_names_.find(id);
+  return found == voter_names_.end() ? "" : found->second;
 }
 
 const NodeAddress* PeerConnections::find_node(const std::string& name) const {
@@ -100,11 +100,11 @@
 }
 
 void PeerConnections::accept_connections() {
-  for (int i = 0; i < kMostAcceptedPerIteration; ++i) {
+  for (int i = 0; i < kMaxAcceptsPerIteration; ++i) {
     int error = 0;
     auto connection = net::accept_from(listener_.get(), &error);
     if (!connection) return;
-    if (accepted_links_.size() >= kMostAcceptedLinks) continue;
+    if (accepted_links_.size() >= kMaxAcceptedLinks) continue;
     peers::Link::Owner& owner = *this;
     auto link = std::make_unique<peers::Link>(context_.loop, owner, std::move(connection));
     if (link->start()) accepted_links_.push_back(std::move(link));
@@ -165,11 +165,11 @@
 }
 
 void PeerConnections::schedule_redial(const std::string& name, DialedPeer* peer) {
-  int doublings = std::min(peer->failures++, kMostDoublings);
-  auto longest = std::min<Micros>(kLongestRedialPause, kFirstRedialPause * (1 << doublings));
-  auto pause = longest / 2 + context_.random_below(longest / 2);
+  int doublings = std::min(peer->failures++, kMaxBackoffDoublings);
+  auto max_backoff = std::min<Micros>(kMaxRedialBackoff, kInitialRedialBackoff * (1 << doublings));
+  auto backoff = max_backoff / 2 + context_.random_below(max_backoff / 2);
   if (!context_.is_voter()) ++upstream_choice_;
-  context_.set_timer(&peer->redial_timer, context_.loop.now() + pause, [this, name] {
+  context_.set_timer(&peer->redial_timer, context_.loop.now() + backoff, [this, name] {
     if (context_.is_voter())
       dial(name);
     else
@@ -208,8 +208,8 @@
 }
 
 // Why the peer is not accepted; nullopt: it is.
-std::optional<std::string> PeerConnections::find_objection(const peers::Link& link,
-                                                           const peers::Greeting& greeting) const {
+std::optional<std::string> PeerConnections::find_rejection_reason(const peers::Link& link,
+                                                                  const peers::Greeting& greeting) const {
   if (greeting.installation != context_.options.installation)
     return fmt::format("it is of the installation '{}'", greeting.installation);
   if (greeting.least_version > peers::kVersion || greeting.version < peers::kLeastVersion)
@@ -225,20 +225,21 @@
 }
 
 bool PeerConnections::accept_greeting(peers::Link& link, const peers::Greeting& greeting) {
-  auto objection = find_objection(link, greeting);
-  if (objection) {
+  auto rejection_reason = find_rejection_reason(link, greeting);
+  if (rejection_reason) {
     context_.log(Level::kWarning,
-                 fmt::format("turned away {}: {}", greeting.node_name.value_or("a peer"), *objection));
-    link.send(peers::encode(peers::Refusal{*objection}));
-    link.close(*objection);
+                 fmt::format("turned away {}: {}", greeting.node_name.value_or("a peer"), *rejection_reason));
+    link.send(peers::encode(peers::Refusal{*rejection_reason}));
+    link.close(*rejection_reason);
     return false;
   }
   auto& name = *greeting.node_name;
   bool is_voter = greeting.role == PeerRole::kVoter;
   if (is_voter) {
     // A voter whose directory was lost comes back under another id.
-    std::erase_if(names_, [&](auto& entry) { return entry.second == name && entry.first != greeting.id; });
-    names_[greeting.id] = name;
+    std::erase_if(voter_names_,
+                  [&](auto& entry) { return entry.second == name && entry.first != greeting.id; });
+    voter_names_[greeting.id] = name;
   }
   bool is_admin_client = greeting.role == PeerRole::kAdminClient;
   peers::LinkPeer peer{.name = name, .role = *greeting.role, .id = greeting.id, .has_greeted = false};
--- a/src/group/peer_connections.h
+++ b/src/group/peer_connections.h
@@ -82,7 +82,7 @@
   const std::string& upstream() const { return upstream_; }
 
   // Voters that have greeted, and this node.
-  const std::map<consensus::NodeId, std::string>& names() const { return names_; }
+  const std::map<consensus::NodeId, std::string>& voter_names() const { return voter_names_; }
   // Empty: not known.
   std::string name_of(consensus::NodeId id) const;
 
@@ -108,7 +108,8 @@
 
   void handle_message(peers::Link& link, const peers::EncodedMessage& message);
   bool accept_greeting(peers::Link& link, const peers::Greeting& greeting);
-  std::optional<std::string> find_objection(const peers::Link& link, const peers::Greeting& greeting) const;
+  std::optional<std::string> find_rejection_reason(const peers::Link& link,
+                                                   const peers::Greeting& greeting) const;
   void add_downstream(peers::Link& link);
   void on_dialed_link_down(peers::Link& link, const std::string& reason);
   void on_accepted_link_down(peers::Link& link, const std::string& reason);
@@ -130,7 +131,7 @@
   std::vector<std::unique_ptr<peers::Link>> accepted_links_;
   std::vector<std::unique_ptr<peers::Link>> ended_links_;  // until the turn ends
   std::map<std::string, Downstream> downstream_;           // by name
-  std::map<consensus::NodeId, std::string> names_;
+  std::map<consensus::NodeId, std::string> voter_names_;
   std::string upstream_;             // a follower's voter, once it has greeted; empty: none
   std::size_t upstream_choice_ = 0;  // modulo the number of voters; 0: not drawn yet
 };
