--- a/src/group/lease_session.cpp
+++ b/src/group/lease_session.cpp
@@ -18,15 +18,15 @@
 constexpr int kRenewalsPerLease = 8;
 // A lease holder that shows no progress is relieved after this long: the list service may keep one call open
 // for 6 s, which is no idleness.
-constexpr Micros kLeastIdleTime = 10s;
-constexpr int kIdleLeases = 4;
+constexpr Micros kMinIdleTime = 10s;
+constexpr int kIdleTimeInLeases = 4;
 // The lease manager never wakes the loop more often than this.
-constexpr Micros kShortestManagerPause = 1ms;
+constexpr Micros kMinManagerInterval = 1ms;
 
 ownership::LeaseOptions lease_options(const Options& options) {
   ownership::LeaseOptions lease;
   lease.length = options.lease;
-  lease.idle = std::max<Micros>(kLeastIdleTime, options.lease * kIdleLeases);
+  lease.idle = std::max<Micros>(kMinIdleTime, options.lease * kIdleTimeInLeases);
   return lease;
 }
 
@@ -52,7 +52,7 @@
 void LeaseSession::request_renewal() {
   auto next = context_.loop.now() + context_.options.lease / kRenewalsPerLease;
   renewal_timer_ = context_.loop.at(next, [this] { request_renewal(); });
-  auto eligible_jobs = is_leaving_ ? std::vector<std::string>() : events_.eligible_jobs();
+  auto eligible_jobs = is_releasing_all_ ? std::vector<std::string>() : events_.eligible_jobs();
   auto request = client_.make_renewal_request(net::monotonic_now(), eligible_jobs);
   forwarding_.send_to_leader(peers::encode(peers::RoutedLeaseRenewalRequest{context_.name(), request}));
 }
@@ -62,7 +62,7 @@
   client_.on_renewal_response(net::monotonic_now(), response);
   auto to_give_up = client_.to_give_up();
   for (auto& job : to_give_up) release(job);
-  if (!is_leaving_) return;
+  if (!is_releasing_all_) return;
   for (auto& job : client_.jobs()) release(job);
 }
 
@@ -75,7 +75,7 @@
 }
 
 void LeaseSession::release_all() {
-  is_leaving_ = true;
+  is_releasing_all_ = true;
   context_.loop.cancel(&renewal_timer_);
   // Without any eligible job no lease comes back.
   if (!context_.options.jobs.empty()) request_renewal();
@@ -97,11 +97,12 @@
   manager_.on_renewal_request(net::monotonic_now(), routed.request, state_.registry());
   consensus_.confirm_leadership([this, node = routed.request.node, number = routed.request.number,
                                  via = routed.via](bool is_confirmed) {
-    if (is_confirmed && manager_.leading()) answer_renewal(node, number, via);
+    if (is_confirmed && manager_.leading()) send_renewal_response(node, number, via);
   });
 }
 
-void LeaseSession::answer_renewal(const std::string& node, std::uint64_t number, const std::string& via) {
+void LeaseSession::send_renewal_response(const std::string& node, std::uint64_t number,
+                                         const std::string& via) {
   peers::RoutedLeaseRenewalResponse routed;
   routed.route = {node, via};
   routed.response = manager_.renewal_response(node, number, state_.registry());
@@ -121,7 +122,7 @@
     }
   }
   for (auto& line : manager_.take_reasons()) context_.log(Level::kInfo, line);
-  auto wake_at = std::max(manager_.due(), context_.loop.now() + kShortestManagerPause);
+  auto wake_at = std::max(manager_.due(), context_.loop.now() + kMinManagerInterval);
   context_.set_timer(&manager_timer_, wake_at, [] {});  // the turn that it causes calls this again
 }
 
--- a/src/group/lease_session.h
+++ b/src/group/lease_session.h
@@ -43,7 +43,7 @@
   bool holds(const std::string& job, Micros now) const { return client_.holds(job, now); }
   bool holds_now(const std::string& job) const { return client_.holds(job, net::monotonic_now()); }
   ownership::Token token(const std::string& job) const { return client_.token(job); }
-  std::vector<std::string> jobs() const { return client_.jobs(); }
+  std::vector<std::string> held_jobs() const { return client_.jobs(); }
   // A lease without progress passes to another node.
   void record_progress(const std::string& job) { client_.record_progress(job); }
 
@@ -58,7 +58,7 @@
  private:
   void request_renewal();
   void release(const std::string& job);
-  void answer_renewal(const std::string& node, std::uint64_t number, const std::string& via);
+  void send_renewal_response(const std::string& node, std::uint64_t number, const std::string& via);
 
   NodeContext& context_;
   ConsensusDriver& consensus_;
@@ -69,7 +69,7 @@
   ownership::LeaseClient client_;
   net::Loop::TimerId renewal_timer_ = net::Loop::kNoTimer;
   net::Loop::TimerId manager_timer_ = net::Loop::kNoTimer;
-  bool is_leaving_ = false;
+  bool is_releasing_all_ = false;
 };
 
 }  // namespace database_proxy::group
