--- a/src/group/endpoint_list_publisher.cpp
+++ b/src/group/endpoint_list_publisher.cpp
@@ -15,7 +15,7 @@
 
 // A list that is not in the registry after this time is proposed again: an election takes longer, a round of
 // replication far less.
-constexpr Micros kProposeAgain = 400ms;
+constexpr Micros kReproposeInterval = 400ms;
 
 }  // namespace
 
@@ -33,21 +33,21 @@
 
 // Continues from what is published, whoever published it.
 void EndpointListPublisher::start_polling(Micros now) {
-  auto& known = subscriber_.effective_endpoint_list();
+  auto& effective_list = subscriber_.effective_endpoint_list();
   bool is_published = subscriber_.is_published();
   std::optional<std::int64_t> known_generation;
   endpoints_.clear();
   if (is_published) {
-    known_generation = known.generation;
-    for (auto& endpoint : known.members) endpoints_[endpoint.id] = endpoint;
+    known_generation = effective_list.generation;
+    for (auto& endpoint : effective_list.members) endpoints_[endpoint.id] = endpoint;
   }
-  generation_ = known.generation;
+  generation_ = effective_list.generation;
   is_complete_ = is_published;
   if (!known_generation) ++complete_polls_;
   is_publishing_ = false;
   // What was published before is as good as an answer: a poll that waits for a change takes up to 5 s.
-  last_answer_ = is_published ? now : Micros(0);
-  watch_ = std::make_unique<discovery::Watch>(
+  last_discovery_answer_ = is_published ? now : Micros(0);
+  watch_ = std::make_unique<discovery::DiscoveryWatch>(
       context_.loop, *net::parse_address(context_.discovery_address), context_.discovery_address,
       known_generation, context_.polling_schedule,
       [this](const discovery::EndpointListUpdate& update) { on_update(update); }, context_.log_sink);
@@ -59,7 +59,7 @@
   is_complete_ = is_complete_ || update.reset;
   bool has_changed = update.reset || !update.members.empty() || update.generation != generation_;
   generation_ = update.generation;
-  last_answer_ = net::monotonic_now();
+  last_discovery_answer_ = net::monotonic_now();
   leases_.record_progress(kEndpointListJob);
   if (!has_changed || !is_complete_) return;
   to_publish_ = peers::encode_published_list(make_complete_list(endpoints_, update.generation));
@@ -71,7 +71,7 @@
 
 void EndpointListPublisher::publish() {
   auto now = net::monotonic_now();
-  if (!is_publishing_ || now - last_proposed_ < kProposeAgain) return;
+  if (!is_publishing_ || now - last_proposed_ < kReproposeInterval) return;
   auto token = leases_.token(kEndpointListJob);
   auto* job = state_.job(kEndpointListJob);
   if (job && job->published_by == token && job->data == to_publish_) {
@@ -86,8 +86,9 @@
 }
 
 void EndpointListPublisher::report_status(Micros now) {
-  bool is_answered = last_answer_.count() > 0 && now - last_answer_ < kListKnown;
-  if (now - last_status_ < kStatusInterval || !is_answered) return;
+  bool is_discovery_responsive =
+      last_discovery_answer_.count() > 0 && now - last_discovery_answer_ < kListKnown;
+  if (now - last_status_ < kStatusInterval || !is_discovery_responsive) return;
   last_status_ = now;
   peers::EndpointListStatus status;
   status.header = {kEndpointListJob, leases_.token(kEndpointListJob)};
--- a/src/group/endpoint_list_subscriber.cpp
+++ b/src/group/endpoint_list_subscriber.cpp
@@ -21,7 +21,7 @@
 using net::Level;
 
 // When the list service gave a list is not known of one that the group committed.
-constexpr std::int64_t kUnknownTime = 0;
+constexpr std::int64_t kUnknownPublicationTime = 0;
 
 }  // namespace
 
@@ -55,11 +55,11 @@
 
 void EndpointListSubscriber::start() {
   last_contact_ = net::monotonic_now();
-  draw_fallback_delay();
+  randomize_fallback_delay();
 }
 
 // Spread over the nodes, so that they do not all turn to the list service at once.
-void EndpointListSubscriber::draw_fallback_delay() {
+void EndpointListSubscriber::randomize_fallback_delay() {
   fallback_delay_ = context_.options.fallback + context_.random_below(context_.options.spread);
 }
 
@@ -83,7 +83,8 @@
   if (!publish || publish->job != kEndpointListJob || publish->data.empty()) return false;
   try {
     auto list = discovery::parse_endpoint_list(publish->data);
-    if (selector_.consider(Source::kOwnCopy, context_.options.installation, std::move(list), kUnknownTime))
+    if (selector_.consider(Source::kOwnCopy, context_.options.installation, std::move(list),
+                           kUnknownPublicationTime))
       put_into_effect(false);
     return true;
   } catch (const std::invalid_argument&) {
@@ -103,20 +104,21 @@
   try {
     auto list = discovery::parse_endpoint_list(job->data);
     list.reset = true;
-    auto last_generation =
+    auto previous_generation =
         selector_.has_list() ? selector_.list().generation : std::numeric_limits<std::int64_t>::min();
-    if (!selector_.consider(Source::kGroup, context_.options.installation, std::move(list), kUnknownTime)) {
+    if (!selector_.consider(Source::kGroup, context_.options.installation, std::move(list),
+                            kUnknownPublicationTime)) {
       is_published_ = selector_.source() == Source::kGroup;
       return;
     }
     last_contact_ = std::max(last_contact_, net::monotonic_now());
-    put_into_effect(selector_.list().generation < last_generation);
+    put_into_effect(selector_.list().generation < previous_generation);
   } catch (const std::invalid_argument& e) {
     context_.log(Level::kError, fmt::format("the published list cannot be read: {}", e.what()));
   }
 }
 
-void EndpointListSubscriber::on_owner_status(const peers::EndpointListStatus& status) {
+void EndpointListSubscriber::on_lease_holder_status(const peers::EndpointListStatus& status) {
   if (age_of_unix_ms(status.sent_at_unix_ms) > context_.options.fallback) return;
   // A holder whose newest list has not reached this node is no contact: the list here is out of date.
   if (is_published_ && effective_list_.generation >= status.generation) last_contact_ = net::monotonic_now();
@@ -184,7 +186,7 @@
                context_.is_voter()
                    ? "nothing is heard of the list's owner: this voter asks the list service for all"
                    : "nothing is heard of the list: this proxy asks by itself");
-  draw_fallback_delay();
+  randomize_fallback_delay();
   if (context_.is_voter()) start_fallback_poll();
   observer_.on_group_unavailable(context_.is_voter() ? EndpointListFallback::kVoterPolls
                                                      : EndpointListFallback::kProcessPolls);
@@ -198,7 +200,7 @@
     for (auto& endpoint : effective_list_.members) fallback_endpoints_[endpoint.id] = endpoint;
   }
   if (!known_generation) ++complete_polls_;
-  fallback_watch_ = std::make_unique<discovery::Watch>(
+  fallback_watch_ = std::make_unique<discovery::DiscoveryWatch>(
       context_.loop, *net::parse_address(context_.discovery_address), context_.discovery_address,
       known_generation, context_.polling_schedule,
       [this](const discovery::EndpointListUpdate& update) { on_fallback_update(update); }, context_.log_sink);
@@ -217,9 +219,9 @@
 
 // Copies go out after a change only; in between this tells that the last one is still valid.
 void EndpointListSubscriber::send_confirmation() {
-  bool is_answered =
+  bool is_discovery_responsive =
       last_fallback_answer_.count() > 0 && net::monotonic_now() - last_fallback_answer_ <= kListKnown;
-  if (!fallback_watch_ || !is_answered) return;
+  if (!fallback_watch_ || !is_discovery_responsive) return;
   peers::EndpointListConfirmation confirmation{effective_list_.generation, unix_ms()};
   connections_.disseminate(peers::encode(confirmation), nullptr);
 }
--- a/src/group/endpoint_list_subscriber.h
+++ b/src/group/endpoint_list_subscriber.h
@@ -64,7 +64,7 @@
   // From the replicated state.
   void on_endpoint_list_published();
   // From the lease holder.
-  void on_owner_status(const peers::EndpointListStatus& status);
+  void on_lease_holder_status(const peers::EndpointListStatus& status);
   // From voters, where there is no lease holder.
   void on_copy(peers::Link& link, const peers::EncodedMessage& message);
   void on_confirmation(peers::Link& link, const peers::EncodedMessage& message);
@@ -86,7 +86,7 @@
  private:
   bool restore_from_entry(const consensus::Entry& entry);
   void put_into_effect(bool is_restart);
-  void draw_fallback_delay();
+  void randomize_fallback_delay();
   void start_fallback_poll();
   void on_fallback_update(const discovery::EndpointListUpdate& update);
   peers::EncodedMessage encode_copy() const;
@@ -104,7 +104,7 @@
   Micros fallback_delay_{0};  // without contact, until the group counts as unavailable
   bool is_group_unavailable_ = false;
 
-  std::unique_ptr<discovery::Watch> fallback_watch_;
+  std::unique_ptr<discovery::DiscoveryWatch> fallback_watch_;
   EndpointsById fallback_endpoints_;
   Micros last_fallback_answer_{0};  // of the list service; 0: none yet
   std::uint64_t complete_polls_ = 0;
