--- a/src/group/admin_commands.cpp
+++ b/src/group/admin_commands.cpp
@@ -17,8 +17,8 @@
 using peers::AdminCommand;
 
 // Of one setting that operators keep in the group: every node has all of them in memory.
-constexpr std::size_t kLongestSettingName = 256;
-constexpr std::size_t kLongestSettingValue = 65536;
+constexpr std::size_t kMaxSettingNameSize = 256;
+constexpr std::size_t kMaxSettingValueSize = 65536;
 
 AdminAnswer to_answer(const std::optional<std::string>& failure) {
   return {!failure.has_value(), failure, {}};
@@ -38,7 +38,7 @@
     case AdminCommand::kMembers:
       return answer(answer_members());
     case AdminCommand::kOwners:
-      return answer({true, std::nullopt, list_owners()});
+      return answer({true, std::nullopt, list_lease_holders()});
     case AdminCommand::kIdentify:
       return answer({true, std::nullopt, identify()});
     case AdminCommand::kBootstrap:
@@ -46,11 +46,11 @@
     case AdminCommand::kRecover:
       return answer(recover(message));
     default:
-      pass_to_leader(link, message);
+      forward_to_leader(link, message);
   }
 }
 
-void AdminCommands::pass_to_leader(peers::Link& link, const peers::EncodedMessage& message) {
+void AdminCommands::forward_to_leader(peers::Link& link, const peers::EncodedMessage& message) {
   auto routed = peers::with_type_and_route(message, peers::MessageType::kForwardedCommand,
                                            forwarding_.route_below(link));
   if (!forwarding_.send_to_leader(routed))
@@ -83,7 +83,7 @@
   return member;
 }
 
-peers::OwnerList AdminCommands::list_owners() const {
+peers::OwnerList AdminCommands::list_lease_holders() const {
   peers::OwnerList list;
   for (auto& [job, state] : state_.registry().jobs()) list.owners.push_back({job, state});
   list.rejected_effects = state_.rejected_effects();
@@ -153,8 +153,8 @@
       return forwarding_.return_response(peers::encode(answer, route));
     }
   }
-  auto named_target = target == consensus::kNobody ? "" : " to " + connections_.name_of(target);
-  context_.log(Level::kInfo, fmt::format("hands leadership over{}: asked by the operator", named_target));
+  auto target_suffix = target == consensus::kNobody ? "" : " to " + connections_.name_of(target);
+  context_.log(Level::kInfo, fmt::format("hands leadership over{}: asked by the operator", target_suffix));
   consensus_.transfer_leadership(target);
   return_outcome(route, {});
 }
@@ -177,7 +177,7 @@
 void AdminCommands::put_setting(const peers::EncodedMessage& message) {
   auto route = peers::decode_route(message);
   auto [setting, value] = peers::decode_put_setting_request(message);
-  if (setting.empty() || setting.size() > kLongestSettingName || value.size() > kLongestSettingValue)
+  if (setting.empty() || setting.size() > kMaxSettingNameSize || value.size() > kMaxSettingValueSize)
     return return_outcome(route, {0, "a key of 1 to 256 bytes and a value of 65536 at most"});
   consensus_.propose(ownership::encode(ownership::SetConfigurationEntry{setting, value}),
                      [this, route](const ProposalOutcome& outcome) { return_outcome(route, outcome); });
--- a/src/group/admin_commands.h
+++ b/src/group/admin_commands.h
@@ -44,10 +44,10 @@
   void on_leader_command(const peers::EncodedMessage& message);
 
  private:
-  void pass_to_leader(peers::Link& link, const peers::EncodedMessage& message);
+  void forward_to_leader(peers::Link& link, const peers::EncodedMessage& message);
   peers::AdminAnswer answer_members() const;
   peers::MemberStatus make_member_status(consensus::NodeId id, bool is_learner) const;
-  peers::OwnerList list_owners() const;
+  peers::OwnerList list_lease_holders() const;
   peers::NodeIdentity identify() const;
   peers::AdminAnswer bootstrap(const peers::EncodedMessage& message);
   peers::AdminAnswer recover(const peers::EncodedMessage& message);
