--- a/src/group/admin_commands.cpp
+++ b/src/group/admin_commands.cpp
@@ -59,7 +59,7 @@
 
 AdminAnswer AdminCommands::answer_members() const {
   auto* raft = consensus_.raft();
-  if (!raft) return {false, "a follower does not know the voters; ask one of them", {}};
+  if (!raft) return {false, "a follower does not know the members; send the command to a voter", {}};
   peers::MemberList list;
   for (auto id : raft->members().voters) list.members.push_back(make_member_status(id, false));
   for (auto id : raft->members().learners) list.members.push_back(make_member_status(id, true));
@@ -146,15 +146,16 @@
   if (!voter.empty()) {
     for (auto& [id, name] : connections_.voter_names())
       if (name == voter && consensus_.raft()->members().votes(id)) target = id;
-    if (target == consensus::kNobody) return return_outcome(route, {0, fmt::format("{} is no voter", voter)});
+    if (target == consensus::kNobody)
+      return return_outcome(route, {0, fmt::format("{} is not a voter", voter)});
     if (target == consensus_.id()) {
       // The leader's reason is no failure: the operator has what he asked for.
-      AdminAnswer answer{true, "it leads already", peers::AppliedIndex{}};
+      AdminAnswer answer{true, "it is already the leader", peers::AppliedIndex{}};
       return forwarding_.return_response(peers::encode(answer, route));
     }
   }
   auto target_suffix = target == consensus::kNobody ? "" : " to " + connections_.name_of(target);
-  context_.log(Level::kInfo, fmt::format("hands leadership over{}: asked by the operator", target_suffix));
+  context_.log(Level::kInfo, fmt::format("hands leadership over{}: requested by an operator", target_suffix));
   consensus_.transfer_leadership(target);
   return_outcome(route, {});
 }
@@ -169,7 +170,7 @@
       if (name == request.node && (may_be_new || consensus_.raft()->members().has(known_id))) id = known_id;
   }
   if (id == consensus::kNobody)
-    return return_outcome(route, {0, fmt::format("nothing is known of '{}'", request.node)});
+    return return_outcome(route, {0, fmt::format("no node named '{}' is known", request.node)});
   consensus_.change_members(
       what, id, [this, route](const ProposalOutcome& outcome) { return_outcome(route, outcome); });
 }
@@ -178,7 +179,8 @@
   auto route = peers::decode_route(message);
   auto [setting, value] = peers::decode_put_setting_request(message);
   if (setting.empty() || setting.size() > kMaxSettingNameSize || value.size() > kMaxSettingValueSize)
-    return return_outcome(route, {0, "a key of 1 to 256 bytes and a value of 65536 at most"});
+    return return_outcome(route,
+                          {0, "a setting takes a key of 1 to 256 bytes and a value of at most 65536 bytes"});
   consensus_.propose(ownership::encode(ownership::SetConfigurationEntry{setting, value}),
                      [this, route](const ProposalOutcome& outcome) { return_outcome(route, outcome); });
 }
@@ -186,7 +188,7 @@
 void AdminCommands::get_setting(const peers::EncodedMessage& message) {
   auto route = peers::decode_route(message);
   if (!consensus_.may_answer_as_leader())
-    return return_outcome(route, {0, "the leader has just been elected"});
+    return return_outcome(route, {0, "the leader has just been elected and has not committed an entry yet"});
   auto setting = peers::decode_get_setting_request(message).setting;
   consensus_.confirm_leadership([this, route, setting](bool is_confirmed) {
     AdminAnswer answer;
--- a/src/group/endpoint_list_subscriber.cpp
+++ b/src/group/endpoint_list_subscriber.cpp
@@ -114,7 +114,7 @@
     last_contact_ = std::max(last_contact_, net::monotonic_now());
     put_into_effect(selector_.list().generation < previous_generation);
   } catch (const std::invalid_argument& e) {
-    context_.log(Level::kError, fmt::format("the published list cannot be read: {}", e.what()));
+    context_.log(Level::kError, fmt::format("the published endpoint list cannot be parsed: {}", e.what()));
   }
 }
 
@@ -166,8 +166,8 @@
     put_into_effect(false);
     connections_.disseminate(message, &link);
   } catch (const std::invalid_argument& e) {
-    context_.log(Level::kError,
-                 fmt::format("a copy of the list from {} cannot be read: {}", link.peer().name, e.what()));
+    context_.log(Level::kError, fmt::format("the copy of the endpoint list from {} cannot be parsed: {}",
+                                            link.peer().name, e.what()));
   }
 }
 
@@ -178,14 +178,15 @@
   if (is_unavailable == is_group_unavailable_) return;
   is_group_unavailable_ = is_unavailable;
   if (!is_unavailable) {
-    context_.log(Level::kInfo, "the list is heard of again");
+    context_.log(Level::kInfo, "the endpoint list is heard of again");
     fallback_watch_.reset();
     return observer_.on_group_unavailable(EndpointListFallback::kNone);
   }
-  context_.log(Level::kWarning,
-               context_.is_voter()
-                   ? "nothing is heard of the list's owner: this voter asks the list service for all"
-                   : "nothing is heard of the list: this proxy asks by itself");
+  context_.log(
+      Level::kWarning,
+      context_.is_voter()
+          ? "no contact with the lease holder of the endpoint list: this voter asks the list service for all"
+          : "no contact with a source of the endpoint list: this proxy asks by itself");
   randomize_fallback_delay();
   if (context_.is_voter()) start_fallback_poll();
   observer_.on_group_unavailable(context_.is_voter() ? EndpointListFallback::kVoterPolls
--- a/src/group/lease_session.cpp
+++ b/src/group/lease_session.cpp
@@ -69,7 +69,7 @@
 void LeaseSession::release(const std::string& job) {
   auto token = client_.give_up(job);
   if (token == 0) return;
-  context_.log(Level::kInfo, fmt::format("gives up job {} (token {})", job, token));
+  context_.log(Level::kInfo, fmt::format("releases job {} (token {})", job, token));
   events_.on_lease_lost(job);
   forwarding_.propose(ownership::encode(ownership::Release{job, token}));
 }
@@ -84,7 +84,7 @@
 
 void LeaseSession::expire(Micros now) {
   for (auto& job : client_.expire(now)) {
-    context_.log(Level::kWarning, fmt::format("lets job {} go: its lease has run out", job));
+    context_.log(Level::kWarning, fmt::format("stops job {}: its lease has run out", job));
     events_.on_lease_lost(job);
   }
 }
--- a/src/group/peer_connections.cpp
+++ b/src/group/peer_connections.cpp
@@ -94,7 +94,7 @@
   for (auto& [name, peer] : dialed_) {
     auto* node = find_node(name);
     bool has_moved = !node || node->address != peer.address;
-    if (has_moved && peer.link) peer.link->close("its address has changed");
+    if (has_moved && peer.link) peer.link->close("its entry in group.nodes was changed or removed");
   }
   dial_missing_peers();
 }
@@ -120,7 +120,7 @@
   try {
     handle_message(link, message);
   } catch (const peers::MalformedMessage&) {
-    link.close("it sent a message that cannot be read");
+    link.close("it sent a malformed message");
   }
 }
 
@@ -142,11 +142,11 @@
       return events_.on_upstream_connected(link);
     case peers::MessageType::kRefusal:
       if (!link.peer().has_greeted)
-        context_.log(Level::kError, fmt::format("{} turned this node away: {}", link.peer().name,
+        context_.log(Level::kError, fmt::format("{} rejected this node: {}", link.peer().name,
                                                 peers::decode_refusal(message).reason));
       return;
     default:
-      if (!link.peer().has_greeted) return link.close("it spoke before it greeted");
+      if (!link.peer().has_greeted) return link.close("it sent a message before its greeting");
       events_.on_peer_message(link, message);
   }
 }
@@ -217,9 +217,10 @@
   if (!greeting.node_name || !greeting.role) throw peers::MalformedMessage("a greeting without name or role");
   auto& name = *greeting.node_name;
   if (link.is_dialed() && name != link.peer().name)
-    return fmt::format("it is {}, where {} was dialed", name, link.peer().name);
+    return fmt::format("it is named {}, but {} was dialed", name, link.peer().name);
   if (greeting.role != PeerRole::kVoter) return std::nullopt;
-  if (greeting.id == consensus::kNobody || greeting.id == own_id_) return "it has no id of its own";
+  if (greeting.id == consensus::kNobody || greeting.id == own_id_)
+    return "it has no id, or the id of this node";
   if (!find_node(name)) return "it is none of group.nodes";
   return std::nullopt;
 }
@@ -227,8 +228,9 @@
 bool PeerConnections::accept_greeting(peers::Link& link, const peers::Greeting& greeting) {
   auto rejection_reason = find_rejection_reason(link, greeting);
   if (rejection_reason) {
-    context_.log(Level::kWarning,
-                 fmt::format("turned away {}: {}", greeting.node_name.value_or("a peer"), *rejection_reason));
+    context_.log(
+        Level::kWarning,
+        fmt::format("rejected {}: {}", greeting.node_name.value_or("an unnamed peer"), *rejection_reason));
     link.send(peers::encode(peers::Refusal{*rejection_reason}));
     link.close(*rejection_reason);
     return false;
@@ -259,7 +261,7 @@
   auto& name = link.peer().name;
   // A process that was restarted may be quicker than the end of its last connection.
   auto old = downstream_.find(name);
-  if (old != downstream_.end()) old->second.link->close("it has come again");
+  if (old != downstream_.end()) old->second.link->close("it has connected again");
   downstream_[name].link = &link;
 }
 
--- a/tests/group/processes_test.cpp
+++ b/tests/group/processes_test.cpp
@@ -515,7 +515,7 @@
   CHECK(send_bytes(hello + gigabyte));  // also from one that greeted well
   CHECK(told(3));
   CHECK(send_bytes(database_proxy::peers::frame({{"t", "raft"}, {"k", 2}})));  // before any greeting
-  CHECK(f->soon([&] { return times(f->log("n1"), "it spoke before it greeted") == 1; }));
+  CHECK(f->soon([&] { return times(f->log("n1"), "it sent a message before its greeting") == 1; }));
   CHECK_THROWS_WITH(app::FleetCall(f->address("n1"), "elsewhere"),
                     Catch::Contains("it is of the installation 'elsewhere'"));
   CHECK_THROWS_WITH(
