--- a/src/group/lease_session.cpp
+++ b/src/group/lease_session.cpp
@@ -14,13 +14,13 @@
 using namespace std::chrono_literals;
 using net::Level;
 
-// Renewals in the length of a lease: several may be lost before it runs out.
+// Renewal requests per lease duration: several may be lost before the lease expires.
 constexpr int kRenewalsPerLease = 8;
-// A lease holder that shows no progress is relieved after this long: the list service may keep one call open
-// for 6 s, which is no idleness.
+// A lease holder that reports no progress loses the job after the longer of these two times. The discovery
+// service may keep one call open for 6 s, during which its caller is not idle.
 constexpr Micros kMinIdleTime = 10s;
-constexpr int kIdleTimeInLeases = 4;
-// The lease manager never wakes the loop more often than this.
+constexpr int kIdleTimeInLeases = 4;  // lease durations
+// The shortest interval at which the lease manager wakes the loop.
 constexpr Micros kMinManagerInterval = 1ms;
 
 ownership::LeaseOptions lease_options(const Options& options) {
@@ -42,7 +42,7 @@
       manager_(lease_options(context.options)),
       client_(context.name(), lease_options(context.options)) {}
 
-// ---- The holder's side
+// ---- The lease holder's side
 
 void LeaseSession::start_renewing() {
   auto first = context_.random_time_within(context_.options.lease / kRenewalsPerLease);
@@ -77,7 +77,7 @@
 void LeaseSession::release_all() {
   is_releasing_all_ = true;
   context_.loop.cancel(&renewal_timer_);
-  // Without any eligible job no lease comes back.
+  // This request lists no eligible job, so the leader grants this node no lease again.
   if (!context_.options.jobs.empty()) request_renewal();
   for (auto& job : client_.jobs()) release(job);
 }
@@ -123,7 +123,7 @@
   }
   for (auto& line : manager_.take_reasons()) context_.log(Level::kInfo, line);
   auto wake_at = std::max(manager_.due(), context_.loop.now() + kMinManagerInterval);
-  context_.set_timer(&manager_timer_, wake_at, [] {});  // the turn that it causes calls this again
+  context_.set_timer(&manager_timer_, wake_at, [] {});  // the loop iteration that it causes calls this again
 }
 
 }  // namespace database_proxy::group
--- a/src/group/lease_session.h
+++ b/src/group/lease_session.h
@@ -1,8 +1,10 @@
-// Leases on jobs, at this node: the side that holds them (ownership::LeaseClient), which renews them with the
-// leader, and the leader's side (ownership::LeaseManager), which grants them through the log.
+// Both sides of the leases on jobs at one node: the lease holder's side (ownership::LeaseClient), which
+// renews leases with the leader, and the leader's side (ownership::LeaseManager), which grants them through
+// the log.
 //
-// Belongs to the group's thread. Whoever does a job asks holds() right before each effect, and sends the
-// lease's token with it. A lease that is not renewed runs out by this node's own clock; LeaseEvents tells so.
+// Belongs to the group's thread. The code of a job calls holds() right before each effect, and sends the
+// lease's fencing token with the effect. A lease that is not renewed expires by this node's own clock, of
+// which LeaseEvents is notified.
 #pragma once
 
 #include <string>
@@ -16,13 +18,13 @@
 
 namespace database_proxy::group {
 
-// What leases depend on, and what depends on them.
+// Provides the jobs to request leases for, and is notified when a lease ends.
 class LeaseEvents {
  public:
   virtual ~LeaseEvents() = default;
-  // Jobs that this node would do, by its options and what it knows of the fleet.
+  // Returns the jobs that this node is eligible for, according to its options and the endpoint list.
   virtual std::vector<std::string> eligible_jobs() const = 0;
-  // The lease ran out or was released.
+  // The lease has expired or was released.
   virtual void on_lease_lost(const std::string& job) = 0;
 };
 
@@ -32,19 +34,19 @@
   LeaseSession(NodeContext& context, ConsensusDriver& consensus, ReplicatedState& state,
                LeaderForwarding& forwarding, LeaseEvents& events);
 
-  // The holder's side. Renewals go out eight times in the length of a lease, from a random time on.
+  // The lease holder's side. Sends eight renewal requests per lease duration, the first at a random time.
   void start_renewing();
-  // Releases every lease and takes none any more.
+  // Releases every lease and accepts no further ones.
   void release_all();
   void on_renewal_response(const peers::EncodedMessage& message);
-  // Ends leases that have run out.
+  // Removes the leases that have expired by `now`.
   void expire(Micros now);
 
   bool holds(const std::string& job, Micros now) const { return client_.holds(job, now); }
   bool holds_now(const std::string& job) const { return client_.holds(job, net::monotonic_now()); }
   ownership::Token token(const std::string& job) const { return client_.token(job); }
   std::vector<std::string> held_jobs() const { return client_.jobs(); }
-  // A lease without progress passes to another node.
+  // Records work done for the job. The leader gives a job without progress to another node.
   void record_progress(const std::string& job) { client_.record_progress(job); }
 
   // The leader's side.
@@ -52,7 +54,7 @@
   void on_leadership_lost() { manager_.on_leadership_lost(); }
   void on_grant_applied(const std::string& job) { manager_.on_proposal_finished(job); }
   void on_renewal_request(const peers::EncodedMessage& message);
-  // Proposes what is due. To be called in each turn of the loop.
+  // Proposes the grants that are due. To be called in each iteration of the loop.
   void run_lease_manager();
 
  private:
--- a/src/group/peer_connections.cpp
+++ b/src/group/peer_connections.cpp
@@ -20,14 +20,15 @@
 using net::Level;
 using peers::PeerRole;
 
-// The pause after a dial that failed doubles from the one to the other; each is drawn between half and whole,
-// so that nodes which lost a voter together do not return together.
+// The backoff after a failed dial doubles from the initial value to the maximum. Each backoff is random, from
+// half of that value to all of it, so that nodes that lost a voter at the same time do not redial it at the
+// same time.
 constexpr Micros kInitialRedialBackoff = 100ms;
 constexpr Micros kMaxRedialBackoff = 1s;
 constexpr int kMaxBackoffDoublings = 4;
-// Links that were accepted; more are closed at once.
+// Of accepted links; further connections are closed at once.
 constexpr std::size_t kMaxAcceptedLinks = 4096;
-// Of one turn of the loop, so that a flood of connections does not starve the rest.
+// Per loop iteration, so that a flood of connections does not starve other work.
 constexpr int kMaxAcceptsPerIteration = 64;
 
 }  // namespace
@@ -112,7 +113,7 @@
   context_.loop.again(&on_listener_ready_);
 }
 
-// ---- Events of links
+// ---- Link events
 
 void PeerConnections::on_link_up(peers::Link& link) { link.send(encode_greeting(false)); }
 
@@ -186,7 +187,7 @@
   auto found = std::find_if(accepted_links_.begin(), accepted_links_.end(),
                             [&](auto& accepted) { return accepted.get() == &link; });
   if (found == accepted_links_.end()) return;
-  // Reasons that speak of the peer name its own fault; all others are everyday.
+  // A reason that begins with "it " describes a fault of the peer. All others are part of normal operation.
   if (reason.starts_with("it "))
     context_.log(Level::kWarning, fmt::format("closed a connection: {}", reason));
   ended_links_.push_back(std::move(*found));
@@ -207,7 +208,7 @@
   return peers::encode(greeting);
 }
 
-// Why the peer is not accepted; nullopt: it is.
+// Returns why the peer is not accepted, or nullopt if it is accepted.
 std::optional<std::string> PeerConnections::find_rejection_reason(const peers::Link& link,
                                                                   const peers::Greeting& greeting) const {
   if (greeting.installation != context_.options.installation)
@@ -238,14 +239,14 @@
   auto& name = *greeting.node_name;
   bool is_voter = greeting.role == PeerRole::kVoter;
   if (is_voter) {
-    // A voter whose directory was lost comes back under another id.
+    // A voter that has lost its directory returns with another id.
     std::erase_if(voter_names_,
                   [&](auto& entry) { return entry.second == name && entry.first != greeting.id; });
     voter_names_[greeting.id] = name;
   }
   bool is_admin_client = greeting.role == PeerRole::kAdminClient;
   peers::LinkPeer peer{.name = name, .role = *greeting.role, .id = greeting.id, .has_greeted = false};
-  // Several programs of operators may run at once under one name.
+  // Several operators' programs may use the same name at the same time.
   if (!link.is_dialed() && is_admin_client) peer.name = fmt::format("tool-{}", context_.random());
   link.set_peer(peer);
   if (!link.is_dialed()) {
@@ -259,7 +260,7 @@
 
 void PeerConnections::add_downstream(peers::Link& link) {
   auto& name = link.peer().name;
-  // A process that was restarted may be quicker than the end of its last connection.
+  // A restarted process may connect before the end of its previous connection is noticed here.
   auto old = downstream_.find(name);
   if (old != downstream_.end()) old->second.link->close("it has connected again");
   downstream_[name].link = &link;
--- a/src/group/peer_connections.h
+++ b/src/group/peer_connections.h
@@ -1,12 +1,13 @@
-// This node's links to other daemons: whom it dials, whom it accepts, who each of them is, and how to reach
-// one of them by name.
+// The links between this node and its peers: dials and accepts them, checks who is at the other end, and
+// sends messages to a peer by its name.
 //
-// Voters dial all other voters, and are dialed by them: messages to a voter go over the link that this node
-// dialed, messages from it come over the link that it dialed. A follower dials one voter (its upstream), and
-// another one when that link ends. Programs of operators dial like followers.
+// Each voter dials all other voters and is dialed by them: messages to a voter are sent over the link that
+// this node dialed, messages from a voter arrive over the link that the voter dialed. A follower, a node that
+// is not listed in group.nodes, dials one voter (its upstream), and another one when that link ends.
+// Operators' programs dial a node in the same way as followers.
 //
-// Belongs to the group's thread. Links that have ended are kept until the end of the loop's turn, so a link
-// may be used until then. A message that cannot be read closes its link.
+// Belongs to the group's thread. Links that have ended are kept until the end of the loop iteration, so a
+// link may be used until then. A malformed message closes its link.
 #pragma once
 
 #include <cstdint>
@@ -23,23 +24,23 @@
 
 namespace database_proxy::group {
 
-// Told of what peers do.
+// Receives the events of peers.
 class PeerEvents {
  public:
   virtual ~PeerEvents() = default;
-  // A follower's upstream has accepted it.
+  // A voter has accepted this follower and is now its upstream.
   virtual void on_upstream_connected(peers::Link& link) = 0;
-  // From a peer that has greeted. peers::MalformedMessage may be thrown.
+  // Handles a message from a peer whose greeting was accepted. May throw peers::MalformedMessage.
   virtual void on_peer_message(peers::Link& link, const peers::EncodedMessage& message) = 0;
   // The link of a follower or of an operator's program has ended.
   virtual void on_downstream_closed(const std::string& name) = 0;
 };
 
-// A follower or an operator's program, over a link that it dialed.
+// A follower or an operator's program that has dialed this node.
 struct Downstream {
   peers::Link* link = nullptr;
   bool is_following = false;
-  consensus::Index sent_index = 0;  // it was sent what is committed up to here
+  consensus::Index sent_index = 0;  // the follower has or was sent everything committed up to this index
 };
 
 // All links of one node.
@@ -50,40 +51,45 @@
   PeerConnections(const PeerConnections&) = delete;
   PeerConnections& operator=(const PeerConnections&) = delete;
 
-  // Throws std::runtime_error where the port is in use.
+  // Throws std::runtime_error if this node cannot listen at its address, for example if the port is in use.
   void listen();
   void start_accepting();
-  int port() const { return port_; }  // 0: not listening
+  int port() const { return port_; }  // 0: this node does not listen
 
-  // A voter's, known once its directory is open. Goes out in greetings.
+  // Sets the id of this voter, which is known once its directory is open. Greetings carry it.
   void set_own_id(consensus::NodeId id);
+  // Dials every other voter that this voter has no link to; at a follower, dials one voter.
   void dial_missing_peers();
-  // Closes links to voters that are gone or have moved, and dials.
+  // Adopts a new list of voters: closes the links to those that were removed or have another address, and
+  // dials.
   void change_nodes(const std::vector<NodeAddress>& nodes);
-  // Destroys the links that ended in this turn of the loop.
+  // Destroys the links that ended in this iteration of the loop.
   void end_loop_iteration() { ended_links_.clear(); }
 
-  // False: there is no such link, or its queue is full.
+  // Return false if there is no such link or its queue is full.
   bool send_to_voter(const std::string& name, const peers::EncodedMessage& message);
   bool send_to_upstream(const peers::EncodedMessage& message);
   void send_to_downstream(const std::string& name, const peers::EncodedMessage& message);
   void send_consensus(const consensus::Message& message);
-  // To every voter, whatever this node is linked with.
+  // Sends to every voter that this node has dialed: at a voter all others, at a follower its upstream.
   void broadcast_to_voters(const peers::EncodedMessage& message);
-  // Towards every node: a follower sends to its voter, a voter to all voters and to its followers. `from` is
-  // the link that the message came over, nullptr where it is this node's own; it does not go back there, and
-  // what came from a voter does not go to voters.
+  // Sends a message towards every node: a follower sends its own messages to its upstream, a voter sends to
+  // all voters and to its followers. `from` is the link over which the message arrived, or nullptr for a
+  // message of this node. A message is not sent back over `from`, and one from a voter is not sent to voters.
   void disseminate(const peers::EncodedMessage& message, const peers::Link* from);
 
+  // By name.
   std::map<std::string, Downstream>& downstream() { return downstream_; }
-  // nullptr: the link is none of them, or has been replaced by a newer one of the same peer.
+  // Returns nullptr if the link is not of a follower or an operator's program, or if a newer link of the same
+  // peer has replaced it.
   Downstream* find_downstream(const peers::Link& link);
   std::int64_t follower_count() const;
+  // The name of a follower's upstream; empty: none.
   const std::string& upstream() const { return upstream_; }
 
-  // Voters that have greeted, and this node.
+  // The voters whose greeting was accepted, and this node if it is a voter.
   const std::map<consensus::NodeId, std::string>& voter_names() const { return voter_names_; }
-  // Empty: not known.
+  // Returns the name of a voter, or an empty string if it is not known.
   std::string name_of(consensus::NodeId id) const;
 
  private:
@@ -91,7 +97,7 @@
     std::unique_ptr<peers::Link> link;
     std::string address;
     net::Loop::TimerId redial_timer = net::Loop::kNoTimer;
-    int failures = 0;  // in a row
+    int failures = 0;  // consecutive
   };
   class Listener : public net::Handler {
    public:
@@ -129,11 +135,11 @@
   consensus::NodeId own_id_ = consensus::kNobody;
   std::map<std::string, DialedPeer> dialed_;  // voters, by name
   std::vector<std::unique_ptr<peers::Link>> accepted_links_;
-  std::vector<std::unique_ptr<peers::Link>> ended_links_;  // until the turn ends
+  std::vector<std::unique_ptr<peers::Link>> ended_links_;  // until the loop iteration ends
   std::map<std::string, Downstream> downstream_;           // by name
   std::map<consensus::NodeId, std::string> voter_names_;
-  std::string upstream_;             // a follower's voter, once it has greeted; empty: none
-  std::size_t upstream_choice_ = 0;  // modulo the number of voters; 0: not drawn yet
+  std::string upstream_;             // of a follower, once the voter has greeted; empty: none
+  std::size_t upstream_choice_ = 0;  // modulo the number of voters; 0: not chosen yet
 };
 
 }  // namespace database_proxy::group
