--- a/src/group/admin_commands.cpp
+++ b/src/group/admin_commands.cpp
@@ -16,7 +16,7 @@
 using peers::AdminAnswer;
 using peers::AdminCommand;
 
-// Of one setting that operators keep in the group: every node has all of them in memory.
+// Limits in bytes of one setting that operators store in the group. Every node has all settings in memory.
 constexpr std::size_t kMaxSettingNameSize = 256;
 constexpr std::size_t kMaxSettingValueSize = 65536;
 
@@ -149,7 +149,7 @@
     if (target == consensus::kNobody)
       return return_outcome(route, {0, fmt::format("{} is not a voter", voter)});
     if (target == consensus_.id()) {
-      // The leader's reason is no failure: the operator has what he asked for.
+      // Answered as a success with a reason: the requested state is already reached.
       AdminAnswer answer{true, "it is already the leader", peers::AppliedIndex{}};
       return forwarding_.return_response(peers::encode(answer, route));
     }
--- a/src/group/admin_commands.h
+++ b/src/group/admin_commands.h
@@ -1,8 +1,9 @@
-// What operators ask of a node of the group, other than the job `placement`: commands that any node answers
-// itself, and commands that only the leader can carry out, which are passed on to it.
+// Operators' commands to a node of the group, except those for the job `placement`: any node answers some
+// commands itself; commands that only the leader can execute are forwarded to it.
 //
-// Belongs to the group's thread. Each command gets one answer. One that changes the log is answered once it
-// is committed, or once this node knows that it lost the leadership: then it may have been committed or not.
+// Belongs to the group's thread. Each command gets one answer. A command that changes the log is answered
+// when the change is committed, or when this node learns that it has lost leadership; then the change may or
+// may not have been committed.
 #pragma once
 
 #include <string>
@@ -17,14 +18,14 @@
 
 namespace database_proxy::group {
 
-// Whoever knows all modules of the node.
+// Provides the status of the node, which covers all its modules.
 class NodeStatusSource {
  public:
   virtual ~NodeStatusSource() = default;
   virtual peers::NodeStatus node_status() const = 0;
 };
 
-// Carries out, or passes on, the commands of operators.
+// Executes or forwards operators' commands.
 class AdminCommands {
  public:
   AdminCommands(NodeContext& context, PeerConnections& connections, ConsensusDriver& consensus,
@@ -38,9 +39,9 @@
         placement_(placement),
         status_source_(status_source) {}
 
-  // From an operator's program that is linked with this node.
+  // Handles a command from an operator's program that has dialed this node.
   void on_command(peers::Link& link, const peers::EncodedMessage& message);
-  // A command that was passed on to this node as the leader.
+  // Handles a command that was forwarded to this node as the leader.
   void on_leader_command(const peers::EncodedMessage& message);
 
  private:
--- a/src/group/endpoint_list_publisher.cpp
+++ b/src/group/endpoint_list_publisher.cpp
@@ -13,8 +13,8 @@
 
 using namespace std::chrono_literals;
 
-// A list that is not in the registry after this time is proposed again: an election takes longer, a round of
-// replication far less.
+// A list that is not in the registry after this time is proposed again. An election takes longer, a
+// replication round much less.
 constexpr Micros kReproposeInterval = 400ms;
 
 }  // namespace
@@ -31,7 +31,7 @@
   is_complete_ = false;
 }
 
-// Continues from what is published, whoever published it.
+// Continues from the published list, whichever node published it.
 void EndpointListPublisher::start_polling(Micros now) {
   auto& effective_list = subscriber_.effective_endpoint_list();
   bool is_published = subscriber_.is_published();
@@ -45,7 +45,7 @@
   is_complete_ = is_published;
   if (!known_generation) ++complete_polls_;
   is_publishing_ = false;
-  // What was published before is as good as an answer: a poll that waits for a change takes up to 5 s.
+  // A published list counts as an answer, because a poll that waits for a change takes up to 5 s.
   last_discovery_answer_ = is_published ? now : Micros(0);
   watch_ = std::make_unique<discovery::DiscoveryWatch>(
       context_.loop, *net::parse_address(context_.discovery_address), context_.discovery_address,
--- a/src/group/endpoint_list_publisher.h
+++ b/src/group/endpoint_list_publisher.h
@@ -1,9 +1,9 @@
-// The job `list`: its lease holder polls the list service and publishes each new endpoint list, complete,
-// through the log.
+// The job `list`: its lease holder polls the discovery service and publishes each new endpoint list,
+// complete, through the log.
 //
-// Belongs to the group's thread. A list that does not reach the log is proposed again until it does; one that
-// was published under this lease is not proposed twice. Twice a second the holder tells every node which
-// generation it knows, as long as the list service answers.
+// Belongs to the group's thread. A list is proposed again until it is in the registry; one that was published
+// under this lease is not proposed again. Twice a second the lease holder reports to every node which
+// generation it knows, as long as the discovery service answers.
 #pragma once
 
 #include <cstdint>
@@ -34,14 +34,14 @@
         subscriber_(subscriber),
         gossip_(gossip) {}
 
-  // Does what is due, where this node holds the lease.
+  // Polls, publishes and reports as due if this node holds the lease.
   void run(Micros now);
-  // The lease has ended.
+  // To be called when the lease has ended.
   void stop_polling() { watch_.reset(); }
-  // The list service has moved; the next run() polls the new one.
+  // The address of the discovery service has changed; the next run() polls the new one.
   void on_discovery_changed();
 
-  // Polls for a complete list, of which there should be few.
+  // The number of polls for a complete list, which should be low.
   std::uint64_t complete_polls() const { return complete_polls_; }
 
  private:
@@ -58,16 +58,16 @@
   LoadReportGossip& gossip_;
 
   std::unique_ptr<discovery::DiscoveryWatch> watch_;
-  std::map<std::string, discovery::Endpoint> endpoints_;  // as the list service gave them, by id
+  std::map<std::string, discovery::Endpoint> endpoints_;  // as received from the discovery service, by id
   std::int64_t generation_ = 0;
-  bool is_complete_ = false;  // endpoints_ is no mere difference
+  bool is_complete_ = false;  // endpoints_ is a complete list, not only changes
   std::uint64_t complete_polls_ = 0;
 
   bool is_publishing_ = false;  // to_publish_ is not in the registry yet
   std::string to_publish_;
   std::int64_t version_to_publish_ = 0;
   Micros last_proposed_{0};
-  Micros last_discovery_answer_{0};  // of the list service; 0: none yet
+  Micros last_discovery_answer_{0};  // 0: none yet
   Micros last_status_{0};
 };
 
--- a/src/group/endpoint_list_subscriber.cpp
+++ b/src/group/endpoint_list_subscriber.cpp
@@ -20,7 +20,7 @@
 using endpoint_list::Source;
 using net::Level;
 
-// When the list service gave a list is not known of one that the group committed.
+// The publication time of a list that the group committed is not known.
 constexpr std::int64_t kUnknownPublicationTime = 0;
 
 }  // namespace
@@ -58,7 +58,7 @@
   randomize_fallback_delay();
 }
 
-// Spread over the nodes, so that they do not all turn to the list service at once.
+// Spread over the nodes, so that they do not all poll the discovery service at the same time.
 void EndpointListSubscriber::randomize_fallback_delay() {
   fallback_delay_ = context_.options.fallback + context_.random_below(context_.options.spread);
 }
@@ -75,7 +75,7 @@
 
 // ---- From the group
 
-// True: it was a published list that can be read.
+// Returns whether the entry publishes an endpoint list that can be parsed.
 bool EndpointListSubscriber::restore_from_entry(const consensus::Entry& entry) {
   if (entry.type != consensus::EntryType::kCommand) return false;
   auto command = ownership::decode(entry.data);
@@ -88,12 +88,12 @@
       put_into_effect(false);
     return true;
   } catch (const std::invalid_argument&) {
-    return false;  // an earlier one may be readable
+    return false;  // an earlier entry may hold a valid list
   }
 }
 
 void EndpointListSubscriber::restore_from_log(const std::vector<consensus::Entry>& entries) {
-  // The newest entry that can be restored is enough.
+  // Only the newest valid list is needed.
   for (auto i = entries.size(); i > 0; --i)
     if (restore_from_entry(entries[i - 1])) return;
 }
@@ -120,11 +120,12 @@
 
 void EndpointListSubscriber::on_lease_holder_status(const peers::EndpointListStatus& status) {
   if (age_of_unix_ms(status.sent_at_unix_ms) > context_.options.fallback) return;
-  // A holder whose newest list has not reached this node is no contact: the list here is out of date.
+  // While the lease holder's newest list has not reached this node, the list here is out of date, and a
+  // status message does not count as contact.
   if (is_published_ && effective_list_.generation >= status.generation) last_contact_ = net::monotonic_now();
 }
 
-// ---- From voters, where the group has no lease holder
+// ---- Copies from voters, while the group has no lease holder
 
 peers::EncodedMessage EndpointListSubscriber::encode_copy() const {
   peers::EndpointListCopy copy;
@@ -160,7 +161,7 @@
     auto list = discovery::parse_endpoint_list(copy.list);
     if (!selector_.consider(Source::kPeer, copy.installation, std::move(list), copy.published_at_unix_ms))
       return;
-    // A copy that a voter kept on its disk says nothing of today.
+    // An old copy that a voter kept on its disk does not show that the list is still current.
     if (age_of_unix_ms(copy.published_at_unix_ms) <= context_.options.fallback)
       last_contact_ = net::monotonic_now();
     put_into_effect(false);
@@ -218,7 +219,7 @@
   connections_.disseminate(encode_copy(), nullptr);
 }
 
-// Copies go out after a change only; in between this tells that the last one is still valid.
+// Copies are sent after a change only; confirmations in between report that the last copy is still valid.
 void EndpointListSubscriber::send_confirmation() {
   bool is_discovery_responsive =
       last_fallback_answer_.count() > 0 && net::monotonic_now() - last_fallback_answer_ <= kListKnown;
--- a/src/group/endpoint_list_subscriber.h
+++ b/src/group/endpoint_list_subscriber.h
@@ -1,12 +1,13 @@
-// Which endpoint list is in effect at this node, and what happens when the group no longer provides one.
+// Keeps the endpoint list in effect at this node, and falls back to other sources while the group does not
+// provide one.
 //
-// The list normally comes through the replicated state. When nothing is heard of the lease holder of the job
-// `list` for Options::fallback and a random share of Options::spread, the group counts as unavailable: a
-// voter then polls the list service itself and sends copies of what it gets to the other voters and to all
-// followers, so that hundreds of followers need not poll; a follower that hears nothing of a voter either is
-// told to poll by itself. Which of several lists is in effect is decided in endpoint_list/.
+// The list normally arrives through the replicated state. After Options::fallback and a random part of
+// Options::spread without contact with the lease holder of the job `list`, the group counts as unavailable. A
+// voter then polls the discovery service itself and sends copies of the list to the other voters and to all
+// followers, so that hundreds of followers need not poll. The process of a follower that has no contact with
+// such a voter either polls by itself. endpoint_list/ selects which of several lists is in effect.
 //
-// Belongs to the group's thread; only restore_from_log() runs before it starts.
+// Belongs to the group's thread; only restore_from_log() runs before that thread starts.
 #pragma once
 
 #include <cstdint>
@@ -27,52 +28,55 @@
 
 using EndpointsById = std::map<std::string, discovery::Endpoint>;
 
-// Applies a difference, or a complete list, to what is known.
+// Applies an update, which holds changes or a complete list, to the endpoints.
 void apply_update(EndpointsById* endpoints, const discovery::EndpointListUpdate& update);
 discovery::EndpointListUpdate make_complete_list(const EndpointsById& endpoints, std::int64_t generation);
 
-// Who polls the list service while the group provides no endpoint list.
+// Who polls the discovery service while the group provides no endpoint list.
 enum class EndpointListFallback {
-  kNone,        // the group provides it
-  kVoterPolls,  // this node, for everyone; its process need not poll
-  kProcessPolls,
+  kNone,          // nobody: the group provides the list
+  kVoterPolls,    // this node, for all nodes; its process need not poll
+  kProcessPolls,  // the process of this node, for itself
 };
 
-// Told of everything that changes which endpoint list the process uses, and how it gets it.
+// Notified of each endpoint list that the process is to use, and of how the process obtains it.
 class EndpointListObserver {
  public:
   virtual ~EndpointListObserver() = default;
-  // Complete. `is_restart`: its generation is lower than that of the last one, since the list service was
-  // reset.
+  // `list` is complete. `is_restart`: its generation is lower than that of the previous list, because the
+  // discovery service was reset.
   virtual void on_effective_endpoint_list(const discovery::EndpointListUpdate& list, bool is_restart) = 0;
+  // The group no longer provides the list, or provides it again (kNone).
   virtual void on_group_unavailable(EndpointListFallback fallback) = 0;
 };
 
-// Every node's side of the endpoint list.
+// The receiving side of the endpoint list, at every node.
 class EndpointListSubscriber {
  public:
-  // `known`: what the process knows from its own configuration or cache.
+  // `known`: the list that the process has from its own configuration or cache.
   EndpointListSubscriber(NodeContext& context, PeerConnections& connections, ReplicatedState& state,
                          EndpointListObserver& observer, discovery::EndpointListUpdate known);
 
-  // After a start a voter does not know yet which of its entries are committed. The last list among them came
-  // from the list service all the same, so it is as good as any copy.
+  // Restores the last list from the log of a voter that starts. The voter does not know yet which of its
+  // entries are committed, but the list came from the discovery service in any case, so it is as valid as any
+  // copy.
   void restore_from_log(const std::vector<consensus::Entry>& entries);
   void start();
   void on_discovery_changed();
 
-  // From the replicated state.
+  // The replicated state may hold a new list.
   void on_endpoint_list_published();
-  // From the lease holder.
+  // The lease holder has sent its status.
   void on_lease_holder_status(const peers::EndpointListStatus& status);
-  // From voters, where there is no lease holder.
+  // Messages about copies, which voters send while there is no lease holder.
   void on_copy(peers::Link& link, const peers::EncodedMessage& message);
   void on_confirmation(peers::Link& link, const peers::EncodedMessage& message);
   void on_copy_request(peers::Link& link);
-  // A new follower of this voter gets a copy where nothing is known to be committed.
+  // Sends a copy to a new follower of this voter if no committed list is known.
   void on_follower_joined(peers::Link& link);
 
-  // To be called every kStatusInterval, in this order.
+  // To be called every kStatusInterval, in this order; the first only if the process did not run for `pause`,
+  // which does not count as lost contact.
   void on_process_paused(Micros pause) { last_contact_ += pause; }
   void send_confirmation();
   void check_last_contact();
@@ -101,12 +105,12 @@
   bool is_published_ = false;
 
   Micros last_contact_{0};    // with a lease holder, or with a voter that polls
-  Micros fallback_delay_{0};  // without contact, until the group counts as unavailable
+  Micros fallback_delay_{0};  // time without contact after which the group counts as unavailable
   bool is_group_unavailable_ = false;
 
   std::unique_ptr<discovery::DiscoveryWatch> fallback_watch_;
   EndpointsById fallback_endpoints_;
-  Micros last_fallback_answer_{0};  // of the list service; 0: none yet
+  Micros last_fallback_answer_{0};  // of the discovery service; 0: none yet
   std::uint64_t complete_polls_ = 0;
 };
 
