--- a/src/group/health_check_job.cpp
+++ b/src/group/health_check_job.cpp
@@ -53,7 +53,7 @@
 }
 
 void HealthCheckJob::run(Micros now) {
-  for (auto& job : leases_.jobs()) {
+  for (auto& job : leases_.held_jobs()) {
     auto shard_group = health_checked_shard_group(job);
     if (!shard_group || !leases_.holds(job, now)) continue;
     if (gossip_.is_subscribed(*shard_group))
