--- a/src/group/peer_connections.cpp
+++ b/src/group/peer_connections.cpp
@@ -26,7 +26,7 @@
 constexpr Micros kInitialRedialBackoff = 100ms;
 constexpr Micros kMaxRedialBackoff = 1s;
 constexpr int kMaxBackoffDoublings = 4;
-// Of accepted links; further connections are closed at once.
+// The maximum number of accepted links; further connections are closed at once.
 constexpr std::size_t kMaxAcceptedLinks = 4096;
 // Per loop iteration, so that a flood of connections does not starve other work.
 constexpr int kMaxAcceptsPerIteration = 64;
@@ -260,7 +260,7 @@
 
 void PeerConnections::add_downstream(peers::Link& link) {
   auto& name = link.peer().name;
-  // A restarted process may connect before the end of its previous connection is noticed here.
+  // A restarted process may connect before this node notices the end of its previous connection.
   auto old = downstream_.find(name);
   if (old != downstream_.end()) old->second.link->close("it has connected again");
   downstream_[name].link = &link;
