--- a/src/group/admin_commands.cpp
+++ b/src/group/admin_commands.cpp
@@ -16,9 +16,9 @@
 using peers::AdminAnswer;
 using peers::AdminCommand;
 
-// Of one setting that operators keep in the group: every node has all of them in memory.
-constexpr std::size_t kLongestSettingName = 256;
-constexpr std::size_t kLongestSettingValue = 65536;
+// Limits in bytes of one setting that operators store in the group. Every node has all settings in memory.
+constexpr std::size_t kMaxSettingNameSize = 256;
+constexpr std::size_t kMaxSettingValueSize = 65536;
 
 AdminAnswer to_answer(const std::optional<std::string>& failure) {
   return {!failure.has_value(), failure, {}};
@@ -38,7 +38,7 @@
     case AdminCommand::kMembers:
       return answer(answer_members());
     case AdminCommand::kOwners:
-      return answer({true, std::nullopt, list_owners()});
+      return answer({true, std::nullopt, list_lease_holders()});
     case AdminCommand::kIdentify:
       return answer({true, std::nullopt, identify()});
     case AdminCommand::kBootstrap:
@@ -46,11 +46,11 @@
     case AdminCommand::kRecover:
       return answer(recover(message));
     default:
-      pass_to_leader(link, message);
+      forward_to_leader(link, message);
   }
 }
 
-void AdminCommands::pass_to_leader(peers::Link& link, const peers::EncodedMessage& message) {
+void AdminCommands::forward_to_leader(peers::Link& link, const peers::EncodedMessage& message) {
   auto routed = peers::with_type_and_route(message, peers::MessageType::kForwardedCommand,
                                            forwarding_.downstream_route(link));
   if (!forwarding_.send_to_leader(routed))
@@ -59,7 +59,7 @@
 
 AdminAnswer AdminCommands::answer_members() const {
   auto* raft = consensus_.raft();
-  if (!raft) return {false, "a follower does not know the voters; ask one of them", {}};
+  if (!raft) return {false, "a follower does not know the members; send the command to a voter", {}};
   peers::MemberList list;
   for (auto id : raft->members().voters) list.members.push_back(make_member_status(id, false));
   for (auto id : raft->members().learners) list.members.push_back(make_member_status(id, true));
@@ -83,7 +83,7 @@
   return member;
 }
 
-peers::OwnerList AdminCommands::list_owners() const {
+peers::OwnerList AdminCommands::list_lease_holders() const {
   peers::OwnerList list;
   for (auto& [job, state] : state_.registry().jobs()) list.owners.push_back({job, state});
   list.rejected_effects = state_.rejected_effects();
@@ -144,17 +144,18 @@
   auto voter = peers::decode_leadership_transfer_request(message).voter;
   auto target = consensus::kNoNode;
   if (!voter.empty()) {
-    for (auto& [id, name] : connections_.names())
+    for (auto& [id, name] : connections_.voter_names())
       if (name == voter && consensus_.raft()->members().is_voter(id)) target = id;
-    if (target == consensus::kNoNode) return return_outcome(route, {0, fmt::format("{} is no voter", voter)});
+    if (target == consensus::kNoNode)
+      return return_outcome(route, {0, fmt::format("{} is not a voter", voter)});
     if (target == consensus_.id()) {
-      // The leader's reason is no failure: the operator has what he asked for.
-      AdminAnswer answer{true, "it leads already", peers::AppliedIndex{}};
+      // Answered as a success with a reason: the requested state is already reached.
+      AdminAnswer answer{true, "it is already the leader", peers::AppliedIndex{}};
       return forwarding_.return_response(peers::encode(answer, route));
     }
   }
-  auto named_target = target == consensus::kNoNode ? "" : " to " + connections_.name_of(target);
-  context_.log(Level::kInfo, fmt::format("hands leadership over{}: asked by the operator", named_target));
+  auto target_suffix = target == consensus::kNoNode ? "" : " to " + connections_.name_of(target);
+  context_.log(Level::kInfo, fmt::format("hands leadership over{}: requested by an operator", target_suffix));
   consensus_.transfer_leadership(target);
   return_outcome(route, {});
 }
@@ -165,11 +166,11 @@
   auto id = request.id;
   if (id == consensus::kNoNode) {
     bool may_be_new = what == MembershipChange::Kind::kAddLearner;
-    for (auto& [known_id, name] : connections_.names())
+    for (auto& [known_id, name] : connections_.voter_names())
       if (name == request.node && (may_be_new || consensus_.raft()->members().has(known_id))) id = known_id;
   }
   if (id == consensus::kNoNode)
-    return return_outcome(route, {0, fmt::format("nothing is known of '{}'", request.node)});
+    return return_outcome(route, {0, fmt::format("no node named '{}' is known", request.node)});
   consensus_.change_members(
       what, id, [this, route](const ProposalOutcome& outcome) { return_outcome(route, outcome); });
 }
@@ -177,8 +178,9 @@
 void AdminCommands::put_setting(const peers::EncodedMessage& message) {
   auto route = peers::decode_route(message);
   auto [setting, value] = peers::decode_put_setting_request(message);
-  if (setting.empty() || setting.size() > kLongestSettingName || value.size() > kLongestSettingValue)
-    return return_outcome(route, {0, "a key of 1 to 256 bytes and a value of 65536 at most"});
+  if (setting.empty() || setting.size() > kMaxSettingNameSize || value.size() > kMaxSettingValueSize)
+    return return_outcome(route,
+                          {0, "a setting takes a key of 1 to 256 bytes and a value of at most 65536 bytes"});
   consensus_.propose(ownership::encode(ownership::SetConfigurationEntry{setting, value}),
                      [this, route](const ProposalOutcome& outcome) { return_outcome(route, outcome); });
 }
@@ -186,7 +188,7 @@
 void AdminCommands::get_setting(const peers::EncodedMessage& message) {
   auto route = peers::decode_route(message);
   if (!consensus_.may_answer_as_leader())
-    return return_outcome(route, {0, "the leader has just been elected"});
+    return return_outcome(route, {0, "the leader has just been elected and has not committed an entry yet"});
   auto setting = peers::decode_get_setting_request(message).setting;
   consensus_.confirm_leadership([this, route, setting](bool is_confirmed) {
     AdminAnswer answer;
--- a/src/group/endpoint_list_subscriber.cpp
+++ b/src/group/endpoint_list_subscriber.cpp
@@ -20,8 +20,8 @@
 using endpoint_list::Source;
 using net::Level;
 
-// When the list service gave a list is not known of one that the group committed.
-constexpr std::int64_t kUnknownTime = 0;
+// The publication time of a list that the group committed is not known.
+constexpr std::int64_t kUnknownPublicationTime = 0;
 
 }  // namespace
 
@@ -55,11 +55,11 @@
 
 void EndpointListSubscriber::start() {
   last_contact_ = net::monotonic_now();
-  draw_fallback_delay();
+  randomize_fallback_delay();
 }
 
-// Spread over the nodes, so that they do not all turn to the list service at once.
-void EndpointListSubscriber::draw_fallback_delay() {
+// Spread over the nodes, so that they do not all poll the discovery service at the same time.
+void EndpointListSubscriber::randomize_fallback_delay() {
   fallback_delay_ = context_.options.fallback_timeout + context_.random_below(context_.options.fallback_jitter);
 }
 
@@ -75,7 +75,7 @@
 
 // ---- From the group
 
-// True: it was a published list that can be read.
+// Returns whether the entry publishes an endpoint list that can be parsed.
 bool EndpointListSubscriber::restore_from_entry(const consensus::Entry& entry) {
   if (entry.type != consensus::EntryType::kCommand) return false;
   auto command = ownership::decode(entry.data);
@@ -83,16 +83,17 @@
   if (!publish || publish->job != kEndpointListJob || publish->data.empty()) return false;
   try {
     auto list = discovery::parse_endpoint_list(publish->data);
-    if (selector_.consider(Source::kOwnCopy, context_.options.installation, std::move(list), kUnknownTime))
+    if (selector_.consider(Source::kOwnCopy, context_.options.installation, std::move(list),
+                           kUnknownPublicationTime))
       put_into_effect(false);
     return true;
   } catch (const std::invalid_argument&) {
-    return false;  // an earlier one may be readable
+    return false;  // an earlier entry may hold a valid list
   }
 }
 
 void EndpointListSubscriber::restore_from_log(const std::vector<consensus::Entry>& entries) {
-  // The newest entry that can be restored is enough.
+  // Only the newest valid list is needed.
   for (auto i = entries.size(); i > 0; --i)
     if (restore_from_entry(entries[i - 1])) return;
 }
@@ -103,26 +104,28 @@
   try {
     auto list = discovery::parse_endpoint_list(job->data);
     list.reset = true;
-    auto last_generation =
+    auto previous_generation =
         selector_.has_list() ? selector_.list().generation : std::numeric_limits<std::int64_t>::min();
-    if (!selector_.consider(Source::kGroup, context_.options.installation, std::move(list), kUnknownTime)) {
+    if (!selector_.consider(Source::kGroup, context_.options.installation, std::move(list),
+                            kUnknownPublicationTime)) {
       is_published_ = selector_.source() == Source::kGroup;
       return;
     }
     last_contact_ = std::max(last_contact_, net::monotonic_now());
-    put_into_effect(selector_.list().generation < last_generation);
+    put_into_effect(selector_.list().generation < previous_generation);
   } catch (const std::invalid_argument& e) {
-    context_.log(Level::kError, fmt::format("the published list cannot be read: {}", e.what()));
+    context_.log(Level::kError, fmt::format("the published endpoint list cannot be parsed: {}", e.what()));
   }
 }
 
-void EndpointListSubscriber::on_owner_status(const peers::EndpointListStatus& status) {
+void EndpointListSubscriber::on_lease_holder_status(const peers::EndpointListStatus& status) {
   if (age_of_unix_ms(status.sent_at_unix_ms) > context_.options.fallback_timeout) return;
-  // A holder whose newest list has not reached this node is no contact: the list here is out of date.
+  // While the lease holder's newest list has not reached this node, the list here is out of date, and a
+  // status message does not count as contact.
   if (is_published_ && effective_list_.generation >= status.generation) last_contact_ = net::monotonic_now();
 }
 
-// ---- From voters, where the group has no lease holder
+// ---- Copies from voters, while the group has no lease holder
 
 peers::EncodedMessage EndpointListSubscriber::encode_copy() const {
   peers::EndpointListCopy copy;
@@ -158,14 +161,14 @@
     auto list = discovery::parse_endpoint_list(copy.list);
     if (!selector_.consider(Source::kPeer, copy.installation, std::move(list), copy.published_at_unix_ms))
       return;
-    // A copy that a voter kept on its disk says nothing of today.
+    // An old copy that a voter kept on its disk does not show that the list is still current.
     if (age_of_unix_ms(copy.published_at_unix_ms) <= context_.options.fallback_timeout)
       last_contact_ = net::monotonic_now();
     put_into_effect(false);
     connections_.disseminate(message, &link);
   } catch (const std::invalid_argument& e) {
-    context_.log(Level::kError,
-                 fmt::format("a copy of the list from {} cannot be read: {}", link.peer().name, e.what()));
+    context_.log(Level::kError, fmt::format("the copy of the endpoint list from {} cannot be parsed: {}",
+                                            link.peer().name, e.what()));
   }
 }
 
@@ -176,15 +179,16 @@
   if (is_unavailable == is_group_unavailable_) return;
   is_group_unavailable_ = is_unavailable;
   if (!is_unavailable) {
-    context_.log(Level::kInfo, "the list is heard of again");
+    context_.log(Level::kInfo, "the endpoint list is heard of again");
     fallback_watch_.reset();
     return observer_.on_group_unavailable(EndpointListFallback::kNone);
   }
-  context_.log(Level::kWarning,
-               context_.is_voter()
-                   ? "nothing is heard of the list's owner: this voter asks the list service for all"
-                   : "nothing is heard of the list: this proxy asks by itself");
-  draw_fallback_delay();
+  context_.log(
+      Level::kWarning,
+      context_.is_voter()
+          ? "no contact with the lease holder of the endpoint list: this voter asks the list service for all"
+          : "no contact with a source of the endpoint list: this proxy asks by itself");
+  randomize_fallback_delay();
   if (context_.is_voter()) start_fallback_poll();
   observer_.on_group_unavailable(context_.is_voter() ? EndpointListFallback::kVoterPolls
                                                      : EndpointListFallback::kProcessPolls);
@@ -198,7 +202,7 @@
     for (auto& endpoint : effective_list_.members) fallback_endpoints_[endpoint.id] = endpoint;
   }
   if (!known_generation) ++complete_polls_;
-  fallback_watch_ = std::make_unique<discovery::Watch>(
+  fallback_watch_ = std::make_unique<discovery::DiscoveryWatch>(
       context_.loop, *net::parse_address(context_.discovery_address), context_.discovery_address,
       known_generation, context_.polling_schedule,
       [this](const discovery::EndpointListUpdate& update) { on_fallback_update(update); }, context_.log_sink);
@@ -215,11 +219,11 @@
   connections_.disseminate(encode_copy(), nullptr);
 }
 
-// Copies go out after a change only; in between this tells that the last one is still valid.
+// Copies are sent after a change only; confirmations in between report that the last copy is still valid.
 void EndpointListSubscriber::send_confirmation() {
-  bool is_answered =
+  bool is_discovery_responsive =
       last_fallback_answer_.count() > 0 && net::monotonic_now() - last_fallback_answer_ <= kEndpointListValidity;
-  if (!fallback_watch_ || !is_answered) return;
+  if (!fallback_watch_ || !is_discovery_responsive) return;
   peers::EndpointListConfirmation confirmation{effective_list_.generation, unix_ms()};
   connections_.disseminate(peers::encode(confirmation), nullptr);
 }
--- a/src/group/peer_connections.cpp
+++ b/src/group/peer_connections.cpp
@@ -20,15 +20,16 @@
 using net::Level;
 using peers::PeerRole;
 
-// The pause after a dial that failed doubles from the one to the other; each is drawn between half and whole,
-// so that nodes which lost a voter together do not return together.
-constexpr Micros kFirstRedialPause = 100ms;
-constexpr Micros kLongestRedialPause = 1s;
-constexpr int kMostDoublings = 4;
-// Links that were accepted; more are closed at once.
-constexpr std::size_t kMostAcceptedLinks = 4096;
-// Of one turn of the loop, so that a flood of connections does not starve the rest.
-constexpr int kMostAcceptedPerIteration = 64;
+// The backoff after a failed dial doubles from the initial value to the maximum. Each backoff is random, from
+// half of that value to all of it, so that nodes that lost a voter at the same time do not redial it at the
+// same time.
+constexpr Micros kInitialRedialBackoff = 100ms;
+constexpr Micros kMaxRedialBackoff = 1s;
+constexpr int kMaxBackoffDoublings = 4;
+// The maximum number of accepted links; further connections are closed at once.
+constexpr std::size_t kMaxAcceptedLinks = 4096;
+// Per loop iteration, so that a flood of connections does not starve other work.
+constexpr int kMaxAcceptsPerIteration = 64;
 
 }  // namespace
 
@@ -50,12 +51,12 @@
 
 void PeerConnections::set_own_id(consensus::NodeId id) {
   own_id_ = id;
-  names_[id] = context_.name();
+  voter_names_[id] = context_.name();
 }
 
 std::string PeerConnections::name_of(consensus::NodeId id) const {
-  auto found = names_.find(id);
-  return found == names_.end() ? "" : found->second;
+  auto found = voter_names_.find(id);
+  return found == voter_names_.end() ? "" : found->second;
 }
 
 const NodeAddress* PeerConnections::find_node(const std::string& name) const {
@@ -94,17 +95,17 @@
   for (auto& [name, peer] : dialed_) {
     auto* node = find_node(name);
     bool has_moved = !node || node->address != peer.address;
-    if (has_moved && peer.link) peer.link->close("its address has changed");
+    if (has_moved && peer.link) peer.link->close("its entry in group.nodes was changed or removed");
   }
   dial_missing_peers();
 }
 
 void PeerConnections::accept_connections() {
-  for (int i = 0; i < kMostAcceptedPerIteration; ++i) {
+  for (int i = 0; i < kMaxAcceptsPerIteration; ++i) {
     int error = 0;
     auto connection = net::accept_from(listener_.get(), &error);
     if (!connection) return;
-    if (accepted_links_.size() >= kMostAcceptedLinks) continue;
+    if (accepted_links_.size() >= kMaxAcceptedLinks) continue;
     peers::Link::Owner& owner = *this;
     auto link = std::make_unique<peers::Link>(context_.loop, owner, std::move(connection));
     if (link->start()) accepted_links_.push_back(std::move(link));
@@ -112,7 +113,7 @@
   context_.loop.again(&on_listener_ready_);
 }
 
-// ---- Events of links
+// ---- Link events
 
 void PeerConnections::on_link_up(peers::Link& link) { link.send(encode_greeting(false)); }
 
@@ -120,7 +121,7 @@
   try {
     handle_message(link, message);
   } catch (const peers::MalformedMessage&) {
-    link.close("it sent a message that cannot be read");
+    link.close("it sent a malformed message");
   }
 }
 
@@ -142,11 +143,11 @@
       return events_.on_upstream_connected(link);
     case peers::MessageType::kRefusal:
       if (!link.peer().has_greeted)
-        context_.log(Level::kError, fmt::format("{} turned this node away: {}", link.peer().name,
+        context_.log(Level::kError, fmt::format("{} rejected this node: {}", link.peer().name,
                                                 peers::decode_refusal(message).reason));
       return;
     default:
-      if (!link.peer().has_greeted) return link.close("it spoke before it greeted");
+      if (!link.peer().has_greeted) return link.close("it sent a message before its greeting");
       events_.on_peer_message(link, message);
   }
 }
@@ -165,11 +166,11 @@
 }
 
 void PeerConnections::schedule_redial(const std::string& name, DialedPeer* peer) {
-  int doublings = std::min(peer->failures++, kMostDoublings);
-  auto longest = std::min<Micros>(kLongestRedialPause, kFirstRedialPause * (1 << doublings));
-  auto pause = longest / 2 + context_.random_below(longest / 2);
+  int doublings = std::min(peer->failures++, kMaxBackoffDoublings);
+  auto max_backoff = std::min<Micros>(kMaxRedialBackoff, kInitialRedialBackoff * (1 << doublings));
+  auto backoff = max_backoff / 2 + context_.random_below(max_backoff / 2);
   if (!context_.is_voter()) ++upstream_choice_;
-  context_.set_timer(&peer->redial_timer, context_.loop.now() + pause, [this, name] {
+  context_.set_timer(&peer->redial_timer, context_.loop.now() + backoff, [this, name] {
     if (context_.is_voter())
       dial(name);
     else
@@ -186,7 +187,7 @@
   auto found = std::find_if(accepted_links_.begin(), accepted_links_.end(),
                             [&](auto& accepted) { return accepted.get() == &link; });
   if (found == accepted_links_.end()) return;
-  // Reasons that speak of the peer name its own fault; all others are everyday.
+  // A reason that begins with "it " describes a fault of the peer. All others are part of normal operation.
   if (reason.starts_with("it "))
     context_.log(Level::kWarning, fmt::format("closed a connection: {}", reason));
   ended_links_.push_back(std::move(*found));
@@ -207,9 +208,9 @@
   return peers::encode(greeting);
 }
 
-// Why the peer is not accepted; nullopt: it is.
-std::optional<std::string> PeerConnections::find_objection(const peers::Link& link,
-                                                           const peers::Greeting& greeting) const {
+// Returns why the peer is not accepted, or nullopt if it is accepted.
+std::optional<std::string> PeerConnections::find_rejection_reason(const peers::Link& link,
+                                                                  const peers::Greeting& greeting) const {
   if (greeting.installation != context_.options.installation)
     return fmt::format("it is of the installation '{}'", greeting.installation);
   if (greeting.least_version > peers::kVersion || greeting.version < peers::kLeastVersion)
@@ -217,32 +218,35 @@
   if (!greeting.node_name || !greeting.role) throw peers::MalformedMessage("a greeting without name or role");
   auto& name = *greeting.node_name;
   if (link.is_dialed() && name != link.peer().name)
-    return fmt::format("it is {}, where {} was dialed", name, link.peer().name);
+    return fmt::format("it is named {}, but {} was dialed", name, link.peer().name);
   if (greeting.role != PeerRole::kVoter) return std::nullopt;
-  if (greeting.id == consensus::kNoNode || greeting.id == own_id_) return "it has no id of its own";
+  if (greeting.id == consensus::kNoNode || greeting.id == own_id_)
+    return "it has no id, or the id of this node";
   if (!find_node(name)) return "it is none of group.nodes";
   return std::nullopt;
 }
 
 bool PeerConnections::accept_greeting(peers::Link& link, const peers::Greeting& greeting) {
-  auto objection = find_objection(link, greeting);
-  if (objection) {
-    context_.log(Level::kWarning,
-                 fmt::format("turned away {}: {}", greeting.node_name.value_or("a peer"), *objection));
-    link.send(peers::encode(peers::Refusal{*objection}));
-    link.close(*objection);
+  auto rejection_reason = find_rejection_reason(link, greeting);
+  if (rejection_reason) {
+    context_.log(
+        Level::kWarning,
+        fmt::format("rejected {}: {}", greeting.node_name.value_or("an unnamed peer"), *rejection_reason));
+    link.send(peers::encode(peers::Refusal{*rejection_reason}));
+    link.close(*rejection_reason);
     return false;
   }
   auto& name = *greeting.node_name;
   bool is_voter = greeting.role == PeerRole::kVoter;
   if (is_voter) {
-    // A voter whose directory was lost comes back under another id.
-    std::erase_if(names_, [&](auto& entry) { return entry.second == name && entry.first != greeting.id; });
-    names_[greeting.id] = name;
+    // A voter that has lost its directory returns with another id.
+    std::erase_if(voter_names_,
+                  [&](auto& entry) { return entry.second == name && entry.first != greeting.id; });
+    voter_names_[greeting.id] = name;
   }
   bool is_admin_client = greeting.role == PeerRole::kAdminClient;
   peers::LinkPeer peer{.name = name, .role = *greeting.role, .id = greeting.id, .has_greeted = false};
-  // Several programs of operators may run at once under one name.
+  // Several operators' programs may use the same name at the same time.
   if (!link.is_dialed() && is_admin_client) peer.name = fmt::format("tool-{}", context_.random());
   link.set_peer(peer);
   if (!link.is_dialed()) {
@@ -256,9 +260,9 @@
 
 void PeerConnections::add_downstream(peers::Link& link) {
   auto& name = link.peer().name;
-  // A process that was restarted may be quicker than the end of its last connection.
+  // A restarted process may connect before this node notices the end of its previous connection.
   auto old = downstream_.find(name);
-  if (old != downstream_.end()) old->second.link->close("it has come again");
+  if (old != downstream_.end()) old->second.link->close("it has connected again");
   downstream_[name].link = &link;
 }
 
