--- a/src/group/placement_job.cpp
+++ b/src/group/placement_job.cpp
@@ -17,14 +17,14 @@
 using peers::PlacementAction;
 
 // A plan that is not in the registry after this time is proposed again.
-constexpr Micros kProposeAgain = 400ms;
+constexpr Micros kProposalRetryInterval = 400ms;
 // Operators' requests that wait for a plan to be committed; more are refused.
-constexpr std::size_t kMostWaiting = 64;
+constexpr std::size_t kMaxWaitingRequests = 64;
 
-constexpr const char* kNotOwner = "this node owns the job placement no more";
+constexpr const char* kNotLeaseHolder = "this node owns the job placement no more";
 constexpr const char* kTooManyRequests = "too many ask at once";
 
-peers::AdminAnswer refusal(const std::string& reason) { return {false, reason, {}}; }
+peers::AdminAnswer rejection(const std::string& reason) { return {false, reason, {}}; }
 
 }  // namespace
 
@@ -88,8 +88,8 @@
   auto now = net::monotonic_now();
   auto sum = builder_->sum(now);
   if (!leases_.holds(kPlacementJob, now)) {
-    end_ownership();
-    return send_sum(sum);
+    reset_lease_holder_state();
+    return send_observation_sum(sum);
   }
   builder_->add_sum(context_.name(), std::move(sum), now);
   leases_.record_progress(kPlacementJob);
@@ -103,13 +103,13 @@
   send_status();
 }
 
-void PlacementJob::end_ownership() {
+void PlacementJob::reset_lease_holder_state() {
   builder_->reset();
   next_plan_.reset();
-  for (auto& waiting : std::exchange(waiting_requests_, {})) refuse(waiting.route, kNotOwner);
+  for (auto& waiting : std::exchange(waiting_requests_, {})) reject(waiting.route, kNotLeaseHolder);
 }
 
-void PlacementJob::send_sum(const placement::Observation& sum) {
+void PlacementJob::send_observation_sum(const placement::Observation& sum) {
   auto* job = state_.job(kPlacementJob);
   if (!job || job->owner.empty() || job->owner == context_.name()) return;
   connections_.send_to_voter(job->owner, peers::encode(peers::ObservationSum{sum}));
@@ -132,8 +132,8 @@
 }
 
 void PlacementJob::publish_plan() {
-  bool is_settled = next_plan_ && plans_.committed_plan().number >= next_plan_->number;
-  if (is_settled) next_plan_.reset();  // committed, or overtaken by another lease holder's
+  bool is_finished = next_plan_ && plans_.committed_plan().number >= next_plan_->number;
+  if (is_finished) next_plan_.reset();  // committed, or overtaken by another lease holder's
   if (next_plan_) return propose_plan();
   if (waiting_requests_.empty()) return;
   auto request = std::move(waiting_requests_.front());
@@ -143,7 +143,7 @@
 
 void PlacementJob::propose_plan() {
   auto now = net::monotonic_now();
-  if (now - last_proposed_ < kProposeAgain) return;
+  if (now - last_proposed_ < kProposalRetryInterval) return;
   last_proposed_ = now;
   auto command =
       ownership::encode(ownership::Publish{kPlacementJob, leases_.token(kPlacementJob), next_plan_->number,
@@ -165,14 +165,14 @@
 // ---- Operators
 
 void PlacementJob::on_admin_command(peers::Link& link, const peers::EncodedMessage& message) {
-  auto refuse_here = [&](const std::string& reason) { link.send(peers::encode(refusal(reason))); };
-  if (!builder_) return refuse_here("there is no section group.placement at this node");
+  auto reject_here = [&](const std::string& reason) { link.send(peers::encode(rejection(reason))); };
+  if (!builder_) return reject_here("there is no section group.placement at this node");
   auto* job = state_.job(kPlacementJob);
   if (!job || job->owner.empty()) {
     auto request = peers::decode_placement_request(message);
     bool has_plan = plans_.committed_plan().number > 0;
     if (request.action != PlacementAction::kShow || !has_plan)
-      return refuse_here("nobody owns the job placement now");
+      return reject_here("nobody owns the job placement now");
     link.send(peers::encode(peers::AdminAnswer{true, std::nullopt, make_report(request)}));
     return;
   }
@@ -180,7 +180,7 @@
                                            forwarding_.route_below(link));
   if (job->owner == context_.name()) return on_routed_command(routed);
   if (connections_.send_to_voter(job->owner, routed)) return;
-  refuse_here(fmt::format("{}, which owns the job placement, is out of reach of this node", job->owner));
+  reject_here(fmt::format("{}, which owns the job placement, is out of reach of this node", job->owner));
 }
 
 void PlacementJob::on_routed_command(const peers::EncodedMessage& message) {
@@ -189,22 +189,22 @@
 
 void PlacementJob::handle_request(const RoutedRequest& routed) {
   auto& [request, route] = routed;
-  if (!builder_ || !leases_.holds_now(kPlacementJob)) return refuse(route, kNotOwner);
+  if (!builder_ || !leases_.holds_now(kPlacementJob)) return reject(route, kNotLeaseHolder);
   if (request.action == PlacementAction::kShow || request.action == PlacementAction::kExplain) {
     auto report = make_report(request);
     report.input = builder_->input();
     return answer(route, {true, std::nullopt, std::move(report)});
   }
   if (!next_plan_) return change_plan(routed);
-  if (waiting_requests_.size() >= kMostWaiting) return refuse(route, kTooManyRequests);
+  if (waiting_requests_.size() >= kMaxWaitingRequests) return reject(route, kTooManyRequests);
   waiting_requests_.push_back(routed);
 }
 
 void PlacementJob::change_plan(RoutedRequest routed) {
   std::string reason;
   auto plan = make_requested_plan(&routed.request, &reason);
-  if (!plan) return refuse(routed.route, reason);
-  if (uncommitted_requests_.size() >= kMostWaiting) return refuse(routed.route, kTooManyRequests);
+  if (!plan) return reject(routed.route, reason);
+  if (uncommitted_requests_.size() >= kMaxWaitingRequests) return reject(routed.route, kTooManyRequests);
   context_.log(Level::kInfo, fmt::format("plan {}: {} {}, asked by the operator", plan->number,
                                          routed.request.action_name, routed.request.zone));
   uncommitted_requests_.push_back({plan->number, std::move(routed)});
@@ -254,8 +254,8 @@
   forwarding_.return_response(peers::encode(answer, route));
 }
 
-void PlacementJob::refuse(const peers::Route& route, const std::string& reason) {
-  answer(route, refusal(reason));
+void PlacementJob::reject(const peers::Route& route, const std::string& reason) {
+  answer(route, rejection(reason));
 }
 
 }  // namespace database_proxy::group
--- a/src/group/placement_job.h
+++ b/src/group/placement_job.h
@@ -4,7 +4,7 @@
 // its voter.
 //
 // Belongs to the group's thread. A plan is proposed again until it is committed or overtaken. Operators'
-// changes wait for the plan that is on its way, in the order in which they came; at most kMostWaiting do.
+// changes wait for the plan that is on its way, in the order in which they came; at most kMaxWaitingRequests do.
 #pragma once
 
 #include <cstdint>
@@ -62,8 +62,8 @@
   };
 
   void run_placement();
-  void send_sum(const placement::Observation& sum);
-  void end_ownership();
+  void send_observation_sum(const placement::Observation& sum);
+  void reset_lease_holder_state();
   void log_unknown_zones();
   void send_status();
   void publish_plan();
@@ -73,7 +73,7 @@
   std::optional<placement::Plan> make_requested_plan(peers::PlacementRequest* request, std::string* reason);
   peers::PlanReport make_report(const peers::PlacementRequest& request) const;
   void answer(const peers::Route& route, const peers::AdminAnswer& answer);
-  void refuse(const peers::Route& route, const std::string& reason);
+  void reject(const peers::Route& route, const std::string& reason);
 
   NodeContext& context_;
   PeerConnections& connections_;
