--- a/src/group/placement_job.cpp
+++ b/src/group/placement_job.cpp
@@ -86,7 +86,7 @@
 void PlacementJob::run_placement() {
   round_timer_ = context_.loop.at(context_.loop.now() + kObserveEvery, [this] { run_placement(); });
   auto now = net::monotonic_now();
-  auto sum = builder_->sum(now);
+  auto sum = builder_->observation_sum(now);
   if (!leases_.holds(kPlacementJob, now)) {
     reset_lease_holder_state();
     return send_observation_sum(sum);
@@ -96,7 +96,7 @@
   publish_plan();
   if (!next_plan_) {
     next_plan_ =
-        builder_->next(plans_.committed_plan(), subscriber_.effective_endpoint_list(), now, unix_ms());
+        builder_->make_next_plan(plans_.committed_plan(), subscriber_.effective_endpoint_list(), now, unix_ms());
     if (next_plan_) publish_plan();
   }
   log_unknown_zones();
--- a/src/group/plan_builder.cpp
+++ b/src/group/plan_builder.cpp
@@ -16,7 +16,7 @@
 constexpr Micros kDemandLifetime = 15s;
 // The next plan waits until all proxies that are heard of follow the last one, but no longer: one that is
 // late then is two plans behind, and what it may still send is within what the last plan but one allowed.
-constexpr Micros kWaitForFollowers = 1500ms;
+constexpr Micros kMaxFollowerWait = 1500ms;
 
 placement::ZoneTopology topology_of(const PlacementOptions& options) {
   placement::ZoneTopology topology;
@@ -41,37 +41,37 @@
 
 void PlanBuilder::add_observation(const std::string& proxy, placement::Observation observation, Micros age,
                                   Micros now) {
-  if (by_proxy_.size() >= kMostPlaced && !by_proxy_.contains(proxy)) return;
-  by_proxy_[proxy] = {std::move(observation), now - std::max(Micros(0), age), now};
+  if (observations_by_proxy_.size() >= kMostPlaced && !observations_by_proxy_.contains(proxy)) return;
+  observations_by_proxy_[proxy] = {std::move(observation), now - std::max(Micros(0), age), now};
 }
 
-void PlanBuilder::remove_proxy(const std::string& proxy) { by_proxy_.erase(proxy); }
+void PlanBuilder::remove_proxy(const std::string& proxy) { observations_by_proxy_.erase(proxy); }
 
-void PlanBuilder::drop_expired(ReceivedByName* all, Micros now) {
-  std::erase_if(*all, [&](auto& entry) { return now - entry.second.received > kDemandLifetime; });
+void PlanBuilder::drop_expired(ObservationsByName* all, Micros now) {
+  std::erase_if(*all, [&](auto& entry) { return now - entry.second.received_at > kDemandLifetime; });
 }
 
-placement::Observation PlanBuilder::sum_of(const ReceivedByName& all, Micros now) {
+placement::Observation PlanBuilder::sum_observations(const ObservationsByName& all, Micros now) {
   placement::Observation sum;
   for (auto& [name, received] : all) {
-    bool is_recent = now - received.taken <= kHealthLifetime;
+    bool is_recent = now - received.taken_at <= kHealthLifetime;
     sum.add(is_recent ? received.observation : received.observation.demand_only());
   }
   return sum;
 }
 
-placement::Observation PlanBuilder::sum(Micros now) {
-  drop_expired(&by_proxy_, now);
-  return sum_of(by_proxy_, now);
+placement::Observation PlanBuilder::observation_sum(Micros now) {
+  drop_expired(&observations_by_proxy_, now);
+  return sum_observations(observations_by_proxy_, now);
 }
 
 void PlanBuilder::add_sum(const std::string& voter, placement::Observation sum, Micros now) {
-  by_voter_[voter] = {std::move(sum), now, now};
+  sums_by_voter_[voter] = {std::move(sum), now, now};
 }
 
 void PlanBuilder::reset() {
   working_plan_.reset();
-  by_voter_.clear();
+  sums_by_voter_.clear();
   demand_ = {};
   input_ = {};
 }
@@ -80,11 +80,11 @@
 
 placement::Input PlanBuilder::make_input(const discovery::EndpointListUpdate& list, Micros now,
                                          placement::Millis unix_ms) {
-  drop_expired(&by_voter_, now);
+  drop_expired(&sums_by_voter_, now);
   placement::Input input;
   input.now = unix_ms;
   input.seconds = static_cast<double>(kObserveEvery.count()) / 1e6;
-  input.seen = sum_of(by_voter_, now);
+  input.seen = sum_observations(sums_by_voter_, now);
   demand_.debounce(input.seen, input.seconds);
   input.asked = demand_.rates();
   set_capacities(&input, list);
@@ -92,7 +92,7 @@
 }
 
 // Of the capacity of a warm server, what one that was started lately has.
-double PlanBuilder::warm_share(const discovery::Endpoint& endpoint, placement::Millis unix_ms) const {
+double PlanBuilder::capacity_share(const discovery::Endpoint& endpoint, placement::Millis unix_ms) const {
   if (endpoint.started_at_ms <= 0 || options_.warm_up.count() <= 0) return 1;
   double age = static_cast<double>(unix_ms - endpoint.started_at_ms) * 1000 /
                static_cast<double>(options_.warm_up.count());
@@ -109,7 +109,7 @@
   std::map<std::pair<placement::SetId, placement::Zone>, ZoneServers> servers_by_zone;
   for (auto& endpoint : list.members) {
     if (endpoint.lifecycle != discovery::Lifecycle::kUp) continue;
-    double share = warm_share(endpoint, input->now);
+    double share = capacity_share(endpoint, input->now);
     auto& servers = servers_by_zone[{endpoint.cell, endpoint.zone}];
     servers.weight += endpoint.weight * share;
     servers.is_warming_up = servers.is_warming_up || share < 1;
@@ -119,30 +119,30 @@
   // proxies decide which zone that is.
   std::map<placement::SetId, std::pair<std::uint64_t, placement::Zone>> primary_zones;
   for (auto& [key, proxies] : input->seen.primaries()) {
-    auto& most = primary_zones[key.first];
-    most = std::max(most, std::pair(proxies, key.second));
+    auto& most_observed = primary_zones[key.first];
+    most_observed = std::max(most_observed, std::pair(proxies, key.second));
   }
-  for (auto& [shard_group, most] : primary_zones) {
-    auto found = servers_by_zone.find({shard_group, most.second});
+  for (auto& [shard_group, most_observed] : primary_zones) {
+    auto found = servers_by_zone.find({shard_group, most_observed.second});
     if (found != servers_by_zone.end()) found->second.weight *= 1 - 1.0 / found->second.count;
   }
   for (auto& [key, servers] : servers_by_zone)
     input->supply[key] = {servers.weight * options_.requests_per_weight, servers.is_warming_up};
 }
 
-std::optional<placement::Plan> PlanBuilder::next(const placement::Plan& committed,
+std::optional<placement::Plan> PlanBuilder::make_next_plan(const placement::Plan& committed,
                                                  const discovery::EndpointListUpdate& list, Micros now,
                                                  placement::Millis unix_ms) {
   input_ = make_input(list, now, unix_ms);
   if (input_.seen.votes().empty() && input_.asked.empty()) return std::nullopt;  // nothing was observed yet
   if (!working_plan_ || working_plan_->number != committed.number) {
     working_plan_ = committed;
-    committed_plan_seen_ = now;
+    committed_plan_first_seen_ = now;
   }
   auto& followers = input_.seen.followers();
   bool all_follow = std::all_of(followers.begin(), followers.end(),
                                 [&](auto& entry) { return entry.first >= committed.number; });
-  if (!all_follow && now - committed_plan_seen_ < kWaitForFollowers) return std::nullopt;
+  if (!all_follow && now - committed_plan_first_seen_ < kMaxFollowerWait) return std::nullopt;
   // The wall clock may have been set back meanwhile: what lies ahead of it counts as begun now.
   for (auto& [zone, state] : working_plan_->zones)
     for (auto* time : {&state.since, &state.stepped, &state.unhealthy_since, &state.healthy_since})
--- a/src/group/plan_builder.h
+++ b/src/group/plan_builder.h
@@ -24,12 +24,12 @@
   void add_observation(const std::string& proxy, placement::Observation observation, Micros age, Micros now);
   void remove_proxy(const std::string& proxy);
   // Of all proxies: the health that was observed lately, and the demand of a longer time.
-  placement::Observation sum(Micros now);
+  placement::Observation observation_sum(Micros now);
 
   // The lease holder's. `committed` is the newest plan in the log.
   void add_sum(const std::string& voter, placement::Observation sum, Micros now);
   // nullopt: the committed plan stays.
-  std::optional<placement::Plan> next(const placement::Plan& committed,
+  std::optional<placement::Plan> make_next_plan(const placement::Plan& committed,
                                       const discovery::EndpointListUpdate& list, Micros now,
                                       placement::Millis unix_ms);
   // What an operator asks for: the plan that does it, or nullopt and the reason.
@@ -50,30 +50,30 @@
   std::vector<placement::Zone> unknown_zones() const { return planner_.unknown(input_); }
 
  private:
-  struct Received {
+  struct ReceivedObservation {
     placement::Observation observation;
-    Micros taken{0};
-    Micros received{0};
+    Micros taken_at{0};
+    Micros received_at{0};
   };
-  using ReceivedByName = std::map<std::string, Received>;
+  using ObservationsByName = std::map<std::string, ReceivedObservation>;
 
-  static void drop_expired(ReceivedByName* all, Micros now);
-  static placement::Observation sum_of(const ReceivedByName& all, Micros now);
+  static void drop_expired(ObservationsByName* all, Micros now);
+  static placement::Observation sum_observations(const ObservationsByName& all, Micros now);
   placement::Input make_input(const discovery::EndpointListUpdate& list, Micros now,
                               placement::Millis unix_ms);
   void set_capacities(placement::Input* input, const discovery::EndpointListUpdate& list) const;
-  double warm_share(const discovery::Endpoint& endpoint, placement::Millis unix_ms) const;
+  double capacity_share(const discovery::Endpoint& endpoint, placement::Millis unix_ms) const;
 
   PlacementOptions options_;
   placement::ZoneTopology topology_;
   placement::Planner planner_;
-  ReceivedByName by_proxy_;
-  ReceivedByName by_voter_;
+  ObservationsByName observations_by_proxy_;
+  ObservationsByName sums_by_voter_;
   placement::Demand demand_;
   placement::Input input_;
   // The committed plan with what was observed since, where that changes nothing yet.
   std::optional<placement::Plan> working_plan_;
-  Micros committed_plan_seen_{0};
+  Micros committed_plan_first_seen_{0};
 };
 
 }  // namespace database_proxy::group
