--- a/src/group/plan_subscriber.cpp
+++ b/src/group/plan_subscriber.cpp
@@ -52,12 +52,12 @@
 }
 
 void PlanSubscriber::adopt_plan() {
-  bool is_first = adopted_plan_number_ == 0 && !has_left_;
-  if (has_left_)
+  bool is_first = adopted_plan_number_ == 0 && !has_abandoned_plan_;
+  if (has_abandoned_plan_)
     context_.log(Level::kInfo,
                  fmt::format("the group is heard of again: this proxy follows plan {}", plan_.number));
   if (is_first) context_.log(Level::kInfo, fmt::format("this proxy follows plan {}", plan_.number));
-  has_left_ = false;
+  has_abandoned_plan_ = false;
   is_following_ = true;
   adopted_plan_number_ = plan_.number;
   observer_.on_plan_adopted(plan_);
@@ -66,13 +66,13 @@
 void PlanSubscriber::abandon_plan() {
   context_.log(Level::kWarning,
                fmt::format("nothing is heard of plan {}: this proxy goes on alone", plan_.number));
-  has_left_ = true;
+  has_abandoned_plan_ = true;
   is_following_ = false;
   adopted_plan_number_ = 0;
   observer_.on_plan_adopted(std::nullopt);
 }
 
-void PlanSubscriber::on_owner_status(std::uint64_t plan_number) {
+void PlanSubscriber::on_lease_holder_status(std::uint64_t plan_number) {
   // An owner whose newest plan has not reached this node is no contact: the plan here is out of date.
   if (plan_number <= plan_.number) last_contact_ = net::monotonic_now();
 }
--- a/src/group/plan_subscriber.h
+++ b/src/group/plan_subscriber.h
@@ -34,7 +34,7 @@
   // From the replicated state.
   void on_plan_published();
   // The lease holder works; its newest committed plan has this number.
-  void on_owner_status(std::uint64_t plan_number);
+  void on_lease_holder_status(std::uint64_t plan_number);
 
   // To be called every kStatusInterval, in this order.
   void on_process_paused(Micros pause) { last_contact_ += pause; }
@@ -56,7 +56,7 @@
   placement::Plan plan_;
   Micros last_contact_{0};
   bool is_following_ = false;
-  bool has_left_ = false;  // since the last plan that was followed
+  bool has_abandoned_plan_ = false;  // since the last plan that was followed
   std::atomic<std::uint64_t> adopted_plan_number_{0};
 };
 
