--- a/src/group/health_check_job.cpp
+++ b/src/group/health_check_job.cpp
@@ -14,17 +14,17 @@
 using namespace std::chrono_literals;
 
 // A check that has not ended by then never will.
-constexpr Micros kCheckLost = 2s;
+constexpr Micros kCheckTimeout = 2s;
 // A primary's data is never old, so it is only asked whether it still is the primary.
 constexpr Micros kPrimaryCheckInterval = 1s;
 // Of one shard group, between two rounds.
-constexpr std::size_t kMostUnsentReports = 256;
+constexpr std::size_t kMaxUnsentReports = 256;
 // In a server's load report, in either of the forms that servers write: it is the primary.
-constexpr const char* kPrimaryMark = "x1=1";
-constexpr const char* kOtherPrimaryMark = "x1:1";
+constexpr const char* kPrimaryField = "x1=1";
+constexpr const char* kPrimaryFieldWithColon = "x1:1";
 
 bool is_primary(const std::string& load) {
-  return load.find(kPrimaryMark) != std::string::npos || load.find(kOtherPrimaryMark) != std::string::npos;
+  return load.find(kPrimaryField) != std::string::npos || load.find(kPrimaryFieldWithColon) != std::string::npos;
 }
 
 }  // namespace
@@ -68,7 +68,7 @@
 // interval at which each single replica is checked.
 void HealthCheckJob::check_shard_group(std::int64_t shard_group, Micros now) {
   auto job = health_check_job_name(shard_group);
-  std::erase_if(pending_checks_, [&](auto& check) { return now - check.second > kCheckLost; });
+  std::erase_if(pending_checks_, [&](auto& check) { return now - check.second > kCheckTimeout; });
   std::vector<std::string> replicas;
   for (auto& endpoint : subscriber_.effective_endpoint_list().members) {
     if (endpoint.cell != shard_group || endpoint.lifecycle != discovery::Lifecycle::kUp) continue;
@@ -110,7 +110,7 @@
   pending_checks_.erase(result.server);
   if (endpoint == endpoints.end() || !result.ok) return;
   auto& reports = unsent_reports_[endpoint->cell];
-  if (reports.size() >= kMostUnsentReports) return;
+  if (reports.size() >= kMaxUnsentReports) return;
   if (is_primary(result.load))
     primaries_[result.server] = net::monotonic_now();
   else
--- a/src/group/load_report_gossip.cpp
+++ b/src/group/load_report_gossip.cpp
@@ -13,14 +13,14 @@
 using namespace std::chrono_literals;
 
 // Reports older than this are dropped: roles may have moved, and loads have.
-constexpr Micros kLongestReportAge = 1s;
+constexpr Micros kMaxReportAge = 1s;
 // After the last request a shard group is checked for this long. Reports that arrive keep processes from
 // asking again, so each end of a subscription costs one check by each of many processes.
-constexpr Micros kSubscriptionLength = 30s;
+constexpr Micros kSubscriptionDuration = 30s;
 // Requests for one shard group are passed on this often at most, whoever makes them.
-constexpr Micros kForwardInterval = 250ms;
+constexpr Micros kMinForwardInterval = 250ms;
 // A node that was made to subscribe to more forgets all of them; what is in use is subscribed to again.
-constexpr std::size_t kMostSubscriptions = 4096;
+constexpr std::size_t kMaxSubscriptions = 4096;
 
 }  // namespace
 
@@ -31,10 +31,10 @@
   if (header.job == kPlacementJob) return observer_.on_placement_status(peers::decode_plan_number(message));
   if (header.job == kEndpointListJob)
     return observer_.on_endpoint_list_status(peers::decode_endpoint_list_status(message));
-  report_loads(message);
+  deliver_load_reports(message);
 }
 
-void LoadReportGossip::report_loads(const peers::EncodedMessage& message) {
+void LoadReportGossip::deliver_load_reports(const peers::EncodedMessage& message) {
   std::vector<LoadReport> reports;
   for (auto& load : peers::decode_server_loads(message)) {
     LoadReport report;
@@ -42,7 +42,7 @@
     report.load = std::move(load.report);
     report.check_duration = load.check_duration;
     report.age = std::max(Micros(0), age_of_unix_ms(load.measured_at_unix_ms));
-    if (report.age <= kLongestReportAge) reports.push_back(std::move(report));
+    if (report.age <= kMaxReportAge) reports.push_back(std::move(report));
   }
   if (!reports.empty()) observer_.on_load_reports(std::move(reports));
 }
@@ -50,17 +50,17 @@
 bool LoadReportGossip::is_subscribed(std::int64_t shard_group) const {
   auto found = subscriptions_.find(shard_group);
   return found != subscriptions_.end() &&
-         net::monotonic_now() - found->second.last_request < kSubscriptionLength;
+         net::monotonic_now() - found->second.last_request < kSubscriptionDuration;
 }
 
 void LoadReportGossip::subscribe(std::int64_t shard_group, peers::Link* from) {
-  if (subscriptions_.size() >= kMostSubscriptions && !subscriptions_.contains(shard_group))
+  if (subscriptions_.size() >= kMaxSubscriptions && !subscriptions_.contains(shard_group))
     subscriptions_.clear();
   auto now = net::monotonic_now();
   auto [entry, is_new] = subscriptions_.try_emplace(shard_group, Subscription{now, now});
   auto& subscription = entry->second;
   subscription.last_request = now;
-  if (!is_new && now - subscription.last_forwarded < kForwardInterval) return;
+  if (!is_new && now - subscription.last_forwarded < kMinForwardInterval) return;
   subscription.last_forwarded = now;
   forward_subscription(shard_group, from);
 }
--- a/src/group/load_report_gossip.h
+++ b/src/group/load_report_gossip.h
@@ -51,7 +51,7 @@
     Micros last_forwarded{0};
   };
 
-  void report_loads(const peers::EncodedMessage& message);
+  void deliver_load_reports(const peers::EncodedMessage& message);
   void forward_subscription(std::int64_t shard_group, const peers::Link* from);
 
   NodeContext& context_;
