--- a/src/group/health_check_job.cpp
+++ b/src/group/health_check_job.cpp
@@ -24,7 +24,8 @@
 constexpr const char* kPrimaryFieldWithColon = "x1:1";
 
 bool is_primary(const std::string& load) {
-  return load.find(kPrimaryField) != std::string::npos || load.find(kPrimaryFieldWithColon) != std::string::npos;
+  return load.find(kPrimaryField) != std::string::npos ||
+         load.find(kPrimaryFieldWithColon) != std::string::npos;
 }
 
 }  // namespace
--- a/src/group/placement_job.cpp
+++ b/src/group/placement_job.cpp
@@ -16,13 +16,14 @@
 using net::Level;
 using peers::PlacementAction;
 
-// A plan that is not in the registry after this time is proposed again.
+// A plan that is not in the lease registry this long after its proposal is proposed again.
 constexpr Micros kProposalRetryInterval = 400ms;
-// Operators' requests that wait for a plan to be committed; more are refused.
+// Limit of the operators' requests that wait for a plan to be committed, and of those whose own plan is
+// uncommitted; further requests are rejected.
 constexpr std::size_t kMaxWaitingRequests = 64;
 
-constexpr const char* kNotLeaseHolder = "this node owns the job placement no more";
-constexpr const char* kTooManyRequests = "too many ask at once";
+constexpr const char* kNotLeaseHolder = "this node no longer holds the lease of the job placement";
+constexpr const char* kTooManyRequests = "too many placement commands are pending";
 
 peers::AdminAnswer rejection(const std::string& reason) { return {false, reason, {}}; }
 
@@ -95,8 +96,8 @@
   leases_.record_progress(kPlacementJob);
   publish_plan();
   if (!next_plan_) {
-    next_plan_ =
-        builder_->make_next_plan(plans_.committed_plan(), subscriber_.effective_endpoint_list(), now, unix_ms());
+    next_plan_ = builder_->make_next_plan(plans_.committed_plan(), subscriber_.effective_endpoint_list(), now,
+                                          unix_ms());
     if (next_plan_) publish_plan();
   }
   log_unknown_zones();
@@ -118,8 +119,10 @@
 void PlacementJob::log_unknown_zones() {
   for (auto& zone : builder_->unknown_zones())
     if (logged_unknown_zones_.insert(zone).second)
-      context_.log(Level::kWarning,
-                   fmt::format("zone '{}' of data servers is in no region: it counts as far from all", zone));
+      context_.log(
+          Level::kWarning,
+          fmt::format("zone '{}' has data servers but no region: it counts as far from all other zones",
+                      zone));
 }
 
 void PlacementJob::send_status() {
@@ -127,13 +130,15 @@
   status.header = {kPlacementJob, leases_.token(kPlacementJob)};
   status.plan_number = plans_.committed_plan().number;
   status.sent_at_unix_ms = unix_ms();
-  if (!leases_.holds_now(kPlacementJob)) return;  // right before the effect
+  // The lease is checked right before the effect.
+  if (!leases_.holds_now(kPlacementJob)) return;
   gossip_.on_job_report(peers::encode(status), nullptr);
 }
 
+// Proposes the uncommitted plan; without one, handles the next queued request.
 void PlacementJob::publish_plan() {
   bool is_finished = next_plan_ && plans_.committed_plan().number >= next_plan_->number;
-  if (is_finished) next_plan_.reset();  // committed, or overtaken by another lease holder's
+  if (is_finished) next_plan_.reset();  // committed, or superseded by another lease holder's plan
   if (next_plan_) return propose_plan();
   if (waiting_requests_.empty()) return;
   auto request = std::move(waiting_requests_.front());
@@ -148,7 +153,8 @@
   auto command =
       ownership::encode(ownership::Publish{kPlacementJob, leases_.token(kPlacementJob), next_plan_->number,
                                            peers::encode_published_plan(*next_plan_)});
-  if (!state_.job(kPlacementJob) || !leases_.holds_now(kPlacementJob)) return;  // right before the effect
+  // The lease is checked right before the effect.
+  if (!state_.job(kPlacementJob) || !leases_.holds_now(kPlacementJob)) return;
   forwarding_.propose(command);
 }
 
@@ -166,7 +172,8 @@
 
 void PlacementJob::on_admin_command(peers::Link& link, const peers::EncodedMessage& message) {
   auto reject_here = [&](const std::string& reason) { link.send(peers::encode(rejection(reason))); };
-  if (!builder_) return reject_here("there is no section group.placement at this node");
+  if (!builder_)
+    return reject_here("this node does not run placement: it is no voter, or has no section group.placement");
   auto* job = state_.job(kPlacementJob);
   if (!job || job->owner.empty()) {
     auto request = peers::decode_placement_request(message);
@@ -180,7 +187,8 @@
                                            forwarding_.route_below(link));
   if (job->owner == context_.name()) return on_routed_command(routed);
   if (connections_.send_to_voter(job->owner, routed)) return;
-  reject_here(fmt::format("{}, which owns the job placement, is out of reach of this node", job->owner));
+  reject_here(fmt::format("{}, which holds the lease of the job placement, is not reachable from this node",
+                          job->owner));
 }
 
 void PlacementJob::on_routed_command(const peers::EncodedMessage& message) {
@@ -205,7 +213,7 @@
   auto plan = make_requested_plan(&routed.request, &reason);
   if (!plan) return reject(routed.route, reason);
   if (uncommitted_requests_.size() >= kMaxWaitingRequests) return reject(routed.route, kTooManyRequests);
-  context_.log(Level::kInfo, fmt::format("plan {}: {} {}, asked by the operator", plan->number,
+  context_.log(Level::kInfo, fmt::format("plan {}: {} {}, requested by the operator", plan->number,
                                          routed.request.action_name, routed.request.zone));
   uncommitted_requests_.push_back({plan->number, std::move(routed)});
   next_plan_ = std::move(*plan);
--- a/src/group/placement_job.h
+++ b/src/group/placement_job.h
@@ -1,10 +1,11 @@
-// The job `placement`: observations on their way to the lease holder, its plans on their way into the log,
-// and what operators ask about them. What is decided is decided in placement/plan.h; when a plan may follow
-// another, in PlanBuilder. Only voters with Options::placement take part; a follower sends its observation to
-// its voter.
+// The job `placement`: forwards observations to the lease holder, proposes the lease holder's plans for the
+// log, and answers operators' commands about them. placement/plan.h decides the contents of a plan,
+// PlanBuilder decides when the next plan may be made. Only voters with Options::placement run the job; other
+// processes with Options::placement send their observations to their voter.
 //
-// Belongs to the group's thread. A plan is proposed again until it is committed or overtaken. Operators'
-// changes wait for the plan that is on its way, in the order in which they came; at most kMaxWaitingRequests do.
+// Belongs to the group's thread. A plan is proposed repeatedly until it is committed or superseded. Plan
+// changes that operators request are queued in order of arrival while a plan is uncommitted; the queue holds
+// at most kMaxWaitingRequests.
 #pragma once
 
 #include <cstdint>
@@ -26,7 +27,7 @@
 
 namespace database_proxy::group {
 
-// Every node's part in the plan of zones.
+// One node's part in the job `placement`.
 class PlacementJob {
  public:
   PlacementJob(NodeContext& context, PeerConnections& connections, ReplicatedState& state,
@@ -34,21 +35,24 @@
                PlanSubscriber& plans, LoadReportGossip& gossip);
 
   bool is_enabled() const { return builder_.has_value(); }
-  // Rounds follow each other every kObserveEvery, from a random time on; none where it is not enabled.
+  // Starts rounds of planning every kObserveEvery, the first at a random time within that interval. Does
+  // nothing if the job is not enabled here.
   void start();
 
-  // What this process observed, taken at this time of its own wall clock.
+  // Takes in an observation of this process, made at `taken_at_unix_ms` by its own wall clock.
   void submit_observation(const placement::Observation& observation, std::int64_t taken_at_unix_ms);
-  // From a proxy below this voter, and from another voter.
+  // Handles an observation from a process connected to this voter.
   void on_observation(const peers::Link& link, const peers::EncodedMessage& message);
+  // Handles the sum of another voter's observations, as the lease holder.
   void on_observation_sum(const peers::Link& link, const peers::EncodedMessage& message);
   void on_downstream_closed(const std::string& name);
 
-  // An operator's command at any node: answered here, or passed to the lease holder.
+  // Handles an operator's command at any node: answers it, or forwards it to the lease holder.
   void on_admin_command(peers::Link& link, const peers::EncodedMessage& message);
-  // The same at the lease holder; the answer goes back by the message's route.
+  // Handles an operator's command at the lease holder. The answer is returned by the message's route.
   void on_routed_command(const peers::EncodedMessage& message);
 
+  // Answers the operators' requests whose plan is committed now.
   void on_plan_committed(const placement::Plan& plan);
 
  private:
@@ -86,11 +90,11 @@
 
   std::optional<PlanBuilder> builder_;
   net::Loop::TimerId round_timer_ = net::Loop::kNoTimer;
-  std::optional<placement::Plan> next_plan_;  // of the lease holder, not committed yet
+  std::optional<placement::Plan> next_plan_;  // the lease holder's, not committed yet
   Micros last_proposed_{0};
   std::set<placement::Zone> logged_unknown_zones_;
-  std::vector<RoutedRequest> waiting_requests_;           // until next_plan_ is committed
-  std::vector<UncommittedRequest> uncommitted_requests_;  // until their own plan is
+  std::vector<RoutedRequest> waiting_requests_;           // queued until next_plan_ is committed
+  std::vector<UncommittedRequest> uncommitted_requests_;  // answered once their plan is committed
 };
 
 }  // namespace database_proxy::group
--- a/src/group/plan_builder.cpp
+++ b/src/group/plan_builder.cpp
@@ -131,8 +131,8 @@
 }
 
 std::optional<placement::Plan> PlanBuilder::make_next_plan(const placement::Plan& committed,
-                                                 const discovery::EndpointListUpdate& list, Micros now,
-                                                 placement::Millis unix_ms) {
+                                                           const discovery::EndpointListUpdate& list,
+                                                           Micros now, placement::Millis unix_ms) {
   input_ = make_input(list, now, unix_ms);
   if (input_.seen.votes().empty() && input_.asked.empty()) return std::nullopt;  // nothing was observed yet
   if (!working_plan_ || working_plan_->number != committed.number) {
--- a/src/group/plan_builder.h
+++ b/src/group/plan_builder.h
@@ -30,8 +30,8 @@
   void add_sum(const std::string& voter, placement::Observation sum, Micros now);
   // nullopt: the committed plan stays.
   std::optional<placement::Plan> make_next_plan(const placement::Plan& committed,
-                                      const discovery::EndpointListUpdate& list, Micros now,
-                                      placement::Millis unix_ms);
+                                                const discovery::EndpointListUpdate& list, Micros now,
+                                                placement::Millis unix_ms);
   // What an operator asks for: the plan that does it, or nullopt and the reason.
   std::optional<placement::Plan> evacuate(const placement::Plan& committed, const placement::Zone& zone,
                                           bool force, std::string* reason);
