--- a/src/group/plan_builder.cpp
+++ b/src/group/plan_builder.cpp
@@ -10,12 +10,13 @@
 
 using namespace std::chrono_literals;
 
-// An older observation of health tells nothing.
+// Older observations say nothing about the present health of a zone.
 constexpr Micros kHealthLifetime = 2500ms;
-// What is asked for changes slowly.
+// Longer than for health, as demand changes slowly.
 constexpr Micros kDemandLifetime = 15s;
-// The next plan waits until all proxies that are heard of follow the last one, but no longer: one that is
-// late then is two plans behind, and what it may still send is within what the last plan but one allowed.
+// The next plan is delayed until all proxies that send observations follow the last plan, but no longer than
+// this. A proxy that is still late is then two plans behind, and what it may send is within what the last
+// plan but one allowed.
 constexpr Micros kMaxFollowerWait = 1500ms;
 
 placement::ZoneTopology topology_of(const PlacementOptions& options) {
@@ -91,7 +92,7 @@
   return input;
 }
 
-// Of the capacity of a warm server, what one that was started lately has.
+// Returns the share of a warm server's capacity that this server has: below 1 if it was started recently.
 double PlanBuilder::capacity_share(const discovery::Endpoint& endpoint, placement::Millis unix_ms) const {
   if (endpoint.started_at_ms <= 0 || options_.warm_up.count() <= 0) return 1;
   double age = static_cast<double>(unix_ms - endpoint.started_at_ms) * 1000 /
@@ -115,8 +116,8 @@
     servers.is_warming_up = servers.is_warming_up || share < 1;
     ++servers.count;
   }
-  // A primary works for writes: its share of its zone is not for the reads that the plan is about. Most
-  // proxies decide which zone that is.
+  // A primary serves writes, and the plan only distributes reads: the primary's share of its zone's capacity
+  // is left out. Its zone is the one in which most proxies observed it.
   std::map<placement::SetId, std::pair<std::uint64_t, placement::Zone>> primary_zones;
   for (auto& [key, proxies] : input->seen.primaries()) {
     auto& most_observed = primary_zones[key.first];
@@ -143,7 +144,7 @@
   bool all_follow = std::all_of(followers.begin(), followers.end(),
                                 [&](auto& entry) { return entry.first >= committed.number; });
   if (!all_follow && now - committed_plan_first_seen_ < kMaxFollowerWait) return std::nullopt;
-  // The wall clock may have been set back meanwhile: what lies ahead of it counts as begun now.
+  // The wall clock may have been set back since then: times ahead of it are replaced by the present time.
   for (auto& [zone, state] : working_plan_->zones)
     for (auto* time : {&state.since, &state.stepped, &state.unhealthy_since, &state.healthy_since})
       *time = std::min(*time, unix_ms);
--- a/src/group/plan_builder.h
+++ b/src/group/plan_builder.h
@@ -1,7 +1,9 @@
-// Turns observations into plans: a voter gathers the observations of the proxies below it and sums them up;
-// the lease holder of the job `placement` gathers the sums of all voters and makes the next plan of them.
+// Makes plans from observations: a voter collects and adds up the observations of the proxies connected to
+// it; the lease holder of the job `placement` collects the sums of all voters and makes the next plan from
+// them.
 //
-// Pure: no clock, no I/O, no thread. Times are of the caller's monotonic clock, unix_ms of its wall clock.
+// Pure: no clock, no I/O, no thread. Times are those of the caller's monotonic clock, `unix_ms` that of its
+// wall clock.
 #pragma once
 
 #include <map>
@@ -15,38 +17,41 @@
 
 namespace database_proxy::group {
 
-// Holds the observations of the last seconds and the plan that they make.
+// Holds the observations of the last seconds, and makes the next plan from them.
 class PlanBuilder {
  public:
   explicit PlanBuilder(const PlacementOptions& options);
 
-  // A voter's. `age`: since the observation was taken. Beyond kMostPlaced proxies a new one is ignored.
+  // For every voter: adds an observation that was made `age` ago. Ignores a new proxy beyond kMostPlaced.
   void add_observation(const std::string& proxy, placement::Observation observation, Micros age, Micros now);
   void remove_proxy(const std::string& proxy);
-  // Of all proxies: the health that was observed lately, and the demand of a longer time.
+  // Returns the sum over all proxies. Demand is taken from older observations as well, health only from
+  // recent ones.
   placement::Observation observation_sum(Micros now);
 
-  // The lease holder's. `committed` is the newest plan in the log.
+  // For the lease holder: replaces the sum of this voter.
   void add_sum(const std::string& voter, placement::Observation sum, Micros now);
-  // nullopt: the committed plan stays.
+  // Returns the plan to follow `committed`, which is the newest plan in the log, or nullopt if that one
+  // stays.
   std::optional<placement::Plan> make_next_plan(const placement::Plan& committed,
                                                 const discovery::EndpointListUpdate& list, Micros now,
                                                 placement::Millis unix_ms);
-  // What an operator asks for: the plan that does it, or nullopt and the reason.
+  // Return the plan that carries out an operator's command, or nullopt and the reason why there is none.
   std::optional<placement::Plan> evacuate(const placement::Plan& committed, const placement::Zone& zone,
                                           bool force, std::string* reason);
   std::optional<placement::Plan> restore(const placement::Plan& committed, const placement::Zone& zone,
                                          std::string* reason);
-  // Of an evacuation, or of opening a zone again.
+  // Returns how long opening a zone, or else evacuating it, takes if nothing delays it.
   placement::Millis expected_duration(bool is_opening) const {
     return planner_.expected_duration(is_opening);
   }
-  // The lease has ended: what is not in the committed plan is for the next holder to observe again.
+  // Discards what the lease holder has gathered beyond the committed plan; the next lease holder observes it
+  // again. Called without the lease.
   void reset();
 
-  // What the last plan was made of.
+  // The input of the last make_next_plan().
   const placement::Input& input() const { return input_; }
-  // Zones of data servers that no region names.
+  // Returns the zones of data servers that are configured in no region.
   std::vector<placement::Zone> unknown_zones() const { return planner_.unknown(input_); }
 
  private:
@@ -71,7 +76,7 @@
   ObservationsByName sums_by_voter_;
   placement::Demand demand_;
   placement::Input input_;
-  // The committed plan with what was observed since, where that changes nothing yet.
+  // The committed plan with the states observed since then, while they do not change what proxies do.
   std::optional<placement::Plan> working_plan_;
   Micros committed_plan_first_seen_{0};
 };
--- a/src/group/plan_subscriber.cpp
+++ b/src/group/plan_subscriber.cpp
@@ -45,9 +45,10 @@
   for (auto& [zones, state] : plan.links) {
     if (state.phase != Phase::kClosed || plan_.links.contains(zones)) continue;
     auto& [client_zone, server_zone] = zones;
-    context_.log(Level::kInfo,
-                 fmt::format("plan {}: clients of zone {} do not use zone {} (their way there is ill)",
-                             plan.number, client_zone, server_zone));
+    context_.log(
+        Level::kInfo,
+        fmt::format("plan {}: clients of zone {} do not use zone {} (the link between them is unhealthy)",
+                    plan.number, client_zone, server_zone));
   }
 }
 
@@ -64,8 +65,9 @@
 }
 
 void PlanSubscriber::abandon_plan() {
-  context_.log(Level::kWarning,
-               fmt::format("nothing is heard of plan {}: this proxy goes on alone", plan_.number));
+  context_.log(
+      Level::kWarning,
+      fmt::format("no status from the lease holder of plan {}: this proxy goes on alone", plan_.number));
   has_abandoned_plan_ = true;
   is_following_ = false;
   adopted_plan_number_ = 0;
@@ -73,7 +75,7 @@
 }
 
 void PlanSubscriber::on_lease_holder_status(std::uint64_t plan_number) {
-  // An owner whose newest plan has not reached this node is no contact: the plan here is out of date.
+  // A lease holder whose newest plan has not reached this node is no contact: the plan here is out of date.
   if (plan_number <= plan_.number) last_contact_ = net::monotonic_now();
 }
 
--- a/src/group/plan_subscriber.h
+++ b/src/group/plan_subscriber.h
@@ -1,8 +1,8 @@
-// The plan of zones as the group has committed it, and whether this process follows it. A process that hears
-// nothing of the plan's owner for PlacementOptions::keep leaves the plan and decides for itself, until it
-// hears of the owner again.
+// The placement plan that the group has committed, and whether this process follows it. A process that gets
+// no status of the lease holder of the job `placement` for PlacementOptions::keep abandons the plan and
+// decides for itself until the next status.
 //
-// Belongs to the group's thread, except adopted_plan_number(). Without Options::placement nothing happens.
+// Belongs to the group's thread, except adopted_plan_number(). Does nothing without Options::placement.
 #pragma once
 
 #include <atomic>
@@ -15,34 +15,35 @@
 
 namespace database_proxy::group {
 
-// Told of plans that are committed and followed.
+// Notified of plans that are adopted, abandoned and committed.
 class PlanObserver {
  public:
   virtual ~PlanObserver() = default;
-  // The plan to follow from now on; nullopt: the process decides for itself.
+  // The process follows this plan from now on; nullopt: it decides for itself.
   virtual void on_plan_adopted(const std::optional<placement::Plan>& plan) = 0;
-  // After on_plan_adopted: a plan that is new here was committed.
+  // A plan that is new to this node was committed. Called after on_plan_adopted().
   virtual void on_plan_committed(const placement::Plan& plan) = 0;
 };
 
-// Every node's side of the plan.
+// Adopts and abandons the committed plan at one node.
 class PlanSubscriber {
  public:
   PlanSubscriber(NodeContext& context, ReplicatedState& state, PlanObserver& observer)
       : context_(context), state_(state), observer_(observer) {}
 
-  // From the replicated state.
+  // Handles a plan that was published in the replicated state.
   void on_plan_published();
-  // The lease holder works; its newest committed plan has this number.
+  // Handles a status of the lease holder, whose newest committed plan has this number.
   void on_lease_holder_status(std::uint64_t plan_number);
 
-  // To be called every kStatusInterval, in this order.
+  // Called every kStatusInterval in this order, on_process_paused() only after a pause of the process, which
+  // does not count as time without contact.
   void on_process_paused(Micros pause) { last_contact_ += pause; }
   void check_last_contact();
 
-  // The last one that was committed, followed or not; number 0: none.
+  // The newest committed plan, whether it is followed or not; its number is 0 if there is none.
   const placement::Plan& committed_plan() const { return plan_; }
-  // 0: none is followed. From any thread.
+  // The number of the plan that is followed; 0: none. Called from any thread.
   std::uint64_t adopted_plan_number() const { return adopted_plan_number_; }
 
  private:
@@ -56,7 +57,7 @@
   placement::Plan plan_;
   Micros last_contact_{0};
   bool is_following_ = false;
-  bool has_abandoned_plan_ = false;  // since the last plan that was followed
+  bool has_abandoned_plan_ = false;  // since a plan was last adopted
   std::atomic<std::uint64_t> adopted_plan_number_{0};
 };
 
