--- a/src/group/health_check_job.cpp
+++ b/src/group/health_check_job.cpp
@@ -13,13 +13,13 @@
 
 using namespace std::chrono_literals;
 
-// A check that has not ended by then never will.
+// A check without a result after this time counts as lost.
 constexpr Micros kCheckTimeout = 2s;
-// A primary's data is never old, so it is only asked whether it still is the primary.
+// A primary's data is never stale, so it is only checked for whether it still is the primary.
 constexpr Micros kPrimaryCheckInterval = 1s;
-// Of one shard group, between two rounds.
+// Limit for one shard group between two calls of run(); further reports are dropped.
 constexpr std::size_t kMaxUnsentReports = 256;
-// In a server's load report, in either of the forms that servers write: it is the primary.
+// The field of a load report by which a primary declares itself, in the two forms that servers write.
 constexpr const char* kPrimaryField = "x1=1";
 constexpr const char* kPrimaryFieldWithColon = "x1:1";
 
@@ -60,12 +60,12 @@
     if (gossip_.is_subscribed(*shard_group))
       check_shard_group(*shard_group, now);
     else
-      leases_.record_progress(job);  // to be ready is all there is to do
+      leases_.record_progress(job);  // without a subscription there is nothing to check
   }
   send_reports();
 }
 
-// Replicas take turns, so that the newest report of a shard group is never older than a fraction of the
+// Checks replicas in turn, so that the newest report of a shard group is never older than a fraction of the
 // interval at which each single replica is checked.
 void HealthCheckJob::check_shard_group(std::int64_t shard_group, Micros now) {
   auto job = health_check_job_name(shard_group);
@@ -88,10 +88,10 @@
 std::int64_t HealthCheckJob::count_due_checks(RoundRobin* round_robin, std::size_t replicas,
                                               Micros now) const {
   auto count = static_cast<std::int64_t>(replicas);
-  // A single replica is checked twice as often, since no other one's report comes in between.
+  // A single replica is checked twice as often, as there are no reports of other replicas in between.
   auto interval = context_.options.probe_every / std::max<std::int64_t>(2, count);
   auto due = (now - round_robin->last_due) / interval;
-  if (due > count) {  // the first time, or after a pause: all at once
+  if (due > count) {  // the first call, or after a pause: checks all at once
     round_robin->last_due = now;
     return count;
   }
@@ -100,7 +100,8 @@
 }
 
 void HealthCheckJob::check_server(const std::string& job, const std::string& server, Micros now) {
-  if (!leases_.holds_now(job)) return;  // right before the effect
+  // The lease is checked right before the effect.
+  if (!leases_.holds_now(job)) return;
   if (pending_checks_.emplace(server, now).second) checker_->check(server);
 }
 
@@ -116,7 +117,7 @@
     primaries_[result.server] = net::monotonic_now();
   else
     primaries_.erase(result.server);
-  // The server measured its load at the latest when the check began.
+  // The load report is dated to the start of the check: the server measured its load then at the latest.
   auto measured_at = unix_ms() - result.duration / Micros(1000);
   reports.push_back({result.server, result.load, result.duration, measured_at});
 }
@@ -129,7 +130,8 @@
     reports.header = {job, leases_.token(job)};
     reports.sent_at_unix_ms = unix_ms();
     reports.loads = std::exchange(unsent, {});
-    if (!leases_.holds_now(job)) continue;  // right before the effect
+    // The lease is checked right before the effect.
+    if (!leases_.holds_now(job)) continue;
     leases_.record_progress(job);
     gossip_.on_job_report(peers::encode(reports), nullptr);
   }
--- a/src/group/health_check_job.h
+++ b/src/group/health_check_job.h
@@ -1,9 +1,9 @@
-// The jobs `probe N`: their lease holder checks the data servers of a shard group for the whole fleet and
-// reports what they answer, so that hundreds of processes need not check each server themselves. A shard
-// group is checked only while somebody subscribes to its reports.
+// The jobs `probe N`: the lease holder checks the data servers of shard group N for the whole fleet and sends
+// their load reports to all nodes, so that hundreds of processes need not check each server themselves. A
+// shard group is checked only while a process subscribes to its load reports.
 //
-// Belongs to the group's thread. A check without a result after two seconds counts as lost; results of one
-// round of run() go out together in the next.
+// Belongs to the group's thread. A check without a result after two seconds counts as lost. Results that
+// arrive between two calls of run() are sent together by the second.
 #pragma once
 
 #include <cstddef>
@@ -29,15 +29,16 @@
                  LoadReportGossip& gossip)
       : context_(context), leases_(leases), subscriber_(subscriber), gossip_(gossip) {}
 
-  // Before start() the endpoint list may already change; nothing is checked until then.
+  // Enables health checks. The endpoint list may change before start() is called; nothing is checked until
+  // then.
   void start(std::unique_ptr<HealthChecker> checker);
   void on_effective_endpoint_list(const discovery::EndpointListUpdate& list);
   void on_result(const HealthCheckResult& result);
-  // Does what is due for every shard group whose lease this node holds.
+  // Makes the checks that are due for every shard group whose lease this node holds, and sends the reports.
   void run(Micros now);
   void end_loop_iteration();
 
-  // One job for each shard group of the endpoint list.
+  // Returns the names of the health check jobs, one for each shard group of the endpoint list.
   std::vector<std::string> job_names() const;
 
  private:
@@ -57,8 +58,8 @@
   LoadReportGossip& gossip_;
   std::unique_ptr<HealthChecker> checker_;
   std::map<std::int64_t, RoundRobin> round_robins_;  // over replicas, by shard group
-  std::map<std::string, Micros> pending_checks_;     // by server: since when
-  std::map<std::string, Micros> primaries_;          // servers that said they were one: when last
+  std::map<std::string, Micros> pending_checks_;     // by server: start time
+  std::map<std::string, Micros> primaries_;          // by server: time of its last report as primary
   std::map<std::int64_t, std::vector<peers::ServerLoad>> unsent_reports_;  // by shard group
 };
 
--- a/src/group/jobs.h
+++ b/src/group/jobs.h
@@ -1,5 +1,5 @@
-// The jobs that a lease holder does for the whole fleet, by the names that leases, reports and the operator's
-// file use.
+// The jobs that a lease holder performs for the whole fleet, by their names in leases, reports and the
+// operator's file.
 #pragma once
 
 #include <cstdint>
@@ -10,14 +10,14 @@
 
 // Polls the list service and publishes the endpoint list.
 constexpr const char* kEndpointListJob = "list";
-// Decides which zones serve whose reads.
+// Decides which zones serve the reads of which clients.
 constexpr const char* kPlacementJob = "placement";
-// In the operator's file: health checks of any shard group.
+// The health checks of all shard groups, in the operator's file.
 constexpr const char* kHealthCheckJobs = "probe";
 
-// Health checks of one shard group have a lease of their own.
+// Returns the name of the health check job of one shard group, which has a lease of its own.
 std::string health_check_job_name(std::int64_t shard_group);
-// nullopt: the job is another one.
+// Returns the shard group of a health check job; nullopt for any other job.
 std::optional<std::int64_t> health_checked_shard_group(const std::string& job);
 
 }  // namespace database_proxy::group
--- a/src/group/load_report.h
+++ b/src/group/load_report.h
@@ -1,4 +1,4 @@
-// What a node knows of the load of a data server from the health checks of another process.
+// The load of a data server as known from the health check of a lease holder.
 #pragma once
 
 #include <string>
@@ -7,12 +7,12 @@
 
 namespace database_proxy::group {
 
-// One answer of one data server, as another process received it.
+// One data server's answer to a health check, as the lease holder received it.
 struct LoadReport {
   std::string server;
-  std::string load;  // the server's own text
+  std::string load;  // the load report as the server wrote it
   Micros check_duration{0};
-  Micros age{0};  // at least; as good as the clocks of both machines agree
+  Micros age{0};  // lower bound; as accurate as the two machines' clocks agree
 };
 
 }  // namespace database_proxy::group
--- a/src/group/load_report_gossip.cpp
+++ b/src/group/load_report_gossip.cpp
@@ -12,14 +12,14 @@
 
 using namespace std::chrono_literals;
 
-// Reports older than this are dropped: roles may have moved, and loads have.
+// Older reports are dropped: the load has changed since then, and the primary may have.
 constexpr Micros kMaxReportAge = 1s;
-// After the last request a shard group is checked for this long. Reports that arrive keep processes from
-// asking again, so each end of a subscription costs one check by each of many processes.
+// Time for which a shard group is checked after the last request. Processes do not request again while they
+// receive reports, so each time a subscription expires, many processes make one check each.
 constexpr Micros kSubscriptionDuration = 30s;
-// Requests for one shard group are passed on this often at most, whoever makes them.
+// Requests for one shard group are forwarded at most this often, whichever processes make them.
 constexpr Micros kMinForwardInterval = 250ms;
-// A node that was made to subscribe to more forgets all of them; what is in use is subscribed to again.
+// Limit of subscriptions at one node. Beyond it all are dropped; those in use are requested again.
 constexpr std::size_t kMaxSubscriptions = 4096;
 
 }  // namespace
--- a/src/group/load_report_gossip.h
+++ b/src/group/load_report_gossip.h
@@ -1,11 +1,11 @@
-// Reports of lease holders on their way to every node, and subscriptions to load reports on their way to the
-// lease holders of health checks.
+// Disseminates the reports of lease holders to every node, and forwards subscriptions to load reports to the
+// lease holders of the health check jobs.
 //
-// A report carries its job and the holder's fencing token; a node that knows a newer token rejects it and
-// does not pass it on. Subscriptions carry a shard group only: those of many processes become one on the way.
+// A report carries its job and the lease holder's fencing token; a node that knows a newer token rejects it
+// and does not forward it. A subscription carries only a shard group, so each node merges those of many
+// processes into one.
 //
-// Belongs to the group's thread. Nothing is repeated here: reports and subscriptions are renewed at the
-// source.
+// Belongs to the group's thread. Nothing is sent again here: the senders renew reports and subscriptions.
 #pragma once
 
 #include <cstdint>
@@ -21,27 +21,27 @@
 
 namespace database_proxy::group {
 
-// Told of the reports that this node accepts, by their job.
+// Notified of the reports that this node accepts, by their job.
 class JobReportObserver {
  public:
   virtual ~JobReportObserver() = default;
   virtual void on_endpoint_list_status(const peers::EndpointListStatus& status) = 0;
-  // The lease holder of the job `placement` works, and this is its newest committed plan.
+  // The lease holder of the job `placement` is active; `plan_number` is that of its newest committed plan.
   virtual void on_placement_status(std::uint64_t plan_number) = 0;
   virtual void on_load_reports(std::vector<LoadReport> reports) = 0;
 };
 
-// Accepts, passes on and hands out reports; passes on subscriptions.
+// Accepts, forwards and delivers reports; registers and forwards subscriptions.
 class LoadReportGossip {
  public:
   LoadReportGossip(NodeContext& context, PeerConnections& connections, ReplicatedState& state,
                    JobReportObserver& observer)
       : context_(context), connections_(connections), state_(state), observer_(observer) {}
 
-  // `from`: the link that it came over; nullptr: it is this node's own.
+  // Handles a report that was received over the link `from`; nullptr: it is this node's own.
   void on_job_report(const peers::EncodedMessage& message, peers::Link* from);
 
-  // A process needs load reports of this shard group; `from` as above.
+  // Registers that a process needs load reports of this shard group; `from` as above.
   void subscribe(std::int64_t shard_group, peers::Link* from);
   bool is_subscribed(std::int64_t shard_group) const;
 
