--- a/src/group/health_check_job.h
+++ b/src/group/health_check_job.h
@@ -33,6 +33,7 @@
   // then.
   void start(std::unique_ptr<HealthChecker> checker);
   void on_effective_endpoint_list(const discovery::EndpointListUpdate& list);
+  // Queues the load report of a finished check for the next run().
   void on_result(const HealthCheckResult& result);
   // Makes the checks that are due for every shard group whose lease this node holds, and sends the reports.
   void run(Micros now);
--- a/src/group/placement_job.h
+++ b/src/group/placement_job.h
@@ -45,6 +45,7 @@
   void on_observation(const peers::Link& link, const peers::EncodedMessage& message);
   // Handles the sum of another voter's observations, as the lease holder.
   void on_observation_sum(const peers::Link& link, const peers::EncodedMessage& message);
+  // Discards the observation of a process whose connection to this voter has closed.
   void on_downstream_closed(const std::string& name);
 
   // Handles an operator's command at any node: answers it, or forwards it to the lease holder.
