--- a/src/group/endpoint_list_subscriber.h
+++ b/src/group/endpoint_list_subscriber.h
@@ -3,9 +3,10 @@
 //
 // The list normally arrives through the replicated state. After Options::fallback_timeout and a random part
 // of Options::fallback_jitter without contact with the lease holder of the job `list`, the group counts as
-// unavailable. A voter then polls the discovery service itself and sends copies of the list to the other voters and to all
-// followers, so that hundreds of followers need not poll. The process of a follower that has no contact with
-// such a voter either polls by itself. endpoint_list/ selects which of several lists is in effect.
+// unavailable. A voter then polls the discovery service itself and sends copies of the list to the other
+// voters and to all followers, so that hundreds of followers need not poll. The process of a follower that
+// has no contact with such a voter either polls by itself. endpoint_list/ selects which of several lists is
+// in effect.
 //
 // Belongs to the group's thread; only restore_from_log() runs before that thread starts.
 #pragma once
