--- a/src/app/operator_file.cpp
+++ b/src/app/operator_file.cpp
@@ -177,8 +177,9 @@
     differs(c.installation != d.installation || c.name != d.name || c.listen != d.listen ||
                 c.directory != d.directory || c.is_voter() != d.is_voter() || c.jobs != d.jobs ||
                 c.heartbeat != d.heartbeat || c.election_min != d.election_min ||
-                c.election_max != d.election_max || c.lease != d.lease || c.fallback_timeout != d.fallback_timeout ||
-                c.probe_every != d.probe_every || c.placement != d.placement,
+                c.election_max != d.election_max || c.lease != d.lease ||
+                c.fallback_timeout != d.fallback_timeout || c.probe_every != d.probe_every ||
+                c.placement != d.placement,
             "group (all but nodes)");
   }
   return keys;
--- a/src/group/endpoint_list_subscriber.cpp
+++ b/src/group/endpoint_list_subscriber.cpp
@@ -60,7 +60,8 @@
 
 // Spread over the nodes, so that they do not all poll the discovery service at the same time.
 void EndpointListSubscriber::randomize_fallback_delay() {
-  fallback_delay_ = context_.options.fallback_timeout + context_.random_below(context_.options.fallback_jitter);
+  fallback_delay_ =
+      context_.options.fallback_timeout + context_.random_below(context_.options.fallback_jitter);
 }
 
 void EndpointListSubscriber::on_discovery_changed() {
@@ -221,8 +222,8 @@
 
 // Copies are sent after a change only; confirmations in between report that the last copy is still valid.
 void EndpointListSubscriber::send_confirmation() {
-  bool is_discovery_responsive =
-      last_fallback_answer_.count() > 0 && net::monotonic_now() - last_fallback_answer_ <= kEndpointListValidity;
+  bool is_discovery_responsive = last_fallback_answer_.count() > 0 &&
+                                 net::monotonic_now() - last_fallback_answer_ <= kEndpointListValidity;
   if (!fallback_watch_ || !is_discovery_responsive) return;
   peers::EndpointListConfirmation confirmation{effective_list_.generation, unix_ms()};
   connections_.disseminate(peers::encode(confirmation), nullptr);
--- a/src/group/placement_job.h
+++ b/src/group/placement_job.h
@@ -35,8 +35,8 @@
                PlanSubscriber& plans, LoadReportGossip& gossip);
 
   bool is_enabled() const { return builder_.has_value(); }
-  // Starts rounds of planning every kObservationInterval, the first at a random time within that interval. Does
-  // nothing if the job is not enabled here.
+  // Starts rounds of planning every kObservationInterval, the first at a random time within that interval.
+  // Does nothing if the job is not enabled here.
   void start();
 
   // Takes in an observation of this process, made at `taken_at_unix_ms` by its own wall clock.
--- a/src/group/plan_builder.h
+++ b/src/group/plan_builder.h
@@ -22,7 +22,8 @@
  public:
   explicit PlanBuilder(const PlacementOptions& options);
 
-  // For every voter: adds an observation that was made `age` ago. Ignores a new proxy beyond kMaxObservedProxies.
+  // For every voter: adds an observation that was made `age` ago. Ignores a new proxy beyond
+  // kMaxObservedProxies.
   void add_observation(const std::string& proxy, placement::Observation observation, Micros age, Micros now);
   void remove_proxy(const std::string& proxy);
   // Returns the sum over all proxies. Demand is taken from older observations as well, health only from
--- a/src/group/plan_subscriber.h
+++ b/src/group/plan_subscriber.h
@@ -1,6 +1,6 @@
 // The placement plan that the group has committed, and whether this process follows it. A process that gets
-// no status of the lease holder of the job `placement` for PlacementOptions::contact_timeout abandons the plan and
-// decides for itself until the next status or committed plan.
+// no status of the lease holder of the job `placement` for PlacementOptions::contact_timeout abandons the
+// plan and decides for itself until the next status or committed plan.
 //
 // Belongs to the group's thread, except adopted_plan_number(). Does nothing without Options::placement.
 #pragma once
--- a/src/group/raft_storage.cpp
+++ b/src/group/raft_storage.cpp
@@ -45,7 +45,8 @@
 state::Batch to_batch(const consensus::Write& write) {
   state::Batch batch;
   if (write.hard_state)
-    batch.changes.emplace_back(kHardStateKey, to_cbor(json::array({write.hard_state->term, write.hard_state->vote})));
+    batch.changes.emplace_back(kHardStateKey,
+                               to_cbor(json::array({write.hard_state->term, write.hard_state->vote})));
   if (write.snapshot) batch.changes.emplace_back(kSnapshotKey, peers::encode_snapshot(*write.snapshot));
   if (write.truncate_from) batch.removals.emplace_back(log_key(write.truncate_from), kLogEnd);
   if (write.drop_before) batch.removals.emplace_back(kLogBegin, log_key(write.drop_before));
