--- a/src/group/lease_session.cpp
+++ b/src/group/lease_session.cpp
@@ -25,8 +25,8 @@
 
 ownership::LeaseOptions lease_options(const Options& options) {
   ownership::LeaseOptions lease;
-  lease.length = options.lease;
-  lease.idle = std::max<Micros>(kLeastIdleTime, options.lease * kIdleLeases);
+  lease.duration = options.lease;
+  lease.progress_timeout = std::max<Micros>(kLeastIdleTime, options.lease * kIdleLeases);
   return lease;
 }
 
--- a/src/ownership/lease_client.cpp
+++ b/src/ownership/lease_client.cpp
@@ -34,7 +34,7 @@
 void LeaseClient::on_renewal_response(Micros /*now*/, const LeaseRenewalResponse& response) {
   auto sent_at = request_sent_at_.find(response.number);
   if (sent_at == request_sent_at_.end()) return;
-  auto until = sent_at->second + std::min(response.length, options_.length);
+  auto until = sent_at->second + std::min(response.lease_duration, options_.duration);
   request_sent_at_.erase(request_sent_at_.begin(), std::next(sent_at));
   give_up_.clear();
   give_up_.insert(response.give_up.begin(), response.give_up.end());
--- a/src/ownership/lease_manager.cpp
+++ b/src/ownership/lease_manager.cpp
@@ -84,9 +84,9 @@
     lease.progressed_at = now;
   }
   bool is_eligible = nodes_.at(request.node).eligible_jobs.contains(job);
-  if (is_eligible && now - lease.progressed_at < options_.idle) return;
+  if (is_eligible && now - lease.progressed_at < options_.progress_timeout) return;
   lease.revoked = true;
-  excluded_until_[{job, request.node}] = now + options_.exclusion;
+  excluded_until_[{job, request.node}] = now + options_.exclusion_duration;
   reasons_.push_back("job " + job + ": " + request.node +
                      (is_eligible ? " holds the lease but does no work" : " is no longer willing"));
 }
@@ -95,7 +95,7 @@
                                                     const LeaseRegistry& registry) const {
   LeaseRenewalResponse response;
   response.number = number;
-  response.length = options_.length;
+  response.lease_duration = options_.duration;
   for (const auto& [name, job] : registry.jobs()) {
     if (job.owner != node || proposed_.contains(name)) continue;
     auto lease = leases_.find(name);
@@ -110,7 +110,7 @@
 
 std::vector<Command> LeaseManager::propose(Micros now, const LeaseRegistry& registry) {
   if (!leading_) return {};
-  due_ = now + options_.length / kProposalsPerLease;
+  due_ = now + options_.duration / kProposalsPerLease;
   auto jobs = all_eligible_jobs();
   forget_silent_nodes(now);
   std::erase_if(excluded_until_, [&](const auto& exclusion) { return now >= exclusion.second; });
@@ -140,7 +140,7 @@
   const auto* state = registry.job(job);
   std::string previous_owner = state ? state->owner : "";
   // A job without owner waits until all nodes had time to tell the new leader that they are eligible.
-  auto assignable_at = previous_owner.empty() ? elected_at_ + options_.length / 2
+  auto assignable_at = previous_owner.empty() ? elected_at_ + options_.duration / 2
                                               : observe_lease(now, job, state->token).renewed_at +
                                                     options_.safe_reassignment_delay();
   if (now < assignable_at) {
@@ -179,7 +179,7 @@
 LeaseManager::JobCounts LeaseManager::job_counts(Micros now, const LeaseRegistry& registry) const {
   JobCounts counts;
   for (const auto& [name, node] : nodes_)
-    if (now - node.last_request_at < options_.length) counts[name] = 0;
+    if (now - node.last_request_at < options_.duration) counts[name] = 0;
   for (const auto& [name, job] : registry.jobs())
     if (auto it = counts.find(job.owner); it != counts.end() && !proposed_.contains(name)) ++it->second;
   for (const auto& [job, assignee] : proposed_)
--- a/src/ownership/lease_messages.h
+++ b/src/ownership/lease_messages.h
@@ -29,7 +29,7 @@
 // The leader's response, sent after a majority has confirmed that it still leads.
 struct LeaseRenewalResponse {
   std::uint64_t number = 0;  // of the request
-  Micros length{0};          // of the granted leases
+  Micros lease_duration{0};          // of the granted leases
   std::vector<HeldLease> granted;
   std::vector<std::string> give_up;  // granted jobs to stop and release: another node is to get them
 };
--- a/src/testbench/simulation/model.cpp
+++ b/src/testbench/simulation/model.cpp
@@ -272,9 +272,9 @@
 class LeaseExplorer {
  public:
   explicit LeaseExplorer(LeaseScope options) : scope_(options) {
-    lease_.length = 1s;
-    lease_.idle = 1h;
-    lease_.margin = 50ms;
+    lease_.duration = 1s;
+    lease_.progress_timeout = 1h;
+    lease_.pause_margin = 50ms;
     lease_.flaw_no_margin = scope_.mutant == Mutant::kNoMargin;
     lease_.flaw_no_check = scope_.mutant == Mutant::kNoCheck;
   }
--- a/src/testbench/simulation/world.cpp
+++ b/src/testbench/simulation/world.cpp
@@ -169,8 +169,8 @@
   o.flaws.vote_not_saved = options_.mutant == Mutant::kVoteNotSaved;
   o.flaws.commits_old_terms = options_.mutant == Mutant::kCommitsOldTerms;
   own::LeaseOptions lease;
-  lease.length = 1s;
-  lease.idle = 3s;
+  lease.duration = 1s;
+  lease.progress_timeout = 3s;
   lease.flaw_no_margin = options_.mutant == Mutant::kNoMargin;
   lease.flaw_no_check = options_.mutant == Mutant::kNoCheck;
   auto stored = node.disk.durable;
--- a/tests/consensus/consensus_test.cpp
+++ b/tests/consensus/consensus_test.cpp
@@ -327,13 +327,13 @@
   ownership::LeaseOptions options;
   ownership::LeaseClient client("a", options);
   auto request = client.make_renewal_request(10s, {"j"});
-  ownership::LeaseRenewalResponse response{request.number, options.length, {{"j", 7, 0}}, {}};
-  client.on_renewal_response(10s + options.length - 1ms, response);
-  EXPECT_TRUE(client.holds("j", 10s + options.length - 1us));
-  EXPECT_FALSE(client.holds("j", 10s + options.length));
+  ownership::LeaseRenewalResponse response{request.number, options.duration, {{"j", 7, 0}}, {}};
+  client.on_renewal_response(10s + options.duration - 1ms, response);
+  EXPECT_TRUE(client.holds("j", 10s + options.duration - 1us));
+  EXPECT_FALSE(client.holds("j", 10s + options.duration));
   client.on_renewal_response(10s + 1ms, response);  // the same answer again
-  EXPECT_EQ(client.until("j"), 10s + options.length);
-  EXPECT_EQ(client.expire(10s + options.length), std::vector<std::string>{"j"});
+  EXPECT_EQ(client.until("j"), 10s + options.duration);
+  EXPECT_EQ(client.expire(10s + options.duration), std::vector<std::string>{"j"});
 }
 
 TEST(Leases, AnOwnerWithoutProgressLosesItsJob) {
@@ -352,7 +352,7 @@
       new_owner = std::get<ownership::Grant>(command).owner;
   }
   EXPECT_EQ(new_owner, "b");
-  EXPECT_GE(now, 10s + options.idle + options.safe_reassignment_delay());
+  EXPECT_GE(now, 10s + options.progress_timeout + options.safe_reassignment_delay());
 }
 
 TEST(Leases, JobsAreDistributedEvenlyWithAsFewMovesAsPossible) {
