--- a/src/group/lease_session.cpp
+++ b/src/group/lease_session.cpp
@@ -60,14 +60,14 @@
 void LeaseSession::on_renewal_response(const peers::EncodedMessage& message) {
   auto response = peers::decode_lease_renewal_response(message).response;
   client_.on_renewal_response(net::monotonic_now(), response);
-  auto to_give_up = client_.to_give_up();
+  auto to_give_up = client_.jobs_to_release();
   for (auto& job : to_give_up) release(job);
   if (!is_leaving_) return;
   for (auto& job : client_.jobs()) release(job);
 }
 
 void LeaseSession::release(const std::string& job) {
-  auto token = client_.give_up(job);
+  auto token = client_.release(job);
   if (token == 0) return;
   context_.log(Level::kInfo, fmt::format("gives up job {} (token {})", job, token));
   events_.on_lease_lost(job);
--- a/src/ownership/lease_client.cpp
+++ b/src/ownership/lease_client.cpp
@@ -25,7 +25,7 @@
   request.node = node_;
   request.number = ++last_request_number_;
   request.eligible_jobs = eligible_jobs;
-  for (const auto& [job, lease] : leases_) request.holds.push_back({job, lease.token, lease.progress});
+  for (const auto& [job, lease] : leases_) request.held_leases.push_back({job, lease.token, lease.progress});
   request_sent_at_[request.number] = now;
   while (request_sent_at_.size() > kMaxOpenRequests) request_sent_at_.erase(request_sent_at_.begin());
   return request;
@@ -34,23 +34,23 @@
 void LeaseClient::on_renewal_response(Micros /*now*/, const LeaseRenewalResponse& response) {
   auto sent_at = request_sent_at_.find(response.number);
   if (sent_at == request_sent_at_.end()) return;
-  auto until = sent_at->second + std::min(response.lease_duration, options_.duration);
+  auto expires_at = sent_at->second + std::min(response.lease_duration, options_.duration);
   request_sent_at_.erase(request_sent_at_.begin(), std::next(sent_at));
-  give_up_.clear();
-  give_up_.insert(response.give_up.begin(), response.give_up.end());
+  jobs_to_release_.clear();
+  jobs_to_release_.insert(response.jobs_to_release.begin(), response.jobs_to_release.end());
   for (const auto& granted : response.granted) {
     auto released = released_tokens_.find(granted.job);
     if (released != released_tokens_.end() && granted.token <= released->second) continue;
     auto& lease = leases_[granted.job];
     if (granted.token < lease.token) continue;
-    if (granted.token > lease.token) lease = {granted.token, until, 0};
-    lease.until = std::max(lease.until, until);
+    if (granted.token > lease.token) lease = {granted.token, expires_at, 0};
+    lease.expires_at = std::max(lease.expires_at, expires_at);
   }
 }
 
 bool LeaseClient::holds(const std::string& job, Micros now) const {
   auto it = leases_.find(job);
-  return it != leases_.end() && (options_.flaw_no_check || now < it->second.until);
+  return it != leases_.end() && (options_.flaw_no_check || now < it->second.expires_at);
 }
 
 Token LeaseClient::token(const std::string& job) const {
@@ -58,9 +58,9 @@
   return it == leases_.end() ? 0 : it->second.token;
 }
 
-Micros LeaseClient::until(const std::string& job) const {
+Micros LeaseClient::expires_at(const std::string& job) const {
   auto it = leases_.find(job);
-  return it == leases_.end() ? Micros(0) : it->second.until;
+  return it == leases_.end() ? Micros(0) : it->second.expires_at;
 }
 
 std::vector<std::string> LeaseClient::jobs() const {
@@ -76,7 +76,7 @@
 std::vector<std::string> LeaseClient::expire(Micros now) {
   std::vector<std::string> expired;
   for (auto it = leases_.begin(); it != leases_.end();) {
-    if (now < it->second.until || options_.flaw_no_check) {
+    if (now < it->second.expires_at || options_.flaw_no_check) {
       ++it;
       continue;
     }
@@ -86,13 +86,13 @@
   return expired;
 }
 
-Token LeaseClient::give_up(const std::string& job) {
+Token LeaseClient::release(const std::string& job) {
   auto it = leases_.find(job);
   if (it == leases_.end()) return 0;
   auto token = it->second.token;
   released_tokens_[job] = token;
   leases_.erase(it);
-  give_up_.erase(job);
+  jobs_to_release_.erase(job);
   return token;
 }
 
--- a/src/ownership/lease_client.h
+++ b/src/ownership/lease_client.h
@@ -32,7 +32,7 @@
   // The token of the lease, expired or not; 0 if there is none.
   Token token(const std::string& job) const;
   // When the lease expires, or expired; 0 if there is none.
-  Micros until(const std::string& job) const;
+  Micros expires_at(const std::string& job) const;
   // All jobs with a lease that expire() has not removed.
   std::vector<std::string> jobs() const;
   // Counts work done for the job; the next request reports it. Without a lease it does nothing.
@@ -41,14 +41,14 @@
   // Removes the leases that have expired by `now`, and returns their jobs.
   std::vector<std::string> expire(Micros now);
   // Jobs that the leader wants back, by its newest response.
-  const std::set<std::string>& to_give_up() const { return give_up_; }
+  const std::set<std::string>& jobs_to_release() const { return jobs_to_release_; }
   // Removes the lease after the job was stopped. Returns the token to release, or 0 if there is no lease.
-  Token give_up(const std::string& job);
+  Token release(const std::string& job);
 
  private:
   struct Lease {
     Token token = 0;
-    Micros until{0};
+    Micros expires_at{0};
     std::uint64_t progress = 0;
   };
 
@@ -58,7 +58,7 @@
   std::map<std::uint64_t, Micros> request_sent_at_;  // the newest requests without a response, by number
   std::map<std::string, Lease> leases_;              // by job
   std::map<std::string, Token> released_tokens_;     // by job: never accepted again
-  std::set<std::string> give_up_;
+  std::set<std::string> jobs_to_release_;
 };
 
 }  // namespace database_proxy::ownership
--- a/src/ownership/lease_manager.cpp
+++ b/src/ownership/lease_manager.cpp
@@ -78,7 +78,7 @@
   auto& lease = observe_lease(now, job, token);
   if (lease.revoked) return;
   lease.renewed_at = now;
-  for (const auto& reported : request.holds) {
+  for (const auto& reported : request.held_leases) {
     if (reported.job != job || reported.token != token || reported.progress == lease.progress) continue;
     lease.progress = reported.progress;
     lease.progressed_at = now;
@@ -101,7 +101,7 @@
     auto lease = leases_.find(name);
     if (lease != leases_.end() && lease->second.token == job.token) {
       if (lease->second.revoked) continue;
-      if (lease->second.release_requested) response.give_up.push_back(name);
+      if (lease->second.release_requested) response.jobs_to_release.push_back(name);
     }
     response.granted.push_back({name, job.token, 0});
   }
--- a/src/ownership/lease_messages.h
+++ b/src/ownership/lease_messages.h
@@ -23,7 +23,7 @@
   std::string node;
   std::uint64_t number = 0;                // chosen by the node; the response repeats it
   std::vector<std::string> eligible_jobs;  // jobs that this node would do
-  std::vector<HeldLease> holds;
+  std::vector<HeldLease> held_leases;
 };
 
 // The leader's response, sent after a majority has confirmed that it still leads.
@@ -31,7 +31,7 @@
   std::uint64_t number = 0;  // of the request
   Micros lease_duration{0};          // of the granted leases
   std::vector<HeldLease> granted;
-  std::vector<std::string> give_up;  // granted jobs to stop and release: another node is to get them
+  std::vector<std::string> jobs_to_release;  // granted jobs to stop and release: another node is to get them
 };
 
 }  // namespace database_proxy::ownership
--- a/src/peers/message_codec.cpp
+++ b/src/peers/message_codec.cpp
@@ -118,7 +118,7 @@
   object[key::kRequestNumber] = routed.request.number;
   object[key::kEligibleJobs] = routed.request.eligible_jobs;
   auto& leases = object[key::kLeases] = json::array();
-  for (auto& lease : routed.request.holds)
+  for (auto& lease : routed.request.held_leases)
     leases.push_back(json::array({lease.job, lease.token, lease.progress}));
   return EncodedMessage(std::move(object));
 }
@@ -133,7 +133,7 @@
     routed.request.number = object.at(key::kRequestNumber).get<std::uint64_t>();
     routed.request.eligible_jobs = object.at(key::kEligibleJobs).get<std::vector<std::string>>();
     for (auto& lease : object.at(key::kLeases))
-      routed.request.holds.push_back({lease.at(0).get<std::string>(), lease.at(1).get<ownership::Token>(),
+      routed.request.held_leases.push_back({lease.at(0).get<std::string>(), lease.at(1).get<ownership::Token>(),
                                       lease.at(2).get<std::uint64_t>()});
     return routed;
   });
@@ -146,7 +146,7 @@
   object[key::kLeaseLength] = routed.response.lease_duration.count();
   auto& leases = object[key::kGrantedLeases] = json::array();
   for (auto& lease : routed.response.granted) leases.push_back(json::array({lease.job, lease.token}));
-  object[key::kJobsToGiveUp] = routed.response.give_up;
+  object[key::kJobsToGiveUp] = routed.response.jobs_to_release;
   return EncodedMessage(std::move(object));
 }
 
@@ -160,7 +160,7 @@
     for (auto& lease : object.at(key::kGrantedLeases))
       routed.response.granted.push_back(
           {lease.at(0).get<std::string>(), lease.at(1).get<ownership::Token>(), 0});
-    routed.response.give_up = object.at(key::kJobsToGiveUp).get<std::vector<std::string>>();
+    routed.response.jobs_to_release = object.at(key::kJobsToGiveUp).get<std::vector<std::string>>();
     return routed;
   });
 }
--- a/src/testbench/simulation/model.cpp
+++ b/src/testbench/simulation/model.cpp
@@ -305,7 +305,7 @@
                          s.asks_left[1]);
     for (int o = 0; o < 2; ++o)
       f += fmt::format("{} {} ", s.holders[static_cast<std::size_t>(o)].token("j"),
-                       s.holders[static_cast<std::size_t>(o)].until("j").count());
+                       s.holders[static_cast<std::size_t>(o)].expires_at("j").count());
     for (auto& [o, a] : s.asks) f += fmt::format("q{}.{} ", o, a.number);
     for (auto& [o, t] : s.responses) f += fmt::format("t{}.{}.{} ", o, t.number, t.granted.size());
     if (auto* job = s.ledger.job("j")) f += fmt::format("{}:{} ", job->owner, job->token);
--- a/src/testbench/simulation/world.cpp
+++ b/src/testbench/simulation/world.cpp
@@ -415,8 +415,8 @@
       auto hear = [this, from, at, told](int to) {
         auto& node = nodes_[to];
         node.holder->on_renewal_response(local(node), told);
-        for (auto& job : std::set<std::string>(node.holder->to_give_up())) {
-          auto token = node.holder->give_up(job);
+        for (auto& job : std::set<std::string>(node.holder->jobs_to_release())) {
+          auto token = node.holder->release(job);
           if (token == 0) continue;
           say(fmt::format("{} gives up {}", node.name, job));
           auto release = own::Command(own::Release{job, token});
--- a/tests/consensus/consensus_test.cpp
+++ b/tests/consensus/consensus_test.cpp
@@ -332,7 +332,7 @@
   EXPECT_TRUE(client.holds("j", 10s + options.duration - 1us));
   EXPECT_FALSE(client.holds("j", 10s + options.duration));
   client.on_renewal_response(10s + 1ms, response);  // the same answer again
-  EXPECT_EQ(client.until("j"), 10s + options.duration);
+  EXPECT_EQ(client.expires_at("j"), 10s + options.duration);
   EXPECT_EQ(client.expire(10s + options.duration), std::vector<std::string>{"j"});
 }
 
@@ -370,9 +370,9 @@
       ownership::LeaseRenewalRequest request{node, static_cast<std::uint64_t>(now.count() + 1), jobs, {}};
       for (auto& [name, job] : registry.jobs())
         if (job.owner == node)
-          request.holds.push_back({name, job.token, static_cast<std::uint64_t>(now.count())});
+          request.held_leases.push_back({name, job.token, static_cast<std::uint64_t>(now.count())});
       manager.on_renewal_request(now, request, registry);
-      for (auto& job : manager.renewal_response(node, 1, registry).give_up) {
+      for (auto& job : manager.renewal_response(node, 1, registry).jobs_to_release) {
         registry.apply(++index, ownership::Release{job, registry.job(job)->token});
         ++moves;
       }
