--- a/src/group/endpoint_list_publisher.cpp
+++ b/src/group/endpoint_list_publisher.cpp
@@ -74,7 +74,7 @@
   if (!is_publishing_ || now - last_proposed_ < kProposeAgain) return;
   auto token = leases_.token(kEndpointListJob);
   auto* job = state_.job(kEndpointListJob);
-  if (job && job->published_by == token && job->data == to_publish_) {
+  if (job && job->publisher_token == token && job->data == to_publish_) {
     is_publishing_ = false;
     return;
   }
--- a/src/group/load_report_gossip.cpp
+++ b/src/group/load_report_gossip.cpp
@@ -74,7 +74,7 @@
   if (!from || from->peer().role != peers::PeerRole::kVoter) connections_.broadcast_to_voters(message);
   auto* job = state_.job(health_check_job_name(shard_group));
   if (!job) return;
-  auto lease_holder = connections_.downstream().find(job->owner);
+  auto lease_holder = connections_.downstream().find(job->lease_holder);
   if (lease_holder != connections_.downstream().end() && lease_holder->second.link != from)
     lease_holder->second.link->send(message);
 }
--- a/src/group/placement_job.cpp
+++ b/src/group/placement_job.cpp
@@ -111,8 +111,8 @@
 
 void PlacementJob::send_sum(const placement::Observation& sum) {
   auto* job = state_.job(kPlacementJob);
-  if (!job || job->owner.empty() || job->owner == context_.name()) return;
-  connections_.send_to_voter(job->owner, peers::encode(peers::ObservationSum{sum}));
+  if (!job || job->lease_holder.empty() || job->lease_holder == context_.name()) return;
+  connections_.send_to_voter(job->lease_holder, peers::encode(peers::ObservationSum{sum}));
 }
 
 void PlacementJob::log_unknown_zones() {
@@ -168,7 +168,7 @@
   auto refuse_here = [&](const std::string& reason) { link.send(peers::encode(refusal(reason))); };
   if (!builder_) return refuse_here("there is no section group.placement at this node");
   auto* job = state_.job(kPlacementJob);
-  if (!job || job->owner.empty()) {
+  if (!job || job->lease_holder.empty()) {
     auto request = peers::decode_placement_request(message);
     bool has_plan = plans_.committed_plan().number > 0;
     if (request.action != PlacementAction::kShow || !has_plan)
@@ -178,9 +178,9 @@
   }
   auto routed = peers::with_type_and_route(message, peers::MessageType::kPlacementCommand,
                                            forwarding_.route_below(link));
-  if (job->owner == context_.name()) return on_routed_command(routed);
-  if (connections_.send_to_voter(job->owner, routed)) return;
-  refuse_here(fmt::format("{}, which owns the job placement, is out of reach of this node", job->owner));
+  if (job->lease_holder == context_.name()) return on_routed_command(routed);
+  if (connections_.send_to_voter(job->lease_holder, routed)) return;
+  refuse_here(fmt::format("{}, which owns the job placement, is out of reach of this node", job->lease_holder));
 }
 
 void PlacementJob::on_routed_command(const peers::EncodedMessage& message) {
@@ -245,7 +245,7 @@
   peers::PlanReport report;
   report.plan = plans_.committed_plan();
   auto* job = state_.job(kPlacementJob);
-  if (job) report.owner = job->owner;
+  if (job) report.owner = job->lease_holder;
   report.shard_group = request.shard_group;
   return report;
 }
--- a/src/group/replicated_state.cpp
+++ b/src/group/replicated_state.cpp
@@ -27,10 +27,10 @@
   auto command = ownership::decode(text);
   if (!command) return;
   ownership::Token granted = 0;
-  auto rejected_before = registry_.stale();
+  auto rejected_before = registry_.stale_publications();
   registry_.apply(index, *command, &granted);
   auto* publish = std::get_if<ownership::Publish>(&*command);
-  if (publish && registry_.stale() > rejected_before)
+  if (publish && registry_.stale_publications() > rejected_before)
     context_.log(net::Level::kWarning,
                  fmt::format("turned down an effect of {} with an old token", publish->job));
   if (auto* grant = std::get_if<ownership::Grant>(&*command)) on_grant(*grant, granted);
@@ -44,7 +44,7 @@
   if (granted == 0) return;
   fencing_token_guard_.admit(grant.job, granted);
   context_.log(net::Level::kInfo,
-               fmt::format("job {} is granted to {} with token {}", grant.job, grant.owner, granted));
+               fmt::format("job {} is granted to {} with token {}", grant.job, grant.lease_holder, granted));
 }
 
 bool ReplicatedState::admit_effect(const std::string& job, ownership::Token token) {
--- a/src/group/replicated_state.h
+++ b/src/group/replicated_state.h
@@ -46,7 +46,7 @@
   // lease has passed to somebody else.
   bool admit_effect(const std::string& job, ownership::Token token);
   // Effects that were rejected for their token, here and in the registry.
-  std::uint64_t rejected_effects() const { return rejected_effects_ + registry_.stale(); }
+  std::uint64_t rejected_effects() const { return rejected_effects_ + registry_.stale_publications(); }
 
  private:
   void on_grant(const ownership::Grant& grant, ownership::Token granted);
--- a/src/ownership/fencing_token_guard.h
+++ b/src/ownership/fencing_token_guard.h
@@ -19,18 +19,18 @@
   bool admit(const std::string& job, Token token) {
     auto& highest = highest_[job];
     if (token < highest) {
-      ++refused_;
+      ++rejected_count_;
       return false;
     }
     highest = token;
     return true;
   }
   // The number of effects refused so far.
-  std::uint64_t refused() const { return refused_; }
+  std::uint64_t rejected_count() const { return rejected_count_; }
 
  private:
   std::map<std::string, Token> highest_;  // by job
-  std::uint64_t refused_ = 0;
+  std::uint64_t rejected_count_ = 0;
 };
 
 }  // namespace database_proxy::ownership
--- a/src/ownership/lease_commands.cpp
+++ b/src/ownership/lease_commands.cpp
@@ -16,7 +16,7 @@
 
 struct CommandWriter {
   json operator()(const Grant& grant) const {
-    return {{"c", "grant"}, {"job", grant.job}, {"owner", grant.owner}, {"after", grant.after}};
+    return {{"c", "grant"}, {"job", grant.job}, {"owner", grant.lease_holder}, {"after", grant.previous_token}};
   }
   json operator()(const Release& release) const {
     return {{"c", "release"}, {"job", release.job}, {"token", release.token}};
--- a/src/ownership/lease_commands.h
+++ b/src/ownership/lease_commands.h
@@ -12,8 +12,8 @@
 
 // Assigns a job to a node. Proposed by the leader's LeaseManager.
 struct Grant {
-  std::string job, owner;
-  Token after = 0;  // the newest token that the leader saw: another grant in between voids this one
+  std::string job, lease_holder;
+  Token previous_token = 0;  // the newest token that the leader saw: another grant in between voids this one
 };
 
 // Gives a job back, so that it can be assigned without waiting for the lease to expire. Proposed by its
--- a/src/ownership/lease_manager.cpp
+++ b/src/ownership/lease_manager.cpp
@@ -59,7 +59,7 @@
   due_ = std::min(due_, now);
   for (const auto& [name, job] : registry.jobs()) {
     // A proposed grant to another node may take effect at any moment: nobody is renewed meanwhile.
-    if (job.owner != request.node || proposed_.contains(name)) continue;
+    if (job.lease_holder != request.node || proposed_.contains(name)) continue;
     renew_lease(now, request, name, job.token);
   }
 }
@@ -97,7 +97,7 @@
   response.number = number;
   response.lease_duration = options_.duration;
   for (const auto& [name, job] : registry.jobs()) {
-    if (job.owner != node || proposed_.contains(name)) continue;
+    if (job.lease_holder != node || proposed_.contains(name)) continue;
     auto lease = leases_.find(name);
     if (lease != leases_.end() && lease->second.token == job.token) {
       if (lease->second.revoked) continue;
@@ -138,7 +138,7 @@
                                                  const LeaseRegistry& registry) {
   if (proposed_.contains(job)) return std::nullopt;
   const auto* state = registry.job(job);
-  std::string previous_owner = state ? state->owner : "";
+  std::string previous_owner = state ? state->lease_holder : "";
   // A job without owner waits until all nodes had time to tell the new leader that they are eligible.
   auto assignable_at = previous_owner.empty() ? elected_at_ + options_.duration / 2
                                               : observe_lease(now, job, state->token).renewed_at +
@@ -181,7 +181,7 @@
   for (const auto& [name, node] : nodes_)
     if (now - node.last_request_at < options_.duration) counts[name] = 0;
   for (const auto& [name, job] : registry.jobs())
-    if (auto it = counts.find(job.owner); it != counts.end() && !proposed_.contains(name)) ++it->second;
+    if (auto it = counts.find(job.lease_holder); it != counts.end() && !proposed_.contains(name)) ++it->second;
   for (const auto& [job, assignee] : proposed_)
     if (auto it = counts.find(assignee); it != counts.end()) ++it->second;
   return counts;
@@ -201,11 +201,11 @@
   for (const auto& [name, job] : registry.jobs()) {
     auto lease = leases_.find(name);
     if (lease == leases_.end() || lease->second.token != job.token || lease->second.revoked) continue;
-    const auto* receiver = find_less_loaded_node(name, job.owner, counts);
+    const auto* receiver = find_less_loaded_node(name, job.lease_holder, counts);
     if (!receiver) continue;
     lease->second.release_requested = true;
     last_rebalance_at_ = now;
-    reasons_.push_back("job " + name + " is asked back from " + job.owner + ": " + *receiver + " has fewer");
+    reasons_.push_back("job " + name + " is asked back from " + job.lease_holder + ": " + *receiver + " has fewer");
     return;
   }
 }
--- a/src/ownership/lease_registry.h
+++ b/src/ownership/lease_registry.h
@@ -18,9 +18,9 @@
 
 // One job's assignment and its newest published result.
 struct JobState {
-  std::string owner;          // empty: nobody
+  std::string lease_holder;          // empty: nobody
   Token token = 0;            // of the newest grant, also after the job was released
-  Token published_by = 0;     // the token under which `data` was published
+  Token publisher_token = 0;     // the token under which `data` was published
   std::uint64_t version = 0;  // of `data`, by the publisher's count
   std::string data;
 };
@@ -29,8 +29,8 @@
 // also taken for snapshots and by the simulator.
 class LeaseRegistry {
  public:
-  // kDone: it took effect; kStale: a publication under an old token; kVoid: overtaken, no effect.
-  enum class ApplyResult { kDone, kStale, kVoid };
+  // kApplied: it took effect; kStale: a publication under an old token; kNoEffect: overtaken, no effect.
+  enum class ApplyResult { kApplied, kStale, kNoEffect };
 
   // Applies the command of the log entry at `index`. Where it grants a job, `*granted` becomes its token.
   ApplyResult apply(std::uint64_t index, const Command& command, Token* granted = nullptr);
@@ -40,7 +40,7 @@
   const JobState* job(const std::string& name) const;
   const std::map<std::string, std::string>& settings() const { return settings_; }
   // The number of publications refused for their old token.
-  std::uint64_t stale() const { return stale_; }
+  std::uint64_t stale_publications() const { return stale_publications_; }
 
   // The registry as snapshots store it (CBOR).
   std::string encode() const;
@@ -58,7 +58,7 @@
 
   std::map<std::string, JobState> jobs_;
   std::map<std::string, std::string> settings_;
-  std::uint64_t stale_ = 0;
+  std::uint64_t stale_publications_ = 0;
 };
 
 }  // namespace database_proxy::ownership
--- a/src/peers/admin_codec.cpp
+++ b/src/peers/admin_codec.cpp
@@ -131,10 +131,10 @@
   auto& owners = (*answer)["owners"] = json::array();
   for (auto& owner : list.owners)
     owners.push_back({{key::kJob, owner.job},
-                      {kOwner, owner.state.owner},
+                      {kOwner, owner.state.lease_holder},
                       {key::kToken, owner.state.token},
                       {"version", owner.state.version},
-                      {"published_by", owner.state.published_by}});
+                      {"published_by", owner.state.publisher_token}});
   (*answer)[kRejectedEffects] = list.rejected_effects;
 }
 
--- a/src/testbench/simulation/model.cpp
+++ b/src/testbench/simulation/model.cpp
@@ -308,7 +308,7 @@
                        s.holders[static_cast<std::size_t>(o)].expires_at("j").count());
     for (auto& [o, a] : s.asks) f += fmt::format("q{}.{} ", o, a.number);
     for (auto& [o, t] : s.responses) f += fmt::format("t{}.{}.{} ", o, t.number, t.granted.size());
-    if (auto* job = s.ledger.job("j")) f += fmt::format("{}:{} ", job->owner, job->token);
+    if (auto* job = s.ledger.job("j")) f += fmt::format("{}:{} ", job->lease_holder, job->token);
     for (auto& steward : s.stewards) f += steward.fingerprint();
     if (s.grant) f += "g" + std::to_string(s.grant->first) + own::encode(s.grant->second);
     return f;
--- a/src/testbench/simulation/world.cpp
+++ b/src/testbench/simulation/world.cpp
@@ -341,12 +341,12 @@
     bool stale = holding && publish->token < holding->token;
     auto applied = node.ledger.apply(entry.index, *command, &granted);
     if (first && stale) ++result_.stale_attempted;
-    demand(!(stale && applied == own::LeaseRegistry::ApplyResult::kDone),
+    demand(!(stale && applied == own::LeaseRegistry::ApplyResult::kApplied),
            "the ledger takes an effect with an old token");
     if (first && granted) {
       ++result_.grants;
       auto& g = std::get<own::Grant>(*command);
-      say(fmt::format("job {} granted to {} with token {}", g.job, g.owner, granted));
+      say(fmt::format("job {} granted to {} with token {}", g.job, g.lease_holder, granted));
     }
     if (auto* g = std::get_if<own::Grant>(&*command)) node.steward.on_proposal_finished(g->job);
     if (auto* put = std::get_if<own::SetConfigurationEntry>(&*command); put && put->key == "x")
@@ -672,7 +672,7 @@
            fmt::format("{} is {} entries behind at the end", node.name, commit - node.raft->commit()));
     for (auto& job : kJobs) {
       auto* held = node.ledger.job(job);
-      demand(held && !held->owner.empty(), "nobody owns " + job + " at the end");
+      demand(held && !held->lease_holder.empty(), "nobody owns " + job + " at the end");
     }
   }
   std::map<std::string, int> owned;
--- a/tests/consensus/consensus_test.cpp
+++ b/tests/consensus/consensus_test.cpp
@@ -300,7 +300,7 @@
   EXPECT_TRUE(manager.propose(11s + options.safe_reassignment_delay() - 1us, registry).empty());
   auto commands = manager.propose(11s + options.safe_reassignment_delay(), registry);
   ASSERT_EQ(commands.size(), 1u);
-  EXPECT_EQ(std::get<ownership::Grant>(commands[0]).owner, "b");
+  EXPECT_EQ(std::get<ownership::Grant>(commands[0]).lease_holder, "b");
 }
 
 // Found by seed 32: a grant that took long to be committed, while its old owner was still being renewed.
@@ -349,7 +349,7 @@
                                registry);
     manager.on_renewal_request(now, renewal_request("b", static_cast<std::uint64_t>(i)), registry);
     for (const auto& command : manager.propose(now, registry))
-      new_owner = std::get<ownership::Grant>(command).owner;
+      new_owner = std::get<ownership::Grant>(command).lease_holder;
   }
   EXPECT_EQ(new_owner, "b");
   EXPECT_GE(now, 10s + options.progress_timeout + options.safe_reassignment_delay());
@@ -369,7 +369,7 @@
     for (std::string node : {"a", "b", "c"}) {
       ownership::LeaseRenewalRequest request{node, static_cast<std::uint64_t>(now.count() + 1), jobs, {}};
       for (auto& [name, job] : registry.jobs())
-        if (job.owner == node)
+        if (job.lease_holder == node)
           request.held_leases.push_back({name, job.token, static_cast<std::uint64_t>(now.count())});
       manager.on_renewal_request(now, request, registry);
       for (auto& job : manager.renewal_response(node, 1, registry).jobs_to_release) {
@@ -382,7 +382,7 @@
       manager.on_proposal_finished(std::get<ownership::Grant>(command).job);
     }
   }
-  for (auto& [name, job] : registry.jobs()) ++counts[job.owner];
+  for (auto& [name, job] : registry.jobs()) ++counts[job.lease_holder];
   EXPECT_EQ(counts, (std::map<std::string, int>{{"a", 2}, {"b", 2}, {"c", 2}}));
   EXPECT_EQ(moves, 4);
 }
@@ -393,16 +393,16 @@
   registry.apply(5, ownership::Grant{"j", "a", 0}, &token);
   EXPECT_EQ(token, 5u);
   EXPECT_EQ(registry.apply(6, ownership::Grant{"j", "b", 0}),
-            ownership::LeaseRegistry::ApplyResult::kVoid);  // overtaken
+            ownership::LeaseRegistry::ApplyResult::kNoEffect);  // overtaken
   registry.apply(7, ownership::Grant{"j", "b", 5});
   EXPECT_EQ(registry.apply(8, ownership::Publish{"j", 5, 1, "old"}),
             ownership::LeaseRegistry::ApplyResult::kStale);
   EXPECT_EQ(registry.apply(9, ownership::Publish{"j", 9, 1, "never granted"}),
-            ownership::LeaseRegistry::ApplyResult::kVoid);
+            ownership::LeaseRegistry::ApplyResult::kNoEffect);
   EXPECT_EQ(registry.apply(10, ownership::Publish{"j", 7, 2, "new"}),
-            ownership::LeaseRegistry::ApplyResult::kDone);
-  EXPECT_EQ(registry.apply(11, ownership::Release{"j", 5}), ownership::LeaseRegistry::ApplyResult::kVoid);
-  EXPECT_EQ(registry.stale(), 1u);
+            ownership::LeaseRegistry::ApplyResult::kApplied);
+  EXPECT_EQ(registry.apply(11, ownership::Release{"j", 5}), ownership::LeaseRegistry::ApplyResult::kNoEffect);
+  EXPECT_EQ(registry.stale_publications(), 1u);
   auto copy = ownership::LeaseRegistry::decode(registry.encode());
   ASSERT_TRUE(copy);
   EXPECT_EQ(copy->encode(), registry.encode());
--- a/tests/formats/stored_format_test.cpp
+++ b/tests/formats/stored_format_test.cpp
@@ -101,8 +101,8 @@
   EXPECT_TRUE(ledger);
   for (auto& [name, job] : ledger->jobs())
     lines[fmt::format("snapshot.job.{}", name == "probe 7" ? "probe-7" : name)] =
-        fmt::format("owner={} token={} published_by={} version={} data={}", job.owner, job.token,
-                    job.published_by, job.version, job.data);
+        fmt::format("owner={} token={} published_by={} version={} data={}", job.lease_holder, job.token,
+                    job.publisher_token, job.version, job.data);
   lines["snapshot.settings"] = json(ledger->settings()).dump();
   lines["keys"] = std::to_string(store->scan("", "\xff").size());
   return lines;
@@ -187,21 +187,21 @@
   auto ledger = ledger_of(directory());
   auto* list = ledger.job("list");
   ASSERT_TRUE(list);
-  EXPECT_EQ(list->owner, "owner");
-  EXPECT_EQ(list->token, list->published_by);
+  EXPECT_EQ(list->lease_holder, "owner");
+  EXPECT_EQ(list->token, list->publisher_token);
   EXPECT_GT(list->token, 1u);
   EXPECT_EQ(list->version, 9u);
   EXPECT_EQ(list->data, kList);
   auto* placement_job = ledger.job("placement");
   ASSERT_TRUE(placement_job);
-  EXPECT_EQ(placement_job->owner, "");
+  EXPECT_EQ(placement_job->lease_holder, "");
   EXPECT_GT(placement_job->token, list->token);
-  EXPECT_EQ(placement_job->published_by, placement_job->token);
+  EXPECT_EQ(placement_job->publisher_token, placement_job->token);
   auto* probe = ledger.job("probe 7");
   ASSERT_TRUE(probe);
-  EXPECT_EQ(probe->owner, "prober");
+  EXPECT_EQ(probe->lease_holder, "prober");
   EXPECT_GT(probe->token, placement_job->token);
-  EXPECT_EQ(probe->published_by, 0u);
+  EXPECT_EQ(probe->publisher_token, 0u);
   auto plan = placement::plan_from_json(json::parse(placement_job->data));
   EXPECT_EQ(plan.number, 12u);
   EXPECT_TRUE(plan.same_but_number(stored_plan()));
@@ -209,7 +209,7 @@
   EXPECT_EQ(ledger.settings().at("name"), "first");
   for (int i = kSettings - 40; i < kSettings; ++i)
     EXPECT_EQ(ledger.settings().at(fmt::format("k{}", i % 40)), std::to_string(i));
-  EXPECT_EQ(ledger.stale(), 0u);
+  EXPECT_EQ(ledger.stale_publications(), 0u);
 }
 
 TEST_F(StoredFormat, ANodeOpensItAndGoesOn) {
--- a/tests/formats/wire_format_test.cpp
+++ b/tests/formats/wire_format_test.cpp
@@ -221,8 +221,8 @@
   auto grant = ownership::decode(golden_bytes("command.grant"));
   ASSERT_TRUE(grant && std::holds_alternative<ownership::Grant>(*grant));
   EXPECT_EQ(std::get<ownership::Grant>(*grant).job, "probe 7");
-  EXPECT_EQ(std::get<ownership::Grant>(*grant).owner, "node-b");
-  EXPECT_EQ(std::get<ownership::Grant>(*grant).after, 1031u);
+  EXPECT_EQ(std::get<ownership::Grant>(*grant).lease_holder, "node-b");
+  EXPECT_EQ(std::get<ownership::Grant>(*grant).previous_token, 1031u);
   auto release = ownership::decode(golden_bytes("command.release"));
   ASSERT_TRUE(release && std::holds_alternative<ownership::Release>(*release));
   EXPECT_EQ(std::get<ownership::Release>(*release).job, "probe 7");
@@ -245,17 +245,17 @@
   ASSERT_EQ(read->jobs().size(), 2u);
   auto* list = read->job("list");
   ASSERT_TRUE(list);
-  EXPECT_EQ(list->owner, "node-c");
+  EXPECT_EQ(list->lease_holder, "node-c");
   EXPECT_EQ(list->token, 15u);
-  EXPECT_EQ(list->published_by, 10u);
+  EXPECT_EQ(list->publisher_token, 10u);
   EXPECT_EQ(list->version, 9u);
   EXPECT_EQ(list->data, binary_text());
   auto* probe = read->job("probe 7");
   ASSERT_TRUE(probe);
-  EXPECT_EQ(probe->owner, "");
+  EXPECT_EQ(probe->lease_holder, "");
   EXPECT_EQ(probe->token, 12u);
   EXPECT_EQ(read->settings(), (std::map<std::string, std::string>{{"key", "value"}}));
-  EXPECT_EQ(read->stale(), 1u);
+  EXPECT_EQ(read->stale_publications(), 1u);
 }
 
 TEST(WireFormat, GoldenObservationAndPlanAreReadAsTheyWereMeant) {
