--- a/src/group/lease_session.cpp
+++ b/src/group/lease_session.cpp
@@ -120,7 +120,7 @@
       });
     }
   }
-  for (auto& line : manager_.take_reasons()) context_.log(Level::kInfo, line);
+  for (auto& line : manager_.take_decision_log()) context_.log(Level::kInfo, line);
   auto wake_at = std::max(manager_.due(), context_.loop.now() + kShortestManagerPause);
   context_.set_timer(&manager_timer_, wake_at, [] {});  // the turn that it causes calls this again
 }
--- a/src/ownership/lease_manager.cpp
+++ b/src/ownership/lease_manager.cpp
@@ -22,7 +22,7 @@
 // Without any event, proposals are looked at so many times per lease.
 constexpr int kProposalsPerLease = 4;
 // A node that sent nothing for so many reassignment delays is forgotten; all its leases have expired by then.
-constexpr int kForgetAfterDelays = 4;
+constexpr int kNodeRetentionDelays = 4;
 // A job moves only between nodes whose counts differ by so much: by less, moving it would gain nothing.
 constexpr int kRebalanceDifference = 2;
 
@@ -87,7 +87,7 @@
   if (is_eligible && now - lease.progressed_at < options_.progress_timeout) return;
   lease.revoked = true;
   excluded_until_[{job, request.node}] = now + options_.exclusion_duration;
-  reasons_.push_back("job " + job + ": " + request.node +
+  decision_log_.push_back("job " + job + ": " + request.node +
                      (is_eligible ? " holds the lease but does no work" : " is no longer willing"));
 }
 
@@ -112,7 +112,7 @@
   if (!leading_) return {};
   due_ = now + options_.duration / kProposalsPerLease;
   auto jobs = all_eligible_jobs();
-  forget_silent_nodes(now);
+  remove_unresponsive_nodes(now);
   std::erase_if(excluded_until_, [&](const auto& exclusion) { return now >= exclusion.second; });
   std::vector<Command> commands;
   for (const auto& job : jobs)
@@ -127,10 +127,10 @@
   return jobs;
 }
 
-void LeaseManager::forget_silent_nodes(Micros now) {
-  auto longest_silence = options_.safe_reassignment_delay() * kForgetAfterDelays;
+void LeaseManager::remove_unresponsive_nodes(Micros now) {
+  auto retention = options_.safe_reassignment_delay() * kNodeRetentionDelays;
   std::erase_if(nodes_,
-                [&](const auto& node) { return now - node.second.last_request_at > longest_silence; });
+                [&](const auto& node) { return now - node.second.last_request_at > retention; });
 }
 
 // Returns the grant of a job that nobody holds any more, and sets due() where it has to wait for that.
@@ -138,21 +138,21 @@
                                                  const LeaseRegistry& registry) {
   if (proposed_.contains(job)) return std::nullopt;
   const auto* state = registry.job(job);
-  std::string previous_owner = state ? state->lease_holder : "";
+  std::string previous_holder = state ? state->lease_holder : "";
   // A job without owner waits until all nodes had time to tell the new leader that they are eligible.
-  auto assignable_at = previous_owner.empty() ? elected_at_ + options_.duration / 2
+  auto assignable_at = previous_holder.empty() ? elected_at_ + options_.duration / 2
                                               : observe_lease(now, job, state->token).renewed_at +
                                                     options_.safe_reassignment_delay();
   if (now < assignable_at) {
     due_ = std::min(due_, assignable_at);
     return std::nullopt;
   }
-  auto assignee = choose_assignee(now, job, registry, previous_owner);
+  auto assignee = choose_assignee(now, job, registry, previous_holder);
   if (assignee.empty()) return std::nullopt;
   proposed_[job] = assignee;
-  reasons_.push_back(
+  decision_log_.push_back(
       "job " + job + " goes to " + assignee +
-      (previous_owner.empty() ? ": nobody owned it" : ": the lease of " + previous_owner + " has run out"));
+      (previous_holder.empty() ? ": nobody owned it" : ": the lease of " + previous_holder + " has run out"));
   return Grant{job, assignee, state ? state->token : 0};
 }
 
@@ -160,14 +160,14 @@
 // length, empty if there is none. Ties are broken by a hash, so that the same job goes to the same node
 // again. Excluded nodes and the previous holder are the last choice.
 std::string LeaseManager::choose_assignee(Micros now, const std::string& job, const LeaseRegistry& registry,
-                                          const std::string& previous_owner) const {
+                                          const std::string& previous_holder) const {
   std::string assignee;
   std::tuple<bool, int, std::uint64_t> lowest_rank;
   for (const auto& [name, count] : job_counts(now, registry)) {
     if (!nodes_.at(name).eligible_jobs.contains(job)) continue;
     auto excluded_until = excluded_until_.find({job, name});
     bool is_excluded = excluded_until != excluded_until_.end() && now < excluded_until->second;
-    std::tuple rank(name == previous_owner || is_excluded, count, hash_of(job, name));
+    std::tuple rank(name == previous_holder || is_excluded, count, hash_of(job, name));
     if (!assignee.empty() && !(rank < lowest_rank)) continue;
     assignee = name;
     lowest_rank = rank;
@@ -205,17 +205,17 @@
     if (!receiver) continue;
     lease->second.release_requested = true;
     last_rebalance_at_ = now;
-    reasons_.push_back("job " + name + " is asked back from " + job.lease_holder + ": " + *receiver + " has fewer");
+    decision_log_.push_back("job " + name + " is asked back from " + job.lease_holder + ": " + *receiver + " has fewer");
     return;
   }
 }
 
-const std::string* LeaseManager::find_less_loaded_node(const std::string& job, const std::string& owner,
+const std::string* LeaseManager::find_less_loaded_node(const std::string& job, const std::string& holder,
                                                        const JobCounts& counts) const {
-  auto owner_count = counts.find(owner);
-  if (owner_count == counts.end()) return nullptr;
+  auto holder_count = counts.find(holder);
+  if (holder_count == counts.end()) return nullptr;
   for (const auto& [name, count] : counts) {
-    if (count + kRebalanceDifference > owner_count->second) continue;
+    if (count + kRebalanceDifference > holder_count->second) continue;
     if (!nodes_.at(name).eligible_jobs.contains(job) || excluded_until_.contains({job, name})) continue;
     return &name;
   }
--- a/src/ownership/lease_manager.h
+++ b/src/ownership/lease_manager.h
@@ -58,7 +58,7 @@
   Micros due() const { return due_; }
 
   // Returns the log lines about decisions since the last call.
-  std::vector<std::string> take_reasons() { return std::exchange(reasons_, {}); }
+  std::vector<std::string> take_decision_log() { return std::exchange(decision_log_, {}); }
   // The state as a text, by which the model check recognizes states that it has explored.
   std::string fingerprint() const;
 
@@ -86,14 +86,14 @@
   Lease& observe_lease(Micros now, const std::string& job, Token token);
   void renew_lease(Micros now, const LeaseRenewalRequest& request, const std::string& job, Token token);
   std::set<std::string> all_eligible_jobs() const;
-  void forget_silent_nodes(Micros now);
+  void remove_unresponsive_nodes(Micros now);
   std::optional<Grant> propose_grant(Micros now, const std::string& job, const LeaseRegistry& registry);
   std::string choose_assignee(Micros now, const std::string& job, const LeaseRegistry& registry,
-                              const std::string& previous_owner) const;
+                              const std::string& previous_holder) const;
   JobCounts job_counts(Micros now, const LeaseRegistry& registry) const;
   bool is_rebalancing(Micros now) const;
   void rebalance(Micros now, const LeaseRegistry& registry);
-  const std::string* find_less_loaded_node(const std::string& job, const std::string& owner,
+  const std::string* find_less_loaded_node(const std::string& job, const std::string& holder,
                                            const JobCounts& counts) const;
 
   LeaseOptions options_;
@@ -103,7 +103,7 @@
   std::map<std::string, Lease> leases_;          // by job
   std::map<std::string, std::string> proposed_;  // by job: the node of a grant that is not applied yet
   std::map<JobOnNode, Micros> excluded_until_;
-  std::vector<std::string> reasons_;
+  std::vector<std::string> decision_log_;
 };
 
 }  // namespace database_proxy::ownership
