--- a/src/state/durable_store.cpp
+++ b/src/state/durable_store.cpp
@@ -65,6 +65,6 @@
   return quarantine.string();
 }
 
-std::unique_ptr<DurableStore> memory_store() { return std::make_unique<MemoryStore>(); }
+std::unique_ptr<DurableStore> make_memory_store() { return std::make_unique<MemoryStore>(); }
 
 }  // namespace database_proxy::state
--- a/src/state/durable_store.h
+++ b/src/state/durable_store.h
@@ -45,6 +45,6 @@
 std::string quarantine_corrupt_file(const std::string& directory, const std::string& name);
 
 // A store in memory, for tests. It is not durable.
-std::unique_ptr<DurableStore> memory_store();
+std::unique_ptr<DurableStore> make_memory_store();
 
 }  // namespace database_proxy::state
--- a/src/state/sqlite_store.cpp
+++ b/src/state/sqlite_store.cpp
@@ -27,7 +27,7 @@
  public:
   Statement(SqliteStore& store, const char* sql) : store_(store) {
     if (sqlite3_prepare_v2(store.database_.get(), sql, -1, &statement_, nullptr) != SQLITE_OK)
-      store.fail(sql);
+      store.throw_last_error(sql);
   }
   ~Statement() { sqlite3_finalize(statement_); }
   Statement(const Statement&) = delete;
@@ -45,7 +45,7 @@
   // Runs up to the next row. Returns false when there is none. Throws StoreError.
   bool step() {
     const int code = sqlite3_step(statement_);
-    if (code != SQLITE_ROW && code != SQLITE_DONE) store_.fail(sqlite3_sql(statement_));
+    if (code != SQLITE_ROW && code != SQLITE_DONE) store_.throw_last_error(sqlite3_sql(statement_));
     return code == SQLITE_ROW;
   }
   // Makes the statement ready to be bound and run again.
@@ -78,7 +78,7 @@
   const int flags = SQLITE_OPEN_READWRITE | SQLITE_OPEN_CREATE;
   const int code = sqlite3_open_v2(path_.c_str(), &database, flags, nullptr);
   database_.reset(database);  // SQLite returns a database to be closed also where it fails
-  if (code != SQLITE_OK) fail("opening it");
+  if (code != SQLITE_OK) throw_last_error("opening it");
   sqlite3_extended_result_codes(database, 1);
   // The first transaction takes the lock and keeps it. SQLite then needs no shared memory file.
   run("PRAGMA locking_mode=EXCLUSIVE");
@@ -173,7 +173,7 @@
 }
 
 void SqliteStore::run(const std::string& sql) {
-  if (sqlite3_exec(database_.get(), sql.c_str(), nullptr, nullptr, nullptr) != SQLITE_OK) fail(sql.c_str());
+  if (sqlite3_exec(database_.get(), sql.c_str(), nullptr, nullptr, nullptr) != SQLITE_OK) throw_last_error(sql.c_str());
 }
 
 std::int64_t SqliteStore::query_number(const char* sql) {
@@ -181,12 +181,12 @@
   return select.step() ? select.number(0) : 0;
 }
 
-void SqliteStore::fail(const char* activity) {
+void SqliteStore::throw_last_error(const char* operation) {
   auto* database = database_.get();
   // SQLite returns no database where it has no memory for one.
   const int code = database ? sqlite3_errcode(database) : SQLITE_NOMEM;
   const char* problem = database ? sqlite3_errmsg(database) : "out of memory";
-  const auto text = fmt::format("{}: {} ({})", path_, problem, activity);
+  const auto text = fmt::format("{}: {} ({})", path_, problem, operation);
   switch (code) {
     case SQLITE_BUSY:
     case SQLITE_LOCKED:
--- a/src/state/sqlite_store.h
+++ b/src/state/sqlite_store.h
@@ -45,8 +45,8 @@
   void run(const std::string& sql);
   // The first column of the first row, or 0 where there is none.
   std::int64_t query_number(const char* sql);
-  // Throws the StoreError of the database's last failure; `activity` tells the operator what was tried.
-  [[noreturn]] void fail(const char* activity);
+  // Throws the StoreError of the database's last failure; `operation` tells the operator what was tried.
+  [[noreturn]] void throw_last_error(const char* operation);
 
   std::string path_;
   std::unique_ptr<sqlite3, CloseDatabase> database_;
--- a/tests/group/parts_test.cpp
+++ b/tests/group/parts_test.cpp
@@ -45,7 +45,7 @@
 TEST(Store, KeepsWhatWasCommittedAndNothingElse) {
   TemporaryDirectory folder;
   for (bool durable : {true, false}) {
-    auto store = durable ? state::open_store(folder.path(), "t", 1) : state::memory_store();
+    auto store = durable ? state::open_store(folder.path(), "t", 1) : state::make_memory_store();
     state::Batch b;
     for (int i = 0; i < 5; ++i) b.changes.emplace_back("k" + std::to_string(i), std::string(1, '\0') + "v");
     store->commit(b);
@@ -67,7 +67,7 @@
 }
 
 TEST(Store, BatchesAddedUpDoWhatTheyDoOneByOne) {
-  auto one = state::memory_store(), all = state::memory_store();
+  auto one = state::make_memory_store(), all = state::make_memory_store();
   std::uint64_t x = 7;
   auto draw = [&](std::uint64_t n) {
     x = x * 6364136223846793005ull + 1442695040888963407ull;
