--- a/src/ownership/cbor.h
+++ b/src/ownership/cbor.h
@@ -1,4 +1,4 @@
-// CBOR helpers of the codecs in this folder.
+// CBOR helpers for the codecs in this directory.
 #pragma once
 
 #include <cstdint>
@@ -8,19 +8,19 @@
 
 namespace database_proxy::ownership {
 
-// Returns the CBOR form of `value`.
+// Returns `value` encoded as CBOR.
 inline std::string to_cbor(const nlohmann::json& value) {
   std::string out;
   nlohmann::json::to_cbor(value, out);
   return out;
 }
 
-// Returns `text` as a CBOR byte string: it may hold any bytes, and JSON strings must be UTF-8.
+// Returns `text` as a CBOR byte string. Unlike a JSON string, which must be UTF-8, it may contain any bytes.
 inline nlohmann::json::binary_t to_bytes(const std::string& text) {
   return nlohmann::json::binary_t(std::vector<std::uint8_t>(text.begin(), text.end()));
 }
 
-// Returns the text of a byte string. Throws nlohmann::json::exception if `value` is none.
+// Returns the bytes of a CBOR byte string. Throws nlohmann::json::exception if `value` is not a byte string.
 inline std::string text_of_bytes(const nlohmann::json& value) {
   const auto& bytes = value.get_binary();
   return {bytes.begin(), bytes.end()};
--- a/src/ownership/fencing_token_guard.h
+++ b/src/ownership/fencing_token_guard.h
@@ -1,4 +1,4 @@
-// Fencing tokens, and the check that any receiver of effects makes of them. Pure.
+// Fencing tokens and the check that every receiver of an effect applies to them. No clock, I/O or thread.
 #pragma once
 
 #include <cstdint>
@@ -7,15 +7,16 @@
 
 namespace database_proxy::ownership {
 
-// Grows with each grant of a job: the log index of the grant. 0 stands for "never granted".
+// A fencing token: the log index of the grant of a job, so that it increases with each grant of that job. 0
+// means that the job was never granted.
 using Token = std::uint64_t;
 
-// Keeps the highest token seen of each job and refuses effects that carry a lower one, so that a holder that
-// stopped between checking its lease and acting on it cannot overwrite its successor's effects. Each node
-// owns one and calls it on its event loop.
+// Tracks the highest token seen for each job and rejects effects with a lower token. A lease holder that was
+// suspended between checking its lease and acting on it therefore cannot overwrite the effects of its
+// successor. Each node owns one guard and calls it on its event loop.
 class FencingTokenGuard {
  public:
-  // Returns whether an effect of `job` under `token` may take place, and remembers the token if so.
+  // Returns whether an effect of `job` with `token` is accepted, and records the token if it is.
   bool admit(const std::string& job, Token token) {
     auto& highest = highest_[job];
     if (token < highest) {
@@ -25,7 +26,7 @@
     highest = token;
     return true;
   }
-  // The number of effects refused so far.
+  // Returns the number of effects rejected so far.
   std::uint64_t rejected_count() const { return rejected_count_; }
 
  private:
--- a/src/ownership/lease.h
+++ b/src/ownership/lease.h
@@ -1,4 +1,5 @@
-// Both sides of a lease, for callers that use the two: a node may lead and hold leases at once.
+// Includes both sides of a lease, for callers that use both: a node may be the leader and hold leases at the
+// same time.
 #pragma once
 
 #include "ownership/lease_client.h"    // IWYU pragma: export
--- a/src/ownership/lease_client.cpp
+++ b/src/ownership/lease_client.cpp
@@ -13,8 +13,9 @@
 namespace database_proxy::ownership {
 namespace {
 
-// Requests whose response is still accepted. At four requests a lease or fewer, the leases that an older one
-// would grant have expired long since; the bound only keeps the map small while no leader responds.
+// Maximum number of open requests, whose responses are still accepted. With at most four requests per lease
+// duration, a lease granted for an older request would long have expired; the limit bounds the map while no
+// leader responds.
 constexpr std::size_t kMaxOpenRequests = 16;
 
 }  // namespace
--- a/src/ownership/lease_commands.cpp
+++ b/src/ownership/lease_commands.cpp
@@ -16,7 +16,8 @@
 
 struct CommandWriter {
   json operator()(const Grant& grant) const {
-    return {{"c", "grant"}, {"job", grant.job}, {"owner", grant.lease_holder}, {"after", grant.previous_token}};
+    return {
+        {"c", "grant"}, {"job", grant.job}, {"owner", grant.lease_holder}, {"after", grant.previous_token}};
   }
   json operator()(const Release& release) const {
     return {{"c", "release"}, {"job", release.job}, {"token", release.token}};
--- a/src/ownership/lease_commands.h
+++ b/src/ownership/lease_commands.h
@@ -1,4 +1,5 @@
-// The commands of the replicated log that change the lease registry, and their stored form. Pure.
+// The commands in the replicated log that change the lease registry, and their stored encoding. No clock, I/O
+// or thread.
 #pragma once
 
 #include <cstdint>
@@ -10,28 +11,28 @@
 
 namespace database_proxy::ownership {
 
-// Assigns a job to a node. Proposed by the leader's LeaseManager.
+// Grants a job's lease to a node. Proposed by the leader's LeaseManager.
 struct Grant {
   std::string job, lease_holder;
-  Token previous_token = 0;  // the newest token that the leader saw: another grant in between voids this one
+  Token previous_token = 0;  // newest token known to the leader; if it is outdated, the grant has no effect
 };
 
-// Gives a job back, so that it can be assigned without waiting for the lease to expire. Proposed by its
+// Releases a job's lease, so that the job can be assigned before the lease expires. Proposed by the lease
 // holder.
 struct Release {
   std::string job;
   Token token = 0;
 };
 
-// Replicates the result of a job to all nodes. Proposed by its holder.
+// Publishes the result of a job to all nodes. Proposed by the lease holder.
 struct Publish {
   std::string job;
   Token token = 0;
-  std::uint64_t version = 0;  // the publisher's own count
+  std::uint64_t version = 0;  // counted by the publisher
   std::string data;           // opaque to the registry
 };
 
-// Sets a setting of the operators, such as a node's name and address.
+// Changes an operator setting, such as a node's name or address.
 struct SetConfigurationEntry {
   std::string key;
   std::string value;  // an empty value removes the entry
@@ -39,11 +40,11 @@
 
 using Command = std::variant<Grant, Release, Publish, SetConfigurationEntry>;
 
-// The stored form of a command (CBOR); log entries and messages between peers carry it.
+// Returns a command in its stored encoding (CBOR), which log entries and messages between peers carry.
 std::string encode(const Command& command);
 
-// The command that `text` holds. Returns nullopt if it is damaged or of a kind that only a newer version
-// knows; every node skips such an entry alike.
+// Returns the command encoded in `text`, or nullopt if `text` is corrupt or of a kind that only a newer
+// version knows. Every node skips such an entry in the same way.
 std::optional<Command> decode(const std::string& text);
 
 }  // namespace database_proxy::ownership
--- a/src/ownership/lease_manager.cpp
+++ b/src/ownership/lease_manager.cpp
@@ -19,14 +19,16 @@
 namespace database_proxy::ownership {
 namespace {
 
-// Without any event, proposals are looked at so many times per lease.
+// Number of times per lease duration that propose() runs when no event occurs.
 constexpr int kProposalsPerLease = 4;
-// A node that sent nothing for so many reassignment delays is forgotten; all its leases have expired by then.
+// Number of reassignment delays without a request after which a node is removed; its leases have all expired
+// by then.
 constexpr int kNodeRetentionDelays = 4;
-// A job moves only between nodes whose counts differ by so much: by less, moving it would gain nothing.
+// Minimum difference between two nodes' job counts for moving a job; a move at a smaller difference would not
+// improve the balance.
 constexpr int kRebalanceDifference = 2;
 
-// FNV-1a with its 64-bit offset basis and prime: each node computes the same, unlike with std::hash.
+// FNV-1a with its 64-bit offset basis and prime. Unlike std::hash, it gives the same value on every node.
 std::uint64_t hash_of(const std::string& job, const std::string& node) {
   constexpr std::uint64_t kOffsetBasis = 1469598103934665603ULL;
   constexpr std::uint64_t kPrime = 1099511628211ULL;
@@ -58,21 +60,21 @@
   node.eligible_jobs.insert(request.eligible_jobs.begin(), request.eligible_jobs.end());
   due_ = std::min(due_, now);
   for (const auto& [name, job] : registry.jobs()) {
-    // A proposed grant to another node may take effect at any moment: nobody is renewed meanwhile.
+    // A proposed grant to another node may take effect at any time, so the lease is not renewed meanwhile.
     if (job.lease_holder != request.node || proposed_.contains(name)) continue;
     renew_lease(now, request, name, job.token);
   }
 }
 
-// Returns the job's lease. One that is seen for the first time may have been granted up to now, by this
-// leader or by those before it.
+// Returns the job's lease. A lease whose token is new to this leader counts as renewed at `now`, because this
+// leader or an earlier one may have granted it up to now.
 LeaseManager::Lease& LeaseManager::observe_lease(Micros now, const std::string& job, Token token) {
   auto& lease = leases_[job];
   if (lease.token != token) lease = {now, token, 0, now, false, false};
   return lease;
 }
 
-// Renews the lease, or revokes it where its holder does no work or is not eligible any more.
+// Renews the lease, or revokes it if its holder makes no progress or is no longer eligible.
 void LeaseManager::renew_lease(Micros now, const LeaseRenewalRequest& request, const std::string& job,
                                Token token) {
   auto& lease = observe_lease(now, job, token);
@@ -88,7 +90,7 @@
   lease.revoked = true;
   excluded_until_[{job, request.node}] = now + options_.exclusion_duration;
   decision_log_.push_back("job " + job + ": " + request.node +
-                     (is_eligible ? " holds the lease but does no work" : " is no longer willing"));
+                          (is_eligible ? " holds the lease but does no work" : " is no longer eligible"));
 }
 
 LeaseRenewalResponse LeaseManager::renewal_response(const std::string& node, std::uint64_t number,
@@ -129,20 +131,21 @@
 
 void LeaseManager::remove_unresponsive_nodes(Micros now) {
   auto retention = options_.safe_reassignment_delay() * kNodeRetentionDelays;
-  std::erase_if(nodes_,
-                [&](const auto& node) { return now - node.second.last_request_at > retention; });
+  std::erase_if(nodes_, [&](const auto& node) { return now - node.second.last_request_at > retention; });
 }
 
-// Returns the grant of a job that nobody holds any more, and sets due() where it has to wait for that.
+// Returns a grant for a job whose lease can no longer be held. If the job is not assignable yet, returns
+// nullopt and sets due() to at most the time at which it becomes assignable.
 std::optional<Grant> LeaseManager::propose_grant(Micros now, const std::string& job,
                                                  const LeaseRegistry& registry) {
   if (proposed_.contains(job)) return std::nullopt;
   const auto* state = registry.job(job);
   std::string previous_holder = state ? state->lease_holder : "";
-  // A job without owner waits until all nodes had time to tell the new leader that they are eligible.
+  // A job without a lease holder waits until all nodes have had time to send their eligible jobs to the new
+  // leader.
   auto assignable_at = previous_holder.empty() ? elected_at_ + options_.duration / 2
-                                              : observe_lease(now, job, state->token).renewed_at +
-                                                    options_.safe_reassignment_delay();
+                                               : observe_lease(now, job, state->token).renewed_at +
+                                                     options_.safe_reassignment_delay();
   if (now < assignable_at) {
     due_ = std::min(due_, assignable_at);
     return std::nullopt;
@@ -150,15 +153,15 @@
   auto assignee = choose_assignee(now, job, registry, previous_holder);
   if (assignee.empty()) return std::nullopt;
   proposed_[job] = assignee;
-  decision_log_.push_back(
-      "job " + job + " goes to " + assignee +
-      (previous_holder.empty() ? ": nobody owned it" : ": the lease of " + previous_holder + " has run out"));
+  decision_log_.push_back("job " + job + ": proposes a grant to " + assignee +
+                          (previous_holder.empty() ? ": no previous lease holder"
+                                                   : ": the lease of " + previous_holder + " has expired"));
   return Grant{job, assignee, state ? state->token : 0};
 }
 
-// Returns the node with the fewest jobs among those that are eligible and sent a request within a lease's
-// length, empty if there is none. Ties are broken by a hash, so that the same job goes to the same node
-// again. Excluded nodes and the previous holder are the last choice.
+// Returns the node with the fewest jobs among the eligible nodes that sent a request within the last lease
+// duration, or an empty string if there is none. Ties are broken by a hash, so that a job is assigned to the
+// same node again. Excluded nodes and the previous holder are chosen only if no other node is eligible.
 std::string LeaseManager::choose_assignee(Micros now, const std::string& job, const LeaseRegistry& registry,
                                           const std::string& previous_holder) const {
   std::string assignee;
@@ -175,13 +178,15 @@
   return assignee;
 }
 
-// Returns how many jobs each node that sent a request within a lease's length has, or is about to get.
+// Returns the number of jobs, granted or proposed, of each node that sent a request within the last lease
+// duration.
 LeaseManager::JobCounts LeaseManager::job_counts(Micros now, const LeaseRegistry& registry) const {
   JobCounts counts;
   for (const auto& [name, node] : nodes_)
     if (now - node.last_request_at < options_.duration) counts[name] = 0;
   for (const auto& [name, job] : registry.jobs())
-    if (auto it = counts.find(job.lease_holder); it != counts.end() && !proposed_.contains(name)) ++it->second;
+    if (auto it = counts.find(job.lease_holder); it != counts.end() && !proposed_.contains(name))
+      ++it->second;
   for (const auto& [job, assignee] : proposed_)
     if (auto it = counts.find(assignee); it != counts.end()) ++it->second;
   return counts;
@@ -193,7 +198,7 @@
                      [](auto& lease) { return lease.second.release_requested; });
 }
 
-// Asks for one job at a time back from a node that has more than another that is eligible for it.
+// Requests the release of one job at a time from a node that has more jobs than another node eligible for it.
 void LeaseManager::rebalance(Micros now, const LeaseRegistry& registry) {
   if (now < last_rebalance_at_ + options_.rebalance_interval || !proposed_.empty()) return;
   if (is_rebalancing(now)) return;
@@ -205,7 +210,8 @@
     if (!receiver) continue;
     lease->second.release_requested = true;
     last_rebalance_at_ = now;
-    decision_log_.push_back("job " + name + " is asked back from " + job.lease_holder + ": " + *receiver + " has fewer");
+    decision_log_.push_back("job " + name + ": release requested from " + job.lease_holder + ": " +
+                            *receiver + " has fewer jobs");
     return;
   }
 }
--- a/src/ownership/lease_registry.cpp
+++ b/src/ownership/lease_registry.cpp
@@ -54,7 +54,7 @@
     ++stale_publications_;
     return ApplyResult::kStale;
   }
-  if (publish.token > job.token) return ApplyResult::kNoEffect;  // no grant made this token
+  if (publish.token > job.token) return ApplyResult::kNoEffect;  // no grant has this token
   job.publisher_token = publish.token;
   job.version = publish.version;
   job.data = publish.data;
--- a/src/ownership/lease_registry.h
+++ b/src/ownership/lease_registry.h
@@ -1,9 +1,9 @@
-// Who owns which job of the fleet, as the group's log has it: the replicated half of ownership. Each node
-// applies every command of the log in the same order, so all registries agree. Pure: no clock, I/O or thread.
+// The lease registry: which node each job is granted to, according to the group's log. Each node applies
+// every command of the log in the same order, so all registries agree. No clock, I/O or thread.
 //
-// A grant's fencing token is the index of the log entry that made it, so the tokens of a job only grow, over
-// all leaders and restarts. What a holder publishes carries its token; a publication with a lower token than
-// the newest grant's is refused and counted.
+// The fencing token of a grant is the index of its log entry, so the tokens of a job only increase, across
+// leaders and restarts. A lease holder publishes with its token; a publication with a lower token than that
+// of the newest grant is rejected and counted.
 #pragma once
 
 #include <cstdint>
@@ -16,38 +16,41 @@
 
 namespace database_proxy::ownership {
 
-// One job's assignment and its newest published result.
+// The newest grant of one job and its newest published result.
 struct JobState {
-  std::string lease_holder;          // empty: nobody
-  Token token = 0;            // of the newest grant, also after the job was released
-  Token publisher_token = 0;     // the token under which `data` was published
-  std::uint64_t version = 0;  // of `data`, by the publisher's count
+  std::string lease_holder;   // empty: the job is not granted
+  Token token = 0;            // of the newest grant, even after its release
+  Token publisher_token = 0;  // the token with which `data` was published
+  std::uint64_t version = 0;  // of `data`, counted by the publisher
   std::string data;
 };
 
-// The replicated state machine. The node applies committed entries to its copy on its event loop; copies are
-// also taken for snapshots and by the simulator.
+// The replicated state machine. The node applies committed entries to its copy on its event loop; copies
+// are also taken for snapshots and by the simulator.
 class LeaseRegistry {
  public:
-  // kApplied: it took effect; kStale: a publication under an old token; kNoEffect: overtaken, no effect.
+  // kApplied: the command took effect. kStale: a publication with an outdated token was rejected. kNoEffect:
+  // a grant or release that a newer grant superseded, or a publication with a token that was never granted.
   enum class ApplyResult { kApplied, kStale, kNoEffect };
 
-  // Applies the command of the log entry at `index`. Where it grants a job, `*granted` becomes its token.
+  // Applies the command of the log entry at `index`. If it grants a job, sets `*granted` to the fencing
+  // token.
   ApplyResult apply(std::uint64_t index, const Command& command, Token* granted = nullptr);
 
   const std::map<std::string, JobState>& jobs() const { return jobs_; }
-  // The state of the job, or nullptr if no command named it yet.
+  // Returns the state of the job, or nullptr if no command has named it yet.
   const JobState* job(const std::string& name) const;
   const std::map<std::string, std::string>& settings() const { return settings_; }
-  // The number of publications refused for their old token.
+  // Returns the number of publications rejected for an outdated token.
   std::uint64_t stale_publications() const { return stale_publications_; }
 
-  // The registry as snapshots store it (CBOR).
+  // Returns the registry in the encoding of snapshots (CBOR).
   std::string encode() const;
-  // The registry that `text` holds; an empty text gives an empty one. Returns nullopt if it is damaged.
+  // Returns the registry encoded in `text`, an empty one for an empty text, or nullopt if `text` is corrupt.
   static std::optional<LeaseRegistry> decode(const std::string& text);
 
-  // Takes the guard against old tokens away. Only the simulator sets it, to prove that it would notice.
+  // Disables the rejection of outdated tokens. Set only by the simulator, to verify that its checks detect
+  // the missing safeguard.
   bool flaw_token_not_compared = false;
 
  private:
