--- a/src/state/batch.cpp
+++ b/src/state/batch.cpp
@@ -5,8 +5,8 @@
 namespace database_proxy::state {
 
 void Batch::add(Batch next) {
-  // Removals come first when the batch is carried out. A later range therefore also cancels the earlier
-  // changes of its keys here.
+  // A batch applies its removals before its changes. A range of `next` must therefore also drop the earlier
+  // changes to its keys from this batch.
   for (const auto& range : next.removals)
     std::erase_if(changes, [&](const KeyChange& change) { return range.contains(change.key); });
   removals.insert(removals.end(), std::make_move_iterator(next.removals.begin()),
--- a/src/state/batch.h
+++ b/src/state/batch.h
@@ -1,4 +1,4 @@
-// Changes of a store that are made together or not at all.
+// A batch of changes to a store, applied atomically.
 #pragma once
 
 #include <optional>
@@ -8,14 +8,14 @@
 
 namespace database_proxy::state {
 
-// The keys from `from` on and before `to`, in the order of their bytes.
+// The keys in [from, to), in byte order.
 struct KeyRange {
   KeyRange(std::string first, std::string end) : from(std::move(first)), to(std::move(end)) {}
   bool contains(const std::string& key) const { return key >= from && key < to; }
   std::string from, to;
 };
 
-// A new value of a key. No value removes the key.
+// A new value for a key; std::nullopt removes the key.
 struct KeyChange {
   KeyChange(std::string changed_key, std::optional<std::string> new_value)
       : key(std::move(changed_key)), value(std::move(new_value)) {}
@@ -23,13 +23,13 @@
   std::optional<std::string> value;
 };
 
-// Removals are carried out before changes, and changes in their order.
+// Changes to be committed in one transaction. Removals are applied first, then changes in order.
 struct Batch {
   std::vector<KeyRange> removals;
   std::vector<KeyChange> changes;
 
   bool empty() const { return removals.empty() && changes.empty(); }
-  // Appends another batch, so that this one does what both do in turn.
+  // Appends `next`, so that this batch has the same effect as committing both in order.
   void add(Batch next);
 };
 
--- a/src/state/durable_store.cpp
+++ b/src/state/durable_store.cpp
@@ -13,7 +13,7 @@
 namespace database_proxy::state {
 namespace {
 
-// The database file and what SQLite may leave beside it.
+// Suffixes of the database file and of the files that SQLite may leave next to it.
 constexpr std::array<const char*, 4> kFileSuffixes = {".db", ".db-wal", ".db-shm", ".db-journal"};
 
 class MemoryStore : public DurableStore {
@@ -53,13 +53,13 @@
 
 std::string quarantine_corrupt_file(const std::string& directory, const std::string& name) {
   namespace fs = std::filesystem;
-  // The time in the name, so that an earlier quarantine is not overwritten.
+  // The time in the name prevents overwriting an earlier quarantine.
   const auto now_ms = std::chrono::system_clock::now().time_since_epoch() / std::chrono::milliseconds(1);
   const auto quarantine = fs::path(directory) / fmt::format("set-aside-{}", now_ms);
   fs::create_directories(quarantine);
   for (const char* suffix : kFileSuffixes) {
     const auto file_name = name + suffix;
-    std::error_code ignored;  // most of the files do not exist
+    std::error_code ignored;  // most of these files usually do not exist
     fs::rename(fs::path(directory) / file_name, quarantine / file_name, ignored);
   }
   return quarantine.string();
--- a/src/state/durable_store.h
+++ b/src/state/durable_store.h
@@ -1,9 +1,9 @@
-// A durable store of keys: what a daemon must still know after a crash.
+// A durable key-value store for the state that a process must retain across crashes.
 //
-// A store has one file in one directory, which one process may have open. It has no thread of its own, and
-// its calls block for the disk: a node opens and reads its store when it starts, and then gives it to a
-// StoreWriter (state/store_writer.h), so that no loop ever waits for a disk. docs/design/group.md tells why
-// the engine is SQLite, docs/operations/group.md what an operator sees.
+// A store is one database file, which only one process at a time may have open. It has no thread of its own
+// and its calls block on disk I/O: a node opens and reads its store at startup and then passes it to a
+// StoreWriter (state/store_writer.h), so that no event loop waits for the disk. docs/design/group.md gives
+// the reasons for using SQLite; docs/operations/group.md describes what an operator sees.
 #pragma once
 
 #include <memory>
@@ -17,8 +17,8 @@
 
 namespace database_proxy::state {
 
-// The interface of a store. It is used from one thread at a time. All functions throw StoreError where the
-// store cannot be read or written, and kCorrupt for a value that does not fit its checksum.
+// The interface of a store. Use it from one thread at a time. All functions throw StoreError if the store
+// cannot be read or written, with the code kCorrupt for a value that does not match its checksum.
 class DurableStore {
  public:
   DurableStore() = default;
@@ -26,25 +26,27 @@
   DurableStore(const DurableStore&) = delete;
   DurableStore& operator=(const DurableStore&) = delete;
 
-  // Carries out the batch completely or, where it throws, not at all. It is durable on return.
+  // Applies the batch atomically: either completely, or not at all if it throws. The batch is durable on
+  // return.
   virtual void commit(const Batch& batch) = 0;
-  // The value of a key, or nothing if the key does not exist.
+  // Returns the value of a key, or nullopt if the key does not exist.
   virtual std::optional<std::string> read(const std::string& key) = 0;
-  // All keys from `from` on and before `to`, sorted, each with its value.
+  // Returns all keys in [from, to) with their values, sorted by key.
   virtual std::vector<std::pair<std::string, std::string>> scan(const std::string& from,
                                                                 const std::string& to) = 0;
 };
 
-// Opens the file NAME.db in `directory`; both are made if they do not exist. `version` is that of the
-// contents: a file with a higher one is rejected as kNewer, one with a lower one gets this version. Throws
-// StoreError.
+// Opens the file NAME.db in `directory`, and creates both if they do not exist. `version` is the version of
+// the stored format: a file with a higher version is rejected with kNewer, and one with a lower version is
+// updated to this version. Throws StoreError.
 std::unique_ptr<DurableStore> open_store(const std::string& directory, const std::string& name, int version);
 
-// Moves the files of a corrupt store to a new subdirectory, so that open_store() can make an empty one.
-// Returns the path of the subdirectory. Throws std::filesystem::filesystem_error if that cannot be made.
+// Moves the files of a corrupt store to a new subdirectory, so that open_store() creates an empty store.
+// Returns the path of the subdirectory. Throws std::filesystem::filesystem_error if the subdirectory cannot
+// be created.
 std::string quarantine_corrupt_file(const std::string& directory, const std::string& name);
 
-// A store in memory, for tests. It is not durable.
+// Returns a store in memory, for tests. It is not durable.
 std::unique_ptr<DurableStore> make_memory_store();
 
 }  // namespace database_proxy::state
--- a/src/state/sqlite_store.cpp
+++ b/src/state/sqlite_store.cpp
@@ -7,10 +7,10 @@
 namespace database_proxy::state {
 namespace {
 
-// The application id in the file's header, "lwst": it tells this program's files from those of others.
+// The SQLite application id in the file header, "lwst", which identifies database files of this program.
 constexpr int kApplicationId = 0x6c777374;
-// Pages of 4 KiB in the write-ahead log after which SQLite moves them into the file. 1000 is SQLite's own
-// default; it is set so that it does not depend on how the library was built.
+// Number of 4 KiB pages in the write-ahead log at which SQLite checkpoints them into the database file. 1000
+// is SQLite's default; it is set explicitly so that it does not depend on how the library was built.
 constexpr int kCheckpointPages = 1000;
 
 std::int64_t checksum_of(const std::string& key, const std::string& value) {
@@ -22,7 +22,7 @@
 
 }  // namespace
 
-// A prepared statement. What is bound must outlive the next step().
+// A prepared statement. Bound values are not copied and must remain valid during the next step().
 class SqliteStore::Statement {
  public:
   Statement(SqliteStore& store, const char* sql) : store_(store) {
@@ -33,7 +33,7 @@
   Statement(const Statement&) = delete;
   Statement& operator=(const Statement&) = delete;
 
-  // Parameters and, below, columns are counted as SQLite does: parameters from 1, columns from 0.
+  // Indexes are those of SQLite: parameters are numbered from 1, the columns below from 0.
   Statement& bind(int parameter, const std::string& bytes) {
     sqlite3_bind_blob64(statement_, parameter, bytes.data(), bytes.size(), SQLITE_STATIC);
     return *this;
@@ -42,13 +42,13 @@
     sqlite3_bind_int64(statement_, parameter, number);
     return *this;
   }
-  // Runs up to the next row. Returns false when there is none. Throws StoreError.
+  // Advances to the next row. Returns false if there is none. Throws StoreError.
   bool step() {
     const int code = sqlite3_step(statement_);
     if (code != SQLITE_ROW && code != SQLITE_DONE) store_.throw_last_error(sqlite3_sql(statement_));
     return code == SQLITE_ROW;
   }
-  // Makes the statement ready to be bound and run again.
+  // Resets the statement and its bindings, so that it can be executed again.
   void reset() {
     sqlite3_reset(statement_);
     sqlite3_clear_bindings(statement_);
@@ -77,10 +77,10 @@
   sqlite3* database = nullptr;
   const int flags = SQLITE_OPEN_READWRITE | SQLITE_OPEN_CREATE;
   const int code = sqlite3_open_v2(path_.c_str(), &database, flags, nullptr);
-  database_.reset(database);  // SQLite returns a database to be closed also where it fails
-  if (code != SQLITE_OK) throw_last_error("opening it");
+  database_.reset(database);  // SQLite returns a handle that must be closed even on failure
+  if (code != SQLITE_OK) throw_last_error("opening the database");
   sqlite3_extended_result_codes(database, 1);
-  // The first transaction takes the lock and keeps it. SQLite then needs no shared memory file.
+  // The first transaction acquires the lock and does not release it. SQLite then needs no shared-memory file.
   run("PRAGMA locking_mode=EXCLUSIVE");
 }
 
@@ -89,13 +89,13 @@
   const auto stored_version = query_number("PRAGMA user_version");
   const bool is_new = application_id == 0 && query_number("SELECT count(*) FROM sqlite_master") == 0;
   if (!is_new && application_id != kApplicationId)
-    throw StoreError(StoreErrorCode::kForeign, fmt::format("{} was made by another program", path_));
+    throw StoreError(StoreErrorCode::kForeign, fmt::format("{} was created by another program", path_));
   if (stored_version > version)
     throw StoreError(StoreErrorCode::kNewer,
                      fmt::format("{} has version {}, this program knows {}", path_, stored_version, version));
 }
 
-// With a write-ahead log and full synchronisation, a transaction is durable when COMMIT returns.
+// Enables a write-ahead log with full synchronization, so that a transaction is durable when COMMIT returns.
 void SqliteStore::configure() {
   run("PRAGMA journal_mode=WAL");
   run("PRAGMA synchronous=FULL");
@@ -114,7 +114,8 @@
 void SqliteStore::check_integrity() {
   Statement check(*this, "PRAGMA quick_check(1)");
   if (!check.step() || check.text(0) != "ok")
-    throw StoreError(StoreErrorCode::kCorrupt, fmt::format("{} is damaged", path_));
+    throw StoreError(StoreErrorCode::kCorrupt,
+                     fmt::format("{} is corrupt: it fails the integrity check of SQLite", path_));
 }
 
 void SqliteStore::commit(const Batch& batch) {
@@ -168,12 +169,14 @@
   auto key = statement.text(0);
   auto value = statement.text(1);
   if (checksum_of(key, value) != statement.number(2))
-    throw StoreError(StoreErrorCode::kCorrupt, fmt::format("{}: a checksum does not fit", path_));
+    throw StoreError(StoreErrorCode::kCorrupt,
+                     fmt::format("{}: the checksum of a value does not match", path_));
   return {std::move(key), std::move(value)};
 }
 
 void SqliteStore::run(const std::string& sql) {
-  if (sqlite3_exec(database_.get(), sql.c_str(), nullptr, nullptr, nullptr) != SQLITE_OK) throw_last_error(sql.c_str());
+  if (sqlite3_exec(database_.get(), sql.c_str(), nullptr, nullptr, nullptr) != SQLITE_OK)
+    throw_last_error(sql.c_str());
 }
 
 std::int64_t SqliteStore::query_number(const char* sql) {
@@ -183,7 +186,7 @@
 
 void SqliteStore::throw_last_error(const char* operation) {
   auto* database = database_.get();
-  // SQLite returns no database where it has no memory for one.
+  // SQLite returns no handle if it cannot allocate one.
   const int code = database ? sqlite3_errcode(database) : SQLITE_NOMEM;
   const char* problem = database ? sqlite3_errmsg(database) : "out of memory";
   const auto text = fmt::format("{}: {} ({})", path_, problem, operation);
--- a/src/state/sqlite_store.h
+++ b/src/state/sqlite_store.h
@@ -1,4 +1,4 @@
-// The engine of the durable store: one table of an SQLite database, each value with a checksum.
+// The SQLite implementation of the durable store: one table, in which each value has a checksum.
 #pragma once
 
 #include <sqlite3.h>
@@ -14,11 +14,11 @@
 
 namespace database_proxy::state {
 
-// An open database file. It keeps SQLite's exclusive lock for its whole life, so that a second process is
-// rejected when it opens the file.
+// An open database file. Holds SQLite's exclusive lock for its lifetime, so that a second process that opens
+// the file is rejected.
 class SqliteStore : public DurableStore {
  public:
-  // Opens or makes the file at `path`, in an existing directory. Throws StoreError.
+  // Opens or creates the file at `path`, whose directory must exist. Throws StoreError.
   SqliteStore(std::string path, int version);
 
   void commit(const Batch& batch) override;
@@ -39,13 +39,15 @@
   void check_integrity();
   void remove_ranges(const std::vector<KeyRange>& ranges);
   void apply_changes(const std::vector<KeyChange>& changes);
-  // The key and value of the row that the statement is at. Throws kCorrupt if the checksum does not fit.
+  // Returns the key and value of the current row. Throws StoreError with kCorrupt if the checksum does not
+  // match.
   std::pair<std::string, std::string> verified_row(const Statement& statement);
 
   void run(const std::string& sql);
-  // The first column of the first row, or 0 where there is none.
+  // Returns the first column of the first row, or 0 if there is no row.
   std::int64_t query_number(const char* sql);
-  // Throws the StoreError of the database's last failure; `operation` tells the operator what was tried.
+  // Throws a StoreError for the database's last error; `operation` names what was attempted, for the
+  // operator.
   [[noreturn]] void throw_last_error(const char* operation);
 
   std::string path_;
--- a/src/state/store_error.h
+++ b/src/state/store_error.h
@@ -1,4 +1,4 @@
-// Why the durable store cannot be used.
+// Errors of the durable store.
 #pragma once
 
 #include <cstdint>
@@ -7,13 +7,13 @@
 
 namespace database_proxy::state {
 
-// The kinds of failure that a caller tells apart. The text of a StoreError is for the operator.
+// The kinds of failure that callers distinguish. The text of a StoreError is for the operator.
 enum class StoreErrorCode : std::uint8_t {
-  kLocked,   // another process uses this directory
-  kCorrupt,  // a checksum does not fit, or the file is not a complete database
-  kForeign,  // made by another program, or for another installation
-  kNewer,    // made by a newer version of this program
-  kDisk,     // the disk is full, read-only or broken
+  kLocked,   // another process has the database file open
+  kCorrupt,  // a checksum does not match, or the file is not a complete database
+  kForeign,  // created by another program, or for another installation
+  kNewer,    // created by a newer version of this program
+  kDisk,     // the disk is full, read-only or faulty
 };
 
 // Thrown by a store that cannot be opened, read or written.
--- a/src/state/store_writer.h
+++ b/src/state/store_writer.h
@@ -1,8 +1,8 @@
-// Writes to a durable store on a thread of its own, so that the caller never waits for the disk.
+// Writes to a durable store on a separate thread, so that the caller never waits for the disk.
 //
-// Batches are carried out in the order in which they were given. Those that arrive while a transaction is
-// under way go together into the next one. The first failure is final: nothing after it is tried, because
-// nobody could say what the disk then contains.
+// Batches are committed in the order of the write() calls. Those that arrive while a transaction is in
+// progress are combined into the next one. The first failure is final: no later batch is attempted, because
+// the contents of the disk are then unknown.
 #pragma once
 
 #include <condition_variable>
@@ -18,22 +18,22 @@
 
 namespace database_proxy::state {
 
-// Owns the store and the thread, which the operating system lists as "state".
+// Owns the store and the writing thread, which is named "state".
 class StoreWriter {
  public:
-  // Called on the writer's thread after each transaction. With an empty `error`, all batches up to `number`
-  // are durable; otherwise this one is not, and none will be any more. It must not call the writer's
-  // destructor.
+  // Called on the writing thread after each transaction. With an empty `error`, all batches up to `number`
+  // are durable; otherwise no batch after the last successful call is durable, and no later one will be. It
+  // must not call the writer's destructor.
   using CompletionCallback = std::function<void(std::uint64_t number, const std::string& error)>;
 
   StoreWriter(std::unique_ptr<DurableStore> store, CompletionCallback on_completion);
-  // Blocks until all batches are written and reported.
+  // Blocks until all batches are written and their completion has been reported.
   ~StoreWriter();
   StoreWriter(const StoreWriter&) = delete;
   StoreWriter& operator=(const StoreWriter&) = delete;
 
-  // Queues a batch and returns at once; may be called from any thread. Numbers rise from call to call. The
-  // queue has no limit of its own: the caller bounds what may be unwritten.
+  // Queues a batch and returns immediately; may be called from any thread. `number` must increase with each
+  // call. The queue has no limit; the caller bounds the number of unwritten batches.
   void write(std::uint64_t number, Batch batch);
 
  private:
@@ -43,18 +43,19 @@
   };
 
   void run();
-  // Waits for batches and takes all of them. Returns none once the writer is stopped and the queue empty.
+  // Waits for batches and removes all of them from the queue. Returns none once the writer is stopped and the
+  // queue is empty.
   std::vector<NumberedBatch> take_batches();
-  // Writes the batches in one transaction. Returns why that failed, or an empty text.
+  // Commits the batches in one transaction. Returns the error message, or an empty string on success.
   std::string commit(std::vector<NumberedBatch> batches);
 
-  std::unique_ptr<DurableStore> store_;  // used by the thread only
+  std::unique_ptr<DurableStore> store_;  // used only by the writing thread
   CompletionCallback on_completion_;
   std::mutex mutex_;  // guards queue_ and is_stopped_
   std::condition_variable queue_changed_;
   std::vector<NumberedBatch> queue_;
   bool is_stopped_ = false;
-  std::thread thread_;  // the last member, since it uses all others
+  std::thread thread_;  // last member: the thread uses all the others
 };
 
 }  // namespace database_proxy::state
