--- a/src/ownership/lease_messages.h
+++ b/src/ownership/lease_messages.h
@@ -22,7 +22,7 @@
 struct LeaseRenewalRequest {
   std::string node;
   std::uint64_t number = 0;                // assigned by the node; the response repeats it
-  std::vector<std::string> eligible_jobs;  // jobs that this node is able to do
+  std::vector<std::string> eligible_jobs;  // jobs that this node may be granted
   std::vector<HeldLease> held_leases;
 };
 
