--- a/src/group/lease_session.cpp
+++ b/src/group/lease_session.cpp
@@ -25,8 +25,8 @@
 
 ownership::LeaseOptions lease_options(const Options& options) {
   ownership::LeaseOptions lease;
-  lease.length = options.lease;
-  lease.idle = std::max<Micros>(kMinIdleTime, options.lease * kIdleTimeInLeases);
+  lease.duration = options.lease;
+  lease.progress_timeout = std::max<Micros>(kMinIdleTime, options.lease * kIdleTimeInLeases);
   return lease;
 }
 
@@ -60,14 +60,14 @@
 void LeaseSession::on_renewal_response(const peers::EncodedMessage& message) {
   auto response = peers::decode_lease_renewal_response(message).response;
   client_.on_renewal_response(net::monotonic_now(), response);
-  auto to_give_up = client_.to_give_up();
+  auto to_give_up = client_.jobs_to_release();
   for (auto& job : to_give_up) release(job);
   if (!is_releasing_all_) return;
   for (auto& job : client_.jobs()) release(job);
 }
 
 void LeaseSession::release(const std::string& job) {
-  auto token = client_.give_up(job);
+  auto token = client_.release(job);
   if (token == 0) return;
   context_.log(Level::kInfo, fmt::format("releases job {} (token {})", job, token));
   events_.on_lease_lost(job);
@@ -121,7 +121,7 @@
       });
     }
   }
-  for (auto& line : manager_.take_reasons()) context_.log(Level::kInfo, line);
+  for (auto& line : manager_.take_decision_log()) context_.log(Level::kInfo, line);
   auto wake_at = std::max(manager_.due(), context_.loop.now() + kMinManagerInterval);
   context_.set_timer(&manager_timer_, wake_at, [] {});  // the loop iteration that it causes calls this again
 }
--- a/src/group/placement_job.cpp
+++ b/src/group/placement_job.cpp
@@ -112,8 +112,8 @@
 
 void PlacementJob::send_observation_sum(const placement::Observation& sum) {
   auto* job = state_.job(kPlacementJob);
-  if (!job || job->owner.empty() || job->owner == context_.name()) return;
-  connections_.send_to_voter(job->owner, peers::encode(peers::ObservationSum{sum}));
+  if (!job || job->lease_holder.empty() || job->lease_holder == context_.name()) return;
+  connections_.send_to_voter(job->lease_holder, peers::encode(peers::ObservationSum{sum}));
 }
 
 void PlacementJob::log_unknown_zones() {
@@ -175,7 +175,7 @@
   if (!builder_)
     return reject_here("this node does not run placement: it is no voter, or has no section group.placement");
   auto* job = state_.job(kPlacementJob);
-  if (!job || job->owner.empty()) {
+  if (!job || job->lease_holder.empty()) {
     auto request = peers::decode_placement_request(message);
     bool has_plan = plans_.committed_plan().number > 0;
     if (request.action != PlacementAction::kShow || !has_plan)
@@ -185,10 +185,10 @@
   }
   auto routed = peers::with_type_and_route(message, peers::MessageType::kPlacementCommand,
                                            forwarding_.downstream_route(link));
-  if (job->owner == context_.name()) return on_routed_command(routed);
-  if (connections_.send_to_voter(job->owner, routed)) return;
+  if (job->lease_holder == context_.name()) return on_routed_command(routed);
+  if (connections_.send_to_voter(job->lease_holder, routed)) return;
   reject_here(fmt::format("{}, which holds the lease of the job placement, is not reachable from this node",
-                          job->owner));
+                          job->lease_holder));
 }
 
 void PlacementJob::on_routed_command(const peers::EncodedMessage& message) {
@@ -253,7 +253,7 @@
   peers::PlanReport report;
   report.plan = plans_.committed_plan();
   auto* job = state_.job(kPlacementJob);
-  if (job) report.owner = job->owner;
+  if (job) report.owner = job->lease_holder;
   report.shard_group = request.shard_group;
   return report;
 }
--- a/src/group/replicated_state.h
+++ b/src/group/replicated_state.h
@@ -46,7 +46,7 @@
   // is known, because the sender's lease has then passed to another node.
   bool admit_effect(const std::string& job, ownership::Token token);
   // Returns the number of effects rejected for their stale token, here and in the registry.
-  std::uint64_t rejected_effects() const { return rejected_effects_ + registry_.stale(); }
+  std::uint64_t rejected_effects() const { return rejected_effects_ + registry_.stale_publications(); }
 
  private:
   void on_grant(const ownership::Grant& grant, ownership::Token granted);
--- a/src/testbench/simulation/model.cpp
+++ b/src/testbench/simulation/model.cpp
@@ -272,9 +272,9 @@
 class LeaseExplorer {
  public:
   explicit LeaseExplorer(LeaseScope options) : scope_(options) {
-    lease_.length = 1s;
-    lease_.idle = 1h;
-    lease_.margin = 50ms;
+    lease_.duration = 1s;
+    lease_.progress_timeout = 1h;
+    lease_.pause_margin = 50ms;
     lease_.flaw_no_margin = scope_.mutant == Mutant::kNoMargin;
     lease_.flaw_no_check = scope_.mutant == Mutant::kNoCheck;
   }
@@ -305,10 +305,10 @@
                          s.asks_left[1]);
     for (int o = 0; o < 2; ++o)
       f += fmt::format("{} {} ", s.holders[static_cast<std::size_t>(o)].token("j"),
-                       s.holders[static_cast<std::size_t>(o)].until("j").count());
+                       s.holders[static_cast<std::size_t>(o)].expires_at("j").count());
     for (auto& [o, a] : s.asks) f += fmt::format("q{}.{} ", o, a.number);
     for (auto& [o, t] : s.responses) f += fmt::format("t{}.{}.{} ", o, t.number, t.granted.size());
-    if (auto* job = s.ledger.job("j")) f += fmt::format("{}:{} ", job->owner, job->token);
+    if (auto* job = s.ledger.job("j")) f += fmt::format("{}:{} ", job->lease_holder, job->token);
     for (auto& steward : s.stewards) f += steward.fingerprint();
     if (s.grant) f += "g" + std::to_string(s.grant->first) + own::encode(s.grant->second);
     return f;
--- a/src/testbench/simulation/world.cpp
+++ b/src/testbench/simulation/world.cpp
@@ -169,8 +169,8 @@
   o.flaws.vote_not_saved = options_.mutant == Mutant::kVoteNotSaved;
   o.flaws.commits_old_terms = options_.mutant == Mutant::kCommitsOldTerms;
   own::LeaseOptions lease;
-  lease.length = 1s;
-  lease.idle = 3s;
+  lease.duration = 1s;
+  lease.progress_timeout = 3s;
   lease.flaw_no_margin = options_.mutant == Mutant::kNoMargin;
   lease.flaw_no_check = options_.mutant == Mutant::kNoCheck;
   auto stored = node.disk.durable;
@@ -341,12 +341,12 @@
     bool stale = holding && publish->token < holding->token;
     auto applied = node.ledger.apply(entry.index, *command, &granted);
     if (first && stale) ++result_.stale_attempted;
-    demand(!(stale && applied == own::LeaseRegistry::ApplyResult::kDone),
+    demand(!(stale && applied == own::LeaseRegistry::ApplyResult::kApplied),
            "the ledger takes an effect with an old token");
     if (first && granted) {
       ++result_.grants;
       auto& g = std::get<own::Grant>(*command);
-      say(fmt::format("job {} granted to {} with token {}", g.job, g.owner, granted));
+      say(fmt::format("job {} granted to {} with token {}", g.job, g.lease_holder, granted));
     }
     if (auto* g = std::get_if<own::Grant>(&*command)) node.steward.on_proposal_finished(g->job);
     if (auto* put = std::get_if<own::SetConfigurationEntry>(&*command); put && put->key == "x")
@@ -415,8 +415,8 @@
       auto hear = [this, from, at, told](int to) {
         auto& node = nodes_[to];
         node.holder->on_renewal_response(local(node), told);
-        for (auto& job : std::set<std::string>(node.holder->to_give_up())) {
-          auto token = node.holder->give_up(job);
+        for (auto& job : std::set<std::string>(node.holder->jobs_to_release())) {
+          auto token = node.holder->release(job);
           if (token == 0) continue;
           say(fmt::format("{} gives up {}", node.name, job));
           auto release = own::Command(own::Release{job, token});
@@ -672,7 +672,7 @@
            fmt::format("{} is {} entries behind at the end", node.name, commit - node.raft->commit_index()));
     for (auto& job : kJobs) {
       auto* held = node.ledger.job(job);
-      demand(held && !held->owner.empty(), "nobody owns " + job + " at the end");
+      demand(held && !held->lease_holder.empty(), "nobody owns " + job + " at the end");
     }
   }
   std::map<std::string, int> owned;
--- a/tests/consensus/consensus_test.cpp
+++ b/tests/consensus/consensus_test.cpp
@@ -303,7 +303,7 @@
   EXPECT_TRUE(manager.propose(11s + options.safe_reassignment_delay() - 1us, registry).empty());
   auto commands = manager.propose(11s + options.safe_reassignment_delay(), registry);
   ASSERT_EQ(commands.size(), 1u);
-  EXPECT_EQ(std::get<ownership::Grant>(commands[0]).owner, "b");
+  EXPECT_EQ(std::get<ownership::Grant>(commands[0]).lease_holder, "b");
 }
 
 // Regression test (simulator seed 32): a grant took long to be committed, and the lease of the previous
@@ -331,13 +331,13 @@
   ownership::LeaseOptions options;
   ownership::LeaseClient client("a", options);
   auto request = client.make_renewal_request(10s, {"j"});
-  ownership::LeaseRenewalResponse response{request.number, options.length, {{"j", 7, 0}}, {}};
-  client.on_renewal_response(10s + options.length - 1ms, response);
-  EXPECT_TRUE(client.holds("j", 10s + options.length - 1us));
-  EXPECT_FALSE(client.holds("j", 10s + options.length));
+  ownership::LeaseRenewalResponse response{request.number, options.duration, {{"j", 7, 0}}, {}};
+  client.on_renewal_response(10s + options.duration - 1ms, response);
+  EXPECT_TRUE(client.holds("j", 10s + options.duration - 1us));
+  EXPECT_FALSE(client.holds("j", 10s + options.duration));
   client.on_renewal_response(10s + 1ms, response);  // a duplicate of the response
-  EXPECT_EQ(client.until("j"), 10s + options.length);
-  EXPECT_EQ(client.expire(10s + options.length), std::vector<std::string>{"j"});
+  EXPECT_EQ(client.expires_at("j"), 10s + options.duration);
+  EXPECT_EQ(client.expire(10s + options.duration), std::vector<std::string>{"j"});
 }
 
 TEST(Leases, ALeaseHolderWithoutProgressLosesItsJob) {
@@ -353,10 +353,10 @@
                                registry);
     manager.on_renewal_request(now, renewal_request("b", static_cast<std::uint64_t>(i)), registry);
     for (const auto& command : manager.propose(now, registry))
-      new_holder = std::get<ownership::Grant>(command).owner;
+      new_holder = std::get<ownership::Grant>(command).lease_holder;
   }
   EXPECT_EQ(new_holder, "b");
-  EXPECT_GE(now, 10s + options.idle + options.safe_reassignment_delay());
+  EXPECT_GE(now, 10s + options.progress_timeout + options.safe_reassignment_delay());
 }
 
 TEST(Leases, JobsAreDistributedEvenlyWithAsFewMovesAsPossible) {
@@ -373,10 +373,10 @@
     for (std::string node : {"a", "b", "c"}) {
       ownership::LeaseRenewalRequest request{node, static_cast<std::uint64_t>(now.count() + 1), jobs, {}};
       for (auto& [name, job] : registry.jobs())
-        if (job.owner == node)
-          request.holds.push_back({name, job.token, static_cast<std::uint64_t>(now.count())});
+        if (job.lease_holder == node)
+          request.held_leases.push_back({name, job.token, static_cast<std::uint64_t>(now.count())});
       manager.on_renewal_request(now, request, registry);
-      for (auto& job : manager.renewal_response(node, 1, registry).give_up) {
+      for (auto& job : manager.renewal_response(node, 1, registry).jobs_to_release) {
         registry.apply(++index, ownership::Release{job, registry.job(job)->token});
         ++moves;
       }
@@ -386,7 +386,7 @@
       manager.on_proposal_finished(std::get<ownership::Grant>(command).job);
     }
   }
-  for (auto& [name, job] : registry.jobs()) ++counts[job.owner];
+  for (auto& [name, job] : registry.jobs()) ++counts[job.lease_holder];
   EXPECT_EQ(counts, (std::map<std::string, int>{{"a", 2}, {"b", 2}, {"c", 2}}));
   EXPECT_EQ(moves, 4);
 }
@@ -397,16 +397,16 @@
   registry.apply(5, ownership::Grant{"j", "a", 0}, &token);
   EXPECT_EQ(token, 5u);
   EXPECT_EQ(registry.apply(6, ownership::Grant{"j", "b", 0}),
-            ownership::LeaseRegistry::ApplyResult::kVoid);  // the job has another token by now
+            ownership::LeaseRegistry::ApplyResult::kNoEffect);  // the job has another token by now
   registry.apply(7, ownership::Grant{"j", "b", 5});
   EXPECT_EQ(registry.apply(8, ownership::Publish{"j", 5, 1, "old"}),
             ownership::LeaseRegistry::ApplyResult::kStale);
   EXPECT_EQ(registry.apply(9, ownership::Publish{"j", 9, 1, "never granted"}),
-            ownership::LeaseRegistry::ApplyResult::kVoid);
+            ownership::LeaseRegistry::ApplyResult::kNoEffect);
   EXPECT_EQ(registry.apply(10, ownership::Publish{"j", 7, 2, "new"}),
-            ownership::LeaseRegistry::ApplyResult::kDone);
-  EXPECT_EQ(registry.apply(11, ownership::Release{"j", 5}), ownership::LeaseRegistry::ApplyResult::kVoid);
-  EXPECT_EQ(registry.stale(), 1u);
+            ownership::LeaseRegistry::ApplyResult::kApplied);
+  EXPECT_EQ(registry.apply(11, ownership::Release{"j", 5}), ownership::LeaseRegistry::ApplyResult::kNoEffect);
+  EXPECT_EQ(registry.stale_publications(), 1u);
   auto copy = ownership::LeaseRegistry::decode(registry.encode());
   ASSERT_TRUE(copy);
   EXPECT_EQ(copy->encode(), registry.encode());
