--- a/tests/formats/golden_file.h
+++ b/tests/formats/golden_file.h
@@ -20,7 +20,7 @@
   return std::filesystem::path(DATABASE_PROXY_TEST_DATA) / name;
 }
 
-inline bool rewrites_golden_files() { return std::getenv("DATABASE_PROXY_REWRITE_GOLDEN") != nullptr; }
+inline bool should_rewrite_golden_files() { return std::getenv("DATABASE_PROXY_REWRITE_GOLDEN") != nullptr; }
 
 inline std::string to_hex(std::string_view bytes) {
   constexpr char kDigits[] = "0123456789abcdef";
@@ -54,17 +54,18 @@
 }
 
 // Every name must be on both sides, with the same value.
-inline void expect_golden(const std::string& file_name, const std::string& comment, const NamedLines& now) {
-  if (rewrites_golden_files()) {
+inline void expect_golden(const std::string& file_name, const std::string& header_comment,
+                          const NamedLines& actual) {
+  if (should_rewrite_golden_files()) {
     std::ofstream file(data_path(file_name));
-    file << "# " << comment << "\n";
-    for (auto& [name, value] : now) file << name << ' ' << value << '\n';
+    file << "# " << header_comment << "\n";
+    for (auto& [name, value] : actual) file << name << ' ' << value << '\n';
     ADD_FAILURE() << file_name << " was rewritten, nothing was compared";
     return;
   }
   auto golden = read_golden(file_name);
   EXPECT_FALSE(golden.empty()) << file_name << " holds nothing";
-  for (auto& [name, value] : now) {
+  for (auto& [name, value] : actual) {
     auto it = golden.find(name);
     if (it == golden.end())
       ADD_FAILURE() << file_name << " lacks '" << name << "', which is now\n" << value;
@@ -72,7 +73,7 @@
       EXPECT_EQ(it->second, value) << file_name << ": " << name;
   }
   for (auto& [name, value] : golden)
-    EXPECT_TRUE(now.contains(name)) << file_name << ": '" << name << "' is not written now";
+    EXPECT_TRUE(actual.contains(name)) << file_name << ": '" << name << "' is not written now";
 }
 
 }  // namespace database_proxy::test
--- a/tests/formats/peer_connection.h
+++ b/tests/formats/peer_connection.h
@@ -46,9 +46,11 @@
   }
   // The oldest unread message of this type that `wanted` takes; the others stay for later calls, since the
   // order of messages that have nothing to do with one another is not fixed.
-  json next(const std::string& type, const std::function<bool(const json&)>& wanted = nullptr) {
-    auto fits = [&](const json& message) { return message.at("t") == type && (!wanted || wanted(message)); };
-    auto found = std::find_if(unread_.begin(), unread_.end(), fits);
+  json next(const std::string& type, const std::function<bool(const json&)>& predicate = nullptr) {
+    auto matches = [&](const json& message) {
+      return message.at("t") == type && (!predicate || predicate(message));
+    };
+    auto found = std::find_if(unread_.begin(), unread_.end(), matches);
     if (found != unread_.end()) {
       auto message = *found;
       unread_.erase(found);
@@ -56,11 +58,11 @@
     }
     while (true) {
       auto message = next_message("'" + type + "'");
-      if (fits(message)) return message;
+      if (matches(message)) return message;
       unread_.push_back(std::move(message));
     }
   }
-  json greet(const json& hello) {
+  json handshake(const json& hello) {
     send(hello);
     return next_message("an answer to its greeting");
   }
@@ -71,7 +73,7 @@
   }
 
  private:
-  json next_message(const std::string& awaited) {
+  json next_message(const std::string& expected) {
     while (true) {
       json message;
       std::size_t size = 0;
@@ -86,7 +88,7 @@
       }
       char chunk[16384];
       auto count = recv(socket_.get(), chunk, sizeof chunk, 0);
-      if (count <= 0) throw std::runtime_error("the node said nothing more, awaited was " + awaited);
+      if (count <= 0) throw std::runtime_error("the node said nothing more, awaited was " + expected);
       received_.append(chunk, static_cast<std::size_t>(count));
     }
   }
--- a/tests/formats/peer_messages_test.cpp
+++ b/tests/formats/peer_messages_test.cpp
@@ -109,12 +109,12 @@
 void talk_below_a_leader(Messages* messages) {
   TemporaryDirectory directory;
   make_directory(directory.path());
-  TestNode voter(lone_voter_options(directory.path()));
+  TestNode voter(single_voter_options(directory.path()));
   voter.node().start();
   auto stranger = PeerConnection::dial(voter.port());
-  messages->add("no", stranger.greet(hello_of("x", "follower", 0, "other")));
+  messages->add("no", stranger.handshake(hello_message("x", "follower", 0, "other")));
   auto operator_link = PeerConnection::dial(voter.port());
-  messages->add("welcome", operator_link.greet(hello_of("fleet", "tool")));
+  messages->add("welcome", operator_link.handshake(hello_message("fleet", "tool")));
   operator_link.send({{"t", "ping"}});
   messages->add("pong", operator_link.next("pong"));
   messages->add("answer.identify", operator_link.run_admin_command({{"do", "identify"}}));
@@ -156,12 +156,12 @@
   PeerListener listener;
   auto options = node_options("p", {{"b", listener.address()}});
   options.jobs = {"list", "probe"};
-  options.placement = lone_voter_options("").placement;
+  options.placement = single_voter_options("").placement;
   TestNode node(options);
   node.node().start();
   auto voter = listener.accept_peer();
   messages->add("hello.follower", voter.next("hello"));
-  auto welcome = hello_of("b", "voter", 2);
+  auto welcome = hello_message("b", "voter", 2);
   welcome["t"] = "welcome";
   voter.send(welcome);
   messages->add("follow", voter.next("follow"));
@@ -239,7 +239,7 @@
   TemporaryDirectory directory;
   make_directory(directory.path());
   PeerListener listener;
-  auto options = lone_voter_options(directory.path());
+  auto options = single_voter_options(directory.path());
   options.nodes = {{"a", "127.0.0.1:1"}, {"b", listener.address()}, {"c", "127.0.0.1:3"}};
   options.election_min = group::Micros(60'000'000);
   options.election_max = group::Micros(100'000'000);
@@ -248,7 +248,7 @@
   node.node().start();
   auto dialed = listener.accept_peer();
   messages->add("hello.voter", dialed.next("hello"));
-  auto welcome = hello_of("b", "voter", 2);
+  auto welcome = hello_message("b", "voter", 2);
   welcome["t"] = "welcome";
   dialed.send(welcome);
   auto leader = dial_as(node.port(), "b", "voter", 2);
@@ -279,7 +279,7 @@
 void talk_of_a_plan(Messages* messages) {
   TemporaryDirectory directory;
   make_directory(directory.path());
-  auto options = lone_voter_options(directory.path());
+  auto options = single_voter_options(directory.path());
   options.jobs = {"placement"};
   TestNode voter(options);
   voter.node().start();
--- a/tests/formats/stored_format_test.cpp
+++ b/tests/formats/stored_format_test.cpp
@@ -55,7 +55,7 @@
 }
 
 void write_directory(const std::string& directory) {
-  TestNode voter(lone_voter_options(directory));
+  TestNode voter(single_voter_options(directory));
   voter.node().start();
   auto operator_link = dial_as(voter.port(), "fleet", "tool");
   auto id = operator_link.run_admin_command({{"do", "identify"}}).at("id");
@@ -124,7 +124,7 @@
 std::string expect_node_goes_on(const std::string& directory, const NamedLines& before,
                                 const ownership::LeaseRegistry& ledger) {
   auto identity = json::parse(before.at("identity"));
-  TestNode voter(lone_voter_options(directory));
+  TestNode voter(single_voter_options(directory));
   voter.node().start();
   auto operator_link = dial_as(voter.port(), "fleet", "tool");
   auto status = operator_link.run_admin_command({{"do", "status"}}).at("status");
@@ -163,7 +163,7 @@
 class StoredFormat : public testing::Test {
  protected:
   static void SetUpTestSuite() {
-    if (!rewrites_golden_files()) return;
+    if (!should_rewrite_golden_files()) return;
     fs::remove_all(data_path(kDirectory));
     fs::create_directories(data_path(kDirectory));
     TemporaryDirectory made;
@@ -229,8 +229,8 @@
     cut.changes.emplace_back(key, value.substr(0, value.size() / 2));
     store->commit(cut);
   }
-  TestNode voter(lone_voter_options(directory()));
-  auto lines = voter.lines();
+  TestNode voter(single_voter_options(directory()));
+  auto lines = voter.log_lines();
   ASSERT_FALSE(lines.empty());
   std::string torn;
   for (auto& line : lines)
@@ -246,7 +246,7 @@
 }
 
 TEST_F(StoredFormat, ADirectoryOfAnotherInstallationIsRejected) {
-  auto options = lone_voter_options(directory());
+  auto options = single_voter_options(directory());
   options.installation = "other";
   try {
     TestNode voter(options);
@@ -261,7 +261,7 @@
 TEST_F(StoredFormat, ADirectoryOfANewerVersionIsRejected) {
   state::open_store(directory(), "group", kStoreVersion + 1).reset();
   try {
-    TestNode voter(lone_voter_options(directory()));
+    TestNode voter(single_voter_options(directory()));
     FAIL() << "it was opened";
   } catch (const state::StoreError& e) {
     EXPECT_EQ(e.code, state::StoreErrorCode::kNewer);
--- a/tests/formats/test_node.h
+++ b/tests/formats/test_node.h
@@ -39,14 +39,15 @@
  public:
   explicit InstantHealthChecker(group::HealthCheckCallback on_result) : on_result_(std::move(on_result)) {}
   void update_endpoints(const discovery::EndpointListUpdate&) override {}
-  void check(const std::string& server) override { due_.push_back(server); }
+  void check(const std::string& server) override { pending_checks_.push_back(server); }
   void end_loop_iteration() override {
-    for (auto& server : std::exchange(due_, {})) on_result_({server, true, group::Micros(1500), "x2=3"});
+    for (auto& server : std::exchange(pending_checks_, {}))
+      on_result_({server, true, group::Micros(1500), "x2=3"});
   }
 
  private:
   group::HealthCheckCallback on_result_;
-  std::vector<std::string> due_;
+  std::vector<std::string> pending_checks_;
 };
 
 inline group::Options node_options(const std::string& name, std::vector<group::NodeAddress> nodes) {
@@ -61,7 +62,7 @@
 }
 
 // Quick to elect itself, where it is the only voter.
-inline group::Options lone_voter_options(const std::string& directory) {
+inline group::Options single_voter_options(const std::string& directory) {
   auto options = node_options("a", {{"a", "127.0.0.1:1"}});
   options.directory = directory;
   options.heartbeat = group::Micros(25'000);
@@ -83,19 +84,19 @@
                                           discovery::EndpointListUpdate(), *this,
                                           [this](net::Level, const std::string& line) {
                                             std::lock_guard lock(mutex_);
-                                            lines_.push_back(line);
+                                            log_lines_.push_back(line);
                                           });
   }
   ~TestNode() override {
     node_->stop();
     if (!testing::Test::HasFailure() && std::uncaught_exceptions() == 0) return;
-    for (auto& line : lines_) std::cout << line << '\n';
+    for (auto& line : log_lines_) std::cout << line << '\n';
   }
   group::Node& node() { return *node_; }
   int port() const { return node_->port(); }
-  std::vector<std::string> lines() {
+  std::vector<std::string> log_lines() {
     std::lock_guard lock(mutex_);
-    return lines_;
+    return log_lines_;
   }
 
  private:
@@ -109,12 +110,12 @@
   }
 
   std::mutex mutex_;
-  std::vector<std::string> lines_;
+  std::vector<std::string> log_lines_;
   std::unique_ptr<group::Node> node_;
 };
 
-inline json hello_of(const std::string& name, const std::string& kind, std::uint64_t id = 0,
-                     const std::string& installation = "golden") {
+inline json hello_message(const std::string& name, const std::string& kind, std::uint64_t id = 0,
+                          const std::string& installation = "golden") {
   return {{"t", "hello"}, {"v", 1},   {"least", 1},  {"installation", installation},
           {"name", name}, {"id", id}, {"kind", kind}};
 }
@@ -122,7 +123,7 @@
 inline PeerConnection dial_as(int port, const std::string& name, const std::string& kind,
                               std::uint64_t id = 0) {
   auto peer = PeerConnection::dial(port);
-  peer.greet(hello_of(name, kind, id));
+  peer.handshake(hello_message(name, kind, id));
   return peer;
 }
 
