--- a/tests/formats/peer_messages_test.cpp
+++ b/tests/formats/peer_messages_test.cpp
@@ -20,7 +20,7 @@
 constexpr const char* kFile = "peer_messages.txt";
 constexpr const char* kComment =
     "Messages between daemons: name, JSON. See tests/formats/peer_messages_test.cpp.";
-constexpr std::uint64_t kOwnId = 1001;
+constexpr std::uint64_t kNodeId = 1001;
 
 // Unix milliseconds, monotonic microseconds and numbers that depend on how often something was asked before.
 void normalise(json* value) {
@@ -48,9 +48,9 @@
   if (message.at("t") == "alive") message["term"] = 0;  // how many elections a slow disk took
   if (message.contains("status")) message["status"]["term"] = 0;
   if (message.at("t") == "facts" && message.contains("facts"))
-    for (auto& fact : message["facts"]) {
-      EXPECT_GT(fact.at(3).get<std::int64_t>(), 1'600'000'000'000);
-      fact[3] = 0;
+    for (auto& report : message["facts"]) {
+      EXPECT_GT(report.at(3).get<std::int64_t>(), 1'600'000'000'000);
+      report[3] = 0;
     }
   return message.dump();
 }
@@ -59,12 +59,12 @@
   if (value.is_object() && value.size() == 1 && value.contains("bytes"))
     return peers::bytes_of(from_hex(value.at("bytes").get<std::string>()));
   if (!value.is_structured()) return value;
-  auto all = value;
-  for (auto& element : all) element = with_byte_strings(element);
-  return all;
+  auto result = value;
+  for (auto& element : result) element = with_byte_strings(element);
+  return result;
 }
 
-class Messages {
+class RecordedMessages {
  public:
   json add(const std::string& name, json message) {
     lines_[name] = normalised(message);
@@ -86,33 +86,35 @@
   return observation;
 }
 
-json command_of(const ownership::Command& command) { return peers::bytes_of(ownership::encode(command)); }
+json encoded_command(const ownership::Command& command) {
+  return peers::bytes_of(ownership::encode(command));
+}
 
 // A directory whose identity is known beforehand.
-void make_directory(const std::string& directory) {
-  state::Batch first;
+void create_voter_directory(const std::string& directory) {
+  state::Batch batch;
   std::string identity;
-  json::to_cbor({{"installation", "golden"}, {"id", kOwnId}, {"name", "a"}}, identity);
-  first.changes.emplace_back("identity", identity);
-  state::open_store(directory, "group", 1)->commit(first);
+  json::to_cbor({{"installation", "golden"}, {"id", kNodeId}, {"name", "a"}}, identity);
+  batch.changes.emplace_back("identity", identity);
+  state::open_store(directory, "group", 1)->commit(batch);
 }
 
 json wait_for_grant(PeerConnection* follower, const std::vector<std::string>& jobs) {
   for (int number = 1;; ++number) {
     follower->send({{"t", "ask"}, {"n", number}, {"willing", jobs}, {"holds", json::array()}});
-    auto told = follower->next("told");
-    if (told.at("granted").size() == jobs.size()) return told;
+    auto reply = follower->next("told");
+    if (reply.at("granted").size() == jobs.size()) return reply;
   }
 }
 
 // A voter that leads, with tools and followers below it.
-void talk_below_a_leader(Messages* messages) {
+void record_leader_messages(RecordedMessages* messages) {
   TemporaryDirectory directory;
-  make_directory(directory.path());
+  create_voter_directory(directory.path());
   TestNode voter(single_voter_options(directory.path()));
   voter.node().start();
-  auto stranger = PeerConnection::dial(voter.port());
-  messages->add("no", stranger.handshake(hello_message("x", "follower", 0, "other")));
+  auto foreign_peer = PeerConnection::dial(voter.port());
+  messages->add("no", foreign_peer.handshake(hello_message("x", "follower", 0, "other")));
   auto operator_link = PeerConnection::dial(voter.port());
   messages->add("welcome", operator_link.handshake(hello_message("fleet", "tool")));
   operator_link.send({{"t", "ping"}});
@@ -120,12 +122,13 @@
   messages->add("answer.identify", operator_link.run_admin_command({{"do", "identify"}}));
   messages->add("answer.no_leader",
                 operator_link.run_admin_command({{"do", "put"}, {"key", "k"}, {"value", "v"}}));
-  auto early = dial_as(voter.port(), "early", "follower");
-  early.send(
-      {{"t", "propose"}, {"ticket", 4}, {"cmd", command_of(ownership::SetConfigurationEntry{"k", "v"})}});
-  messages->add("done.no_leader", early.next("done"));
+  auto early_follower = dial_as(voter.port(), "early", "follower");
+  early_follower.send({{"t", "propose"},
+                       {"ticket", 4},
+                       {"cmd", encoded_command(ownership::SetConfigurationEntry{"k", "v"})}});
+  messages->add("done.no_leader", early_follower.next("done"));
   messages->add("answer.bootstrap",
-                operator_link.run_admin_command({{"do", "bootstrap"}, {"voters", {kOwnId}}}));
+                operator_link.run_admin_command({{"do", "bootstrap"}, {"voters", {kNodeId}}}));
   while (!operator_link.run_admin_command({{"do", "get"}, {"key", "k"}}).at("ok")) {
   }
   messages->add("answer.put", operator_link.run_admin_command({{"do", "put"}, {"key", "k"}, {"value", "v"}}));
@@ -140,11 +143,12 @@
   messages->add("alive", follower.next("alive"));
   messages->add("told.granted", wait_for_grant(&follower, {"probe 7"}));
   messages->add("apply", follower.next("apply"));
-  auto other = dial_as(voter.port(), "q", "follower");
-  other.send({{"t", "want"}, {"set", 7}});
+  auto second_follower = dial_as(voter.port(), "q", "follower");
+  second_follower.send({{"t", "want"}, {"set", 7}});
   messages->add("want.to_owner", follower.next("want"));
-  follower.send(
-      {{"t", "propose"}, {"ticket", 5}, {"cmd", command_of(ownership::SetConfigurationEntry{"k2", "v2"})}});
+  follower.send({{"t", "propose"},
+                 {"ticket", 5},
+                 {"cmd", encoded_command(ownership::SetConfigurationEntry{"k2", "v2"})}});
   messages->add("done", follower.next("done"));
   messages->add("answer.owners", operator_link.run_admin_command({{"do", "owners"}}));
   messages->add("answer.status", operator_link.run_admin_command({{"do", "status"}}));
@@ -152,7 +156,7 @@
 }
 
 // A follower below a voter that this test plays.
-void talk_above_a_follower(Messages* messages) {
+void record_follower_messages(RecordedMessages* messages) {
   PeerListener listener;
   auto options = node_options("p", {{"b", listener.address()}});
   options.jobs = {"list", "probe"};
@@ -165,45 +169,46 @@
   welcome["t"] = "welcome";
   voter.send(welcome);
   messages->add("follow", voter.next("follow"));
-  ownership::LeaseRegistry ledger;
-  ledger.apply(5, ownership::Grant{"list", "p", 0});
-  ledger.apply(6, ownership::Publish{"list", 5, 9, kList});
-  ledger.apply(7, ownership::Grant{"probe 7", "p", 0});
-  voter.send({{"t", "state"}, {"index", 7}, {"ledger", peers::bytes_of(ledger.encode())}});
+  ownership::LeaseRegistry registry;
+  registry.apply(5, ownership::Grant{"list", "p", 0});
+  registry.apply(6, ownership::Publish{"list", 5, 9, kList});
+  registry.apply(7, ownership::Grant{"probe 7", "p", 0});
+  voter.send({{"t", "state"}, {"index", 7}, {"ledger", peers::bytes_of(registry.encode())}});
   voter.send({{"t", "apply"}, {"from", 100}, {"index", 101}, {"entries", json::array()}});
   messages->add("follow.after_a_gap", voter.next("follow"));
-  auto of_probes = [](const json& m) { return m.at("willing").size() == 2; };
-  auto query = messages->add("ask", voter.next("ask", of_probes));
-  auto answer = [&](const json& question, const json& granted, const json& give_up) {
+  auto requests_both_jobs = [](const json& m) { return m.at("willing").size() == 2; };
+  auto first_request = messages->add("ask", voter.next("ask", requests_both_jobs));
+  auto answer = [&](const json& request, const json& granted, const json& give_up) {
     voter.send({{"t", "told"},
                 {"node", "p"},
                 {"via", "p"},
-                {"n", question.at("n")},
+                {"n", request.at("n")},
                 {"length", 2'000'000},
                 {"granted", granted},
                 {"give_up", give_up}});
   };
-  auto all = json::parse(R"([["list",5],["probe 7",7]])");
-  answer(query, all, json::array());
+  auto all_leases = json::parse(R"([["list",5],["probe 7",7]])");
+  answer(first_request, all_leases, json::array());
   messages->add("facts.list", voter.next("facts", [](const json& m) { return m.at("job") == "list"; }));
   node.node().subscribe_to_load("s1");
   messages->add("want", voter.next("want"));
   messages->add("facts.probe", voter.next("facts", [](const json& m) { return m.at("job") == "probe 7"; }));
   node.node().submit_observation(observation());
   messages->add("seen", voter.next("seen"));
-  auto holding = voter.next("ask", [](const json& m) { return m.at("holds").size() == 2; });
-  for (auto& held : holding["holds"]) held[2] = 0;  // work done so far
-  messages->add("ask.holding", holding);
-  answer(holding, all, {"probe 7"});
+  auto request_with_leases = voter.next("ask", [](const json& m) { return m.at("holds").size() == 2; });
+  for (auto& held_lease : request_with_leases["holds"]) held_lease[2] = 0;  // work done so far
+  messages->add("ask.holding", request_with_leases);
+  answer(request_with_leases, all_leases, {"probe 7"});
   messages->add("propose.release", voter.next("propose"));
   messages->add("ping", voter.next("ping"));
 }
 
-json append_of(std::vector<consensus::Entry> entries, std::uint64_t index, std::uint64_t log_term) {
+json append_entries_message(std::vector<consensus::Entry> entries, std::uint64_t index,
+                            std::uint64_t log_term) {
   consensus::Message append;
   append.type = consensus::Message::Type::kAppendEntries;
   append.from = 2;
-  append.to = kOwnId;
+  append.to = kNodeId;
   append.term = 50;
   append.index = index;
   append.log_term = log_term;
@@ -214,12 +219,13 @@
 }
 
 // What a follower says goes on to the leader, and what the leader says goes on to the follower.
-void talk_through_a_voter(Messages* messages, int port, PeerConnection* dialed, PeerConnection* leader) {
+void record_relayed_messages(RecordedMessages* messages, int port, PeerConnection* dialed,
+                             PeerConnection* leader) {
   auto follower = dial_as(port, "p", "follower");
   follower.send({{"t", "follow"}, {"index", 0}});
   follower.send({{"t", "ask"}, {"n", 4}, {"willing", {"list"}}, {"holds", {{"list", 5, 6}}}});
   messages->add("ask.passed_on", dialed->next("ask"));
-  follower.send({{"t", "propose"}, {"ticket", 5}, {"cmd", command_of(ownership::Release{"list", 5})}});
+  follower.send({{"t", "propose"}, {"ticket", 5}, {"cmd", encoded_command(ownership::Release{"list", 5})}});
   messages->add("propose.passed_on", dialed->next("propose"));
   follower.next("state");
   auto now = std::chrono::system_clock::now().time_since_epoch() / std::chrono::milliseconds(1);
@@ -235,9 +241,9 @@
 }
 
 // A voter of three that follows the leader, which this test plays.
-void talk_between_voters(Messages* messages) {
+void record_voter_messages(RecordedMessages* messages) {
   TemporaryDirectory directory;
-  make_directory(directory.path());
+  create_voter_directory(directory.path());
   PeerListener listener;
   auto options = single_voter_options(directory.path());
   options.nodes = {{"a", "127.0.0.1:1"}, {"b", listener.address()}, {"c", "127.0.0.1:3"}};
@@ -253,11 +259,11 @@
   dialed.send(welcome);
   auto leader = dial_as(node.port(), "b", "voter", 2);
   auto operator_link = dial_as(node.port(), "fleet", "tool");
-  ASSERT_TRUE(operator_link.run_admin_command({{"do", "bootstrap"}, {"voters", {kOwnId, 2, 3}}}).at("ok"));
-  consensus::Entry nothing{50, 2, consensus::EntryType::kNoOp, ""};
+  ASSERT_TRUE(operator_link.run_admin_command({{"do", "bootstrap"}, {"voters", {kNodeId, 2, 3}}}).at("ok"));
+  consensus::Entry no_op{50, 2, consensus::EntryType::kNoOp, ""};
   consensus::Entry grant{50, 3, consensus::EntryType::kCommand,
                          ownership::encode(ownership::Grant{"placement", "b", 0})};
-  leader.send(append_of({nothing, grant}, 1, 1));
+  leader.send(append_entries_message({no_op, grant}, 1, 1));
   // Told once what was sent is durable.
   messages->add("raft.append_reply", dialed.next("raft", [](const json& m) { return m.value("i", 0) == 3; }));
   node.node().submit_observation(observation());
@@ -272,19 +278,19 @@
   auto answer = operator_link.next("answer");
   messages->add("forward.get", forward);
   messages->add("answer.from_leader", answer);
-  talk_through_a_voter(messages, node.port(), &dialed, &leader);
+  record_relayed_messages(messages, node.port(), &dialed, &leader);
 }
 
 // A voter that leads and owns the plan: what its own jobs say.
-void talk_of_a_plan(Messages* messages) {
+void record_placement_messages(RecordedMessages* messages) {
   TemporaryDirectory directory;
-  make_directory(directory.path());
+  create_voter_directory(directory.path());
   auto options = single_voter_options(directory.path());
   options.jobs = {"placement"};
   TestNode voter(options);
   voter.node().start();
   auto operator_link = dial_as(voter.port(), "fleet", "tool");
-  ASSERT_TRUE(operator_link.run_admin_command({{"do", "bootstrap"}, {"voters", {kOwnId}}}).at("ok"));
+  ASSERT_TRUE(operator_link.run_admin_command({{"do", "bootstrap"}, {"voters", {kNodeId}}}).at("ok"));
   auto follower = dial_as(voter.port(), "p", "follower");
   follower.send({{"t", "follow"}, {"index", 0}});
   messages->add("facts.placement", follower.next("facts"));
@@ -298,32 +304,33 @@
 }  // namespace
 
 // For the codec that will read them: each line, with its byte strings put back, is a frame of its kind.
-TEST(PeerMessages, EachGoldenLineIsAFrame) {
+TEST(PeerMessages, EachGoldenLineEncodesToAFrame) {
   auto lines = read_golden(kFile);
   ASSERT_GE(lines.size(), 40u);
   for (auto& [name, text] : lines) {
     auto message = with_byte_strings(json::parse(text));
     auto bytes = peers::frame(message);
-    json read;
+    json decoded;
     std::size_t size = 0;
-    ASSERT_EQ(peers::parse_frame(bytes, &read, &size), peers::FrameParse::kOk) << name;
-    EXPECT_EQ(read, message) << name;
-    EXPECT_EQ(name.substr(0, name.find('.')), read.at("t")) << name;
-    bool command_read =
-        !read.contains("cmd") || ownership::decode(peers::text_of_bytes(read.at("cmd"))).has_value();
-    bool ledger_read = !read.contains("ledger") ||
-                       ownership::LeaseRegistry::decode(peers::text_of_bytes(read.at("ledger"))).has_value();
-    EXPECT_TRUE(command_read) << name;
-    EXPECT_TRUE(ledger_read) << name;
+    ASSERT_EQ(peers::parse_frame(bytes, &decoded, &size), peers::FrameParse::kOk) << name;
+    EXPECT_EQ(decoded, message) << name;
+    EXPECT_EQ(name.substr(0, name.find('.')), decoded.at("t")) << name;
+    bool command_decodes =
+        !decoded.contains("cmd") || ownership::decode(peers::text_of_bytes(decoded.at("cmd"))).has_value();
+    bool registry_decodes =
+        !decoded.contains("ledger") ||
+        ownership::LeaseRegistry::decode(peers::text_of_bytes(decoded.at("ledger"))).has_value();
+    EXPECT_TRUE(command_decodes) << name;
+    EXPECT_TRUE(registry_decodes) << name;
   }
 }
 
-TEST(PeerMessages, ANodeSendsWhatItSent) {
-  Messages messages;
-  talk_below_a_leader(&messages);
-  talk_above_a_follower(&messages);
-  talk_between_voters(&messages);
-  talk_of_a_plan(&messages);
+TEST(PeerMessages, NodeSendsTheGoldenMessages) {
+  RecordedMessages messages;
+  record_leader_messages(&messages);
+  record_follower_messages(&messages);
+  record_voter_messages(&messages);
+  record_placement_messages(&messages);
   expect_golden(kFile, kComment, messages.lines());
 }
 
--- a/tests/formats/simulation_fingerprint_test.cpp
+++ b/tests/formats/simulation_fingerprint_test.cpp
@@ -50,7 +50,7 @@
 
 }  // namespace
 
-TEST(SimulationFingerprint, GroupsAndZonesPlayAsTheyDid) {
+TEST(SimulationFingerprint, SimulatedRunsMatchTheGoldenFingerprints) {
   NamedLines lines;
   for (auto seed : kSeeds) {
     simulation::WorldOptions options;
--- a/tests/formats/stored_format_test.cpp
+++ b/tests/formats/stored_format_test.cpp
@@ -22,7 +22,7 @@
 constexpr const char* kComment = "What stands in stored_group/. See tests/formats/stored_format_test.cpp.";
 constexpr int kStoreVersion = 1;
 // A snapshot is taken after 1024 entries, and 512 stay behind it; these go past it by a few dozen.
-constexpr int kSettings = 1060;
+constexpr int kPutCommands = 1060;
 
 const std::string kList =
     R"({"generation":9,"reset":true,"instances":[{"instanceId":"s1","cell":7,"hostPort":"127.0.0.1:2","zone":"z1"}]})";
@@ -40,11 +40,11 @@
 }
 
 // The token that this job is granted with; asks until it is.
-std::uint64_t be_granted(PeerConnection* follower, const std::vector<std::string>& jobs) {
+std::uint64_t wait_for_lease_token(PeerConnection* follower, const std::vector<std::string>& jobs) {
   for (std::uint64_t number = 1;; ++number) {
     follower->send({{"t", "ask"}, {"n", number}, {"willing", jobs}, {"holds", json::array()}});
-    auto told = follower->next("told");
-    if (told.at("granted").size() == jobs.size()) return told.at("granted").at(0).at(1);
+    auto reply = follower->next("told");
+    if (reply.at("granted").size() == jobs.size()) return reply.at("granted").at(0).at(1);
   }
 }
 
@@ -62,15 +62,15 @@
   ASSERT_TRUE(operator_link.run_admin_command({{"do", "bootstrap"}, {"voters", {id}}}).at("ok"));
   while (!operator_link.run_admin_command({{"do", "put"}, {"key", "name"}, {"value", "first"}}).at("ok")) {
   }
-  auto owner = dial_as(voter.port(), "owner", "follower");
-  auto token = be_granted(&owner, {"list"});
-  propose(&owner, ownership::Publish{"list", token, 9, kList});
+  auto list_holder = dial_as(voter.port(), "owner", "follower");
+  auto token = wait_for_lease_token(&list_holder, {"list"});
+  propose(&list_holder, ownership::Publish{"list", token, 9, kList});
   auto planner = dial_as(voter.port(), "planner", "follower");
-  token = be_granted(&planner, {"placement"});
+  token = wait_for_lease_token(&planner, {"placement"});
   propose(&planner, ownership::Publish{"placement", token, 12, placement::to_json(stored_plan()).dump()});
   auto prober = dial_as(voter.port(), "prober", "follower");
-  be_granted(&prober, {"probe 7"});  // publishes nothing: its token is not that of its data
-  for (int i = 0; i < kSettings; ++i)
+  wait_for_lease_token(&prober, {"probe 7"});  // publishes nothing: its token is not that of its data
+  for (int i = 0; i < kPutCommands; ++i)
     ASSERT_TRUE(operator_link
                     .run_admin_command(
                         {{"do", "put"}, {"key", fmt::format("k{}", i % 40)}, {"value", fmt::format("{}", i)}})
@@ -97,32 +97,32 @@
         fmt::format("key={} term={} kind={} data={}", to_hex(key), entry->term, static_cast<int>(entry->type),
                     to_hex(entry->data));
   }
-  auto ledger = ownership::LeaseRegistry::decode(snapshot->data);
-  EXPECT_TRUE(ledger);
-  for (auto& [name, job] : ledger->jobs())
+  auto registry = ownership::LeaseRegistry::decode(snapshot->data);
+  EXPECT_TRUE(registry);
+  for (auto& [name, job] : registry->jobs())
     lines[fmt::format("snapshot.job.{}", name == "probe 7" ? "probe-7" : name)] =
         fmt::format("owner={} token={} published_by={} version={} data={}", job.owner, job.token,
                     job.published_by, job.version, job.data);
-  lines["snapshot.settings"] = json(ledger->settings()).dump();
+  lines["snapshot.settings"] = json(registry->settings()).dump();
   lines["keys"] = std::to_string(store->scan("", "\xff").size());
   return lines;
 }
 
-ownership::LeaseRegistry ledger_of(const std::string& directory) {
+ownership::LeaseRegistry lease_registry_of(const std::string& directory) {
   auto store = state::open_store(directory, "group", kStoreVersion);
   auto snapshot = peers::decode_snapshot(store->read("raft/snapshot").value());
-  auto ledger = ownership::LeaseRegistry::decode(snapshot->data).value();
+  auto registry = ownership::LeaseRegistry::decode(snapshot->data).value();
   for (auto& [key, value] : store->scan("raft/log/", "raft/log0")) {
     auto entry = peers::decode_entry(value).value();
     if (entry.index > snapshot->index && entry.type == consensus::EntryType::kCommand)
-      ledger.apply(entry.index, ownership::decode(entry.data).value());
+      registry.apply(entry.index, ownership::decode(entry.data).value());
   }
-  return ledger;
+  return registry;
 }
 
 // Starts a node there and asks it for what it found; the hard state that it must leave behind.
-std::string expect_node_goes_on(const std::string& directory, const NamedLines& before,
-                                const ownership::LeaseRegistry& ledger) {
+std::string expect_node_recovers(const std::string& directory, const NamedLines& before,
+                                 const ownership::LeaseRegistry& registry) {
   auto identity = json::parse(before.at("identity"));
   TestNode voter(single_voter_options(directory));
   voter.node().start();
@@ -138,14 +138,14 @@
   }
   EXPECT_EQ(operator_link.run_admin_command({{"do", "get"}, {"key", "name"}}).at("value"), "first");
   EXPECT_EQ(operator_link.run_admin_command({{"do", "get"}, {"key", "k39"}}).at("value"),
-            std::to_string(kSettings - 21));
+            std::to_string(kPutCommands - 21));
   auto owners = operator_link.run_admin_command({{"do", "owners"}}).at("owners");
   EXPECT_EQ(owners.size(), 3u);
   EXPECT_EQ(owners.at(0).at("job"), "list");
   EXPECT_EQ(owners.at(0).at("owner"), "owner");
-  EXPECT_EQ(owners.at(0).at("token"), ledger.job("list")->token);
+  EXPECT_EQ(owners.at(0).at("token"), registry.job("list")->token);
   EXPECT_EQ(owners.at(1).at("job"), "placement");
-  EXPECT_EQ(owners.at(1).at("token"), ledger.job("placement")->token);
+  EXPECT_EQ(owners.at(1).at("token"), registry.job("placement")->token);
   auto members = operator_link.run_admin_command({{"do", "members"}}).at("members");
   EXPECT_EQ(members.size(), 2u);
   EXPECT_EQ(members.at(0).at("id"), identity.at("id"));
@@ -166,10 +166,11 @@
     if (!should_rewrite_golden_files()) return;
     fs::remove_all(data_path(kDirectory));
     fs::create_directories(data_path(kDirectory));
-    TemporaryDirectory made;
-    write_directory(made.path());
-    state::open_store(made.path(), "group", kStoreVersion).reset();  // the last to close it empties its -wal
-    fs::copy(fs::path(made.path()) / "group.db", data_path(kDirectory) / "group.db");
+    TemporaryDirectory temporary;
+    write_directory(temporary.path());
+    state::open_store(temporary.path(), "group", kStoreVersion)
+        .reset();  // the last to close it empties its -wal
+    fs::copy(fs::path(temporary.path()) / "group.db", data_path(kDirectory) / "group.db");
   }
   StoredFormat() { fs::copy(data_path(kDirectory), copy_.path(), fs::copy_options::recursive); }
   std::string directory() const { return copy_.path(); }
@@ -183,21 +184,21 @@
   expect_golden(kFile, kComment, content_of(directory()));
 }
 
-TEST_F(StoredFormat, TheLedgerHoldsWhatWasWritten) {
-  auto ledger = ledger_of(directory());
-  auto* list = ledger.job("list");
+TEST_F(StoredFormat, TheLeaseRegistryHoldsWhatWasWritten) {
+  auto registry = lease_registry_of(directory());
+  auto* list = registry.job("list");
   ASSERT_TRUE(list);
   EXPECT_EQ(list->owner, "owner");
   EXPECT_EQ(list->token, list->published_by);
   EXPECT_GT(list->token, 1u);
   EXPECT_EQ(list->version, 9u);
   EXPECT_EQ(list->data, kList);
-  auto* placement_job = ledger.job("placement");
+  auto* placement_job = registry.job("placement");
   ASSERT_TRUE(placement_job);
   EXPECT_EQ(placement_job->owner, "");
   EXPECT_GT(placement_job->token, list->token);
   EXPECT_EQ(placement_job->published_by, placement_job->token);
-  auto* probe = ledger.job("probe 7");
+  auto* probe = registry.job("probe 7");
   ASSERT_TRUE(probe);
   EXPECT_EQ(probe->owner, "prober");
   EXPECT_GT(probe->token, placement_job->token);
@@ -205,44 +206,44 @@
   auto plan = placement::plan_from_json(json::parse(placement_job->data));
   EXPECT_EQ(plan.number, 12u);
   EXPECT_TRUE(plan.same_but_number(stored_plan()));
-  EXPECT_EQ(ledger.settings().size(), 41u);
-  EXPECT_EQ(ledger.settings().at("name"), "first");
-  for (int i = kSettings - 40; i < kSettings; ++i)
-    EXPECT_EQ(ledger.settings().at(fmt::format("k{}", i % 40)), std::to_string(i));
-  EXPECT_EQ(ledger.stale(), 0u);
+  EXPECT_EQ(registry.settings().size(), 41u);
+  EXPECT_EQ(registry.settings().at("name"), "first");
+  for (int i = kPutCommands - 40; i < kPutCommands; ++i)
+    EXPECT_EQ(registry.settings().at(fmt::format("k{}", i % 40)), std::to_string(i));
+  EXPECT_EQ(registry.stale(), 0u);
 }
 
-TEST_F(StoredFormat, ANodeOpensItAndGoesOn) {
+TEST_F(StoredFormat, ANodeRecoversFromTheStoredDirectory) {
   auto before = content_of(directory());
-  auto hard = expect_node_goes_on(directory(), before, ledger_of(directory()));
+  auto expected_hard_state = expect_node_recovers(directory(), before, lease_registry_of(directory()));
   auto after = content_of(directory());
-  EXPECT_EQ(after.at("hard"), hard);
+  EXPECT_EQ(after.at("hard"), expected_hard_state);
   EXPECT_EQ(after.at("identity"), before.at("identity"));
   EXPECT_EQ(after.at("snapshot"), before.at("snapshot"));
 }
 
-TEST_F(StoredFormat, AnEntryCutShortQuarantinesTheDirectory) {
+TEST_F(StoredFormat, ATruncatedLogEntryQuarantinesTheDirectory) {
   {
     auto store = state::open_store(directory(), "group", kStoreVersion);
     auto [key, value] = store->scan("raft/log/", "raft/log0").back();
-    state::Batch cut;
-    cut.changes.emplace_back(key, value.substr(0, value.size() / 2));
-    store->commit(cut);
+    state::Batch truncation;
+    truncation.changes.emplace_back(key, value.substr(0, value.size() / 2));
+    store->commit(truncation);
   }
   TestNode voter(single_voter_options(directory()));
   auto lines = voter.log_lines();
   ASSERT_FALSE(lines.empty());
-  std::string torn;
+  std::string quarantine_line;
   for (auto& line : lines)
-    if (line.find("torn") != std::string::npos) torn = line;
-  auto begin = fmt::format(
+    if (line.find("torn") != std::string::npos) quarantine_line = line;
+  auto expected_start = fmt::format(
       "group: its directory is torn ({0}: an entry of its log cannot be read) and was set aside as "
       "{0}/set-aside-",
       directory());
-  EXPECT_EQ(torn.substr(0, begin.size()), begin);
-  constexpr std::string_view kEnd = "; this node begins anew";
-  ASSERT_GT(torn.size(), kEnd.size());
-  EXPECT_EQ(torn.substr(torn.size() - kEnd.size()), kEnd);
+  EXPECT_EQ(quarantine_line.substr(0, expected_start.size()), expected_start);
+  constexpr std::string_view kExpectedEnd = "; this node begins anew";
+  ASSERT_GT(quarantine_line.size(), kExpectedEnd.size());
+  EXPECT_EQ(quarantine_line.substr(quarantine_line.size() - kExpectedEnd.size()), kExpectedEnd);
 }
 
 TEST_F(StoredFormat, ADirectoryOfAnotherInstallationIsRejected) {
--- a/tests/formats/wire_format_test.cpp
+++ b/tests/formats/wire_format_test.cpp
@@ -77,16 +77,16 @@
           {"command.put", ownership::SetConfigurationEntry{"key", "value"}}};
 }
 
-ownership::LeaseRegistry ledger() {
-  ownership::LeaseRegistry ledger;
-  ledger.apply(10, ownership::Grant{"list", "node-a", 0});
-  ledger.apply(11, ownership::Publish{"list", 10, 9, binary_text()});
-  ledger.apply(12, ownership::Grant{"probe 7", "node-b", 0});
-  ledger.apply(13, ownership::Release{"probe 7", 12});
-  ledger.apply(14, ownership::SetConfigurationEntry{"key", "value"});
-  ledger.apply(15, ownership::Grant{"list", "node-c", 10});
-  ledger.apply(16, ownership::Publish{"list", 10, 10, "stale"});
-  return ledger;
+ownership::LeaseRegistry lease_registry() {
+  ownership::LeaseRegistry registry;
+  registry.apply(10, ownership::Grant{"list", "node-a", 0});
+  registry.apply(11, ownership::Publish{"list", 10, 9, binary_text()});
+  registry.apply(12, ownership::Grant{"probe 7", "node-b", 0});
+  registry.apply(13, ownership::Release{"probe 7", 12});
+  registry.apply(14, ownership::SetConfigurationEntry{"key", "value"});
+  registry.apply(15, ownership::Grant{"list", "node-c", 10});
+  registry.apply(16, ownership::Publish{"list", 10, 10, "stale"});
+  return registry;
 }
 
 placement::Observation observation() {
@@ -130,7 +130,7 @@
   put("members", members().encode());
   for (auto& [name, command] : commands()) put(name, ownership::encode(command));
   put("ledger.empty", ownership::LeaseRegistry().encode());
-  put("ledger.full", ledger().encode());
+  put("ledger.full", lease_registry().encode());
   put("observation", placement::to_json(observation()).dump());
   put("observation.empty", placement::to_json(placement::Observation()).dump());
   put("plan", placement::to_json(plan()).dump());
@@ -183,14 +183,14 @@
 
 }  // namespace
 
-TEST(WireFormat, AllWritersWriteTheGoldenBytes) {
+TEST(WireFormat, EncodersProduceTheGoldenBytes) {
   NamedLines lines;
   add_peer_bytes(&lines);
   add_pg_bytes(&lines);
   expect_golden(kFile, kComment, lines);
 }
 
-TEST(WireFormat, GoldenConsensusMessagesAreReadAsTheyWereMeant) {
+TEST(WireFormat, GoldenConsensusMessagesDecodeToTheOriginalValues) {
   for (int type = 0; type < kMessageTypes; ++type)
     for (bool full : {true, false}) {
       auto bytes = golden_bytes((full ? "raft.full." : "raft.bare.") + std::to_string(type));
@@ -204,20 +204,20 @@
     }
 }
 
-TEST(WireFormat, GoldenEntriesSnapshotsAndMembersAreReadAsTheyWereMeant) {
+TEST(WireFormat, GoldenEntriesSnapshotsAndMembersDecodeToTheOriginalValues) {
   int number = 0;
   for (auto& entry : entries())
     EXPECT_EQ(peers::decode_entry(golden_bytes("entry." + std::to_string(number++))), entry);
-  auto read = peers::decode_snapshot(golden_bytes("snapshot"));
-  ASSERT_TRUE(read);
-  EXPECT_EQ(read->index, 1030u);
-  EXPECT_EQ(read->term, 4u);
-  EXPECT_EQ(read->members, members());
-  EXPECT_EQ(read->data, binary_text());
+  auto decoded = peers::decode_snapshot(golden_bytes("snapshot"));
+  ASSERT_TRUE(decoded);
+  EXPECT_EQ(decoded->index, 1030u);
+  EXPECT_EQ(decoded->term, 4u);
+  EXPECT_EQ(decoded->members, members());
+  EXPECT_EQ(decoded->data, binary_text());
   EXPECT_EQ(consensus::Membership::decode(golden_bytes("members")), members());
 }
 
-TEST(WireFormat, GoldenCommandsAreReadAsTheyWereMeant) {
+TEST(WireFormat, GoldenCommandsDecodeToTheOriginalValues) {
   auto grant = ownership::decode(golden_bytes("command.grant"));
   ASSERT_TRUE(grant && std::holds_alternative<ownership::Grant>(*grant));
   EXPECT_EQ(std::get<ownership::Grant>(*grant).job, "probe 7");
@@ -239,42 +239,42 @@
   EXPECT_EQ(std::get<ownership::SetConfigurationEntry>(*put).value, "value");
 }
 
-TEST(WireFormat, GoldenLedgerIsReadAsItWasMeant) {
-  auto read = ownership::LeaseRegistry::decode(golden_bytes("ledger.full"));
-  ASSERT_TRUE(read);
-  ASSERT_EQ(read->jobs().size(), 2u);
-  auto* list = read->job("list");
+TEST(WireFormat, GoldenLeaseRegistryDecodesToTheOriginalValues) {
+  auto decoded = ownership::LeaseRegistry::decode(golden_bytes("ledger.full"));
+  ASSERT_TRUE(decoded);
+  ASSERT_EQ(decoded->jobs().size(), 2u);
+  auto* list = decoded->job("list");
   ASSERT_TRUE(list);
   EXPECT_EQ(list->owner, "node-c");
   EXPECT_EQ(list->token, 15u);
   EXPECT_EQ(list->published_by, 10u);
   EXPECT_EQ(list->version, 9u);
   EXPECT_EQ(list->data, binary_text());
-  auto* probe = read->job("probe 7");
+  auto* probe = decoded->job("probe 7");
   ASSERT_TRUE(probe);
   EXPECT_EQ(probe->owner, "");
   EXPECT_EQ(probe->token, 12u);
-  EXPECT_EQ(read->settings(), (std::map<std::string, std::string>{{"key", "value"}}));
-  EXPECT_EQ(read->stale(), 1u);
+  EXPECT_EQ(decoded->settings(), (std::map<std::string, std::string>{{"key", "value"}}));
+  EXPECT_EQ(decoded->stale(), 1u);
 }
 
-TEST(WireFormat, GoldenObservationAndPlanAreReadAsTheyWereMeant) {
+TEST(WireFormat, GoldenObservationAndPlanDecodeToTheOriginalValues) {
   EXPECT_EQ(placement::observation_from_json(nlohmann::json::parse(golden_bytes("observation"))),
             observation());
   EXPECT_EQ(placement::observation_from_json(nlohmann::json::parse(golden_bytes("observation.empty"))),
             placement::Observation());
-  auto read = placement::plan_from_json(nlohmann::json::parse(golden_bytes("plan")));
-  EXPECT_EQ(read.number, 12u);
-  EXPECT_TRUE(read.same_but_number(plan()));
-  EXPECT_EQ(read.zones, plan().zones);
-  EXPECT_EQ(read.links, plan().links);
-  EXPECT_EQ(read.shares, plan().shares);
-  EXPECT_EQ(read.surplus_capacity, plan().surplus_capacity);
-  EXPECT_EQ(read.changes, plan().changes);
-  EXPECT_TRUE(read.frozen);
+  auto decoded = placement::plan_from_json(nlohmann::json::parse(golden_bytes("plan")));
+  EXPECT_EQ(decoded.number, 12u);
+  EXPECT_TRUE(decoded.same_but_number(plan()));
+  EXPECT_EQ(decoded.zones, plan().zones);
+  EXPECT_EQ(decoded.links, plan().links);
+  EXPECT_EQ(decoded.shares, plan().shares);
+  EXPECT_EQ(decoded.surplus_capacity, plan().surplus_capacity);
+  EXPECT_EQ(decoded.changes, plan().changes);
+  EXPECT_TRUE(decoded.frozen);
 }
 
-TEST(WireFormat, GoldenPgMessagesAreReadAsTheyWereMeant) {
+TEST(WireFormat, GoldenPgMessagesDecodeToTheOriginalValues) {
   pg::FirstMessage first;
   ASSERT_EQ(pg::parse_first_message(golden_bytes("pg.startup_message"), &first), pg::ParseStatus::kOk);
   EXPECT_EQ(first.kind, pg::FirstMessageKind::kStartup);
@@ -292,7 +292,7 @@
 }
 
 // pg/statement writes nothing; what it makes of each known form is fixed here.
-TEST(WireFormat, StatementsAreReadFieldByField) {
+TEST(WireFormat, StatementsAreParsedFieldByField) {
   std::string text =
       "SELECT content FROM kv WHERE name = 'k1' /* id=a1,c=browse,d=250,cluster=7,after=99,r=1 */";
   auto read = pg::parse_statement(text);
