--- a/tests/formats/golden_file.h
+++ b/tests/formats/golden_file.h
@@ -1,6 +1,6 @@
-// Golden files: one `name value` a line, compared with what the program writes now. With
-// DATABASE_PROXY_REWRITE_GOLDEN=1 in the environment a test writes its file anew instead, and fails, so that
-// no run which rewrites can be taken for one which compares.
+// Golden files hold one `name value` pair per line; tests compare them with what the program produces now. If
+// the environment variable DATABASE_PROXY_REWRITE_GOLDEN is set, a test rewrites its file instead and fails,
+// so that a run that rewrites cannot be mistaken for one that compares.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -14,8 +14,10 @@
 
 namespace database_proxy::test {
 
+// Value of each line of a golden file, by its name.
 using NamedLines = std::map<std::string, std::string>;
 
+// Returns the path of a file or directory under tests/data.
 inline std::filesystem::path data_path(const std::string& name) {
   return std::filesystem::path(DATABASE_PROXY_TEST_DATA) / name;
 }
@@ -39,6 +41,7 @@
   return bytes;
 }
 
+// Reads a golden file; empty lines and lines that begin with `#` are skipped.
 inline NamedLines read_golden(const std::string& file_name) {
   std::ifstream file(data_path(file_name));
   EXPECT_TRUE(file) << data_path(file_name) << " cannot be read";
@@ -48,12 +51,13 @@
     if (line.empty() || line[0] == '#') continue;
     EXPECT_NE(space, std::string::npos) << file_name << ": no value in '" << line << "'";
     EXPECT_TRUE(lines.emplace(line.substr(0, space), line.substr(space + 1)).second)
-        << file_name << ": twice: " << line;
+        << file_name << ": duplicate name in line: " << line;
   }
   return lines;
 }
 
-// Every name must be on both sides, with the same value.
+// Expects the golden file and `actual` to have the same names, each with the same value. In a rewriting run,
+// writes `actual` to the file, with `header_comment` as its first line, and fails the test.
 inline void expect_golden(const std::string& file_name, const std::string& header_comment,
                           const NamedLines& actual) {
   if (should_rewrite_golden_files()) {
@@ -64,16 +68,16 @@
     return;
   }
   auto golden = read_golden(file_name);
-  EXPECT_FALSE(golden.empty()) << file_name << " holds nothing";
+  EXPECT_FALSE(golden.empty()) << file_name << " has no entries";
   for (auto& [name, value] : actual) {
     auto it = golden.find(name);
     if (it == golden.end())
-      ADD_FAILURE() << file_name << " lacks '" << name << "', which is now\n" << value;
+      ADD_FAILURE() << file_name << " has no entry '" << name << "'; current value:\n" << value;
     else
       EXPECT_EQ(it->second, value) << file_name << ": " << name;
   }
   for (auto& [name, value] : golden)
-    EXPECT_TRUE(actual.contains(name)) << file_name << ": '" << name << "' is not written now";
+    EXPECT_TRUE(actual.contains(name)) << file_name << ": '" << name << "' is no longer produced";
 }
 
 }  // namespace database_proxy::test
--- a/tests/formats/peer_messages_test.cpp
+++ b/tests/formats/peer_messages_test.cpp
@@ -1,10 +1,10 @@
-// Messages between daemons beside those of consensus, as a node sends them over real connections to peers
-// that this test plays; compared with tests/data/peer_messages.txt. One `name json` a line: the message as an
-// object whose byte strings stand as {"bytes": "hex"}. Keys are in order and numbers keep their kind, so
-// encoding that object gives the frame byte by byte (PeerConnection checks that the node wrote just that).
-// What the clock or chance decide is replaced: see normalised(). The file is rewritten by
-// `DATABASE_PROXY_REWRITE_GOLDEN=1 stored_and_wire_format_tests
-// --gtest_filter='PeerMessages.*'`; only a deliberate change of a message may do so.
+// Compares messages between daemons, other than the consensus messages that wire_format_test.cpp covers, with
+// tests/data/peer_messages.txt. A real node sends them over real connections to peers that the test
+// simulates. Each line of the file is a `name json` pair, with byte strings as {"bytes": "hex"}. Keys are
+// sorted and numbers keep their type, so encoding the object gives the frame byte for byte (PeerConnection
+// checks that the node wrote exactly these bytes). Values that depend on the clock or on chance are replaced,
+// see normalised(). Rewrite the file with `DATABASE_PROXY_REWRITE_GOLDEN=1 stored_and_wire_format_tests
+// --gtest_filter='PeerMessages.*'`, and only for a deliberate change of a message.
 #include <gtest/gtest.h>
 
 #include <chrono>
@@ -22,7 +22,9 @@
     "Messages between daemons: name, JSON. See tests/formats/peer_messages_test.cpp.";
 constexpr std::uint64_t kNodeId = 1001;
 
-// Unix milliseconds, monotonic microseconds and numbers that depend on how often something was asked before.
+// Replaces byte strings by {"bytes": "hex"}, and values that differ between runs by fixed ones: Unix
+// milliseconds, monotonic microseconds, durations, and request numbers, which depend on how often a request
+// was sent before.
 void normalise(json* value) {
   if (value->is_binary()) {
     auto& bytes = value->get_binary();
@@ -36,16 +38,17 @@
       if (varies && element.is_number_integer())
         element = 0;
       else if (key == "node" && element.get<std::string>().starts_with("tool-"))
-        element = "tool-0";  // a voter numbers its tools by chance
+        element = "tool-0";  // a voter names admin clients with a random number
       else
         normalise(&element);
     }
   }
 }
 
+// Returns the message as golden text, without the values that differ between runs.
 std::string normalised(json message) {
   normalise(&message);
-  if (message.at("t") == "alive") message["term"] = 0;  // how many elections a slow disk took
+  if (message.at("t") == "alive") message["term"] = 0;  // a slow disk causes more elections
   if (message.contains("status")) message["status"]["term"] = 0;
   if (message.at("t") == "facts" && message.contains("facts"))
     for (auto& report : message["facts"]) {
@@ -55,6 +58,7 @@
   return message.dump();
 }
 
+// Reverses the replacement of byte strings by {"bytes": "hex"}.
 json with_byte_strings(const json& value) {
   if (value.is_object() && value.size() == 1 && value.contains("bytes"))
     return peers::bytes_of(from_hex(value.at("bytes").get<std::string>()));
@@ -64,6 +68,7 @@
   return result;
 }
 
+// The messages that a node sent, normalised, by the name of their golden line.
 class RecordedMessages {
  public:
   json add(const std::string& name, json message) {
@@ -90,7 +95,7 @@
   return peers::bytes_of(ownership::encode(command));
 }
 
-// A directory whose identity is known beforehand.
+// Creates a voter's directory with a fixed identity, so that its id is the same in every run.
 void create_voter_directory(const std::string& directory) {
   state::Batch batch;
   std::string identity;
@@ -99,6 +104,7 @@
   state::open_store(directory, "group", 1)->commit(batch);
 }
 
+// Repeats the lease request until all jobs are granted, and returns the response.
 json wait_for_grant(PeerConnection* follower, const std::vector<std::string>& jobs) {
   for (int number = 1;; ++number) {
     follower->send({{"t", "ask"}, {"n", number}, {"willing", jobs}, {"holds", json::array()}});
@@ -107,7 +113,7 @@
   }
 }
 
-// A voter that leads, with tools and followers below it.
+// Records what a leading voter sends to admin clients and followers without a vote.
 void record_leader_messages(RecordedMessages* messages) {
   TemporaryDirectory directory;
   create_voter_directory(directory.path());
@@ -155,7 +161,7 @@
   messages->add("answer.step_down", operator_link.run_admin_command({{"do", "step-down"}}));
 }
 
-// A follower below a voter that this test plays.
+// Records what a follower without a vote sends to its voter, which the test simulates.
 void record_follower_messages(RecordedMessages* messages) {
   PeerListener listener;
   auto options = node_options("p", {{"b", listener.address()}});
@@ -196,13 +202,14 @@
   node.node().submit_observation(observation());
   messages->add("seen", voter.next("seen"));
   auto request_with_leases = voter.next("ask", [](const json& m) { return m.at("holds").size() == 2; });
-  for (auto& held_lease : request_with_leases["holds"]) held_lease[2] = 0;  // work done so far
+  for (auto& held_lease : request_with_leases["holds"]) held_lease[2] = 0;  // progress, which varies
   messages->add("ask.holding", request_with_leases);
   answer(request_with_leases, all_leases, {"probe 7"});
   messages->add("propose.release", voter.next("propose"));
   messages->add("ping", voter.next("ping"));
 }
 
+// Returns an AppendEntries message of voter 2, the simulated leader.
 json append_entries_message(std::vector<consensus::Entry> entries, std::uint64_t index,
                             std::uint64_t log_term) {
   consensus::Message append;
@@ -218,7 +225,8 @@
   return peers::raft_to_json(append);
 }
 
-// What a follower says goes on to the leader, and what the leader says goes on to the follower.
+// Records the messages that a voter forwards from a follower without a vote to the leader, and back, and its
+// exchange of endpoint list copies with the leader.
 void record_relayed_messages(RecordedMessages* messages, int port, PeerConnection* dialed,
                              PeerConnection* leader) {
   auto follower = dial_as(port, "p", "follower");
@@ -240,7 +248,8 @@
   messages->add("facts.placement.passed_on", follower.next("facts"));
 }
 
-// A voter of three that follows the leader, which this test plays.
+// Records what a following voter, one of three, sends to the leader, which the test simulates, and to an
+// admin client.
 void record_voter_messages(RecordedMessages* messages) {
   TemporaryDirectory directory;
   create_voter_directory(directory.path());
@@ -264,7 +273,7 @@
   consensus::Entry grant{50, 3, consensus::EntryType::kCommand,
                          ownership::encode(ownership::Grant{"placement", "b", 0})};
   leader.send(append_entries_message({no_op, grant}, 1, 1));
-  // Told once what was sent is durable.
+  // The voter acknowledges the entries only once they are durable.
   messages->add("raft.append_reply", dialed.next("raft", [](const json& m) { return m.value("i", 0) == 3; }));
   node.node().submit_observation(observation());
   messages->add("sum", dialed.next("sum", [](const json& m) { return m.at("o").contains("seen"); }));
@@ -281,7 +290,7 @@
   record_relayed_messages(messages, node.port(), &dialed, &leader);
 }
 
-// A voter that leads and owns the plan: what its own jobs say.
+// Records what a leading voter that holds the placement lease sends about its plan.
 void record_placement_messages(RecordedMessages* messages) {
   TemporaryDirectory directory;
   create_voter_directory(directory.path());
@@ -303,7 +312,8 @@
 
 }  // namespace
 
-// For the codec that will read them: each line, with its byte strings put back, is a frame of its kind.
+// Each line, with its byte strings restored, must encode to a frame that the codec decodes to the same
+// message, and its type must match the name of the line.
 TEST(PeerMessages, EachGoldenLineEncodesToAFrame) {
   auto lines = read_golden(kFile);
   ASSERT_GE(lines.size(), 40u);
--- a/tests/formats/simulation_fingerprint_test.cpp
+++ b/tests/formats/simulation_fingerprint_test.cpp
@@ -1,8 +1,8 @@
-// What `proxy-testbench simulate group` and `simulate zones` play for a few seeds, compared with
-// tests/data/simulation_fingerprints.txt: a seed gives the same run each time, so a change of any decision in
-// consensus, ownership or placement shows here. One `name value` a line.
-// The file is rewritten by `DATABASE_PROXY_REWRITE_GOLDEN=1 stored_and_wire_format_tests
-// --gtest_filter='SimulationFingerprint.*'`; only a deliberate change of a decision may do so.
+// Compares the runs of `proxy-testbench simulate group` and `simulate zones` for a few seeds with
+// tests/data/simulation_fingerprints.txt (one `name value` pair per line). A seed gives the same run each
+// time, so a change of any decision in consensus, ownership or placement makes the test fail. Rewrite the
+// file with `DATABASE_PROXY_REWRITE_GOLDEN=1 stored_and_wire_format_tests
+// --gtest_filter='SimulationFingerprint.*'`, and only for a deliberate change of a decision.
 #include <fmt/format.h>
 #include <gtest/gtest.h>
 
@@ -21,7 +21,7 @@
 constexpr const char* kFile = "simulation_fingerprints.txt";
 constexpr std::uint64_t kSeeds[] = {1, 2, 3, 7, 42, 1000};
 
-// FNV-1a, so that the value is the same with every standard library.
+// Returns the FNV-1a hash of the lines; unlike std::hash it is the same with every standard library.
 std::uint64_t hash_of(const std::vector<std::string>& lines) {
   std::uint64_t hash = 14695981039346656037ull;
   auto add = [&](unsigned char byte) { hash = (hash ^ byte) * 1099511628211ull; };
--- a/tests/formats/stored_format_test.cpp
+++ b/tests/formats/stored_format_test.cpp
@@ -1,7 +1,8 @@
-// A voter's directory, as the program wrote it when tests/data/stored_group/ was made, is opened from a copy:
-// by the store and the codec, field by field (tests/data/stored_group.txt), and by a node, as a daemon does.
-// Directory and list are made anew by `DATABASE_PROXY_REWRITE_GOLDEN=1 stored_and_wire_format_tests
-// --gtest_filter='StoredFormat.*'`; only a deliberate change of what is stored may do so.
+// Opens a copy of tests/data/stored_group/, a voter's directory as the program wrote it when the data was
+// made: with the store and the codec, comparing each field with tests/data/stored_group.txt, and with a node,
+// as a daemon does. Rewrite the directory and the file with `DATABASE_PROXY_REWRITE_GOLDEN=1
+// stored_and_wire_format_tests --gtest_filter='StoredFormat.*'`, and only for a deliberate change of the
+// stored format.
 #include <fmt/format.h>
 #include <gtest/gtest.h>
 
@@ -21,12 +22,14 @@
 constexpr const char* kFile = "stored_group.txt";
 constexpr const char* kComment = "What stands in stored_group/. See tests/formats/stored_format_test.cpp.";
 constexpr int kStoreVersion = 1;
-// A snapshot is taken after 1024 entries, and 512 stay behind it; these go past it by a few dozen.
+// Number of put commands. A snapshot is taken after 1024 entries, and the 512 entries before it stay in the
+// log; this number exceeds the snapshot interval by a few dozen.
 constexpr int kPutCommands = 1060;
 
 const std::string kList =
     R"({"generation":9,"reset":true,"instances":[{"instanceId":"s1","cell":7,"hostPort":"127.0.0.1:2","zone":"z1"}]})";
 
+// The placement plan that the stored directory holds.
 placement::Plan stored_plan() {
   placement::Plan plan;
   plan.number = 12;
@@ -39,7 +42,7 @@
   return plan;
 }
 
-// The token that this job is granted with; asks until it is.
+// Repeats the lease request until all jobs are granted, and returns the fencing token of the first one.
 std::uint64_t wait_for_lease_token(PeerConnection* follower, const std::vector<std::string>& jobs) {
   for (std::uint64_t number = 1;; ++number) {
     follower->send({{"t", "ask"}, {"n", number}, {"willing", jobs}, {"holds", json::array()}});
@@ -48,12 +51,14 @@
   }
 }
 
+// Proposes a command and expects it to be accepted.
 void propose(PeerConnection* follower, const ownership::Command& command) {
   follower->send({{"t", "propose"}, {"ticket", 5}, {"cmd", peers::bytes_of(ownership::encode(command))}});
   auto done = follower->next("done");
   ASSERT_TRUE(done.at("ok")) << done;
 }
 
+// Lets a voter write a new directory: settings, leases, published results, a snapshot, and a learner.
 void write_directory(const std::string& directory) {
   TestNode voter(single_voter_options(directory));
   voter.node().start();
@@ -69,7 +74,7 @@
   token = wait_for_lease_token(&planner, {"placement"});
   propose(&planner, ownership::Publish{"placement", token, 12, placement::to_json(stored_plan()).dump()});
   auto prober = dial_as(voter.port(), "prober", "follower");
-  wait_for_lease_token(&prober, {"probe 7"});  // publishes nothing: its token is not that of its data
+  wait_for_lease_token(&prober, {"probe 7"});  // does not publish: published_by stays 0
   for (int i = 0; i < kPutCommands; ++i)
     ASSERT_TRUE(operator_link
                     .run_admin_command(
@@ -79,7 +84,8 @@
   propose(&planner, ownership::Release{"placement", token});
 }
 
-// Keys and values as they are; the log's, the ledger's and the snapshot's meaning beside their bytes.
+// Returns the stored keys and values, with the log, the lease registry and the snapshot both decoded and as
+// bytes.
 NamedLines content_of(const std::string& directory) {
   NamedLines lines;
   auto store = state::open_store(directory, "group", kStoreVersion);
@@ -108,6 +114,7 @@
   return lines;
 }
 
+// Returns the lease registry that results from the snapshot and the log entries after it.
 ownership::LeaseRegistry lease_registry_of(const std::string& directory) {
   auto store = state::open_store(directory, "group", kStoreVersion);
   auto snapshot = peers::decode_snapshot(store->read("raft/snapshot").value());
@@ -120,7 +127,8 @@
   return registry;
 }
 
-// Starts a node there and asks it for what it found; the hard state that it must leave behind.
+// Starts a node on the directory and checks the state that it recovered. Returns the hard state that it must
+// have stored when it stops.
 std::string expect_node_recovers(const std::string& directory, const NamedLines& before,
                                  const ownership::LeaseRegistry& registry) {
   auto identity = json::parse(before.at("identity"));
@@ -133,8 +141,8 @@
   EXPECT_TRUE(status.at("initialised"));
   EXPECT_EQ(status.at("list_generation"), 9);
   EXPECT_EQ(status.at("list_from"), "the group");
-  while (
-      !operator_link.run_admin_command({{"do", "get"}, {"key", "name"}}).at("ok")) {  // until it leads again
+  // The command fails until the node is leader again.
+  while (!operator_link.run_admin_command({{"do", "get"}, {"key", "name"}}).at("ok")) {
   }
   EXPECT_EQ(operator_link.run_admin_command({{"do", "get"}, {"key", "name"}}).at("value"), "first");
   EXPECT_EQ(operator_link.run_admin_command({{"do", "get"}, {"key", "k39"}}).at("value"),
@@ -153,7 +161,7 @@
   EXPECT_EQ(members.at(1).at("id"), 77);
   EXPECT_EQ(members.at(1).at("kind"), "learner");
   EXPECT_EQ(voter.node().adopted_plan_number(), 12u);
-  // It was the only voter: its first election, in the next term, goes to itself.
+  // As the only voter, the node wins its first election, in the next term, with its own vote.
   auto term = json::parse(before.at("hard")).at(0).get<std::uint64_t>() + 1;
   EXPECT_EQ(operator_link.run_admin_command({{"do", "status"}}).at("status").at("term"), term);
   voter.node().stop();
@@ -166,11 +174,10 @@
     if (!should_rewrite_golden_files()) return;
     fs::remove_all(data_path(kDirectory));
     fs::create_directories(data_path(kDirectory));
-    TemporaryDirectory temporary;
-    write_directory(temporary.path());
-    state::open_store(temporary.path(), "group", kStoreVersion)
-        .reset();  // the last to close it empties its -wal
-    fs::copy(fs::path(temporary.path()) / "group.db", data_path(kDirectory) / "group.db");
+    TemporaryDirectory source;
+    write_directory(source.path());
+    state::open_store(source.path(), "group", kStoreVersion).reset();  // the last close empties the -wal file
+    fs::copy(fs::path(source.path()) / "group.db", data_path(kDirectory) / "group.db");
   }
   StoredFormat() { fs::copy(data_path(kDirectory), copy_.path(), fs::copy_options::recursive); }
   std::string directory() const { return copy_.path(); }
@@ -251,7 +258,7 @@
   options.installation = "other";
   try {
     TestNode voter(options);
-    FAIL() << "it was opened";
+    FAIL() << "the directory was opened";
   } catch (const state::StoreError& e) {
     EXPECT_EQ(e.code, state::StoreErrorCode::kForeign);
     EXPECT_EQ(e.what(), fmt::format("group.directory {} belongs to the installation 'golden', not 'other'",
@@ -263,7 +270,7 @@
   state::open_store(directory(), "group", kStoreVersion + 1).reset();
   try {
     TestNode voter(single_voter_options(directory()));
-    FAIL() << "it was opened";
+    FAIL() << "the directory was opened";
   } catch (const state::StoreError& e) {
     EXPECT_EQ(e.code, state::StoreErrorCode::kNewer);
     EXPECT_EQ(e.what(), fmt::format("{}/group.db has version 2, this program knows 1", directory()));
--- a/tests/formats/test_node.h
+++ b/tests/formats/test_node.h
@@ -1,4 +1,4 @@
-// A node of the group in this process, with what it tells kept for a look: the real one, as a daemon runs it.
+// Runs a real group::Node inside the test process, as a daemon does, and keeps its log lines for inspection.
 #pragma once
 
 #include <stdlib.h>
@@ -17,12 +17,12 @@
 
 namespace database_proxy::test {
 
-// A directory of its own, removed at the end.
+// A new empty directory, removed by the destructor.
 class TemporaryDirectory {
  public:
   TemporaryDirectory() {
     std::string pattern = (std::filesystem::temp_directory_path() / "database_proxy-XXXXXX").string();
-    if (!mkdtemp(pattern.data())) throw std::runtime_error("no temporary directory");
+    if (!mkdtemp(pattern.data())) throw std::runtime_error("cannot create a temporary directory");
     path_ = pattern;
   }
   ~TemporaryDirectory() { std::filesystem::remove_all(path_); }
@@ -34,7 +34,7 @@
   std::filesystem::path path_;
 };
 
-// Answers each probe at once, with the same report.
+// Reports each probe as successful at the end of the loop iteration, with the same latency and load report.
 class InstantHealthChecker : public group::HealthChecker {
  public:
   explicit InstantHealthChecker(group::HealthCheckCallback on_result) : on_result_(std::move(on_result)) {}
@@ -50,6 +50,7 @@
   std::vector<std::string> pending_checks_;
 };
 
+// Returns the options that all nodes of these tests share. A voter listens on a port that the system picks.
 inline group::Options node_options(const std::string& name, std::vector<group::NodeAddress> nodes) {
   group::Options options;
   options.installation = "golden";
@@ -61,7 +62,7 @@
   return options;
 }
 
-// Quick to elect itself, where it is the only voter.
+// Returns options of the only voter of a group; short election timeouts make it the leader quickly.
 inline group::Options single_voter_options(const std::string& directory) {
   auto options = node_options("a", {{"a", "127.0.0.1:1"}});
   options.directory = directory;
@@ -76,7 +77,7 @@
   return options;
 }
 
-// A node of the group in this process, whose host only remembers what it was given.
+// A node and its host. The host ignores all callbacks; the log lines are printed if the test fails.
 class TestNode : public group::NodeHost {
  public:
   explicit TestNode(group::Options options) {
@@ -114,12 +115,14 @@
   std::unique_ptr<group::Node> node_;
 };
 
+// Returns the hello message of a peer.
 inline json hello_message(const std::string& name, const std::string& kind, std::uint64_t id = 0,
                           const std::string& installation = "golden") {
   return {{"t", "hello"}, {"v", 1},   {"least", 1},  {"installation", installation},
           {"name", name}, {"id", id}, {"kind", kind}};
 }
 
+// Connects to a node and completes the handshake as the given peer.
 inline PeerConnection dial_as(int port, const std::string& name, const std::string& kind,
                               std::uint64_t id = 0) {
   auto peer = PeerConnection::dial(port);
--- a/tests/formats/wire_format_test.cpp
+++ b/tests/formats/wire_format_test.cpp
@@ -1,7 +1,7 @@
-// Bytes of everything that goes over a wire or into the log, compared with tests/data/wire_bytes.txt, one
-// `name hex` a line, and the way back from those bytes to values.
-// The file is rewritten by `DATABASE_PROXY_REWRITE_GOLDEN=1 stored_and_wire_format_tests
-// --gtest_filter='WireFormat.*'`; only a deliberate change of a format may do so.
+// Compares the encoded bytes of everything that is sent over a connection or written to the log with
+// tests/data/wire_bytes.txt (one `name hex` pair per line), and decodes those bytes back to values.
+// Rewrite the file with `DATABASE_PROXY_REWRITE_GOLDEN=1 stored_and_wire_format_tests
+// --gtest_filter='WireFormat.*'`, and only for a deliberate change of a format.
 #include <gtest/gtest.h>
 
 #include <memory>
@@ -25,7 +25,7 @@
 using consensus::EntryType;
 using consensus::Message;
 
-// Bytes that no text has must pass too.
+// Bytes that are not valid UTF-8, and a NUL, must be preserved as well.
 std::string binary_text() { return std::string("\0\xff\x80 text", 8); }
 
 consensus::Membership members() { return {{3, 70'000, 5'000'000'000}, {9}}; }
@@ -40,7 +40,8 @@
           {5, 70'000, EntryType::kCommand, binary_text()}};
 }
 
-// Every field has a value of its own, though no such message goes out.
+// Returns a message in which every field is set, with distinct values for the numbers. No node sends such a
+// message.
 Message full_message(Message::Type type) {
   Message message;
   message.type = type;
@@ -59,6 +60,7 @@
   return message;
 }
 
+// Returns a message with only type, sender, receiver and term set.
 Message bare_message(Message::Type type) {
   Message message;
   message.type = type;
@@ -117,6 +119,7 @@
   return plan;
 }
 
+// Adds the encodings that daemons exchange and store.
 void add_peer_bytes(NamedLines* lines) {
   auto put = [&](const std::string& name, const std::string& bytes) { (*lines)[name] = to_hex(bytes); };
   for (int type = 0; type < kMessageTypes; ++type) {
@@ -137,6 +140,7 @@
   put("plan.empty", placement::to_json(placement::Plan()).dump());
 }
 
+// Adds the PostgreSQL messages that the proxy writes.
 void add_pg_bytes(NamedLines* lines) {
   auto put = [&](const std::string& name, const std::string& bytes) {
     (*lines)["pg." + name] = to_hex(bytes);
@@ -153,6 +157,7 @@
   put("error_response.detail", pg::error_response("FATAL", "57P01", "going", "250"));
 }
 
+// Returns the bytes of one entry of the golden file.
 std::string golden_bytes(const std::string& name) {
   auto lines = read_golden(kFile);
   auto it = lines.find(name);
@@ -291,7 +296,7 @@
   EXPECT_EQ(fields->detail, "250");
 }
 
-// pg/statement writes nothing; what it makes of each known form is fixed here.
+// pg/statement only parses, so the golden file does not cover it; this test checks the parsed fields.
 TEST(WireFormat, StatementsAreParsedFieldByField) {
   std::string text =
       "SELECT content FROM kv WHERE name = 'k1' /* id=a1,c=browse,d=250,cluster=7,after=99,r=1 */";
