--- a/tests/formats/peer_connection.h
+++ b/tests/formats/peer_connection.h
@@ -92,8 +92,7 @@
       }
       char chunk[16384];
       auto count = recv(socket_.get(), chunk, sizeof chunk, 0);
-      if (count <= 0)
-        throw std::runtime_error("the node closed the connection or timed out; expected " + expected);
+      if (count <= 0) throw std::runtime_error("no further message from the node; expected " + expected);
       received_.append(chunk, static_cast<std::size_t>(count));
     }
   }
