--- a/tests/formats/test_node.h
+++ b/tests/formats/test_node.h
@@ -1,4 +1,4 @@
-// A node of the group in this process, with what it tells kept for a look: the real one, as a daemon runs it.
+// Runs a real group::Node inside the test process, as a daemon does, and keeps its log lines for inspection.
 #pragma once
 
 #include <stdlib.h>
@@ -17,12 +17,12 @@
 
 namespace database_proxy::test {
 
-// A directory of its own, removed at the end.
+// A new empty directory, removed by the destructor.
 class TemporaryDirectory {
  public:
   TemporaryDirectory() {
     std::string pattern = (std::filesystem::temp_directory_path() / "database_proxy-XXXXXX").string();
-    if (!mkdtemp(pattern.data())) throw std::runtime_error("no temporary directory");
+    if (!mkdtemp(pattern.data())) throw std::runtime_error("cannot create a temporary directory");
     path_ = pattern;
   }
   ~TemporaryDirectory() { std::filesystem::remove_all(path_); }
@@ -34,21 +34,23 @@
   std::filesystem::path path_;
 };
 
-// Answers each probe at once, with the same report.
+// Reports each probe as successful at the end of the loop iteration, with the same latency and load report.
 class InstantHealthChecker : public group::HealthChecker {
  public:
   explicit InstantHealthChecker(group::HealthCheckCallback on_result) : on_result_(std::move(on_result)) {}
   void update_endpoints(const discovery::EndpointListUpdate&) override {}
-  void check(const std::string& server) override { due_.push_back(server); }
+  void check(const std::string& server) override { pending_checks_.push_back(server); }
   void end_loop_iteration() override {
-    for (auto& server : std::exchange(due_, {})) on_result_({server, true, group::Micros(1500), "x2=3"});
+    for (auto& server : std::exchange(pending_checks_, {}))
+      on_result_({server, true, group::Micros(1500), "x2=3"});
   }
 
  private:
   group::HealthCheckCallback on_result_;
-  std::vector<std::string> due_;
+  std::vector<std::string> pending_checks_;
 };
 
+// Returns the options that all nodes of these tests share. A voter listens on a port that the system picks.
 inline group::Options node_options(const std::string& name, std::vector<group::NodeAddress> nodes) {
   group::Options options;
   options.installation = "golden";
@@ -60,8 +62,8 @@
   return options;
 }
 
-// Quick to elect itself, where it is the only voter.
-inline group::Options lone_voter_options(const std::string& directory) {
+// Returns options of the only voter of a group; short election timeouts make it the leader quickly.
+inline group::Options single_voter_options(const std::string& directory) {
   auto options = node_options("a", {{"a", "127.0.0.1:1"}});
   options.directory = directory;
   options.heartbeat = group::Micros(25'000);
@@ -75,7 +77,7 @@
   return options;
 }
 
-// A node of the group in this process, whose host only remembers what it was given.
+// A node and its host. The host ignores all callbacks; the log lines are printed if the test fails.
 class TestNode : public group::NodeHost {
  public:
   explicit TestNode(group::Options options) {
@@ -83,19 +85,19 @@
                                           discovery::EndpointListUpdate(), *this,
                                           [this](net::Level, const std::string& line) {
                                             std::lock_guard lock(mutex_);
-                                            lines_.push_back(line);
+                                            log_lines_.push_back(line);
                                           });
   }
   ~TestNode() override {
     node_->stop();
     if (!testing::Test::HasFailure() && std::uncaught_exceptions() == 0) return;
-    for (auto& line : lines_) std::cout << line << '\n';
+    for (auto& line : log_lines_) std::cout << line << '\n';
   }
   group::Node& node() { return *node_; }
   int port() const { return node_->port(); }
-  std::vector<std::string> lines() {
+  std::vector<std::string> log_lines() {
     std::lock_guard lock(mutex_);
-    return lines_;
+    return log_lines_;
   }
 
  private:
@@ -109,20 +111,22 @@
   }
 
   std::mutex mutex_;
-  std::vector<std::string> lines_;
+  std::vector<std::string> log_lines_;
   std::unique_ptr<group::Node> node_;
 };
 
-inline json hello_of(const std::string& name, const std::string& kind, std::uint64_t id = 0,
-                     const std::string& installation = "golden") {
+// Returns the hello message of a peer.
+inline json hello_message(const std::string& name, const std::string& kind, std::uint64_t id = 0,
+                          const std::string& installation = "golden") {
   return {{"t", "hello"}, {"v", 1},   {"least", 1},  {"installation", installation},
           {"name", name}, {"id", id}, {"kind", kind}};
 }
 
+// Connects to a node and completes the handshake as the given peer.
 inline PeerConnection dial_as(int port, const std::string& name, const std::string& kind,
                               std::uint64_t id = 0) {
   auto peer = PeerConnection::dial(port);
-  peer.greet(hello_of(name, kind, id));
+  peer.handshake(hello_message(name, kind, id));
   return peer;
 }
 
--- a/tests/formats/wire_format_test.cpp
+++ b/tests/formats/wire_format_test.cpp
@@ -1,7 +1,7 @@
-// Bytes of everything that goes over a wire or into the log, compared with tests/data/wire_bytes.txt, one
-// `name hex` a line, and the way back from those bytes to values.
-// The file is rewritten by `DATABASE_PROXY_REWRITE_GOLDEN=1 stored_and_wire_format_tests
-// --gtest_filter='WireFormat.*'`; only a deliberate change of a format may do so.
+// Compares the encoded bytes of everything that is sent over a connection or written to the log with
+// tests/data/wire_bytes.txt (one `name hex` pair per line), and decodes those bytes back to values.
+// Rewrite the file with `DATABASE_PROXY_REWRITE_GOLDEN=1 stored_and_wire_format_tests
+// --gtest_filter='WireFormat.*'`, and only for a deliberate change of a format.
 #include <gtest/gtest.h>
 
 #include <memory>
@@ -25,7 +25,7 @@
 using consensus::EntryType;
 using consensus::Message;
 
-// Bytes that no text has must pass too.
+// Bytes that are not valid UTF-8, and a NUL, must be preserved as well.
 std::string binary_text() { return std::string("\0\xff\x80 text", 8); }
 
 consensus::Membership members() { return {{3, 70'000, 5'000'000'000}, {9}}; }
@@ -40,7 +40,8 @@
           {5, 70'000, EntryType::kCommand, binary_text()}};
 }
 
-// Every field has a value of its own, though no such message goes out.
+// Returns a message in which every field is set, with distinct values for the numbers. No node sends such a
+// message.
 Message full_message(Message::Type type) {
   Message message;
   message.type = type;
@@ -59,6 +60,7 @@
   return message;
 }
 
+// Returns a message with only type, sender, receiver and term set.
 Message bare_message(Message::Type type) {
   Message message;
   message.type = type;
@@ -77,16 +79,16 @@
           {"command.put", ownership::SetConfigurationEntry{"key", "value"}}};
 }
 
-ownership::LeaseRegistry ledger() {
-  ownership::LeaseRegistry ledger;
-  ledger.apply(10, ownership::Grant{"list", "node-a", 0});
-  ledger.apply(11, ownership::Publish{"list", 10, 9, binary_text()});
-  ledger.apply(12, ownership::Grant{"probe 7", "node-b", 0});
-  ledger.apply(13, ownership::Release{"probe 7", 12});
-  ledger.apply(14, ownership::SetConfigurationEntry{"key", "value"});
-  ledger.apply(15, ownership::Grant{"list", "node-c", 10});
-  ledger.apply(16, ownership::Publish{"list", 10, 10, "stale"});
-  return ledger;
+ownership::LeaseRegistry lease_registry() {
+  ownership::LeaseRegistry registry;
+  registry.apply(10, ownership::Grant{"list", "node-a", 0});
+  registry.apply(11, ownership::Publish{"list", 10, 9, binary_text()});
+  registry.apply(12, ownership::Grant{"probe 7", "node-b", 0});
+  registry.apply(13, ownership::Release{"probe 7", 12});
+  registry.apply(14, ownership::SetConfigurationEntry{"key", "value"});
+  registry.apply(15, ownership::Grant{"list", "node-c", 10});
+  registry.apply(16, ownership::Publish{"list", 10, 10, "stale"});
+  return registry;
 }
 
 placement::Observation observation() {
@@ -117,6 +119,7 @@
   return plan;
 }
 
+// Adds the encodings that daemons exchange and store.
 void add_peer_bytes(NamedLines* lines) {
   auto put = [&](const std::string& name, const std::string& bytes) { (*lines)[name] = to_hex(bytes); };
   for (int type = 0; type < kMessageTypes; ++type) {
@@ -130,13 +133,14 @@
   put("members", members().encode());
   for (auto& [name, command] : commands()) put(name, ownership::encode(command));
   put("ledger.empty", ownership::LeaseRegistry().encode());
-  put("ledger.full", ledger().encode());
+  put("ledger.full", lease_registry().encode());
   put("observation", placement::to_json(observation()).dump());
   put("observation.empty", placement::to_json(placement::Observation()).dump());
   put("plan", placement::to_json(plan()).dump());
   put("plan.empty", placement::to_json(placement::Plan()).dump());
 }
 
+// Adds the PostgreSQL messages that the proxy writes.
 void add_pg_bytes(NamedLines* lines) {
   auto put = [&](const std::string& name, const std::string& bytes) {
     (*lines)["pg." + name] = to_hex(bytes);
@@ -153,6 +157,7 @@
   put("error_response.detail", pg::error_response("FATAL", "57P01", "going", "250"));
 }
 
+// Returns the bytes of one entry of the golden file.
 std::string golden_bytes(const std::string& name) {
   auto lines = read_golden(kFile);
   auto it = lines.find(name);
@@ -183,14 +188,14 @@
 
 }  // namespace
 
-TEST(WireFormat, AllWritersWriteTheGoldenBytes) {
+TEST(WireFormat, EncodersProduceTheGoldenBytes) {
   NamedLines lines;
   add_peer_bytes(&lines);
   add_pg_bytes(&lines);
   expect_golden(kFile, kComment, lines);
 }
 
-TEST(WireFormat, GoldenConsensusMessagesAreReadAsTheyWereMeant) {
+TEST(WireFormat, GoldenConsensusMessagesDecodeToTheOriginalValues) {
   for (int type = 0; type < kMessageTypes; ++type)
     for (bool full : {true, false}) {
       auto bytes = golden_bytes((full ? "raft.full." : "raft.bare.") + std::to_string(type));
@@ -204,20 +209,20 @@
     }
 }
 
-TEST(WireFormat, GoldenEntriesSnapshotsAndMembersAreReadAsTheyWereMeant) {
+TEST(WireFormat, GoldenEntriesSnapshotsAndMembersDecodeToTheOriginalValues) {
   int number = 0;
   for (auto& entry : entries())
     EXPECT_EQ(peers::decode_entry(golden_bytes("entry." + std::to_string(number++))), entry);
-  auto read = peers::decode_snapshot(golden_bytes("snapshot"));
-  ASSERT_TRUE(read);
-  EXPECT_EQ(read->index, 1030u);
-  EXPECT_EQ(read->term, 4u);
-  EXPECT_EQ(read->members, members());
-  EXPECT_EQ(read->data, binary_text());
+  auto decoded = peers::decode_snapshot(golden_bytes("snapshot"));
+  ASSERT_TRUE(decoded);
+  EXPECT_EQ(decoded->index, 1030u);
+  EXPECT_EQ(decoded->term, 4u);
+  EXPECT_EQ(decoded->members, members());
+  EXPECT_EQ(decoded->data, binary_text());
   EXPECT_EQ(consensus::Membership::decode(golden_bytes("members")), members());
 }
 
-TEST(WireFormat, GoldenCommandsAreReadAsTheyWereMeant) {
+TEST(WireFormat, GoldenCommandsDecodeToTheOriginalValues) {
   auto grant = ownership::decode(golden_bytes("command.grant"));
   ASSERT_TRUE(grant && std::holds_alternative<ownership::Grant>(*grant));
   EXPECT_EQ(std::get<ownership::Grant>(*grant).job, "probe 7");
@@ -239,42 +244,42 @@
   EXPECT_EQ(std::get<ownership::SetConfigurationEntry>(*put).value, "value");
 }
 
-TEST(WireFormat, GoldenLedgerIsReadAsItWasMeant) {
-  auto read = ownership::LeaseRegistry::decode(golden_bytes("ledger.full"));
-  ASSERT_TRUE(read);
-  ASSERT_EQ(read->jobs().size(), 2u);
-  auto* list = read->job("list");
+TEST(WireFormat, GoldenLeaseRegistryDecodesToTheOriginalValues) {
+  auto decoded = ownership::LeaseRegistry::decode(golden_bytes("ledger.full"));
+  ASSERT_TRUE(decoded);
+  ASSERT_EQ(decoded->jobs().size(), 2u);
+  auto* list = decoded->job("list");
   ASSERT_TRUE(list);
   EXPECT_EQ(list->lease_holder, "node-c");
   EXPECT_EQ(list->token, 15u);
   EXPECT_EQ(list->publisher_token, 10u);
   EXPECT_EQ(list->version, 9u);
   EXPECT_EQ(list->data, binary_text());
-  auto* probe = read->job("probe 7");
+  auto* probe = decoded->job("probe 7");
   ASSERT_TRUE(probe);
   EXPECT_EQ(probe->lease_holder, "");
   EXPECT_EQ(probe->token, 12u);
-  EXPECT_EQ(read->settings(), (std::map<std::string, std::string>{{"key", "value"}}));
-  EXPECT_EQ(read->stale_publications(), 1u);
+  EXPECT_EQ(decoded->settings(), (std::map<std::string, std::string>{{"key", "value"}}));
+  EXPECT_EQ(decoded->stale_publications(), 1u);
 }
 
-TEST(WireFormat, GoldenObservationAndPlanAreReadAsTheyWereMeant) {
+TEST(WireFormat, GoldenObservationAndPlanDecodeToTheOriginalValues) {
   EXPECT_EQ(placement::observation_from_json(nlohmann::json::parse(golden_bytes("observation"))),
             observation());
   EXPECT_EQ(placement::observation_from_json(nlohmann::json::parse(golden_bytes("observation.empty"))),
             placement::Observation());
-  auto read = placement::plan_from_json(nlohmann::json::parse(golden_bytes("plan")));
-  EXPECT_EQ(read.number, 12u);
-  EXPECT_TRUE(read.same_but_number(plan()));
-  EXPECT_EQ(read.zones, plan().zones);
-  EXPECT_EQ(read.links, plan().links);
-  EXPECT_EQ(read.shares, plan().shares);
-  EXPECT_EQ(read.surplus_capacity, plan().surplus_capacity);
-  EXPECT_EQ(read.changes, plan().changes);
-  EXPECT_TRUE(read.frozen);
+  auto decoded = placement::plan_from_json(nlohmann::json::parse(golden_bytes("plan")));
+  EXPECT_EQ(decoded.number, 12u);
+  EXPECT_TRUE(decoded.same_but_number(plan()));
+  EXPECT_EQ(decoded.zones, plan().zones);
+  EXPECT_EQ(decoded.links, plan().links);
+  EXPECT_EQ(decoded.shares, plan().shares);
+  EXPECT_EQ(decoded.surplus_capacity, plan().surplus_capacity);
+  EXPECT_EQ(decoded.changes, plan().changes);
+  EXPECT_TRUE(decoded.frozen);
 }
 
-TEST(WireFormat, GoldenPgMessagesAreReadAsTheyWereMeant) {
+TEST(WireFormat, GoldenPgMessagesDecodeToTheOriginalValues) {
   pg::FirstMessage first;
   ASSERT_EQ(pg::parse_first_message(golden_bytes("pg.startup_message"), &first), pg::ParseStatus::kOk);
   EXPECT_EQ(first.kind, pg::FirstMessageKind::kStartup);
@@ -291,8 +296,8 @@
   EXPECT_EQ(fields->detail, "250");
 }
 
-// pg/statement writes nothing; what it makes of each known form is fixed here.
-TEST(WireFormat, StatementsAreReadFieldByField) {
+// pg/statement only parses, so the golden file does not cover it; this test checks the parsed fields.
+TEST(WireFormat, StatementsAreParsedFieldByField) {
   std::string text =
       "SELECT content FROM kv WHERE name = 'k1' /* id=a1,c=browse,d=250,cluster=7,after=99,r=1 */";
   auto read = pg::parse_statement(text);
