--- a/src/peers/message_codec.cpp
+++ b/src/peers/message_codec.cpp
@@ -133,8 +133,9 @@
     routed.request.number = object.at(key::kRequestNumber).get<std::uint64_t>();
     routed.request.eligible_jobs = object.at(key::kEligibleJobs).get<std::vector<std::string>>();
     for (auto& lease : object.at(key::kLeases))
-      routed.request.held_leases.push_back({lease.at(0).get<std::string>(), lease.at(1).get<ownership::Token>(),
-                                      lease.at(2).get<std::uint64_t>()});
+      routed.request.held_leases.push_back({lease.at(0).get<std::string>(),
+                                            lease.at(1).get<ownership::Token>(),
+                                            lease.at(2).get<std::uint64_t>()});
     return routed;
   });
 }
