--- a/src/group/admin_commands.cpp
+++ b/src/group/admin_commands.cpp
@@ -37,7 +37,7 @@
       return answer({true, std::nullopt, status_source_.node_status()});
     case AdminCommand::kMembers:
       return answer(answer_members());
-    case AdminCommand::kOwners:
+    case AdminCommand::kLeaseHolders:
       return answer({true, std::nullopt, list_owners()});
     case AdminCommand::kIdentify:
       return answer({true, std::nullopt, identify()});
@@ -83,9 +83,9 @@
   return member;
 }
 
-peers::OwnerList AdminCommands::list_owners() const {
-  peers::OwnerList list;
-  for (auto& [job, state] : state_.registry().jobs()) list.owners.push_back({job, state});
+peers::LeaseHolderList AdminCommands::list_owners() const {
+  peers::LeaseHolderList list;
+  for (auto& [job, state] : state_.registry().jobs()) list.lease_holders.push_back({job, state});
   list.rejected_effects = state_.rejected_effects();
   return list;
 }
--- a/src/group/admin_commands.h
+++ b/src/group/admin_commands.h
@@ -47,7 +47,7 @@
   void pass_to_leader(peers::Link& link, const peers::EncodedMessage& message);
   peers::AdminAnswer answer_members() const;
   peers::MemberStatus make_member_status(consensus::NodeId id, bool is_learner) const;
-  peers::OwnerList list_owners() const;
+  peers::LeaseHolderList list_owners() const;
   peers::NodeIdentity identify() const;
   peers::AdminAnswer bootstrap(const peers::EncodedMessage& message);
   peers::AdminAnswer recover(const peers::EncodedMessage& message);
--- a/src/group/placement_job.cpp
+++ b/src/group/placement_job.cpp
@@ -245,7 +245,7 @@
   peers::PlanReport report;
   report.plan = plans_.committed_plan();
   auto* job = state_.job(kPlacementJob);
-  if (job) report.owner = job->owner;
+  if (job) report.lease_holder = job->owner;
   report.shard_group = request.shard_group;
   return report;
 }
--- a/src/peers/admin_codec.cpp
+++ b/src/peers/admin_codec.cpp
@@ -27,7 +27,7 @@
 
 // Parts of answers.
 constexpr const char* kPlan = "plan";
-constexpr const char* kOwner = "owner";
+constexpr const char* kLeaseHolder = "owner";
 constexpr const char* kInitialised = "initialised";
 constexpr const char* kRejectedEffects = "stale_effects";
 
@@ -40,7 +40,7 @@
 constexpr std::array kCommands = {
     Named<AdminCommand>{"status", AdminCommand::kStatus},
     Named<AdminCommand>{"members", AdminCommand::kMembers},
-    Named<AdminCommand>{"owners", AdminCommand::kOwners},
+    Named<AdminCommand>{"owners", AdminCommand::kLeaseHolders},
     Named<AdminCommand>{"identify", AdminCommand::kIdentify},
     Named<AdminCommand>{"bootstrap", AdminCommand::kBootstrap},
     Named<AdminCommand>{"recover", AdminCommand::kRecover},
@@ -127,14 +127,14 @@
   for (auto& member : list.members) members.push_back(member_object(member));
 }
 
-void add_result(json* answer, const OwnerList& list) {
-  auto& owners = (*answer)["owners"] = json::array();
-  for (auto& owner : list.owners)
-    owners.push_back({{key::kJob, owner.job},
-                      {kOwner, owner.state.owner},
-                      {key::kToken, owner.state.token},
-                      {"version", owner.state.version},
-                      {"published_by", owner.state.published_by}});
+void add_result(json* answer, const LeaseHolderList& list) {
+  auto& lease_holders = (*answer)["owners"] = json::array();
+  for (auto& holder : list.lease_holders)
+    lease_holders.push_back({{key::kJob, holder.job},
+                             {kLeaseHolder, holder.state.owner},
+                             {key::kToken, holder.state.token},
+                             {"version", holder.state.version},
+                             {"published_by", holder.state.published_by}});
   (*answer)[kRejectedEffects] = list.rejected_effects;
 }
 
@@ -144,7 +144,7 @@
 
 void add_result(json* answer, const PlanReport& report) {
   (*answer)[kPlan] = placement::to_json(report.plan);
-  (*answer)[kOwner] = report.owner;
+  (*answer)[kLeaseHolder] = report.lease_holder;
   (*answer)[key::kShardGroup] = report.shard_group ? json(*report.shard_group) : json();
   if (!report.input) return;
   auto& demand = (*answer)["asked"] = json::array();
--- a/src/peers/admin_messages.h
+++ b/src/peers/admin_messages.h
@@ -21,7 +21,7 @@
   kUnknown,
   kStatus,
   kMembers,
-  kOwners,
+  kLeaseHolders,
   kIdentify,
   kBootstrap,
   kRecover,
@@ -137,13 +137,13 @@
 };
 
 // One job of the lease registry.
-struct JobOwner {
+struct JobLeaseHolder {
   std::string job;
   ownership::JobState state;
 };
 // All jobs that were ever granted.
-struct OwnerList {
-  std::vector<JobOwner> owners;
+struct LeaseHolderList {
+  std::vector<JobLeaseHolder> lease_holders;
   std::uint64_t rejected_effects = 0;
 };
 
@@ -159,7 +159,7 @@
 // Where the committed plan came from; only the lease holder of the job knows `input`.
 struct PlanReport {
   placement::Plan plan;
-  std::string owner;
+  std::string lease_holder;
   std::optional<std::int64_t> shard_group;
   std::optional<placement::Input> input;
 };
@@ -169,7 +169,7 @@
   placement::Millis expected_duration_ms = 0;
 };
 
-using AdminResult = std::variant<std::monostate, NodeStatus, NodeIdentity, MemberList, OwnerList,
+using AdminResult = std::variant<std::monostate, NodeStatus, NodeIdentity, MemberList, LeaseHolderList,
                                  AppliedIndex, SettingValue, PlanReport, PlanChange>;
 
 // One for each command.
