--- a/src/app/fleet.cpp
+++ b/src/app/fleet.cpp
@@ -87,7 +87,7 @@
       throw std::runtime_error(fmt::format("{}: {}", address, std::strerror(errno)));
     auto answer = ask({{"t", "hello"},
                        {"v", peers::kVersion},
-                       {"least", peers::kLeastVersion},
+                       {"least", peers::kMinVersion},
                        {"installation", installation},
                        {"name", "fleet"},
                        {"id", 0},
--- a/src/group/peer_connections.cpp
+++ b/src/group/peer_connections.cpp
@@ -199,7 +199,7 @@
   peers::Greeting greeting;
   greeting.is_answer = is_answer;
   greeting.version = peers::kVersion;
-  greeting.least_version = peers::kLeastVersion;
+  greeting.min_version = peers::kMinVersion;
   greeting.installation = context_.options.installation;
   greeting.node_name = context_.name();
   greeting.id = own_id_;
@@ -212,8 +212,8 @@
                                                            const peers::Greeting& greeting) const {
   if (greeting.installation != context_.options.installation)
     return fmt::format("it is of the installation '{}'", greeting.installation);
-  if (greeting.least_version > peers::kVersion || greeting.version < peers::kLeastVersion)
-    return fmt::format("it speaks versions {} to {}", greeting.least_version, greeting.version);
+  if (greeting.min_version > peers::kVersion || greeting.version < peers::kMinVersion)
+    return fmt::format("it speaks versions {} to {}", greeting.min_version, greeting.version);
   if (!greeting.node_name || !greeting.role) throw peers::MalformedMessage("a greeting without name or role");
   auto& name = *greeting.node_name;
   if (link.is_dialed() && name != link.peer().name)
--- a/src/peers/codec.cpp
+++ b/src/peers/codec.cpp
@@ -95,7 +95,7 @@
   if (input.size() < kLengthBytes) return FrameParse::kMore;
   std::size_t length = 0;
   for (std::size_t i = 0; i < kLengthBytes; ++i) length = length << 8 | static_cast<unsigned char>(input[i]);
-  if (length == 0 || length > kLongestFrame) return FrameParse::kBad;
+  if (length == 0 || length > kMaxFrameBytes) return FrameParse::kBad;
   if (input.size() < kLengthBytes + length) return FrameParse::kMore;
   auto body = input.substr(kLengthBytes, length);
   *message = json::from_cbor(body.begin(), body.end(), true, false);
--- a/src/peers/codec.h
+++ b/src/peers/codec.h
@@ -17,11 +17,11 @@
 using nlohmann::json;
 
 // Of messages between daemons. kVersion is raised where a change is not understood by older nodes;
-// kLeastVersion is the oldest that this one still speaks. Both go out in the greeting.
+// kMinVersion is the oldest that this one still speaks. Both go out in the greeting.
 constexpr int kVersion = 1;
-constexpr int kLeastVersion = 1;
+constexpr int kMinVersion = 1;
 // Bytes of one frame: a list of 10,000 servers has 2 MB. Whoever announces more is no peer.
-constexpr std::size_t kLongestFrame = 16 << 20;
+constexpr std::size_t kMaxFrameBytes = 16 << 20;
 
 enum class FrameParse { kOk, kMore, kBad };
 // On kOk the frame is the first `size` bytes of the input, and `message` has a string under "t".
--- a/src/peers/link.cpp
+++ b/src/peers/link.cpp
@@ -60,7 +60,7 @@
 
 bool Link::send_frame(const std::string& frame) {
   if (is_closed_ || !is_connected_) return false;
-  if (out_.size() > 0 && out_.size() + frame.size() > kMostQueued) {
+  if (out_.size() > 0 && out_.size() + frame.size() > kMaxQueuedBytes) {
     ++dropped_frames_;
     return false;
   }
@@ -95,7 +95,7 @@
   if ((events & EPOLLOUT) && !out_.flush(fd_.get())) return close("the connection broke");
   if (!(events & (EPOLLIN | EPOLLRDHUP | EPOLLHUP | EPOLLERR))) return;
   // Bounded in each turn, so that one peer that floods this node does not starve the others.
-  auto end = in_.fill(fd_.get(), kLongestFrame + 4, kLongestFrame + 4);
+  auto end = in_.fill(fd_.get(), kMaxFrameBytes + 4, kMaxFrameBytes + 4);
   read_messages(net::is_over(end));
   if (!is_closed_ && end == net::IoEnd::kFull) loop_.again(this);
 }
--- a/src/peers/link.h
+++ b/src/peers/link.h
@@ -20,7 +20,7 @@
 namespace database_proxy::peers {
 
 // Bytes that wait to be written to one peer: two of the longest frames.
-constexpr std::size_t kMostQueued = 2 * kLongestFrame;
+constexpr std::size_t kMaxQueuedBytes = 2 * kMaxFrameBytes;
 
 // Of a link; the defaults are those of production.
 struct LinkTimes {
--- a/src/peers/message_codec.cpp
+++ b/src/peers/message_codec.cpp
@@ -58,7 +58,7 @@
 EncodedMessage encode(const Greeting& greeting) {
   auto object = object_of(greeting.is_answer ? MessageType::kWelcome : MessageType::kHello);
   object[key::kVersion] = greeting.version;
-  object[key::kLeastVersion] = greeting.least_version;
+  object[key::kMinVersion] = greeting.min_version;
   object[key::kInstallation] = greeting.installation;
   object[key::kId] = greeting.id;
   if (greeting.node_name) object[key::kName] = *greeting.node_name;
@@ -73,7 +73,7 @@
     greeting.is_answer = message.type() == MessageType::kWelcome;
     greeting.installation = object.at(key::kInstallation).get<std::string>();
     greeting.version = object.at(key::kVersion).get<int>();
-    greeting.least_version = object.at(key::kLeastVersion).get<int>();
+    greeting.min_version = object.at(key::kMinVersion).get<int>();
     greeting.id = object.value(key::kId, consensus::kNobody);
     if (object.contains(key::kName)) greeting.node_name = object.at(key::kName).get<std::string>();
     if (object.contains(key::kRole)) greeting.role = role_of(object.at(key::kRole).get<std::string>());
--- a/src/peers/message_keys.h
+++ b/src/peers/message_keys.h
@@ -17,7 +17,7 @@
 
 // Greetings.
 constexpr const char* kVersion = "v";
-constexpr const char* kLeastVersion = "least";
+constexpr const char* kMinVersion = "least";
 constexpr const char* kInstallation = "installation";
 constexpr const char* kName = "name";
 constexpr const char* kId = "id";
--- a/src/peers/messages.h
+++ b/src/peers/messages.h
@@ -28,7 +28,7 @@
 struct Greeting {
   bool is_answer = false;  // by the side that was dialed
   int version = 0;
-  int least_version = 0;  // that this node still understands
+  int min_version = 0;  // that this node still understands
   std::string installation;
   consensus::NodeId id = consensus::kNobody;  // of a voter's directory
   // Absent at a stranger, which is refused for its installation or version before it is asked for them.
--- a/tests/group/processes_test.cpp
+++ b/tests/group/processes_test.cpp
@@ -507,7 +507,7 @@
   CHECK(told(2));
   auto hello = database_proxy::peers::frame({{"t", "hello"},
                                              {"v", database_proxy::peers::kVersion},
-                                             {"least", database_proxy::peers::kLeastVersion},
+                                             {"least", database_proxy::peers::kMinVersion},
                                              {"installation", "lab"},
                                              {"name", "x"},
                                              {"id", 0},
