--- a/src/peers/admin_codec.cpp
+++ b/src/peers/admin_codec.cpp
@@ -64,10 +64,10 @@
 };
 
 template <class Table, class Value>
-Value find_named(const Table& table, std::string_view name, Value otherwise) {
+Value find_named(const Table& table, std::string_view name, Value fallback) {
   for (auto& entry : table)
     if (name == entry.name) return entry.value;
-  return otherwise;
+  return fallback;
 }
 
 json status_object(const NodeStatus& status) {
--- a/src/peers/codec.cpp
+++ b/src/peers/codec.cpp
@@ -28,7 +28,7 @@
 constexpr const char* kMessageIndex = "i";
 constexpr const char* kLogTerm = "lt";
 constexpr const char* kCommit = "c";
-constexpr const char* kRefusedIndex = "ri";
+constexpr const char* kRejectedIndex = "ri";
 constexpr const char* kReject = "no";
 constexpr const char* kForced = "f";
 constexpr const char* kRound = "r";
@@ -99,9 +99,9 @@
   if (input.size() < kLengthBytes + length) return FrameParse::kMore;
   auto body = input.substr(kLengthBytes, length);
   *message = json::from_cbor(body.begin(), body.end(), true, false);
-  bool names_its_type = !message->is_discarded() && message->is_object() && message->contains(key::kType) &&
-                        message->at(key::kType).is_string();
-  if (!names_its_type) return FrameParse::kBad;
+  bool has_type = !message->is_discarded() && message->is_object() && message->contains(key::kType) &&
+                  message->at(key::kType).is_string();
+  if (!has_type) return FrameParse::kBad;
   *size = kLengthBytes + length;
   return FrameParse::kOk;
 }
@@ -144,7 +144,7 @@
   add_unless_zero(&object, kMessageIndex, message.index);
   add_unless_zero(&object, kLogTerm, message.log_term);
   add_unless_zero(&object, kCommit, message.commit);
-  add_unless_zero(&object, kRefusedIndex, message.refused);
+  add_unless_zero(&object, kRejectedIndex, message.refused);
   add_unless_zero(&object, kReject, message.reject);
   add_unless_zero(&object, kForced, message.forced);
   add_unless_zero(&object, kRound, message.round);
@@ -168,7 +168,7 @@
     message.index = object.value(kMessageIndex, Index{0});
     message.log_term = object.value(kLogTerm, Term{0});
     message.commit = object.value(kCommit, Index{0});
-    message.refused = object.value(kRefusedIndex, Index{0});
+    message.refused = object.value(kRejectedIndex, Index{0});
     message.reject = object.value(kReject, false);
     message.forced = object.value(kForced, false);
     message.round = object.value(kRound, std::uint64_t{0});
--- a/src/peers/link.cpp
+++ b/src/peers/link.cpp
@@ -44,7 +44,7 @@
   setsockopt(fd_.get(), IPPROTO_TCP, TCP_NODELAY, &enabled, sizeof enabled);
   last_received_ = loop_.now();
   if (is_dialed_)
-    timer_ = loop_.at(loop_.now() + times_.connect, [this] { close("no connection in time"); });
+    timer_ = loop_.at(loop_.now() + times_.connect_timeout, [this] { close("no connection in time"); });
   else
     check_last_received();
   return true;
@@ -53,9 +53,9 @@
 void Link::check_last_received() {
   loop_.cancel(&timer_);
   if (is_closed_) return;
-  if (loop_.now() - last_received_ >= times_.silence) return close("nothing was heard for too long");
+  if (loop_.now() - last_received_ >= times_.receive_timeout) return close("nothing was heard for too long");
   if (is_dialed_) send(encode_ping());
-  if (!is_closed_) timer_ = loop_.at(loop_.now() + times_.ping, [this] { check_last_received(); });
+  if (!is_closed_) timer_ = loop_.at(loop_.now() + times_.ping_interval, [this] { check_last_received(); });
 }
 
 bool Link::send_frame(const std::string& frame) {
--- a/src/peers/link.h
+++ b/src/peers/link.h
@@ -3,7 +3,7 @@
 //
 // A link lives in the thread of its loop. Its output queue is bounded: what does not fit is dropped and
 // counted, and send() returns false. Consensus repeats what was dropped by itself; whoever streams must
-// restart the stream. A link on which nothing was received for LinkTimes::silence is closed.
+// restart the stream. A link on which nothing was received for LinkTimes::receive_timeout is closed.
 #pragma once
 
 #include <cstdint>
@@ -24,9 +24,9 @@
 
 // Of a link; the defaults are those of production.
 struct LinkTimes {
-  net::Micros connect{1'000'000};  // until a connection is established
-  net::Micros ping{500'000};       // between two pings of the side that dialed; each is answered
-  net::Micros silence{2'500'000};  // five pings may be late before a link is taken for broken
+  net::Micros connect_timeout{1'000'000};  // until a connection is established
+  net::Micros ping_interval{500'000};      // between two pings of the side that dialed; each is answered
+  net::Micros receive_timeout{2'500'000};  // five pings may be late before a link is taken for broken
 };
 
 // Who is at the other end. A dialed link has its name from the start, the rest comes with the greeting.
