--- a/src/peers/admin_codec.cpp
+++ b/src/peers/admin_codec.cpp
@@ -14,7 +14,7 @@
 
 using nlohmann::json;
 
-// Arguments of commands.
+// Keys of command arguments.
 constexpr const char* kCommandName = "do";
 constexpr const char* kVoters = "voters";
 constexpr const char* kConsequence = "consequence";
@@ -25,7 +25,7 @@
 constexpr const char* kForce = "force";
 constexpr const char* kExpectedDuration = "takes_ms";
 
-// Parts of answers.
+// Keys of answers.
 constexpr const char* kPlan = "plan";
 constexpr const char* kLeaseHolder = "owner";
 constexpr const char* kInitialised = "initialised";
@@ -110,7 +110,7 @@
   return object;
 }
 
-// Each adds its own keys to the answer.
+// Each overload adds the keys of one type of result to the answer.
 void add_result(json*, const std::monostate&) {}
 
 void add_result(json* answer, const NodeStatus& status) { (*answer)["status"] = status_object(status); }
--- a/src/peers/admin_codec.h
+++ b/src/peers/admin_codec.h
@@ -1,4 +1,5 @@
-// Commands of operators to their transfer form and back; the rules are those of message_codec.h.
+// Decodes the commands of operators and encodes their answers. The rules of message_codec.h on absent and
+// unknown keys and on malformed messages apply here too.
 #pragma once
 
 #include <string>
@@ -8,8 +9,9 @@
 
 namespace database_proxy::peers {
 
-// What the command is called on the wire and by the operator.
+// Returns the name of the command, as the operator writes it and the message carries it; empty if absent.
 std::string decode_admin_command_name(const EncodedMessage& message);
+// Returns kUnknown for a name that this version does not know.
 AdminCommand admin_command(const std::string& name);
 
 BootstrapRequest decode_bootstrap_request(const EncodedMessage& message);
@@ -20,7 +22,8 @@
 GetSettingRequest decode_get_setting_request(const EncodedMessage& message);
 PlacementRequest decode_placement_request(const EncodedMessage& message);
 
-// Without a route the answer is for the peer at the other end of the link.
+// Encode an answer: without a route for the peer at the other end of the link, with a route for the node that
+// the route names.
 EncodedMessage encode(const AdminAnswer& answer);
 EncodedMessage encode(const AdminAnswer& answer, const Route& route);
 
--- a/src/peers/admin_messages.h
+++ b/src/peers/admin_messages.h
@@ -1,6 +1,7 @@
-// Commands of operators and their answers, as structs. admin_codec.h gives each its transfer form.
+// Commands of operators and their answers, as structs. admin_codec.h decodes the commands and encodes the
+// answers.
 //
-// The arguments of a command are decoded by the node that carries it out, not by those that pass it on.
+// The arguments of a command are decoded by the node that executes it, not by the nodes that forward it.
 #pragma once
 
 #include <cstdint>
@@ -16,7 +17,7 @@
 
 namespace database_proxy::peers {
 
-// What an operator may ask; kUnknown is answered with an error by the leader.
+// The commands of operators. The leader answers kUnknown with an error.
 enum class AdminCommand {
   kUnknown,
   kStatus,
@@ -25,92 +26,92 @@
   kIdentify,
   kBootstrap,
   kRecover,
-  kTransferLeadership,  // to a voter that is named, or to any
+  kTransferLeadership,  // to a named voter, or to any
   kStepDown,
   kAddLearner,
   kPromoteLearner,
   kRemoveMember,
   kPutSetting,
   kGetSetting,
-  kPlacement,  // PlacementRequest tells the rest
+  kPlacement,  // PlacementRequest::action selects what is done
 };
 
-// The first members of a new group, the same at each of them.
+// Bootstraps a new group with these voters as its first members. Each of them must be given the same voters.
 struct BootstrapRequest {
   std::vector<consensus::NodeId> voters;
 };
-// To go on without a majority that is lost for good.
+// Makes the node continue as the only voter after a majority of the voters is permanently lost.
 struct RecoverRequest {
-  std::string consequence;  // spelled out by the operator
+  std::string consequence;  // written out in full by the operator as a confirmation
 };
-// To another voter.
+// Transfers the leadership to another voter.
 struct LeadershipTransferRequest {
   std::string voter;  // empty: any
 };
-// The member is named, or given by its id where nobody knows its name.
+// Adds, promotes or removes a member. It is given by its name, or by its id if no node knows its name.
 struct MembershipChangeRequest {
   std::string node;
-  consensus::NodeId id = consensus::kNobody;  // kNobody: found by the name
+  consensus::NodeId id = consensus::kNobody;  // kNobody: looked up by the name
 };
-// A setting that the group keeps for operators.
+// Stores a setting that the group keeps for operators.
 struct PutSettingRequest {
   std::string setting, value;
 };
-// Read from the confirmed leader.
+// Reads such a setting at the leader, once it has confirmed its leadership.
 struct GetSettingRequest {
   std::string setting;
 };
 
 enum class PlacementAction { kUnknown, kShow, kExplain, kEvacuate, kRestore, kFreeze, kResume };
 
-// Everything that operators ask of the job `placement`.
+// A command of an operator that concerns the job `placement`.
 struct PlacementRequest {
   PlacementAction action = PlacementAction::kUnknown;
   std::string action_name;  // as the operator wrote it
   std::string zone;
   bool force = false;
-  std::optional<std::int64_t> shard_group;  // to explain
-  // Of evacuation and restoration; known once the plan is made, and returned with the answer.
+  std::optional<std::int64_t> shard_group;  // for kExplain
+  // Of an evacuation or a restoration. Set once the plan is made, and returned with the answer.
   placement::Millis expected_duration_ms = 0;
 };
 
-// A lease that the node holds at this moment.
+// A lease that the node currently holds.
 struct LeaseStatus {
   std::string job;
   ownership::Token token = 0;
 };
 
-// What only a voter knows of itself.
+// The part of a node's status that only voters have.
 struct VoterStatus {
   consensus::Role role = consensus::Role::kFollower;
   consensus::Term term = 0;
   consensus::Index commit = 0, last = 0;
-  bool initialised = false;  // it belongs to a group
+  bool initialised = false;  // the node belongs to a group
   std::string disk_error;    // empty: none
 };
 
-// One node, as it sees itself.
+// Status of one node, as the node itself reports it.
 struct NodeStatus {
   std::string name, installation;
   PeerRole role = PeerRole::kFollower;
   consensus::NodeId id = consensus::kNobody;
-  std::string leader;  // empty: none is known
+  std::string leader;  // empty: unknown
   consensus::Index applied = 0;
-  bool endpoint_list_unavailable = false;      // nothing is heard of the group's endpoint list
-  std::int64_t endpoint_list_generation = -1;  // -1: none that the group published
+  bool endpoint_list_unavailable = false;  // no recent contact with the group's source of the endpoint list
+  std::int64_t endpoint_list_generation = -1;  // -1: no list that the group published
   std::string endpoint_list_source;
-  std::uint64_t rejected_effects = 0;     // for an old fencing token
-  std::uint64_t complete_list_polls = 0;  // of the list service, by this node
+  std::uint64_t rejected_effects = 0;     // for an outdated fencing token
+  std::uint64_t complete_list_polls = 0;  // by this node, at the list service
   std::uint64_t adopted_plan = 0;         // 0: none
-  std::int64_t state_age_ms = 0;          // of a follower: since it last heard of a leader
-  std::string upstream;                   // of a follower: its voter
+  std::int64_t state_age_ms = 0;          // of a follower: time since its last contact with a leader
+  std::string upstream;                   // of a follower: the voter that it follows
   std::int64_t followers = 0;
   std::vector<LeaseStatus> leases;
-  std::int64_t clock_us = 0;  // monotonic
+  std::int64_t clock_us = 0;  // monotonic clock
   std::optional<VoterStatus> voter;
 };
 
-// Of a node that may not belong to a group yet.
+// Identity of a node, which may not belong to a group yet.
 struct NodeIdentity {
   consensus::NodeId id = consensus::kNobody;
   std::string name;
@@ -124,46 +125,46 @@
   std::string name;
   bool is_learner = false;
   bool is_leader = false;
-  // Known to the leader only, and to each member of itself.
+  // Replication progress. The leader knows it of all members, every other member only of itself.
   struct Progress {
     consensus::Index match = 0;
-    std::int64_t last_contact_ms = 0;  // ago
+    std::int64_t last_contact_ms = 0;  // time since the last message of the member
   };
   std::optional<Progress> progress;
 };
-// Voters, then learners.
+// All members of the consensus group: voters, then learners.
 struct MemberList {
   std::vector<MemberStatus> members;
 };
 
-// One job of the lease registry.
+// One job of the lease registry, with its lease holder.
 struct JobLeaseHolder {
   std::string job;
   ownership::JobState state;
 };
-// All jobs that were ever granted.
+// All jobs whose lease was ever granted.
 struct LeaseHolderList {
   std::vector<JobLeaseHolder> lease_holders;
   std::uint64_t rejected_effects = 0;
 };
 
-// Where a command was committed.
+// The log index at which a command was committed.
 struct AppliedIndex {
   consensus::Index index = 0;  // 0: nothing was appended
 };
-// Empty: there is no such setting.
+// Value of a setting. Empty: there is no such setting.
 struct SettingValue {
   std::string value;
 };
 
-// Where the committed plan came from; only the lease holder of the job knows `input`.
+// The committed plan, and the planner's input, which only the lease holder of the job `placement` has.
 struct PlanReport {
   placement::Plan plan;
   std::string lease_holder;
   std::optional<std::int64_t> shard_group;
   std::optional<placement::Input> input;
 };
-// A plan that an operator asked for is committed.
+// Reports that a plan requested by an operator has been committed.
 struct PlanChange {
   std::uint64_t plan_number = 0;
   placement::Millis expected_duration_ms = 0;
@@ -172,7 +173,7 @@
 using AdminResult = std::variant<std::monostate, NodeStatus, NodeIdentity, MemberList, LeaseHolderList,
                                  AppliedIndex, SettingValue, PlanReport, PlanChange>;
 
-// One for each command.
+// The answer to one command.
 struct AdminAnswer {
   bool ok = true;
   std::optional<std::string> reason;
--- a/src/peers/codec.cpp
+++ b/src/peers/codec.cpp
@@ -20,7 +20,7 @@
 
 constexpr std::size_t kLengthBytes = 4;
 
-// Keys of consensus messages: short, since these are most of what goes between voters.
+// Keys of consensus messages. They are short, because these messages are most of the traffic between voters.
 constexpr const char* kMessageKind = "k";
 constexpr const char* kFrom = "from";
 constexpr const char* kTo = "to";
@@ -39,7 +39,7 @@
   return json::array({entry.term, entry.index, static_cast<int>(entry.type), bytes_of(entry.data)});
 }
 
-// A type of a newer version is read as kNoOp, which does nothing.
+// Returns kNoOp, which has no effect, for a type of a newer version.
 EntryType entry_type(int number) {
   bool is_known = number >= 0 && number <= static_cast<int>(EntryType::kCommand);
   return is_known ? static_cast<EntryType>(number) : EntryType::kNoOp;
--- a/src/peers/decode_guard.h
+++ b/src/peers/decode_guard.h
@@ -1,5 +1,5 @@
-// For the codecs in this folder: what the JSON library throws becomes the codecs' own error, so that no
-// caller needs to know the library.
+// For the codecs in this folder: converts exceptions of the JSON library to MalformedMessage, so that callers
+// need not know the library.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -8,6 +8,7 @@
 
 namespace database_proxy::peers {
 
+// Returns the result of `decode`. Throws MalformedMessage if it throws an exception of the JSON library.
 template <class Decode>
 auto decode_guarded(const Decode& decode) {
   try {
