--- a/src/peers/link.cpp
+++ b/src/peers/link.cpp
@@ -40,7 +40,7 @@
     is_closed_ = true;
     return false;
   }
-  int enabled = 1;  // a vote must not wait for a fuller packet
+  int enabled = 1;  // a vote must not wait until more data fills the packet
   setsockopt(fd_.get(), IPPROTO_TCP, TCP_NODELAY, &enabled, sizeof enabled);
   last_received_ = loop_.now();
   if (is_dialed_)
@@ -65,7 +65,8 @@
     return false;
   }
   if (out_.write(fd_.get(), {frame})) return true;
-  // A caller may be in a loop over its links, which on_link_down would change: close in the next turn.
+  // Closes the link in the next turn of the loop, because the caller may be iterating over its links, which
+  // on_link_down changes.
   loop_.cancel(&timer_);
   timer_ = loop_.at(loop_.now(), [this] { close("the connection broke"); });
   return false;
@@ -94,7 +95,8 @@
   if (is_closed_) return;
   if ((events & EPOLLOUT) && !out_.flush(fd_.get())) return close("the connection broke");
   if (!(events & (EPOLLIN | EPOLLRDHUP | EPOLLHUP | EPOLLERR))) return;
-  // Bounded in each turn, so that one peer that floods this node does not starve the others.
+  // The read is bounded in each turn of the loop, so that one peer that floods this node does not starve the
+  // others.
   auto end = in_.fill(fd_.get(), kMaxFrameBytes + 4, kMaxFrameBytes + 4);
   read_messages(net::is_over(end));
   if (!is_closed_ && end == net::IoEnd::kFull) loop_.again(this);
--- a/src/peers/message_codec.cpp
+++ b/src/peers/message_codec.cpp
@@ -26,7 +26,7 @@
   return role::kFollower;
 }
 
-// A role of a newer version is given what a follower is given.
+// Returns kFollower for a role of a newer version: such a peer is treated as a follower.
 PeerRole role_of(const std::string& wire_name) {
   if (wire_name == role::kVoter) return PeerRole::kVoter;
   if (wire_name == role::kAdminClient) return PeerRole::kAdminClient;
--- a/src/peers/message_codec.h
+++ b/src/peers/message_codec.h
@@ -1,8 +1,8 @@
-// Messages between daemons to their transfer form and back. An absent key is read as its default where it has
-// one; unknown keys are ignored. No I/O, no state.
+// Encodes and decodes the messages between nodes. An absent key is read as its default if it has one; unknown
+// keys are ignored. No I/O, no state.
 //
-// Each decode_ function expects a message of its own type and throws MalformedMessage for one that lacks a
-// required key or holds another kind of value there.
+// Each decode_ function expects a message of its own type. It throws MalformedMessage if a required key is
+// absent or has a value of the wrong kind.
 #pragma once
 
 #include <optional>
@@ -24,14 +24,16 @@
 EncodedMessage encode(const Refusal& refusal);
 Refusal decode_refusal(const EncodedMessage& message);
 
-// Consensus. nullopt: malformed, or of a kind that a newer version knows; both are ignored.
+// Consensus. decode_consensus returns nullopt for a message that is malformed or of a kind that only a newer
+// version knows; the receiver ignores both.
 EncodedMessage encode(const consensus::Message& message);
 std::optional<consensus::Message> decode_consensus(const EncodedMessage& message);
 
-// Requests on their way to the leader, and responses.
+// Requests to the leader, and their responses.
 Route decode_route(const EncodedMessage& message);
+// Returns the message with this route, in place of any route that it has.
 EncodedMessage with_route(const EncodedMessage& message, const Route& route);
-// The same content under another type, for a node that passes an operator's command on.
+// Returns the message with another type and route, for a node that forwards the command of an operator.
 EncodedMessage with_type_and_route(const EncodedMessage& message, MessageType type, const Route& route);
 EncodedMessage encode(const RoutedLeaseRenewalRequest& request);
 RoutedLeaseRenewalRequest decode_lease_renewal_request(const EncodedMessage& message);
@@ -43,7 +45,7 @@
 std::uint64_t decode_proposal_ticket(const EncodedMessage& proposal);
 EncodedMessage encode(const ProposalResult& result);
 
-// Reports of jobs. The header tells which of the others the message is.
+// Reports of jobs. The job in the header determines which of the other types a message has.
 JobReportHeader decode_job_report_header(const EncodedMessage& message);
 EncodedMessage encode(const LoadReports& reports);
 std::vector<ServerLoad> decode_server_loads(const EncodedMessage& message);
@@ -77,8 +79,8 @@
 EncodedMessage encode(const LeaderStatus& status);
 LeaderStatus decode_leader_status(const EncodedMessage& message);
 
-// What lease holders publish through the log, as text. Decoding a plan throws MalformedMessage;
-// discovery::parse_endpoint_list reads a list.
+// The texts that lease holders publish through the log. decode_published_plan throws MalformedMessage;
+// discovery::parse_endpoint_list decodes a list.
 std::string encode_published_list(const discovery::EndpointListUpdate& list);
 std::string encode_published_plan(const placement::Plan& plan);
 placement::Plan decode_published_plan(const std::string& text);
--- a/src/peers/message_keys.h
+++ b/src/peers/message_keys.h
@@ -1,14 +1,15 @@
-// The names that messages between daemons use on the wire. They are part of the format that nodes of two
-// versions share: none of them changes, whatever the code calls the same thing. For the codecs in this
-// folder.
+// Names that the messages between nodes use on the wire. They are part of the format that nodes of two
+// versions share, so none of them may change, whatever term the code uses for the same thing. For the codecs
+// in this folder.
 #pragma once
 
 #include "peers/encoded_message.h"
 
 namespace database_proxy::peers {
 
-// The value of key::kType. kUnknown has no name.
+// Returns the value of key::kType for a type; empty for kUnknown, which has no name.
 const char* wire_name(MessageType type);
+// Returns kUnknown for a name that this version does not know.
 MessageType message_type(const std::string& wire_name);
 
 namespace key {
@@ -23,7 +24,7 @@
 constexpr const char* kId = "id";
 constexpr const char* kRole = "kind";
 
-// Requests on their way to the leader, and responses.
+// Requests to the leader, and their responses.
 constexpr const char* kNode = "node";
 constexpr const char* kVia = "via";
 constexpr const char* kTicket = "ticket";
@@ -40,7 +41,7 @@
 constexpr const char* kGrantedLeases = "granted";
 constexpr const char* kJobsToGiveUp = "give_up";
 
-// Reports of jobs, and lists of endpoints.
+// Job reports and endpoint lists.
 constexpr const char* kJob = "job";
 constexpr const char* kToken = "token";
 constexpr const char* kSentAt = "at";
