--- a/src/peers/link.cpp
+++ b/src/peers/link.cpp
@@ -44,7 +44,7 @@
   setsockopt(fd_.get(), IPPROTO_TCP, TCP_NODELAY, &enabled, sizeof enabled);
   last_received_ = loop_.now();
   if (is_dialed_)
-    timer_ = loop_.at(loop_.now() + times_.connect_timeout, [this] { close("no connection in time"); });
+    timer_ = loop_.at(loop_.now() + times_.connect_timeout, [this] { close("connect timed out"); });
   else
     check_last_received();
   return true;
@@ -53,7 +53,8 @@
 void Link::check_last_received() {
   loop_.cancel(&timer_);
   if (is_closed_) return;
-  if (loop_.now() - last_received_ >= times_.receive_timeout) return close("nothing was heard for too long");
+  if (loop_.now() - last_received_ >= times_.receive_timeout)
+    return close("no message was received within the timeout");
   if (is_dialed_) send(encode_ping());
   if (!is_closed_) timer_ = loop_.at(loop_.now() + times_.ping_interval, [this] { check_last_received(); });
 }
@@ -108,7 +109,7 @@
     nlohmann::json object;
     std::size_t size = 0;
     auto parse = parse_frame(in_.view(), &object, &size);
-    if (parse == FrameParse::kBad) return close("it sent what is no message");
+    if (parse == FrameParse::kBad) return close("it sent a malformed frame");
     if (parse == FrameParse::kMore) break;
     in_.consume(size);
     EncodedMessage message(std::move(object));
--- a/tests/group/processes_test.cpp
+++ b/tests/group/processes_test.cpp
@@ -495,7 +495,7 @@
   // At once, and for what it said, not since it said no more.
   auto told = [&](std::size_t count) {
     return f->soon(
-        [&] { return times(f->log("n1"), "closed a connection: it sent what is no message") == count; });
+        [&] { return times(f->log("n1"), "closed a connection: it sent a malformed frame") == count; });
   };
   std::mt19937_64 random(7);
   std::string noise;
