--- a/src/group/admin_commands.h
+++ b/src/group/admin_commands.h
@@ -48,7 +48,7 @@
   void forward_to_leader(peers::Link& link, const peers::EncodedMessage& message);
   peers::AdminAnswer answer_members() const;
   peers::MemberStatus make_member_status(consensus::NodeId id, bool is_learner) const;
-  peers::OwnerList list_lease_holders() const;
+  peers::LeaseHolderList list_lease_holders() const;
   peers::NodeIdentity identify() const;
   peers::AdminAnswer bootstrap(const peers::EncodedMessage& message);
   peers::AdminAnswer recover(const peers::EncodedMessage& message);
--- a/src/peers/link.cpp
+++ b/src/peers/link.cpp
@@ -40,11 +40,11 @@
     is_closed_ = true;
     return false;
   }
-  int enabled = 1;  // a vote must not wait for a fuller packet
+  int enabled = 1;  // a vote must not wait until more data fills the packet
   setsockopt(fd_.get(), IPPROTO_TCP, TCP_NODELAY, &enabled, sizeof enabled);
   last_received_ = loop_.now();
   if (is_dialed_)
-    timer_ = loop_.at(loop_.now() + times_.connect, [this] { close("no connection in time"); });
+    timer_ = loop_.at(loop_.now() + times_.connect_timeout, [this] { close("connect timed out"); });
   else
     check_last_received();
   return true;
@@ -53,19 +53,21 @@
 void Link::check_last_received() {
   loop_.cancel(&timer_);
   if (is_closed_) return;
-  if (loop_.now() - last_received_ >= times_.silence) return close("nothing was heard for too long");
+  if (loop_.now() - last_received_ >= times_.receive_timeout)
+    return close("no message was received within the timeout");
   if (is_dialed_) send(encode_ping());
-  if (!is_closed_) timer_ = loop_.at(loop_.now() + times_.ping, [this] { check_last_received(); });
+  if (!is_closed_) timer_ = loop_.at(loop_.now() + times_.ping_interval, [this] { check_last_received(); });
 }
 
 bool Link::send_frame(const std::string& frame) {
   if (is_closed_ || !is_connected_) return false;
-  if (out_.size() > 0 && out_.size() + frame.size() > kMostQueued) {
+  if (out_.size() > 0 && out_.size() + frame.size() > kMaxQueuedBytes) {
     ++dropped_frames_;
     return false;
   }
   if (out_.write(fd_.get(), {frame})) return true;
-  // A caller may be in a loop over its links, which on_link_down would change: close in the next turn.
+  // Closes the link in the next turn of the loop, because the caller may be iterating over its links, which
+  // on_link_down changes.
   loop_.cancel(&timer_);
   timer_ = loop_.at(loop_.now(), [this] { close("the connection broke"); });
   return false;
@@ -94,8 +96,9 @@
   if (is_closed_) return;
   if ((events & EPOLLOUT) && !out_.flush(fd_.get())) return close("the connection broke");
   if (!(events & (EPOLLIN | EPOLLRDHUP | EPOLLHUP | EPOLLERR))) return;
-  // Bounded in each turn, so that one peer that floods this node does not starve the others.
-  auto end = in_.fill(fd_.get(), kLongestFrame + 4, kLongestFrame + 4);
+  // The read is bounded in each turn of the loop, so that one peer that floods this node does not starve the
+  // others.
+  auto end = in_.fill(fd_.get(), kMaxFrameBytes + 4, kMaxFrameBytes + 4);
   read_messages(net::is_over(end));
   if (!is_closed_ && end == net::IoEnd::kFull) loop_.again(this);
 }
@@ -106,7 +109,7 @@
     nlohmann::json object;
     std::size_t size = 0;
     auto parse = parse_frame(in_.view(), &object, &size);
-    if (parse == FrameParse::kBad) return close("it sent what is no message");
+    if (parse == FrameParse::kBad) return close("it sent a malformed frame");
     if (parse == FrameParse::kMore) break;
     in_.consume(size);
     EncodedMessage message(std::move(object));
