--- a/src/group/plan_builder.cpp
+++ b/src/group/plan_builder.cpp
@@ -84,9 +84,9 @@
   placement::Input input;
   input.now = unix_ms;
   input.seconds = static_cast<double>(kObserveEvery.count()) / 1e6;
-  input.seen = sum_of(by_voter_, now);
-  demand_.debounce(input.seen, input.seconds);
-  input.asked = demand_.rates();
+  input.observation = sum_of(by_voter_, now);
+  demand_.debounce(input.observation, input.seconds);
+  input.smoothed_demand = demand_.rates();
   set_capacities(&input, list);
   return input;
 }
@@ -118,7 +118,7 @@
   // A primary works for writes: its share of its zone is not for the reads that the plan is about. Most
   // proxies decide which zone that is.
   std::map<placement::SetId, std::pair<std::uint64_t, placement::Zone>> primary_zones;
-  for (auto& [key, proxies] : input->seen.primaries()) {
+  for (auto& [key, proxies] : input->observation.primaries()) {
     auto& most = primary_zones[key.first];
     most = std::max(most, std::pair(proxies, key.second));
   }
@@ -134,12 +134,12 @@
                                                  const discovery::EndpointListUpdate& list, Micros now,
                                                  placement::Millis unix_ms) {
   input_ = make_input(list, now, unix_ms);
-  if (input_.seen.votes().empty() && input_.asked.empty()) return std::nullopt;  // nothing was observed yet
+  if (input_.observation.votes().empty() && input_.smoothed_demand.empty()) return std::nullopt;  // nothing was observed yet
   if (!working_plan_ || working_plan_->number != committed.number) {
     working_plan_ = committed;
     committed_plan_seen_ = now;
   }
-  auto& followers = input_.seen.followers();
+  auto& followers = input_.observation.followers();
   bool all_follow = std::all_of(followers.begin(), followers.end(),
                                 [&](auto& entry) { return entry.first >= committed.number; });
   if (!all_follow && now - committed_plan_seen_ < kWaitForFollowers) return std::nullopt;
--- a/src/peers/admin_codec.cpp
+++ b/src/peers/admin_codec.cpp
@@ -148,12 +148,12 @@
   (*answer)[key::kShardGroup] = report.shard_group ? json(*report.shard_group) : json();
   if (!report.input) return;
   auto& demand = (*answer)["asked"] = json::array();
-  for (auto& [where, rate] : report.input->asked)
+  for (auto& [where, rate] : report.input->smoothed_demand)
     demand.push_back(json::array({where.first, where.second, rate}));
   auto& capacity = (*answer)["bears"] = json::array();
   for (auto& [where, supply] : report.input->supply)
     capacity.push_back(json::array({where.first, where.second, supply.warm}));
-  (*answer)["seen"] = placement::to_json(report.input->seen);
+  (*answer)["seen"] = placement::to_json(report.input->observation);
 }
 
 void add_result(json* answer, const PlanChange& change) {
--- a/src/placement/placement_codec.cpp
+++ b/src/placement/placement_codec.cpp
@@ -98,14 +98,14 @@
     observation.record(row.at(0).get<Zone>(), row.at(1).get<SetId>(), row.at(2).get<Zone>(),
                        sample_from_row(row));
   for (const auto& row : rows_of(encoded, "votes"))
-    observation.voted(row.at(0).get<Zone>(), row.at(1).get<Zone>(),
+    observation.add_votes(row.at(0).get<Zone>(), row.at(1).get<Zone>(),
                       {number_at(row, 2), number_at(row, 3), number_at(row, 4)});
   for (const auto& row : rows_of(encoded, "asked"))
-    observation.asked(row.at(0).get<Zone>(), row.at(1).get<SetId>(), number_at(row, 2));
+    observation.add_demand(row.at(0).get<Zone>(), row.at(1).get<SetId>(), number_at(row, 2));
   for (const auto& row : rows_of(encoded, "leads"))
-    observation.leads(row.at(0).get<SetId>(), row.at(1).get<Zone>(), number_at(row, 2));
+    observation.add_primary(row.at(0).get<SetId>(), row.at(1).get<Zone>(), number_at(row, 2));
   for (const auto& row : rows_of(encoded, "follow"))
-    observation.follows(number_at(row, 0), number_at(row, 1));
+    observation.add_followers(number_at(row, 0), number_at(row, 1));
   return observation;
 }
 
--- a/src/placement/planner_input.cpp
+++ b/src/placement/planner_input.cpp
@@ -5,9 +5,9 @@
 namespace database_proxy::placement {
 
 Demand::Rates current_demand(const Input& input) {
-  if (!input.asked.empty()) return input.asked;
+  if (!input.smoothed_demand.empty()) return input.smoothed_demand;
   Demand::Rates rates;
-  for (const auto& [key, requests] : input.seen.demand())
+  for (const auto& [key, requests] : input.observation.demand())
     rates[key] = static_cast<double>(requests) / input.seconds;
   return rates;
 }
--- a/src/placement/planner_input.h
+++ b/src/placement/planner_input.h
@@ -18,9 +18,9 @@
 // One round's input, gathered by the owner of the placement job.
 struct Input {
   Millis now = 0;
-  Observation seen;                                 // of the last seconds, all proxies together
+  Observation observation;                                 // of the last seconds, all proxies together
   double seconds = 1;                               // the length of that span
-  Demand::Rates asked;                              // requests a second, smoothed; empty: those in `seen`
+  Demand::Rates smoothed_demand;                              // requests a second, smoothed; empty: those in `seen`
   std::map<std::pair<SetId, Zone>, Supply> supply;  // of the servers in the endpoint list that are up
 };
 
--- a/src/placement/traffic_split.cpp
+++ b/src/placement/traffic_split.cpp
@@ -169,7 +169,7 @@
   std::map<SetId, SetDemand> sets;
   for (const auto& [key, rate] : current_demand(input)) sets[key.second].demand[key.first] = rate;
   std::set<Zone> proxy_zones;
-  for (const auto& [key, votes] : input.seen.votes()) proxy_zones.insert(key.first);
+  for (const auto& [key, votes] : input.observation.votes()) proxy_zones.insert(key.first);
   for (const auto& [key, supply] : input.supply) {
     for (const auto& zone : proxy_zones) sets[key.first].demand.try_emplace(zone, 0);
     auto set = sets.find(key.first);
--- a/src/placement/zone_health_agreement.cpp
+++ b/src/placement/zone_health_agreement.cpp
@@ -30,8 +30,8 @@
 }
 
 Agreement ZoneHealthAgreement::of_link(const Zone& from, const Zone& to) const {
-  auto it = input_.seen.votes().find({from, to});
-  if (it == input_.seen.votes().end()) return Agreement::kNothing;
+  auto it = input_.observation.votes().find({from, to});
+  if (it == input_.observation.votes().end()) return Agreement::kNothing;
   const auto& votes = it->second;
   auto all = votes.all();
   if (all < (options_.flaw_single_reporter ? 1 : options_.min_reporters)) return Agreement::kNothing;
@@ -51,7 +51,7 @@
   int unhealthy = 0;
   int healthy = 0;
   int reporters = 0;  // zones of proxies
-  for (const auto& [key, votes] : input_.seen.votes()) {
+  for (const auto& [key, votes] : input_.observation.votes()) {
     if (key.second != zone) continue;
     auto agreement = of_link(key.first, zone);
     if (agreement == Agreement::kNothing && votes.all() < options_.min_reporters) continue;
@@ -67,7 +67,7 @@
 // Returns how many zones of proxies must agree. Where all proxies are in one zone, that one decides.
 int ZoneHealthAgreement::zones_needed() const {
   std::set<Zone> reporters;
-  for (const auto& [key, votes] : input_.seen.votes())
+  for (const auto& [key, votes] : input_.observation.votes())
     if (votes.all() >= options_.min_reporters) reporters.insert(key.first);
   return std::min(options_.min_zones, std::max(1, static_cast<int>(reporters.size())));
 }
@@ -75,7 +75,7 @@
 // Whether the proxies in `from` find any zone healthy. If all zones are late to them, they are slow
 // themselves.
 bool ZoneHealthAgreement::finds_any_healthy(const Zone& from) const {
-  return std::any_of(input_.seen.votes().begin(), input_.seen.votes().end(), [&](const auto& entry) {
+  return std::any_of(input_.observation.votes().begin(), input_.observation.votes().end(), [&](const auto& entry) {
     const auto& [key, votes] = entry;
     return key.first == from && votes.all() > 0 && is_mostly_healthy(votes);
   });
@@ -84,7 +84,7 @@
 bool ZoneHealthAgreement::serves_near_capacity(const Zone& zone) const {
   double served = 0;
   double capacity = 0;
-  for (const auto& [key, sample] : input_.seen.samples()) {
+  for (const auto& [key, sample] : input_.observation.samples()) {
     if (std::get<2>(key) != zone) continue;
     auto not_served = sample.refused + sample.timed_out + sample.failed + sample.full;
     served += static_cast<double>(sample.attempts - std::min(sample.attempts, not_served));
@@ -96,7 +96,7 @@
 
 bool ZoneHealthAgreement::has_failed(const Zone& zone) const {
   std::map<Zone, Attempts> attempts_from;  // by zone of proxies
-  for (const auto& [key, sample] : input_.seen.samples()) {
+  for (const auto& [key, sample] : input_.observation.samples()) {
     if (std::get<2>(key) != zone || sample.attempts == 0) continue;
     auto& attempts = attempts_from[std::get<0>(key)];
     attempts.sent += sample.attempts;
--- a/src/placement/zone_health_observer.cpp
+++ b/src/placement/zone_health_observer.cpp
@@ -82,9 +82,9 @@
   count_server_states(now, spare_capacity);
   forget_unlisted_zones();
   Observation observation;
-  observation.follows(followed_plan);
-  for (const auto& [set, requests] : requests_) observation.asked(own_zone_, set, requests);
-  for (const auto& [set, zone] : primaries_) observation.leads(set, zone);
+  observation.add_followers(followed_plan);
+  for (const auto& [set, requests] : requests_) observation.add_demand(own_zone_, set, requests);
+  for (const auto& [set, zone] : primaries_) observation.add_primary(set, zone);
   for (auto& [zone, health] : zones_) close_span(zone, &health, &observation);
   requests_.clear();
   return observation;
@@ -130,7 +130,7 @@
   if (opinion == Opinion::kUnhealthy || opinion == Opinion::kLate) health->suspected = true;
   if (opinion == Opinion::kHealthy && sample.attempts >= kAttemptsForOpinion) health->suspected = false;
   if (opinion != Opinion::kNone)
-    observation->voted(
+    observation->add_votes(
         own_zone_, zone,
         {opinion == Opinion::kHealthy, opinion == Opinion::kUnhealthy, opinion == Opinion::kLate});
   observation->record(own_zone_, 0, zone, sample);
--- a/src/placement/zone_observation.cpp
+++ b/src/placement/zone_observation.cpp
@@ -49,23 +49,23 @@
   samples_[key].add(sample);
 }
 
-void Observation::voted(const Zone& from, const Zone& zone, const HealthVotes& votes) {
+void Observation::add_votes(const Zone& from, const Zone& zone, const HealthVotes& votes) {
   std::pair key(from, zone);
   if (has_place_for(votes_, key, kMostZones * kMostZones)) votes_[key].add(votes);
 }
 
-void Observation::asked(const Zone& from, SetId set, std::uint64_t requests) {
+void Observation::add_demand(const Zone& from, SetId set, std::uint64_t requests) {
   std::pair key(from, set);
   if (!has_place_for(demand_, key, kMostZones * kMostSets)) key = {"", 0};
   demand_[key] += requests;
 }
 
-void Observation::leads(SetId set, const Zone& zone, std::uint64_t proxies) {
+void Observation::add_primary(SetId set, const Zone& zone, std::uint64_t proxies) {
   std::pair key(set, zone);
   if (has_place_for(primaries_, key, kMostZones * kMostSets)) primaries_[key] += proxies;
 }
 
-void Observation::follows(std::uint64_t plan, std::uint64_t proxies) {
+void Observation::add_followers(std::uint64_t plan, std::uint64_t proxies) {
   followers_[plan] += proxies;
   if (followers_.size() <= kMostPlans) return;
   auto oldest = followers_.begin();
@@ -80,12 +80,12 @@
 }
 
 void Observation::add(const Observation& other) {
-  for (const auto& [key, proxies] : other.primaries_) leads(key.first, key.second, proxies);
-  for (const auto& [plan, proxies] : other.followers_) follows(plan, proxies);
+  for (const auto& [key, proxies] : other.primaries_) add_primary(key.first, key.second, proxies);
+  for (const auto& [plan, proxies] : other.followers_) add_followers(plan, proxies);
   for (const auto& [key, sample] : other.samples_)
     record(std::get<0>(key), std::get<1>(key), std::get<2>(key), sample);
-  for (const auto& [key, votes] : other.votes_) voted(key.first, key.second, votes);
-  for (const auto& [key, requests] : other.demand_) asked(key.first, key.second, requests);
+  for (const auto& [key, votes] : other.votes_) add_votes(key.first, key.second, votes);
+  for (const auto& [key, requests] : other.demand_) add_demand(key.first, key.second, requests);
 }
 
 void Demand::debounce(const Observation& observation, double seconds) {
--- a/src/placement/zone_observation.h
+++ b/src/placement/zone_observation.h
@@ -61,17 +61,17 @@
   // By proxies in `from`, of servers of `set` in `zone`.
   void record(const Zone& from, SetId set, const Zone& zone, const ZoneSample& sample);
   // By one proxy in `from`.
-  void vote(const Zone& from, const Zone& zone, bool healthy) {
-    voted(from, zone, healthy ? HealthVotes{1, 0} : HealthVotes{0, 1});
+  void add_vote(const Zone& from, const Zone& zone, bool healthy) {
+    add_votes(from, zone, healthy ? HealthVotes{1, 0} : HealthVotes{0, 1});
   }
   // By many proxies in `from`.
-  void voted(const Zone& from, const Zone& zone, const HealthVotes& votes);
+  void add_votes(const Zone& from, const Zone& zone, const HealthVotes& votes);
   // Adds requests by clients in `from` to the demand.
-  void asked(const Zone& from, SetId set, std::uint64_t requests);
+  void add_demand(const Zone& from, SetId set, std::uint64_t requests);
   // So many proxies observed the primary of `set` in `zone`.
-  void leads(SetId set, const Zone& zone, std::uint64_t proxies = 1);
+  void add_primary(SetId set, const Zone& zone, std::uint64_t proxies = 1);
   // So many proxies follow the plan of this number; 0: none.
-  void follows(std::uint64_t plan, std::uint64_t proxies = 1);
+  void add_followers(std::uint64_t plan, std::uint64_t proxies = 1);
   void add(const Observation& other);
 
   // By proxies' zone, set and servers' zone.
--- a/src/placement/zone_phase_machine.cpp
+++ b/src/placement/zone_phase_machine.cpp
@@ -100,7 +100,7 @@
 }
 
 void ZonePhaseMachine::advance_links() {
-  for (const auto& [key, votes] : input_.seen.votes()) {
+  for (const auto& [key, votes] : input_.observation.votes()) {
     auto agreement = health_.of_link(key.first, key.second);
     auto it = plan_->links.find(key);
     if (it == plan_->links.end()) {
--- a/src/testbench/simulation/placement.cpp
+++ b/src/testbench/simulation/placement.cpp
@@ -138,7 +138,7 @@
     for (int o = 0; o < observers_[from]; ++o)
       for (auto& to : zones_) {
         bool bad = (from == bad_card_ && o == 0) || unhealthy(to) || cut(from, to) || draw(50) == 0;
-        here.vote(from, to, !bad);
+        here.add_vote(from, to, !bad);
         pl::ZoneSample s;
         s.attempts = kProbes;
         s.timed_out = bad ? (faulty(Fault::What::kGrey, to) ? kProbes / 2 : kProbes) : 0;
@@ -146,16 +146,16 @@
       }
     for (int set = 1; set <= sets_; ++set) {
       double asked = demand_[{set, from}] * between(0.97, 1.03) * (faulty(Fault::What::kBurst, "") ? 2 : 1);
-      here.asked(from, set, static_cast<std::uint64_t>(asked));
+      here.add_demand(from, set, static_cast<std::uint64_t>(asked));
     }
     if (late && seen_.size() >= 20) {  // its last word is ten seconds old
       pl::Observation old;
       for (auto& [key, votes] : seen_.front().votes())
         if (key.first == from)
           for (std::uint64_t i = 0; i < votes.healthy + votes.unhealthy; ++i)
-            old.vote(from, key.second, i < votes.healthy);
+            old.add_vote(from, key.second, i < votes.healthy);
       for (auto& [key, requests] : seen_.front().demand())
-        if (key.first == from) old.asked(from, key.second, requests);
+        if (key.first == from) old.add_demand(from, key.second, requests);
       here = old;
     }
     seen.add(here);
@@ -164,17 +164,17 @@
   if (seen_.size() > 20) seen_.pop_front();
   pl::Input input;
   input.now = now_ + 1'000'000;
-  input.seen = seen;
+  input.observation = seen;
   asked_smoothly_.debounce(seen, 1);
-  input.asked = asked_smoothly_.rates();
+  input.smoothed_demand = asked_smoothly_.rates();
   for (auto& [key, most] : capacity_) input.supply[key] = {most * warm(key.second), warm(key.second) < 1};
   return input;
 }
 
 void World::check(const pl::Plan& last, const pl::Plan& plan, const pl::Input& input) {
   auto demand = [&](pl::SetId set, const Zone& from) {
-    auto it = input.asked.find({from, set});
-    return it == input.asked.end() ? 0.0 : it->second;
+    auto it = input.smoothed_demand.find({from, set});
+    return it == input.smoothed_demand.end() ? 0.0 : it->second;
   };
   auto one = [](auto& all, pl::SetId set, const Zone& from, const Zone& to) {
     auto it = all.find({set, from});
@@ -250,7 +250,7 @@
     if (phase == pl::Phase::kClosed && old == pl::Phase::kOpen) {
       int see_ill = 0;
       for (auto& from : zones_)
-        if (auto v = input.seen.votes().find({from, zone}); v != input.seen.votes().end())
+        if (auto v = input.observation.votes().find({from, zone}); v != input.observation.votes().end())
           see_ill += v->second.unhealthy >= 2;
       if (see_ill < 2) throw fmt::format("{} is closed, and only {} zones see it ill", zone, see_ill);
       if (!faulty(Fault::What::kDead, zone) && !(faulty(Fault::What::kFlap, zone)) &&
@@ -443,26 +443,26 @@
       pl::ZoneSample s;
       s.attempts = 40, s.latency_us = 123456, s.spare_capacity = 77.5;
       o.record(from, 0, to, s);
-      o.vote(from, to, true);
+      o.add_vote(from, to, true);
     }
-    for (int set = 1; set <= sets; ++set) o.asked(from, set, 5), o.leads(set, names[0]);
-    o.follows(7);
+    for (int set = 1; set <= sets; ++set) o.add_demand(from, set, 5), o.add_primary(set, names[0]);
+    o.add_followers(7);
   }
   std::string text;
   nlohmann::json::to_cbor(pl::to_json(all[0]), text);
   cost.observation_bytes = text.size();
   auto at = Clock::now();
   pl::Input input;
-  for (auto& o : all) input.seen.add(o);
+  for (auto& o : all) input.observation.add(o);
   cost.sum_us = us(at);
   text.clear();
-  nlohmann::json::to_cbor(pl::to_json(input.seen), text);
+  nlohmann::json::to_cbor(pl::to_json(input.observation), text);
   cost.sum_bytes = text.size();
   input.now = 1'000'000;
   input.seconds = 0.5;
   pl::Demand demand;
-  demand.debounce(input.seen, 0.5);
-  input.asked = demand.rates();
+  demand.debounce(input.observation, 0.5);
+  input.smoothed_demand = demand.rates();
   double each = 300.0 * servers / sets / zones;
   for (auto& zone : names)
     for (int set = 1; set <= sets; ++set) input.supply[{set, zone}] = {each, false};
--- a/tests/formats/peer_messages_test.cpp
+++ b/tests/formats/peer_messages_test.cpp
@@ -82,7 +82,7 @@
 placement::Observation observation() {
   placement::Observation observation;
   observation.record("z1", 7, "z2", {11, 2, 3, 4, 5, 6000, 7, 8, 9.5});
-  observation.asked("z1", 7, 120);
+  observation.add_demand("z1", 7, 120);
   return observation;
 }
 
--- a/tests/formats/wire_format_test.cpp
+++ b/tests/formats/wire_format_test.cpp
@@ -92,10 +92,10 @@
 placement::Observation observation() {
   placement::Observation observation;
   observation.record("z1", 7, "z2", {11, 2, 3, 4, 5, 6000, 7, 8, 9.5});
-  observation.voted("z1", "z2", {1, 2, 3});
-  observation.asked("z1", 7, 120);
-  observation.leads(7, "z2", 4);
-  observation.follows(12, 5);
+  observation.add_votes("z1", "z2", {1, 2, 3});
+  observation.add_demand("z1", 7, 120);
+  observation.add_primary(7, "z2", 4);
+  observation.add_followers(12, 5);
   return observation;
 }
 
--- a/tests/placement/placement_test.cpp
+++ b/tests/placement/placement_test.cpp
@@ -26,10 +26,10 @@
   Input input;
   input.now = now;
   for (Zone from : {"a", "b", "c"}) {
-    input.seen.asked(from, 1, static_cast<std::uint64_t>(demand));
+    input.observation.add_demand(from, 1, static_cast<std::uint64_t>(demand));
     input.supply[{1, from}] = {capacity};
     for (Zone to : {"a", "b", "c"})
-      for (int i = 0; i < 4; ++i) input.seen.vote(from, to, true);
+      for (int i = 0; i < 4; ++i) input.observation.add_vote(from, to, true);
   }
   return input;
 }
@@ -37,15 +37,15 @@
 // `input`, but `unhealthy` of the four proxies of each zone in `by` find `zone` unhealthy.
 Input found_unhealthy(Input input, const Zone& zone, const std::vector<Zone>& by, int unhealthy = 4) {
   Observation observation;
-  for (auto& [key, votes] : input.seen.votes()) {
+  for (auto& [key, votes] : input.observation.votes()) {
     int bad = key.second == zone && std::count(by.begin(), by.end(), key.first) ? unhealthy : 0;
-    for (int i = 0; i < 4; ++i) observation.vote(key.first, key.second, i >= bad);
+    for (int i = 0; i < 4; ++i) observation.add_vote(key.first, key.second, i >= bad);
   }
-  for (auto& [key, requests] : input.seen.demand()) observation.asked(key.first, key.second, requests);
+  for (auto& [key, requests] : input.observation.demand()) observation.add_demand(key.first, key.second, requests);
   ZoneSample lost;
   lost.attempts = lost.timed_out = 100;
   if (unhealthy == 4) observation.record(by[0], 1, zone, lost);
-  input.seen = observation;
+  input.observation = observation;
   return input;
 }
 
@@ -56,9 +56,9 @@
 
 TEST(Observation, SumsAreTheSameInAnyOrderAndOfBoundedSize) {
   Observation first, second, third;
-  first.vote("a", "b", true);
-  second.vote("a", "b", false);
-  third.asked("a", 1, 7);
+  first.add_vote("a", "b", true);
+  second.add_vote("a", "b", false);
+  third.add_demand("a", 1, 7);
   ZoneSample sample;
   sample.attempts = 5;
   sample.spare_capacity = 0.5;
@@ -71,7 +71,7 @@
   EXPECT_EQ(left.samples().at({"a", 1, "b"}).attempts, 10u);
   Observation flood;
   for (int i = 0; i < 20'000; ++i) {
-    flood.vote("z" + std::to_string(i), "b", true);
+    flood.add_vote("z" + std::to_string(i), "b", true);
     flood.record("z" + std::to_string(i), i, "b", sample);
   }
   EXPECT_LE(flood.votes().size(), kMostZones * kMostZones);
@@ -103,10 +103,10 @@
   sample.latency_us = 5, sample.postponed = 6;
   sample.warming_up = 7, sample.spare_capacity = 8.5;
   observation.record("a", 0, "b", sample);
-  observation.voted("a", "b", {1, 2, 3});
-  observation.asked("a", 7, 8);
-  observation.leads(7, "c");
-  observation.follows(12, 4);
+  observation.add_votes("a", "b", {1, 2, 3});
+  observation.add_demand("a", 7, 8);
+  observation.add_primary(7, "c");
+  observation.add_followers(12, 4);
   EXPECT_EQ(observation_from_json(to_json(observation)), observation);
   EXPECT_EQ(observation_from_json(nlohmann::json::object()), Observation());
   EXPECT_THROW(observation_from_json({{"votes", {{"a", "b", "many", 1, 2}}}}), nlohmann::json::exception);
@@ -127,7 +127,7 @@
 
 TEST(Observation, CountsOnlyTheNewestPlansSeparately) {
   Observation observation;
-  for (std::uint64_t plan = 1; plan <= 20; ++plan) observation.follows(plan);
+  for (std::uint64_t plan = 1; plan <= 20; ++plan) observation.add_followers(plan);
   EXPECT_EQ(observation.followers().size(), kMostPlans);
   EXPECT_EQ(observation.followers().begin()->second, 13u);  // 1 to 13 together
   EXPECT_EQ(observation.followers().rbegin()->first, 20u);
@@ -137,7 +137,7 @@
   Demand demand;
   auto next_half_second = [&](std::uint64_t requests) {
     Observation observation;
-    observation.asked("a", 1, requests);
+    observation.add_demand("a", 1, requests);
     demand.debounce(observation, 0.5);
     return demand.rates().at({"a", 1});
   };
@@ -235,10 +235,10 @@
 TEST(Plan, NoZoneIsClosedWhereAllAreLate) {
   Planner planner(three());
   auto input = calm(300, 1000);
-  input.seen = input.seen.demand_only();
+  input.observation = input.observation.demand_only();
   // The proxies themselves are slow: there is little demand, and all answers are late.
   for (Zone from : {"a", "b", "c"})
-    for (Zone to : {"a", "b", "c"}) input.seen.voted(from, to, {0, 0, 4});
+    for (Zone to : {"a", "b", "c"}) input.observation.add_votes(from, to, {0, 0, 4});
   auto plan = settle(planner, {}, input, 20'000);
   for (Zone zone : {"a", "b", "c"}) EXPECT_EQ(plan.zones.at(zone).phase, Phase::kOpen) << zone;
   EXPECT_TRUE(plan.links.empty());
@@ -247,12 +247,12 @@
 TEST(Plan, AZoneThatServesItsOwnClientsLosesLinksAndStaysOpen) {
   Planner planner(three());
   auto input = calm(300, 1000);
-  input.seen = input.seen.demand_only();
+  input.observation = input.observation.demand_only();
   // Every link between zones is cut, and each zone is healthy to its own proxies: closing one would help
   // nobody.
   for (Zone from : {"a", "b", "c"})
     for (Zone to : {"a", "b", "c"})
-      input.seen.voted(from, to, from == to ? HealthVotes{4, 0, 0} : HealthVotes{0, 4, 0});
+      input.observation.add_votes(from, to, from == to ? HealthVotes{4, 0, 0} : HealthVotes{0, 4, 0});
   auto plan = settle(planner, {}, input, 10'000);
   for (Zone zone : {"a", "b", "c"}) {
     EXPECT_EQ(plan.zones.at(zone).phase, Phase::kOpen) << zone;
@@ -265,18 +265,18 @@
 TEST(Plan, AZoneThatIsLateForItsLoadIsNotClosed) {
   Planner planner(three());
   auto input = calm(300, 1000);
-  input.seen = {};
+  input.observation = {};
   for (Zone from : {"a", "b", "c"}) {
-    input.seen.asked(from, 1, 500);
-    for (Zone to : {"a", "b", "c"}) input.seen.voted(from, to, {to == "b" ? 0u : 4u, 0, to == "b" ? 4u : 0u});
+    input.observation.add_demand(from, 1, 500);
+    for (Zone to : {"a", "b", "c"}) input.observation.add_votes(from, to, {to == "b" ? 0u : 4u, 0, to == "b" ? 4u : 0u});
   }
   ZoneSample busy;
   busy.attempts = 900;
-  input.seen.record("b", 0, "b", busy);  // it answers nine tenths of its capacity
+  input.observation.record("b", 0, "b", busy);  // it answers nine tenths of its capacity
   EXPECT_EQ(settle(planner, {}, input, 10'000).zones.at("b").phase, Phase::kOpen);
-  input.seen = [&] {
-    auto observation = input.seen.demand_only();
-    for (auto& [key, votes] : input.seen.votes()) observation.voted(key.first, key.second, votes);
+  input.observation = [&] {
+    auto observation = input.observation.demand_only();
+    for (auto& [key, votes] : input.observation.votes()) observation.add_votes(key.first, key.second, votes);
     ZoneSample slow;
     slow.attempts = 100;
     observation.record("b", 0, "b", slow);  // late, and doing next to nothing
@@ -316,7 +316,7 @@
 TEST(Plan, TrafficGoesNoFurtherThanNeeded) {
   Planner planner(three());
   auto input = calm(300, 1000);
-  input.seen.asked("a", 1, 700);  // a demand of 1000, of which it may serve 800
+  input.observation.add_demand("a", 1, 700);  // a demand of 1000, of which it may serve 800
   auto plan = settle(planner, {}, input, 10'000);
   EXPECT_NEAR(plan.shares.at({1, "a"}).at("a"), 0.8, 0.01);
   EXPECT_NEAR(plan.shares.at({1, "a"}).at("b"), 0.2, 0.01);  // the same region first
