--- a/src/group/plan_builder.cpp
+++ b/src/group/plan_builder.cpp
@@ -106,7 +106,7 @@
     int count = 0;
     bool is_warming_up = false;
   };
-  std::map<std::pair<placement::SetId, placement::Zone>, ZoneServers> servers_by_zone;
+  std::map<std::pair<placement::ShardGroupId, placement::Zone>, ZoneServers> servers_by_zone;
   for (auto& endpoint : list.members) {
     if (endpoint.lifecycle != discovery::Lifecycle::kUp) continue;
     double share = warm_share(endpoint, input->now);
@@ -117,7 +117,7 @@
   }
   // A primary works for writes: its share of its zone is not for the reads that the plan is about. Most
   // proxies decide which zone that is.
-  std::map<placement::SetId, std::pair<std::uint64_t, placement::Zone>> primary_zones;
+  std::map<placement::ShardGroupId, std::pair<std::uint64_t, placement::Zone>> primary_zones;
   for (auto& [key, proxies] : input->observation.primaries()) {
     auto& most = primary_zones[key.first];
     most = std::max(most, std::pair(proxies, key.second));
--- a/src/placement/capacity_check.cpp
+++ b/src/placement/capacity_check.cpp
@@ -11,42 +11,42 @@
 namespace database_proxy::placement {
 namespace {
 
-using RatesBySet = std::map<SetId, double>;  // requests a second
+using RatesByShardGroup = std::map<ShardGroupId, double>;  // requests a second
 
-RatesBySet demand_by_set(const Input& input) {
-  RatesBySet demand;
+RatesByShardGroup demand_by_shard_group(const Input& input) {
+  RatesByShardGroup demand;
   for (const auto& [key, rate] : current_demand(input)) demand[key.second] += rate;
   return demand;
 }
 
 // The capacity that may be used, where `fraction` of the capacity of `zone` may.
-RatesBySet capacity_by_set(const Plan& plan, const Zone& zone, double fraction, const Input& input) {
-  RatesBySet capacity;
+RatesByShardGroup capacity_by_shard_group(const Plan& plan, const Zone& zone, double fraction, const Input& input) {
+  RatesByShardGroup capacity;
   for (const auto& [key, supply] : input.supply)
     capacity[key.first] += supply.warm * (key.second == zone ? fraction : plan.capacity_fraction(key.second));
   return capacity;
 }
 
-double rate_of(const RatesBySet& rates, SetId set) {
-  auto it = rates.find(set);
+double rate_of(const RatesByShardGroup& rates, ShardGroupId shard_group) {
+  auto it = rates.find(shard_group);
   return it == rates.end() ? 0 : it->second;
 }
 
 }  // namespace
 
 bool others_have_capacity(const Plan& plan, const Zone& zone, const Input& input) {
-  std::set<SetId> sets;
+  std::set<ShardGroupId> shard_groups;
   for (const auto& [key, supply] : input.supply)
-    if (key.second == zone) sets.insert(key.first);
-  auto demand = demand_by_set(input);
-  auto capacity = capacity_by_set(plan, zone, 0, input);
-  return std::all_of(sets.begin(), sets.end(),
-                     [&](SetId set) { return rate_of(demand, set) <= rate_of(capacity, set); });
+    if (key.second == zone) shard_groups.insert(key.first);
+  auto demand = demand_by_shard_group(input);
+  auto capacity = capacity_by_shard_group(plan, zone, 0, input);
+  return std::all_of(shard_groups.begin(), shard_groups.end(),
+                     [&](ShardGroupId shard_group) { return rate_of(demand, shard_group) <= rate_of(capacity, shard_group); });
 }
 
 bool has_capacity_with_fraction(const Plan& plan, const Zone& zone, double fraction, const Input& input) {
-  auto demand = demand_by_set(input);
-  auto capacity = capacity_by_set(plan, zone, fraction, input);
+  auto demand = demand_by_shard_group(input);
+  auto capacity = capacity_by_shard_group(plan, zone, fraction, input);
   return std::all_of(demand.begin(), demand.end(),
                      [&](const auto& entry) { return entry.second <= rate_of(capacity, entry.first); });
 }
--- a/src/placement/placement_codec.cpp
+++ b/src/placement/placement_codec.cpp
@@ -70,7 +70,7 @@
 Shares shares_from_json(const json& rows) {
   Shares shares;
   for (const auto& row : rows)
-    shares[{row.at(0).get<SetId>(), row.at(1).get<Zone>()}] = row.at(2).get<std::map<Zone, double>>();
+    shares[{row.at(0).get<ShardGroupId>(), row.at(1).get<Zone>()}] = row.at(2).get<std::map<Zone, double>>();
   return shares;
 }
 
@@ -95,15 +95,15 @@
 Observation observation_from_json(const json& encoded) {
   Observation observation;
   for (const auto& row : rows_of(encoded, "seen"))
-    observation.record(row.at(0).get<Zone>(), row.at(1).get<SetId>(), row.at(2).get<Zone>(),
+    observation.record(row.at(0).get<Zone>(), row.at(1).get<ShardGroupId>(), row.at(2).get<Zone>(),
                        sample_from_row(row));
   for (const auto& row : rows_of(encoded, "votes"))
     observation.add_votes(row.at(0).get<Zone>(), row.at(1).get<Zone>(),
                       {number_at(row, 2), number_at(row, 3), number_at(row, 4)});
   for (const auto& row : rows_of(encoded, "asked"))
-    observation.add_demand(row.at(0).get<Zone>(), row.at(1).get<SetId>(), number_at(row, 2));
+    observation.add_demand(row.at(0).get<Zone>(), row.at(1).get<ShardGroupId>(), number_at(row, 2));
   for (const auto& row : rows_of(encoded, "leads"))
-    observation.add_primary(row.at(0).get<SetId>(), row.at(1).get<Zone>(), number_at(row, 2));
+    observation.add_primary(row.at(0).get<ShardGroupId>(), row.at(1).get<Zone>(), number_at(row, 2));
   for (const auto& row : rows_of(encoded, "follow"))
     observation.add_followers(number_at(row, 0), number_at(row, 1));
   return observation;
--- a/src/placement/placement_plan.cpp
+++ b/src/placement/placement_plan.cpp
@@ -61,15 +61,15 @@
   state->since = now;
 }
 
-double share_of(const Shares& shares, SetId set, const Zone& from, const Zone& to) {
-  auto it = shares.find({set, from});
+double share_of(const Shares& shares, ShardGroupId shard_group, const Zone& from, const Zone& to) {
+  auto it = shares.find({shard_group, from});
   if (it == shares.end()) return 0;
   auto share = it->second.find(to);
   return share == it->second.end() ? 0 : share->second;
 }
 
-double Plan::refused(SetId set, const Zone& from) const {
-  auto it = shares.find({set, from});
+double Plan::refused(ShardGroupId shard_group, const Zone& from) const {
+  auto it = shares.find({shard_group, from});
   if (it == shares.end()) return 0;
   double sum = 0;
   for (const auto& [zone, share] : it->second) sum += share;
--- a/src/placement/placement_plan.h
+++ b/src/placement/placement_plan.h
@@ -54,10 +54,10 @@
 void enter_phase(ZoneState* state, Phase phase, PhaseReason reason, double capacity_fraction, Millis now);
 
 // By set and clients' zone: the share of each zone of servers.
-using Shares = std::map<std::pair<SetId, Zone>, std::map<Zone, double>>;
+using Shares = std::map<std::pair<ShardGroupId, Zone>, std::map<Zone, double>>;
 
 // Returns the share of the servers' zone `to` for clients in `from`, 0 if there is none.
-double share_of(const Shares& shares, SetId set, const Zone& from, const Zone& to);
+double share_of(const Shares& shares, ShardGroupId shard_group, const Zone& from, const Zone& to);
 
 // One numbered plan, with all that the next one depends on besides the input.
 struct Plan {
@@ -76,7 +76,7 @@
   bool frozen = false;
 
   // The share of the requests that is refused; 0 if the plan does not mention the set and zone.
-  double refused(SetId set, const Zone& from) const;
+  double refused(ShardGroupId shard_group, const Zone& from) const;
   // Whether clients in `from` may send to servers in `to`.
   bool link_is_open(const Zone& from, const Zone& to) const;
   // The part of the zone's capacity that may be used; 1 for a zone that the plan does not mention.
--- a/src/placement/planner_input.h
+++ b/src/placement/planner_input.h
@@ -21,7 +21,7 @@
   Observation observation;                                 // of the last seconds, all proxies together
   double seconds = 1;                               // the length of that span
   Demand::Rates smoothed_demand;                              // requests a second, smoothed; empty: those in `seen`
-  std::map<std::pair<SetId, Zone>, Supply> supply;  // of the servers in the endpoint list that are up
+  std::map<std::pair<ShardGroupId, Zone>, Supply> supply;  // of the servers in the endpoint list that are up
 };
 
 // Returns the demand: requests a second by clients' zone and set.
--- a/src/placement/surplus_split.cpp
+++ b/src/placement/surplus_split.cpp
@@ -31,28 +31,28 @@
 using SurplusOffers = std::map<Zone, SurplusOffer>;
 
 // The load of each zone by this plan or the last one, whichever is more.
-std::map<Zone, double> max_loads(const SetDemand& set, const Options& options, const Plan& last,
+std::map<Zone, double> max_loads(const ShardGroupDemand& shard_group, const Options& options, const Plan& last,
                                  const Plan& plan) {
   std::map<Zone, double> loads;
-  for (const auto& [to, capacity] : set.capacity)
-    for (const auto& [from, demand] : set.demand) {
-      double last_share = options.flaw_no_overlap ? 0 : share_of(last.shares, set.id, from, to);
-      loads[to] += demand * std::max(share_of(plan.shares, set.id, from, to), last_share);
+  for (const auto& [to, capacity] : shard_group.capacity)
+    for (const auto& [from, demand] : shard_group.demand) {
+      double last_share = options.flaw_no_overlap ? 0 : share_of(last.shares, shard_group.id, from, to);
+      loads[to] += demand * std::max(share_of(plan.shares, shard_group.id, from, to), last_share);
     }
   return loads;
 }
 
-SurplusOffers surplus_offers(const SetDemand& set, const Options& options, const Plan& last,
+SurplusOffers surplus_offers(const ShardGroupDemand& shard_group, const Options& options, const Plan& last,
                              const Plan& plan) {
-  auto loads = max_loads(set, options, last, plan);
+  auto loads = max_loads(shard_group, options, last, plan);
   SurplusOffers offers;
-  for (const auto& [to, capacity] : set.capacity) {
+  for (const auto& [to, capacity] : shard_group.capacity) {
     double surplus = capacity * options.hard_utilization_limit - loads[to];
     double largest_other = 0;
     for (const auto& [other, load] : loads)
       if (other != to) largest_other = std::max(largest_other, load);
     bool is_fully_open = plan.capacity_fraction(to) >= 1;
-    if (!is_fully_open || set.warming_up.contains(to) || surplus <= 0 || largest_other <= kNegligible)
+    if (!is_fully_open || shard_group.warming_up.contains(to) || surplus <= 0 || largest_other <= kNegligible)
       continue;
     offers[to] = {std::min(1.0, surplus / largest_other), (capacity - loads[to]) / largest_other};
   }
@@ -61,40 +61,40 @@
 
 // The surplus for clients in `from`: the nearest zones' first, all together no more than their demand. The
 // last plan's is returned where it may stay.
-std::map<Zone, double> surplus_for(const Zone& from, const SetDemand& set, const SurplusOffers& offers,
+std::map<Zone, double> surplus_for(const Zone& from, const ShardGroupDemand& shard_group, const SurplusOffers& offers,
                                    const ZoneTopology& topology, const Plan& last, const Plan& plan) {
   std::map<Zone, double> surplus;
   double missing = 1;
   bool last_may_stay = true;
   for (int distance = ZoneTopology::kSameZone; distance <= ZoneTopology::kFar; ++distance)
-    for (const auto& [to, capacity] : set.capacity) {
+    for (const auto& [to, capacity] : shard_group.capacity) {
       if (topology.distance(from, to) != distance) continue;
       auto offer = offers.find(to);
       bool is_usable =
-          plan.link_is_open(from, to) && share_of(plan.shares, set.id, from, to) < 1 && offer != offers.end();
+          plan.link_is_open(from, to) && share_of(plan.shares, shard_group.id, from, to) < 1 && offer != offers.end();
       double share = is_usable ? std::floor(std::min(missing, offer->second.share) * kSurplusPrecision) /
                                      kSurplusPrecision
                                : 0;
       if (share > kMinSurplus) surplus[to] = share;
       missing -= share;
-      double last_share = share_of(last.surplus_capacity, set.id, from, to);
+      double last_share = share_of(last.surplus_capacity, shard_group.id, from, to);
       double most = is_usable ? offer->second.max_share : 0;
       double least = share > kMinSurplus * 2 ? share * kRetainedSurplusFraction : 0;
       last_may_stay = last_may_stay && last_share <= most && last_share >= least;
     }
   if (!last_may_stay) return surplus;
-  auto last_surplus = last.surplus_capacity.find({set.id, from});
+  auto last_surplus = last.surplus_capacity.find({shard_group.id, from});
   return last_surplus == last.surplus_capacity.end() ? std::map<Zone, double>{} : last_surplus->second;
 }
 
 }  // namespace
 
-void split_surplus_capacity(const SetDemand& set, const ZoneTopology& topology, const Options& options,
+void split_surplus_capacity(const ShardGroupDemand& shard_group, const ZoneTopology& topology, const Options& options,
                             const Plan& last, Plan* plan) {
-  auto offers = surplus_offers(set, options, last, *plan);
-  for (const auto& [from, demand] : set.demand) {
-    auto surplus = surplus_for(from, set, offers, topology, last, *plan);
-    if (!surplus.empty()) plan->surplus_capacity[{set.id, from}] = std::move(surplus);
+  auto offers = surplus_offers(shard_group, options, last, *plan);
+  for (const auto& [from, demand] : shard_group.demand) {
+    auto surplus = surplus_for(from, shard_group, offers, topology, last, *plan);
+    if (!surplus.empty()) plan->surplus_capacity[{shard_group.id, from}] = std::move(surplus);
   }
 }
 
--- a/src/placement/traffic_split.cpp
+++ b/src/placement/traffic_split.cpp
@@ -25,11 +25,11 @@
 using FlowRates = std::map<std::pair<Zone, Zone>, double>;  // from clients' zone, to servers' zone
 
 // The traffic of one set. The steps are to be called in their order.
-class SetTraffic {
+class ShardGroupTraffic {
  public:
-  SetTraffic(const SetDemand& set, const ZoneTopology& topology, const Options& options, const Plan& last,
+  ShardGroupTraffic(const ShardGroupDemand& shard_group, const ZoneTopology& topology, const Options& options, const Plan& last,
              const Plan& plan)
-      : set_(set), topology_(topology), options_(options), last_(last), plan_(plan) {}
+      : shard_group_(shard_group), topology_(topology), options_(options), last_(last), plan_(plan) {}
 
   void assign_near_first();
   void fit_beside_last_plan();
@@ -42,13 +42,13 @@
     return topology_.distance(from, to) == distance && plan_.link_is_open(from, to);
   }
   double last_share(const Zone& from, const Zone& to) const {
-    return options_.flaw_no_overlap ? 0 : share_of(last_.shares, set_.id, from, to);
+    return options_.flaw_no_overlap ? 0 : share_of(last_.shares, shard_group_.id, from, to);
   }
   double new_share(const Zone& from, const Zone& to, double demand) const;
   bool may_keep_last_shares(const Zone& from, double demand) const;
   const Zone* nearest_open_zone(const Zone& from) const;
 
-  const SetDemand& set_;
+  const ShardGroupDemand& shard_group_;
   const ZoneTopology& topology_;
   const Options& options_;
   const Plan& last_;
@@ -62,23 +62,23 @@
 
 // Fills near zones to their target first, then near zones to their limit: in this order clients from afar
 // take no capacity that a zone's own clients need.
-void SetTraffic::assign_near_first() {
-  auto unassigned = set_.demand;
+void ShardGroupTraffic::assign_near_first() {
+  auto unassigned = shard_group_.demand;
   for (double utilization : {options_.target_utilization, options_.hard_utilization_limit})
     for (int distance = ZoneTopology::kSameZone; distance <= ZoneTopology::kFar; ++distance)
       for (auto& [from, rate] : unassigned) assign_at_distance(utilization, distance, from, &rate);
 }
 
-void SetTraffic::assign_at_distance(double utilization, int distance, const Zone& from, double* unassigned) {
+void ShardGroupTraffic::assign_at_distance(double utilization, int distance, const Zone& from, double* unassigned) {
   auto free_capacity = [&](const Zone& to, double capacity) {
     return std::max(0.0, capacity * utilization - assigned_[to]);
   };
   double available = 0;
-  for (const auto& [to, capacity] : set_.capacity)
+  for (const auto& [to, capacity] : shard_group_.capacity)
     if (is_candidate(from, to, distance)) available += free_capacity(to, capacity);
   if (available <= kNegligible || *unassigned <= kNegligible) return;
   double fraction = std::min(1.0, *unassigned / available);
-  for (const auto& [to, capacity] : set_.capacity) {
+  for (const auto& [to, capacity] : shard_group_.capacity) {
     if (!is_candidate(from, to, distance)) continue;
     double rate = free_capacity(to, capacity) * fraction;
     desired_[{from, to}] += rate;
@@ -89,16 +89,16 @@
 
 // Half of the proxies may still follow the last plan: what a zone gets more of must fit beside all that the
 // last plan sends there.
-void SetTraffic::fit_beside_last_plan() {
+void ShardGroupTraffic::fit_beside_last_plan() {
   std::map<Zone, double> added;
-  for (const auto& [from, demand] : set_.demand)
-    for (const auto& [to, capacity] : set_.capacity) {
+  for (const auto& [from, demand] : shard_group_.demand)
+    for (const auto& [to, capacity] : shard_group_.capacity) {
       double last_rate = demand * last_share(from, to);
       last_load_[to] += last_rate;
       added[to] += std::max(0.0, desired_[{from, to}] - last_rate);
     }
-  for (const auto& [from, demand] : set_.demand)
-    for (const auto& [to, capacity] : set_.capacity) {
+  for (const auto& [from, demand] : shard_group_.demand)
+    for (const auto& [to, capacity] : shard_group_.capacity) {
       double last_rate = demand * last_share(from, to);
       double desired = desired_[{from, to}];
       double growth =
@@ -110,11 +110,11 @@
 }
 
 // What does not fit yet stays where the last plan sent it, as far as that may still be used.
-void SetTraffic::return_rest_to_last_plan() {
-  for (const auto& [from, demand] : set_.demand) {
+void ShardGroupTraffic::return_rest_to_last_plan() {
+  for (const auto& [from, demand] : shard_group_.demand) {
     double assigned = 0;
-    for (const auto& [to, capacity] : set_.capacity) assigned += next_[{from, to}];
-    for (const auto& [to, capacity] : set_.capacity) {
+    for (const auto& [to, capacity] : shard_group_.capacity) assigned += next_[{from, to}];
+    for (const auto& [to, capacity] : shard_group_.capacity) {
       if (!plan_.link_is_open(from, to)) continue;
       double last_rate = demand * last_share(from, to);
       double returned =
@@ -128,35 +128,35 @@
 }
 
 // The shares of the demand from `from`. Without any demand, the nearest zone gets whoever comes first.
-std::map<Zone, double> SetTraffic::shares(const Zone& from, double demand) const {
+std::map<Zone, double> ShardGroupTraffic::shares(const Zone& from, double demand) const {
   std::map<Zone, double> shares;
   if (demand <= kNegligible) {
     if (const auto* nearest = nearest_open_zone(from)) shares[*nearest] = 1;
     return shares;
   }
-  auto last = last_.shares.find({set_.id, from});
+  auto last = last_.shares.find({shard_group_.id, from});
   if (last != last_.shares.end() && may_keep_last_shares(from, demand)) return last->second;
-  for (const auto& [to, capacity] : set_.capacity)
+  for (const auto& [to, capacity] : shard_group_.capacity)
     if (double share = new_share(from, to, demand); share > 0) shares[to] = share;
   return shares;
 }
 
 // Rounded down: never more than there is capacity for.
-double SetTraffic::new_share(const Zone& from, const Zone& to, double demand) const {
+double ShardGroupTraffic::new_share(const Zone& from, const Zone& to, double demand) const {
   return std::floor(next_.at({from, to}) / demand * kSharePrecision) / kSharePrecision;
 }
 
-bool SetTraffic::may_keep_last_shares(const Zone& from, double demand) const {
-  return std::all_of(set_.capacity.begin(), set_.capacity.end(), [&](const auto& entry) {
+bool ShardGroupTraffic::may_keep_last_shares(const Zone& from, double demand) const {
+  return std::all_of(shard_group_.capacity.begin(), shard_group_.capacity.end(), [&](const auto& entry) {
     const auto& [to, capacity] = entry;
     bool is_close = std::abs(new_share(from, to, demand) - last_share(from, to)) < kSameShare;
     return is_close && last_load_.at(to) <= capacity + kNegligible;
   });
 }
 
-const Zone* SetTraffic::nearest_open_zone(const Zone& from) const {
+const Zone* ShardGroupTraffic::nearest_open_zone(const Zone& from) const {
   const Zone* nearest = nullptr;
-  for (const auto& [to, capacity] : set_.capacity) {
+  for (const auto& [to, capacity] : shard_group_.capacity) {
     if (capacity <= 0 || !plan_.link_is_open(from, to)) continue;
     if (!nearest || topology_.distance(from, to) < topology_.distance(from, *nearest)) nearest = &to;
   }
@@ -165,20 +165,20 @@
 
 // Returns the demand and usable capacity of each set for which there is demand, or may be at any moment:
 // every zone with proxies has its place in the plan, for every set that has servers.
-std::map<SetId, SetDemand> demand_by_set(const Input& input, const Plan& plan) {
-  std::map<SetId, SetDemand> sets;
-  for (const auto& [key, rate] : current_demand(input)) sets[key.second].demand[key.first] = rate;
+std::map<ShardGroupId, ShardGroupDemand> demand_by_shard_group(const Input& input, const Plan& plan) {
+  std::map<ShardGroupId, ShardGroupDemand> shard_groups;
+  for (const auto& [key, rate] : current_demand(input)) shard_groups[key.second].demand[key.first] = rate;
   std::set<Zone> proxy_zones;
   for (const auto& [key, votes] : input.observation.votes()) proxy_zones.insert(key.first);
   for (const auto& [key, supply] : input.supply) {
-    for (const auto& zone : proxy_zones) sets[key.first].demand.try_emplace(zone, 0);
-    auto set = sets.find(key.first);
-    if (set == sets.end()) continue;
-    set->second.capacity[key.second] = supply.warm * plan.capacity_fraction(key.second);
-    if (supply.warming_up) set->second.warming_up.insert(key.second);
+    for (const auto& zone : proxy_zones) shard_groups[key.first].demand.try_emplace(zone, 0);
+    auto shard_group = shard_groups.find(key.first);
+    if (shard_group == shard_groups.end()) continue;
+    shard_group->second.capacity[key.second] = supply.warm * plan.capacity_fraction(key.second);
+    if (supply.warming_up) shard_group->second.warming_up.insert(key.second);
   }
-  for (auto& [id, set] : sets) set.id = id;
-  return sets;
+  for (auto& [id, shard_group] : shard_groups) shard_group.id = id;
+  return shard_groups;
 }
 
 }  // namespace
@@ -187,13 +187,13 @@
                    Plan* plan) {
   plan->shares.clear();
   plan->surplus_capacity.clear();
-  for (const auto& [id, set] : demand_by_set(input, *plan)) {
-    SetTraffic traffic(set, topology, options, last, *plan);
+  for (const auto& [id, shard_group] : demand_by_shard_group(input, *plan)) {
+    ShardGroupTraffic traffic(shard_group, topology, options, last, *plan);
     traffic.assign_near_first();
     traffic.fit_beside_last_plan();
     traffic.return_rest_to_last_plan();
-    for (const auto& [from, demand] : set.demand) plan->shares[{id, from}] = traffic.shares(from, demand);
-    split_surplus_capacity(set, topology, options, last, plan);
+    for (const auto& [from, demand] : shard_group.demand) plan->shares[{id, from}] = traffic.shares(from, demand);
+    split_surplus_capacity(shard_group, topology, options, last, plan);
   }
 }
 
--- a/src/placement/zone_health_observer.cpp
+++ b/src/placement/zone_health_observer.cpp
@@ -61,7 +61,7 @@
 }
 
 void ZoneHealthObserver::on_primary_observed(const std::string& server) {
-  if (const auto* location = location_of(server)) primaries_[location->set] = location->zone;
+  if (const auto* location = location_of(server)) primaries_[location->shard_group] = location->zone;
 }
 
 void ZoneHealthObserver::on_probe_ended(const std::string& server, bool ok) {
@@ -83,8 +83,8 @@
   forget_unlisted_zones();
   Observation observation;
   observation.add_followers(followed_plan);
-  for (const auto& [set, requests] : requests_) observation.add_demand(own_zone_, set, requests);
-  for (const auto& [set, zone] : primaries_) observation.add_primary(set, zone);
+  for (const auto& [shard_group, requests] : requests_) observation.add_demand(own_zone_, shard_group, requests);
+  for (const auto& [shard_group, zone] : primaries_) observation.add_primary(shard_group, zone);
   for (auto& [zone, health] : zones_) close_span(zone, &health, &observation);
   requests_.clear();
   return observation;
--- a/src/placement/zone_health_observer.h
+++ b/src/placement/zone_health_observer.h
@@ -29,7 +29,7 @@
 
 // Where a server is.
 struct EndpointLocation {
-  SetId set = 0;
+  ShardGroupId shard_group = 0;
   Zone zone;
   Micros warm_at{0};  // when it has warmed up, by the caller's clock; 0: it has
 };
@@ -46,7 +46,7 @@
   void set_locations(std::map<std::string, EndpointLocation> locations) { locations_ = std::move(locations); }
 
   // A read of `set` arrived from a client.
-  void on_read_request(SetId set) { ++requests_[set]; }
+  void on_read_request(ShardGroupId shard_group) { ++requests_[shard_group]; }
   // `waited`: it was postponed until a replica was fresh enough.
   void on_attempt_sent(std::uint64_t request, int attempt, const std::string& server, Micros now,
                        bool waited);
@@ -90,8 +90,8 @@
   Zone own_zone_;
   bool probes_unused_zones_;
   std::map<std::string, EndpointLocation> locations_;  // by server
-  std::map<SetId, std::uint64_t> requests_;
-  std::map<SetId, Zone> primaries_;
+  std::map<ShardGroupId, std::uint64_t> requests_;
+  std::map<ShardGroupId, Zone> primaries_;
   std::map<Zone, ZoneHealth> zones_;
   std::map<std::pair<std::uint64_t, int>, OpenAttempt> open_attempts_;  // by request and attempt
 };
--- a/src/placement/zone_observation.cpp
+++ b/src/placement/zone_observation.cpp
@@ -43,31 +43,31 @@
   spare_capacity += other.spare_capacity;
 }
 
-void Observation::record(const Zone& from, SetId set, const Zone& zone, const ZoneSample& sample) {
-  std::tuple key(from, set, zone);
-  if (!has_place_for(samples_, key, kMostZones * kMostSets)) key = {"", 0, ""};
+void Observation::record(const Zone& from, ShardGroupId shard_group, const Zone& zone, const ZoneSample& sample) {
+  std::tuple key(from, shard_group, zone);
+  if (!has_place_for(samples_, key, kMaxZones * kMaxShardGroups)) key = {"", 0, ""};
   samples_[key].add(sample);
 }
 
 void Observation::add_votes(const Zone& from, const Zone& zone, const HealthVotes& votes) {
   std::pair key(from, zone);
-  if (has_place_for(votes_, key, kMostZones * kMostZones)) votes_[key].add(votes);
+  if (has_place_for(votes_, key, kMaxZones * kMaxZones)) votes_[key].add(votes);
 }
 
-void Observation::add_demand(const Zone& from, SetId set, std::uint64_t requests) {
-  std::pair key(from, set);
-  if (!has_place_for(demand_, key, kMostZones * kMostSets)) key = {"", 0};
+void Observation::add_demand(const Zone& from, ShardGroupId shard_group, std::uint64_t requests) {
+  std::pair key(from, shard_group);
+  if (!has_place_for(demand_, key, kMaxZones * kMaxShardGroups)) key = {"", 0};
   demand_[key] += requests;
 }
 
-void Observation::add_primary(SetId set, const Zone& zone, std::uint64_t proxies) {
-  std::pair key(set, zone);
-  if (has_place_for(primaries_, key, kMostZones * kMostSets)) primaries_[key] += proxies;
+void Observation::add_primary(ShardGroupId shard_group, const Zone& zone, std::uint64_t proxies) {
+  std::pair key(shard_group, zone);
+  if (has_place_for(primaries_, key, kMaxZones * kMaxShardGroups)) primaries_[key] += proxies;
 }
 
 void Observation::add_followers(std::uint64_t plan, std::uint64_t proxies) {
   followers_[plan] += proxies;
-  if (followers_.size() <= kMostPlans) return;
+  if (followers_.size() <= kMaxFollowedPlans) return;
   auto oldest = followers_.begin();
   std::next(oldest)->second += oldest->second;
   followers_.erase(oldest);
--- a/src/placement/zone_observation.h
+++ b/src/placement/zone_observation.h
@@ -15,13 +15,13 @@
 // Of data servers, clients and proxies. Empty: not known, and far from all others.
 using Zone = std::string;
 // A set of servers with the same data (a cell of the endpoint list).
-using SetId = std::int64_t;
+using ShardGroupId = std::int64_t;
 
 // Entries beyond these are summed up under the unknown zone and set 0, so that no list can make a sum grow
 // without bound.
-constexpr std::size_t kMostZones = 32, kMostSets = 256;
+constexpr std::size_t kMaxZones = 32, kMaxShardGroups = 256;
 // The newest plans that are told apart among those that proxies follow.
-constexpr std::size_t kMostPlans = 8;
+constexpr std::size_t kMaxFollowedPlans = 8;
 
 // What became of the attempts of one proxy, or of many, in one span of time at one zone of servers.
 struct ZoneSample {
@@ -59,7 +59,7 @@
 class Observation {
  public:
   // By proxies in `from`, of servers of `set` in `zone`.
-  void record(const Zone& from, SetId set, const Zone& zone, const ZoneSample& sample);
+  void record(const Zone& from, ShardGroupId shard_group, const Zone& zone, const ZoneSample& sample);
   // By one proxy in `from`.
   void add_vote(const Zone& from, const Zone& zone, bool healthy) {
     add_votes(from, zone, healthy ? HealthVotes{1, 0} : HealthVotes{0, 1});
@@ -67,23 +67,23 @@
   // By many proxies in `from`.
   void add_votes(const Zone& from, const Zone& zone, const HealthVotes& votes);
   // Adds requests by clients in `from` to the demand.
-  void add_demand(const Zone& from, SetId set, std::uint64_t requests);
+  void add_demand(const Zone& from, ShardGroupId shard_group, std::uint64_t requests);
   // So many proxies observed the primary of `set` in `zone`.
-  void add_primary(SetId set, const Zone& zone, std::uint64_t proxies = 1);
+  void add_primary(ShardGroupId shard_group, const Zone& zone, std::uint64_t proxies = 1);
   // So many proxies follow the plan of this number; 0: none.
   void add_followers(std::uint64_t plan, std::uint64_t proxies = 1);
   void add(const Observation& other);
 
   // By proxies' zone, set and servers' zone.
-  const std::map<std::tuple<Zone, SetId, Zone>, ZoneSample>& samples() const { return samples_; }
+  const std::map<std::tuple<Zone, ShardGroupId, Zone>, ZoneSample>& samples() const { return samples_; }
   // The earlier name of samples(): tests/group/zones_test.cpp still uses it.
-  const std::map<std::tuple<Zone, SetId, Zone>, ZoneSample>& seen() const { return samples_; }
+  const std::map<std::tuple<Zone, ShardGroupId, Zone>, ZoneSample>& seen() const { return samples_; }
   // By proxies' zone and servers' zone.
   const std::map<std::pair<Zone, Zone>, HealthVotes>& votes() const { return votes_; }
   // By clients' zone and set: requests in this span.
-  const std::map<std::pair<Zone, SetId>, std::uint64_t>& demand() const { return demand_; }
+  const std::map<std::pair<Zone, ShardGroupId>, std::uint64_t>& demand() const { return demand_; }
   // By set and zone: proxies that observed the set's primary there.
-  const std::map<std::pair<SetId, Zone>, std::uint64_t>& primaries() const { return primaries_; }
+  const std::map<std::pair<ShardGroupId, Zone>, std::uint64_t>& primaries() const { return primaries_; }
   // By plan: proxies that follow it. The oldest entry also counts all older plans.
   const std::map<std::uint64_t, std::uint64_t>& followers() const { return followers_; }
 
@@ -92,10 +92,10 @@
   bool operator==(const Observation&) const = default;
 
  private:
-  std::map<std::tuple<Zone, SetId, Zone>, ZoneSample> samples_;
+  std::map<std::tuple<Zone, ShardGroupId, Zone>, ZoneSample> samples_;
   std::map<std::pair<Zone, Zone>, HealthVotes> votes_;
-  std::map<std::pair<Zone, SetId>, std::uint64_t> demand_;
-  std::map<std::pair<SetId, Zone>, std::uint64_t> primaries_;
+  std::map<std::pair<Zone, ShardGroupId>, std::uint64_t> demand_;
+  std::map<std::pair<ShardGroupId, Zone>, std::uint64_t> primaries_;
   std::map<std::uint64_t, std::uint64_t> followers_;
 };
 
@@ -103,7 +103,7 @@
 // job keeps one.
 class Demand {
  public:
-  using Rates = std::map<std::pair<Zone, SetId>, double>;  // requests a second, by clients' zone and set
+  using Rates = std::map<std::pair<Zone, ShardGroupId>, double>;  // requests a second, by clients' zone and set
 
   // Takes in the next span of `seconds`.
   void debounce(const Observation& observation, double seconds);
--- a/src/testbench/simulation/placement.cpp
+++ b/src/testbench/simulation/placement.cpp
@@ -61,7 +61,7 @@
   pl::ZoneTopology places_;
   pl::Options options_;
   int sets_ = 1;
-  std::map<std::pair<pl::SetId, Zone>, double> capacity_, demand_;
+  std::map<std::pair<pl::ShardGroupId, Zone>, double> capacity_, demand_;
   std::map<Zone, int> observers_;
   Millis flap_every_ = 2000;  // quicker than any dwell, or just slow enough to be opened again and again
   Zone bad_card_;             // one observer of this zone sees all as dead
@@ -172,17 +172,17 @@
 }
 
 void World::check(const pl::Plan& last, const pl::Plan& plan, const pl::Input& input) {
-  auto demand = [&](pl::SetId set, const Zone& from) {
+  auto demand = [&](pl::ShardGroupId set, const Zone& from) {
     auto it = input.smoothed_demand.find({from, set});
     return it == input.smoothed_demand.end() ? 0.0 : it->second;
   };
-  auto one = [](auto& all, pl::SetId set, const Zone& from, const Zone& to) {
+  auto one = [](auto& all, pl::ShardGroupId set, const Zone& from, const Zone& to) {
     auto it = all.find({set, from});
     if (it == all.end()) return 0.0;
     auto s = it->second.find(to);
     return s == it->second.end() ? 0.0 : s->second;
   };
-  auto share = [&](const pl::Plan& p, pl::SetId set, const Zone& from, const Zone& to) {
+  auto share = [&](const pl::Plan& p, pl::ShardGroupId set, const Zone& from, const Zone& to) {
     return one(p.shares, set, from, to);
   };
   for (auto& [key, supply] : input.supply) {
@@ -281,8 +281,8 @@
 // What the clients get while half of the proxies follow each plan.
 void World::serve(const pl::Plan& last, const pl::Plan& plan) {
   double asked = 0, served = 0, far = 0;
-  std::map<std::pair<pl::SetId, Zone>, double> load;
-  std::map<std::tuple<pl::SetId, Zone, Zone>, double> sent;
+  std::map<std::pair<pl::ShardGroupId, Zone>, double> load;
+  std::map<std::tuple<pl::ShardGroupId, Zone, Zone>, double> sent;
   for (auto& [key, d] : demand_)
     for (auto* p : {&last, &plan}) {
       asked += d / 2;
--- a/tests/placement/placement_test.cpp
+++ b/tests/placement/placement_test.cpp
@@ -74,8 +74,8 @@
     flood.add_vote("z" + std::to_string(i), "b", true);
     flood.record("z" + std::to_string(i), i, "b", sample);
   }
-  EXPECT_LE(flood.votes().size(), kMostZones * kMostZones);
-  EXPECT_LE(flood.samples().size(), kMostZones * kMostSets + 1);
+  EXPECT_LE(flood.votes().size(), kMaxZones * kMaxZones);
+  EXPECT_LE(flood.samples().size(), kMaxZones * kMaxShardGroups + 1);
 }
 
 TEST(Observation, AFewFailedAttemptsDoNotMakeAZoneUnhealthy) {
@@ -128,7 +128,7 @@
 TEST(Observation, CountsOnlyTheNewestPlansSeparately) {
   Observation observation;
   for (std::uint64_t plan = 1; plan <= 20; ++plan) observation.add_followers(plan);
-  EXPECT_EQ(observation.followers().size(), kMostPlans);
+  EXPECT_EQ(observation.followers().size(), kMaxFollowedPlans);
   EXPECT_EQ(observation.followers().begin()->second, 13u);  // 1 to 13 together
   EXPECT_EQ(observation.followers().rbegin()->first, 20u);
 }
