--- a/src/app/fleet_placement.cpp
+++ b/src/app/fleet_placement.cpp
@@ -78,7 +78,7 @@
       text += "; spare:";
       for (auto& [zone, share] : it->second) text += fmt::format(" {} {:.1f} %", named(zone), share * 100);
     }
-    if (double refused = plan.refused(set, key.second); refused > 0.001)
+    if (double refused = plan.rejected_share(set, key.second); refused > 0.001)
       text += fmt::format("; refused {:.1f} %: all zones together bear no more", refused * 100);
     text += "\n";
   }
--- a/src/group/plan_builder.cpp
+++ b/src/group/plan_builder.cpp
@@ -28,7 +28,7 @@
   placement::Options planner;
   planner.minimum_phase_duration = options.minimum_phase_duration / Micros(1000);
   planner.open_after = options.open_after / Micros(1000);
-  planner.step_every = options.step / Micros(1000);
+  planner.step_interval = options.step / Micros(1000);
   return planner;
 }
 
@@ -145,7 +145,7 @@
   if (!all_follow && now - committed_plan_seen_ < kWaitForFollowers) return std::nullopt;
   // The wall clock may have been set back meanwhile: what lies ahead of it counts as begun now.
   for (auto& [zone, state] : working_plan_->zones)
-    for (auto* time : {&state.since, &state.stepped, &state.unhealthy_since, &state.healthy_since})
+    for (auto* time : {&state.since, &state.last_step, &state.unhealthy_since, &state.healthy_since})
       *time = std::min(*time, unix_ms);
   auto plan = planner_.next(*working_plan_, input_);
   if (plan.number != committed.number) return plan;
--- a/src/group/plan_builder.h
+++ b/src/group/plan_builder.h
@@ -47,7 +47,7 @@
   // What the last plan was made of.
   const placement::Input& input() const { return input_; }
   // Zones of data servers that no region names.
-  std::vector<placement::Zone> unknown_zones() const { return planner_.unknown(input_); }
+  std::vector<placement::Zone> unknown_zones() const { return planner_.unknown_zones(input_); }
 
  private:
   struct Received {
--- a/src/peers/admin_codec.cpp
+++ b/src/peers/admin_codec.cpp
@@ -152,7 +152,7 @@
     demand.push_back(json::array({where.first, where.second, rate}));
   auto& capacity = (*answer)["bears"] = json::array();
   for (auto& [where, supply] : report.input->supply)
-    capacity.push_back(json::array({where.first, where.second, supply.warm}));
+    capacity.push_back(json::array({where.first, where.second, supply.current_capacity}));
   (*answer)["seen"] = placement::to_json(report.input->observation);
 }
 
--- a/src/placement/capacity_check.cpp
+++ b/src/placement/capacity_check.cpp
@@ -23,7 +23,7 @@
 RatesByShardGroup capacity_by_shard_group(const Plan& plan, const Zone& zone, double fraction, const Input& input) {
   RatesByShardGroup capacity;
   for (const auto& [key, supply] : input.supply)
-    capacity[key.first] += supply.warm * (key.second == zone ? fraction : plan.capacity_fraction(key.second));
+    capacity[key.first] += supply.current_capacity * (key.second == zone ? fraction : plan.capacity_fraction(key.second));
   return capacity;
 }
 
--- a/src/placement/placement_codec.cpp
+++ b/src/placement/placement_codec.cpp
@@ -38,7 +38,7 @@
           {"reason", static_cast<int>(state.reason)},
           {"why", text_of(state.reason)},
           {"since", state.since},
-          {"stepped", state.stepped},
+          {"stepped", state.last_step},
           {"ill_since", state.unhealthy_since},
           {"well_since", state.healthy_since},
           {"part", state.capacity_fraction},
@@ -51,9 +51,9 @@
   for (auto phase : {Phase::kOpen, Phase::kClosed, Phase::kOpening, Phase::kEvacuating, Phase::kEvacuated})
     if (text == text_of(phase)) state.phase = phase;
   state.reason = static_cast<PhaseReason>(
-      std::clamp(encoded.value("reason", 0), 0, static_cast<int>(PhaseReason::kChangeBudgetSpent)));
+      std::clamp(encoded.value("reason", 0), 0, static_cast<int>(PhaseReason::kChangeBudgetExhausted)));
   state.since = encoded.value("since", Millis{0});
-  state.stepped = encoded.value("stepped", Millis{0});
+  state.last_step = encoded.value("stepped", Millis{0});
   state.unhealthy_since = encoded.value("ill_since", Millis{0});
   state.healthy_since = encoded.value("well_since", Millis{0});
   state.capacity_fraction = std::clamp(encoded.value("part", 1.0), 0.0, 1.0);
--- a/src/placement/placement_commands.cpp
+++ b/src/placement/placement_commands.cpp
@@ -31,7 +31,7 @@
     return fmt::format("the other zones cannot carry what zone '{}' serves; force refuses the rest", zone);
   auto phase = state.capacity_fraction > 0 ? Phase::kEvacuating : Phase::kEvacuated;
   enter_phase(&state, phase, PhaseReason::kOperator, state.capacity_fraction, input.now);
-  state.stepped = input.now - options.step_every;  // the first step is due at once
+  state.last_step = input.now - options.step_interval;  // the first step is due at once
   state.forced = force;
   ++plan->number;
   return "";
@@ -44,18 +44,18 @@
   if (!is_evacuated_or_evacuating(state)) return "it was not evacuated";
   auto capacity_fraction = std::max(state.capacity_fraction, options.initial_fraction);
   enter_phase(&state, Phase::kOpening, PhaseReason::kOperator, capacity_fraction, input.now);
-  state.stepped = input.now;
+  state.last_step = input.now;
   state.forced = false;
   ++plan->number;
   return "";
 }
 
 Millis evacuation_duration(const Options& options) {
-  return options.step_every * static_cast<Millis>(1 / kEvacuationStep - 1);
+  return options.step_interval * static_cast<Millis>(1 / kEvacuationStep - 1);
 }
 
 Millis opening_duration(const Options& options) {
-  return options.step_every * static_cast<Millis>(std::ceil(std::log2(1 / options.initial_fraction)));
+  return options.step_interval * static_cast<Millis>(std::ceil(std::log2(1 / options.initial_fraction)));
 }
 
 }  // namespace database_proxy::placement
--- a/src/placement/placement_plan.cpp
+++ b/src/placement/placement_plan.cpp
@@ -68,7 +68,7 @@
   return share == it->second.end() ? 0 : share->second;
 }
 
-double Plan::refused(ShardGroupId shard_group, const Zone& from) const {
+double Plan::rejected_share(ShardGroupId shard_group, const Zone& from) const {
   auto it = shares.find({shard_group, from});
   if (it == shares.end()) return 0;
   double sum = 0;
@@ -86,7 +86,7 @@
   return it == zones.end() ? 1 : it->second.capacity_fraction;
 }
 
-bool Plan::same_but_number(const Plan& other) const {
+bool Plan::is_equivalent_to(const Plan& other) const {
   return are_same_states(zones, other.zones) &&
          are_same_states(closed_links(links), closed_links(other.links)) && shares == other.shares &&
          surplus_capacity == other.surplus_capacity && frozen == other.frozen;
--- a/src/placement/placement_plan.h
+++ b/src/placement/placement_plan.h
@@ -29,7 +29,7 @@
   kUnhealthyAgain,        // while it was being opened
   kOperator,              // evacuated or restored by command
   kInsufficientCapacity,  // unhealthy, but the others have no capacity for what it still serves
-  kChangeBudgetSpent      // it would change, but it has changed too often within a minute
+  kChangeBudgetExhausted      // it would change, but it has changed too often within a minute
 };
 
 // The texts that logs, operators' commands and stored plans show.
@@ -41,7 +41,7 @@
   Phase phase = Phase::kOpen;
   PhaseReason reason = PhaseReason::kNone;
   Millis since = 0;              // when it entered the phase
-  Millis stepped = 0;            // the last step while opening or evacuating
+  Millis last_step = 0;            // the last step while opening or evacuating
   Millis unhealthy_since = 0;    // by agreement of the proxies; 0: not so now
   Millis healthy_since = 0;      // the same
   double capacity_fraction = 1;  // of its capacity: what may be used
@@ -76,13 +76,13 @@
   bool frozen = false;
 
   // The share of the requests that is refused; 0 if the plan does not mention the set and zone.
-  double refused(ShardGroupId shard_group, const Zone& from) const;
+  double rejected_share(ShardGroupId shard_group, const Zone& from) const;
   // Whether clients in `from` may send to servers in `to`.
   bool link_is_open(const Zone& from, const Zone& to) const;
   // The part of the zone's capacity that may be used; 1 for a zone that the plan does not mention.
   double capacity_fraction(const Zone& zone) const;
   // Whether proxies would act alike on both plans, whatever their numbers.
-  bool same_but_number(const Plan& other) const;
+  bool is_equivalent_to(const Plan& other) const;
 };
 
 }  // namespace database_proxy::placement
--- a/src/placement/planner.cpp
+++ b/src/placement/planner.cpp
@@ -20,7 +20,7 @@
   ZoneHealthAgreement health(options_, input);
   ZonePhaseMachine(options_, input, health, &plan).advance();
   split_traffic(topology_, options_, input, last, &plan);
-  if (!plan.same_but_number(last)) ++plan.number;
+  if (!plan.is_equivalent_to(last)) ++plan.number;
   return plan;
 }
 
@@ -36,7 +36,7 @@
   return opening ? opening_duration(options_) : evacuation_duration(options_);
 }
 
-std::vector<Zone> Planner::unknown(const Input& input) const {
+std::vector<Zone> Planner::unknown_zones(const Input& input) const {
   std::set<Zone> zones;
   for (const auto& [key, supply] : input.supply)
     if (!topology_.knows(key.second)) zones.insert(key.second);
--- a/src/placement/planner.h
+++ b/src/placement/planner.h
@@ -34,7 +34,7 @@
   Millis expected_duration(bool opening) const;
 
   // Zones of servers that the topology does not know: operators should add them.
-  std::vector<Zone> unknown(const Input& input) const;
+  std::vector<Zone> unknown_zones(const Input& input) const;
 
  private:
   ZoneTopology topology_;
--- a/src/placement/traffic_split.cpp
+++ b/src/placement/traffic_split.cpp
@@ -174,7 +174,7 @@
     for (const auto& zone : proxy_zones) shard_groups[key.first].demand.try_emplace(zone, 0);
     auto shard_group = shard_groups.find(key.first);
     if (shard_group == shard_groups.end()) continue;
-    shard_group->second.capacity[key.second] = supply.warm * plan.capacity_fraction(key.second);
+    shard_group->second.capacity[key.second] = supply.current_capacity * plan.capacity_fraction(key.second);
     if (supply.warming_up) shard_group->second.warming_up.insert(key.second);
   }
   for (auto& [id, shard_group] : shard_groups) shard_group.id = id;
--- a/src/placement/zone_health_agreement.cpp
+++ b/src/placement/zone_health_agreement.cpp
@@ -90,7 +90,7 @@
     served += static_cast<double>(sample.attempts - std::min(sample.attempts, not_served));
   }
   for (const auto& [key, supply] : input_.supply)
-    if (key.second == zone) capacity += supply.warm;
+    if (key.second == zone) capacity += supply.current_capacity;
   return capacity > 0 && served / input_.seconds >= kNearCapacity * capacity;
 }
 
--- a/src/placement/zone_phase_machine.cpp
+++ b/src/placement/zone_phase_machine.cpp
@@ -51,7 +51,7 @@
 void ZonePhaseMachine::advance_open(const Zone& zone, ZoneState* state) {
   if (!has_lasted(state->unhealthy_since, options_.close_after)) {
     bool close_was_deferred = state->reason == PhaseReason::kInsufficientCapacity ||
-                              state->reason == PhaseReason::kChangeBudgetSpent;
+                              state->reason == PhaseReason::kChangeBudgetExhausted;
     if (close_was_deferred) state->reason = PhaseReason::kNone;
     return;
   }
@@ -59,8 +59,8 @@
                    others_have_capacity(*plan_, zone, input_);
   if (!can_close)
     state->reason = PhaseReason::kInsufficientCapacity;
-  else if (!spend_change(zone))
-    state->reason = PhaseReason::kChangeBudgetSpent;
+  else if (!consume_change(zone))
+    state->reason = PhaseReason::kChangeBudgetExhausted;
   else
     enter(state, Phase::kClosed, PhaseReason::kUnhealthy, 0);
 }
@@ -68,7 +68,7 @@
 void ZonePhaseMachine::advance_closed(const Zone& zone, ZoneState* state) {
   bool is_ready = options_.flaw_no_minimum_duration ? state->healthy_since != 0 : is_ready_to_open(*state);
   // One change is kept in reserve: it may be unhealthy again at once, and must then be closed.
-  if (!is_ready || !spend_change(zone, 1)) return;
+  if (!is_ready || !consume_change(zone, 1)) return;
   enter(state, Phase::kOpening, PhaseReason::kHealthy,
         options_.flaw_open_at_once ? 1 : options_.initial_fraction);
 }
@@ -78,15 +78,15 @@
     plan_->changes.emplace_back(zone, input_.now);
     return enter(state, Phase::kClosed, PhaseReason::kUnhealthyAgain, 0);
   }
-  if (!state->healthy_since || input_.now - state->stepped < options_.step_every) return;
+  if (!state->healthy_since || input_.now - state->last_step < options_.step_interval) return;
   state->capacity_fraction = std::min(1.0, state->capacity_fraction * 2);
-  state->stepped = input_.now;
+  state->last_step = input_.now;
   state->reason = PhaseReason::kStep;
   if (state->capacity_fraction >= 1) enter(state, Phase::kOpen, PhaseReason::kNone, 1);
 }
 
 void ZonePhaseMachine::advance_evacuating(const Zone& zone, ZoneState* state) {
-  if (input_.now - state->stepped < options_.step_every) return;
+  if (input_.now - state->last_step < options_.step_interval) return;
   // What stays in the zone needs no capacity elsewhere: only the step does.
   double remaining = std::max(0.0, state->capacity_fraction - kEvacuationStep);
   if (!state->forced && !has_capacity_with_fraction(*plan_, zone, remaining, input_)) {
@@ -94,7 +94,7 @@
     return;
   }
   state->capacity_fraction = remaining;
-  state->stepped = input_.now;
+  state->last_step = input_.now;
   state->reason = PhaseReason::kStep;
   if (remaining <= 0) enter(state, Phase::kEvacuated, PhaseReason::kOperator, 0);
 }
@@ -118,14 +118,14 @@
 void ZonePhaseMachine::advance_link(const Zone& from, const Zone& to, ZoneState* state) {
   auto name = from + ">" + to;
   if (state->phase == Phase::kClosed) {
-    if (is_ready_to_open(*state) && spend_change(name)) *state = ZoneState{};
+    if (is_ready_to_open(*state) && consume_change(name)) *state = ZoneState{};
     return;
   }
   auto zone = plan_->zones.find(to);
   bool zone_is_open = zone == plan_->zones.end() || zone->second.phase == Phase::kOpen;
   if (!zone_is_open || !has_lasted(state->unhealthy_since, options_.link_close_after)) return;
   // The zone itself comes first: it is closed in the same round where others agree.
-  if (health_.of_zone(to) == Agreement::kUnhealthy || !spend_change(name)) return;
+  if (health_.of_zone(to) == Agreement::kUnhealthy || !consume_change(name)) return;
   enter_phase(state, Phase::kClosed, PhaseReason::kUnhealthy, 0, input_.now);
 }
 
@@ -143,7 +143,7 @@
 void ZonePhaseMachine::enter(ZoneState* state, Phase phase, PhaseReason reason,
                              double capacity_fraction) const {
   enter_phase(state, phase, reason, capacity_fraction, input_.now);
-  state->stepped = input_.now;
+  state->last_step = input_.now;
 }
 
 // Whether what began at `since`, 0 if it did not, has lasted for `duration`.
@@ -158,10 +158,10 @@
 
 // Counts a change of the zone or link. Returns false, and counts none, if fewer than `reserve` further
 // changes would be left of this minute's.
-bool ZonePhaseMachine::spend_change(const Zone& name, int reserve) {
-  auto spent = std::count_if(plan_->changes.begin(), plan_->changes.end(),
+bool ZonePhaseMachine::consume_change(const Zone& name, int reserve) {
+  auto consumed = std::count_if(plan_->changes.begin(), plan_->changes.end(),
                              [&](const auto& change) { return change.first == name; });
-  if (spent + reserve >= options_.max_changes_per_minute && !options_.flaw_no_budget) return false;
+  if (consumed + reserve >= options_.max_changes_per_minute && !options_.flaw_no_budget) return false;
   plan_->changes.emplace_back(name, input_.now);
   return true;
 }
--- a/src/placement/zone_phase_machine.h
+++ b/src/placement/zone_phase_machine.h
@@ -41,7 +41,7 @@
   void enter(ZoneState* state, Phase phase, PhaseReason reason, double capacity_fraction) const;
   bool has_lasted(Millis since, Millis duration) const;
   bool is_ready_to_open(const ZoneState& state) const;
-  bool spend_change(const Zone& name, int reserve = 0);
+  bool consume_change(const Zone& name, int reserve = 0);
 
   const Options& options_;
   const Input& input_;
--- a/src/testbench/simulation/placement.cpp
+++ b/src/testbench/simulation/placement.cpp
@@ -195,7 +195,7 @@
       alone += d * b;
     }
     auto& state = plan.zones.at(to);
-    double capacity = supply.warm * state.capacity_fraction;
+    double capacity = supply.current_capacity * state.capacity_fraction;
     if (mixed > std::max(before, capacity) * 1.001 + 1)
       throw fmt::format(
           "set {} of {}: {:.0f} by half of the proxies on plan {} and half on {}, it bears {:.0f}", set, to,
@@ -222,9 +222,9 @@
         alone += d * (share(plan, set, from, to) +
                       share(plan, set, from, lost) * one(plan.surplus_capacity, set, from, to));
       }
-      if (alone > std::max(before, supply.warm) * 1.03 + 2)
+      if (alone > std::max(before, supply.current_capacity) * 1.03 + 2)
         throw fmt::format("set {} of {}: without {} {:.0f} by plan {}, it bears {:.0f}", set, to, lost, alone,
-                          plan.number, supply.warm);
+                          plan.number, supply.current_capacity);
     }
   }
   for (auto& [key, shares] : plan.shares) {
@@ -261,7 +261,7 @@
           for (auto& from : zones_) asked += demand(set, from);
           for (auto& other : zones_)
             if (other != zone)
-              borne += input.supply.at({set, other}).warm * plan.zones.at(other).capacity_fraction;
+              borne += input.supply.at({set, other}).current_capacity * plan.zones.at(other).capacity_fraction;
           if (asked > borne * 1.02)
             throw fmt::format("{} is closed, set {} asks for {:.0f}, the rest bears {:.0f}", zone, set, asked,
                               borne);
--- a/tests/formats/stored_format_test.cpp
+++ b/tests/formats/stored_format_test.cpp
@@ -204,7 +204,7 @@
   EXPECT_EQ(probe->published_by, 0u);
   auto plan = placement::plan_from_json(json::parse(placement_job->data));
   EXPECT_EQ(plan.number, 12u);
-  EXPECT_TRUE(plan.same_but_number(stored_plan()));
+  EXPECT_TRUE(plan.is_equivalent_to(stored_plan()));
   EXPECT_EQ(ledger.settings().size(), 41u);
   EXPECT_EQ(ledger.settings().at("name"), "first");
   for (int i = kSettings - 40; i < kSettings; ++i)
--- a/tests/formats/wire_format_test.cpp
+++ b/tests/formats/wire_format_test.cpp
@@ -265,7 +265,7 @@
             placement::Observation());
   auto read = placement::plan_from_json(nlohmann::json::parse(golden_bytes("plan")));
   EXPECT_EQ(read.number, 12u);
-  EXPECT_TRUE(read.same_but_number(plan()));
+  EXPECT_TRUE(read.is_equivalent_to(plan()));
   EXPECT_EQ(read.zones, plan().zones);
   EXPECT_EQ(read.links, plan().links);
   EXPECT_EQ(read.shares, plan().shares);
--- a/tests/group/zones_test.cpp
+++ b/tests/group/zones_test.cpp
@@ -459,7 +459,7 @@
   CHECK(z.rig->soon(
       [&] {
         auto p = z.plan();
-        return p.refused(1, "a") + p.refused(1, "b") + p.refused(1, "c") > 0.05;
+        return p.rejected_share(1, "a") + p.rejected_share(1, "b") + p.rejected_share(1, "c") > 0.05;
       },
       kPatience));
   auto explained = z.tool("explain", {{"set", 1}});
--- a/tests/placement/placement_test.cpp
+++ b/tests/placement/placement_test.cpp
@@ -119,7 +119,7 @@
   plan.changes = {{"a", 77}};
   plan.frozen = true;
   auto back = plan_from_json(nlohmann::json::parse(to_json(plan).dump()));
-  EXPECT_TRUE(back.same_but_number(plan));
+  EXPECT_TRUE(back.is_equivalent_to(plan));
   EXPECT_EQ(back.number, 9u);
   EXPECT_EQ(back.zones.at("a"), plan.zones.at("a"));
   EXPECT_EQ(back.changes, plan.changes);
@@ -321,7 +321,7 @@
   EXPECT_NEAR(plan.shares.at({1, "a"}).at("a"), 0.8, 0.01);
   EXPECT_NEAR(plan.shares.at({1, "a"}).at("b"), 0.2, 0.01);  // the same region first
   EXPECT_EQ(plan.shares.at({1, "a"}).count("c"), 0u);
-  EXPECT_NEAR(plan.refused(1, "a"), 0, 1e-5);
+  EXPECT_NEAR(plan.rejected_share(1, "a"), 0, 1e-5);
 }
 
 TEST(Plan, AZoneThatSeveralZonesFindUnhealthyIsClosedAndOpensInSteps) {
@@ -331,7 +331,7 @@
   auto lost = settle(planner, plan, input, 2500);
   EXPECT_EQ(lost.zones.at("a").phase, Phase::kClosed);
   EXPECT_EQ(lost.shares.at({1, "a"}).count("a"), 0u);
-  EXPECT_NEAR(lost.refused(1, "a"), 0, 0.01);
+  EXPECT_NEAR(lost.rejected_share(1, "a"), 0, 0.01);
   auto healthy = calm(400, 1000, 1'013'000);
   auto still = settle(planner, lost, healthy, 4000);
   EXPECT_EQ(still.zones.at("a").phase, Phase::kClosed);
@@ -375,8 +375,8 @@
       settle(planner, plan, found_unhealthy(calm(900, 1000, 1'010'000), "a", {"a", "b", "c"}), 10'000);
   EXPECT_EQ(dead.zones.at("a").phase, Phase::kClosed);
   // The other zones are not overloaded: zone a's clients refuse what there is no capacity for.
-  EXPECT_GT(dead.refused(1, "a"), 0.7);
-  EXPECT_LT(dead.refused(1, "b"), 0.05);
+  EXPECT_GT(dead.rejected_share(1, "a"), 0.7);
+  EXPECT_LT(dead.rejected_share(1, "b"), 0.05);
 }
 
 TEST(Plan, AnEvacuationGoesInStepsWithinCapacityAndOutlivesItsOwner) {
@@ -406,7 +406,7 @@
   Planner planner(three());
   auto input = calm(400, 1000);
   input.supply[{1, "x"}] = {1000};
-  EXPECT_EQ(planner.unknown(input), std::vector<Zone>{"x"});
+  EXPECT_EQ(planner.unknown_zones(input), std::vector<Zone>{"x"});
   input.supply[{1, "a"}] = {0};
   auto plan = settle(planner, {}, input, 5000);
   EXPECT_EQ(plan.shares.at({1, "a"}).count("x"), 0u);  // b is nearer
