--- a/include/request_router/router.h
+++ b/include/request_router/router.h
@@ -197,7 +197,7 @@
   std::string zone;
   double share = 0;  // fraction of the reads that are assigned to this zone
   // Fraction of the reads that may use this zone as well, where it costs less or their own zone fails.
-  double spare = 0;
+  double surplus_share = 0;
 };
 // The zones to which the reads of this router's clients go, agreed on by the fleet. A plan replaces the
 // previous one completely. Groups that it does not name are decided without it. Where the shares of a group
--- a/src/app/fleet_placement.cpp
+++ b/src/app/fleet_placement.cpp
@@ -48,7 +48,7 @@
                         : fmt::format("{} proxies follow plan {}\n", proxies, number);
   for (auto& [key, v] : seen.votes())
     if (v.unhealthy + v.late > 0)
-      text += fmt::format("of {} proxies in {} {} find {} ill and {} find it late\n", v.all(),
+      text += fmt::format("of {} proxies in {} {} find {} ill and {} find it late\n", v.total(),
                           named(key.first), v.unhealthy, named(key.second), v.late);
   return text;
 }
--- a/src/app/group_runner.cpp
+++ b/src/app/group_runner.cpp
@@ -56,7 +56,7 @@
     if (auto it = plan.surplus_capacity.find(key); it != plan.surplus_capacity.end())
       for (auto& [to, spare] : it->second) {
         by_zone[to].zone = to;
-        by_zone[to].spare = spare;
+        by_zone[to].surplus_share = spare;
       }
     auto& group = own.groups.emplace_back(key.first, std::vector<request_router::ZoneShare>{}).second;
     for (auto& [to, share] : by_zone) group.push_back(share);
@@ -97,14 +97,14 @@
   }
   void ended(const routing::AttemptResult& r) override {
     using routing::AttemptOutcome;
-    auto how = placement::RequestOutcome::kNothing;
+    auto how = placement::ObservedOutcome::kInconclusive;
     if (r.outcome == AttemptOutcome::kServed || r.outcome == AttemptOutcome::kDeclined)
-      how = placement::RequestOutcome::kServed;
-    if (r.outcome == AttemptOutcome::kNoConnection) how = placement::RequestOutcome::kRefused;
-    if (r.outcome == AttemptOutcome::kRejected) how = placement::RequestOutcome::kFull;
-    if (r.outcome == AttemptOutcome::kTimedOut) how = placement::RequestOutcome::kTimedOut;
+      how = placement::ObservedOutcome::kServed;
+    if (r.outcome == AttemptOutcome::kNoConnection) how = placement::ObservedOutcome::kRefused;
+    if (r.outcome == AttemptOutcome::kRejected) how = placement::ObservedOutcome::kRejected;
+    if (r.outcome == AttemptOutcome::kTimedOut) how = placement::ObservedOutcome::kTimedOut;
     if (r.outcome == AttemptOutcome::kError || r.outcome == AttemptOutcome::kReset)
-      how = placement::RequestOutcome::kFailed;
+      how = placement::ObservedOutcome::kFailed;
     if (r.role == routing::ServerRole::kPrimary) observer_.on_primary_observed(r.server);
     observer_.on_attempt_ended(r.request, r.attempt, r.server, how, r.duration);
   }
--- a/src/placement/placement_codec.cpp
+++ b/src/placement/placement_codec.cpp
@@ -29,7 +29,7 @@
   sample.postponed = number_at(row, 8);
   sample.warming_up = number_at(row, 9);
   sample.spare_capacity = row.at(10).get<double>();
-  sample.full = number_at(row, 11);
+  sample.rejected = number_at(row, 11);
   return sample;
 }
 
@@ -81,7 +81,7 @@
   for (const auto& [key, sample] : observation.samples())
     encoded["seen"].push_back({std::get<0>(key), std::get<1>(key), std::get<2>(key), sample.attempts,
                                sample.refused, sample.timed_out, sample.failed, sample.latency_us,
-                               sample.postponed, sample.warming_up, sample.spare_capacity, sample.full});
+                               sample.postponed, sample.warming_up, sample.spare_capacity, sample.rejected});
   for (const auto& [key, votes] : observation.votes())
     encoded["votes"].push_back({key.first, key.second, votes.healthy, votes.unhealthy, votes.late});
   for (const auto& [key, requests] : observation.demand())
--- a/src/placement/surplus_split.cpp
+++ b/src/placement/surplus_split.cpp
@@ -64,7 +64,7 @@
 std::map<Zone, double> surplus_for(const Zone& from, const ShardGroupDemand& shard_group, const SurplusOffers& offers,
                                    const ZoneTopology& topology, const Plan& last, const Plan& plan) {
   std::map<Zone, double> surplus;
-  double missing = 1;
+  double uncovered = 1;
   bool last_may_stay = true;
   for (int distance = ZoneTopology::kSameZone; distance <= ZoneTopology::kFar; ++distance)
     for (const auto& [to, capacity] : shard_group.capacity) {
@@ -72,15 +72,15 @@
       auto offer = offers.find(to);
       bool is_usable =
           plan.link_is_open(from, to) && share_of(plan.shares, shard_group.id, from, to) < 1 && offer != offers.end();
-      double share = is_usable ? std::floor(std::min(missing, offer->second.share) * kSurplusPrecision) /
+      double share = is_usable ? std::floor(std::min(uncovered, offer->second.share) * kSurplusPrecision) /
                                      kSurplusPrecision
                                : 0;
       if (share > kMinSurplus) surplus[to] = share;
-      missing -= share;
+      uncovered -= share;
       double last_share = share_of(last.surplus_capacity, shard_group.id, from, to);
-      double most = is_usable ? offer->second.max_share : 0;
-      double least = share > kMinSurplus * 2 ? share * kRetainedSurplusFraction : 0;
-      last_may_stay = last_may_stay && last_share <= most && last_share >= least;
+      double max_last_share = is_usable ? offer->second.max_share : 0;
+      double min_last_share = share > kMinSurplus * 2 ? share * kRetainedSurplusFraction : 0;
+      last_may_stay = last_may_stay && last_share <= max_last_share && last_share >= min_last_share;
     }
   if (!last_may_stay) return surplus;
   auto last_surplus = last.surplus_capacity.find({shard_group.id, from});
--- a/src/placement/traffic_split.cpp
+++ b/src/placement/traffic_split.cpp
@@ -19,7 +19,7 @@
 constexpr double kNegligible = 1e-9;
 // Shares that differ by less stay as they were: demand within a second swings by some 3 % both ways, which is
 // no reason for a new plan.
-constexpr double kSameShare = 0.06;
+constexpr double kMinShareChange = 0.06;
 constexpr double kSharePrecision = 1e6;  // shares are multiples of its inverse
 
 using FlowRates = std::map<std::pair<Zone, Zone>, double>;  // from clients' zone, to servers' zone
@@ -31,9 +31,9 @@
              const Plan& plan)
       : shard_group_(shard_group), topology_(topology), options_(options), last_(last), plan_(plan) {}
 
-  void assign_near_first();
-  void fit_beside_last_plan();
-  void return_rest_to_last_plan();
+  void assign_nearest_first();
+  void limit_growth_to_free_capacity();
+  void keep_remainder_with_last_plan();
   std::map<Zone, double> shares(const Zone& from, double demand) const;
 
  private:
@@ -62,7 +62,7 @@
 
 // Fills near zones to their target first, then near zones to their limit: in this order clients from afar
 // take no capacity that a zone's own clients need.
-void ShardGroupTraffic::assign_near_first() {
+void ShardGroupTraffic::assign_nearest_first() {
   auto unassigned = shard_group_.demand;
   for (double utilization : {options_.target_utilization, options_.hard_utilization_limit})
     for (int distance = ZoneTopology::kSameZone; distance <= ZoneTopology::kFar; ++distance)
@@ -89,7 +89,7 @@
 
 // Half of the proxies may still follow the last plan: what a zone gets more of must fit beside all that the
 // last plan sends there.
-void ShardGroupTraffic::fit_beside_last_plan() {
+void ShardGroupTraffic::limit_growth_to_free_capacity() {
   std::map<Zone, double> added;
   for (const auto& [from, demand] : shard_group_.demand)
     for (const auto& [to, capacity] : shard_group_.capacity) {
@@ -110,7 +110,7 @@
 }
 
 // What does not fit yet stays where the last plan sent it, as far as that may still be used.
-void ShardGroupTraffic::return_rest_to_last_plan() {
+void ShardGroupTraffic::keep_remainder_with_last_plan() {
   for (const auto& [from, demand] : shard_group_.demand) {
     double assigned = 0;
     for (const auto& [to, capacity] : shard_group_.capacity) assigned += next_[{from, to}];
@@ -149,7 +149,7 @@
 bool ShardGroupTraffic::may_keep_last_shares(const Zone& from, double demand) const {
   return std::all_of(shard_group_.capacity.begin(), shard_group_.capacity.end(), [&](const auto& entry) {
     const auto& [to, capacity] = entry;
-    bool is_close = std::abs(new_share(from, to, demand) - last_share(from, to)) < kSameShare;
+    bool is_close = std::abs(new_share(from, to, demand) - last_share(from, to)) < kMinShareChange;
     return is_close && last_load_.at(to) <= capacity + kNegligible;
   });
 }
@@ -189,9 +189,9 @@
   plan->surplus_capacity.clear();
   for (const auto& [id, shard_group] : demand_by_shard_group(input, *plan)) {
     ShardGroupTraffic traffic(shard_group, topology, options, last, *plan);
-    traffic.assign_near_first();
-    traffic.fit_beside_last_plan();
-    traffic.return_rest_to_last_plan();
+    traffic.assign_nearest_first();
+    traffic.limit_growth_to_free_capacity();
+    traffic.keep_remainder_with_last_plan();
     for (const auto& [from, demand] : shard_group.demand) plan->shares[{id, from}] = traffic.shares(from, demand);
     split_surplus_capacity(shard_group, topology, options, last, plan);
   }
--- a/src/placement/zone_health_agreement.cpp
+++ b/src/placement/zone_health_agreement.cpp
@@ -26,49 +26,49 @@
 }  // namespace
 
 bool ZoneHealthAgreement::is_mostly_healthy(const HealthVotes& votes) const {
-  return static_cast<double>(votes.healthy) >= options_.healthy_fraction * static_cast<double>(votes.all());
+  return static_cast<double>(votes.healthy) >= options_.healthy_fraction * static_cast<double>(votes.total());
 }
 
-Agreement ZoneHealthAgreement::of_link(const Zone& from, const Zone& to) const {
+Agreement ZoneHealthAgreement::link_agreement(const Zone& from, const Zone& to) const {
   auto it = input_.observation.votes().find({from, to});
-  if (it == input_.observation.votes().end()) return Agreement::kNothing;
+  if (it == input_.observation.votes().end()) return Agreement::kUndecided;
   const auto& votes = it->second;
-  auto all = votes.all();
-  if (all < (options_.flaw_single_reporter ? 1 : options_.min_reporters)) return Agreement::kNothing;
+  auto total = votes.total();
+  if (total < (options_.flaw_single_reporter ? 1 : options_.min_reporters)) return Agreement::kUndecided;
   // A zone that is late while it serves near its capacity is overloaded: closing it would help nobody.
-  bool is_late_for_load = serves_near_capacity(to) || !finds_any_healthy(from);
-  auto unhealthy = votes.unhealthy + (is_late_for_load ? 0 : votes.late);
-  if (static_cast<double>(unhealthy) >= options_.unhealthy_fraction * static_cast<double>(all))
+  bool ignores_late_votes = serves_near_capacity(to) || !finds_any_healthy(from);
+  auto unhealthy = votes.unhealthy + (ignores_late_votes ? 0 : votes.late);
+  if (static_cast<double>(unhealthy) >= options_.unhealthy_fraction * static_cast<double>(total))
     return Agreement::kUnhealthy;
-  if (unhealthy == 1 && votes.late <= 1 && all >= kReportersToOutvoteOne) return Agreement::kHealthy;
-  return is_mostly_healthy(votes) ? Agreement::kHealthy : Agreement::kNothing;
+  if (unhealthy == 1 && votes.late <= 1 && total >= kReportersToOutvoteOne) return Agreement::kHealthy;
+  return is_mostly_healthy(votes) ? Agreement::kHealthy : Agreement::kUndecided;
 }
 
-Agreement ZoneHealthAgreement::of_zone(const Zone& zone) const {
+Agreement ZoneHealthAgreement::zone_agreement(const Zone& zone) const {
   // Where the proxies in the zone itself are served well by it, only the links to it fail.
-  if (!options_.flaw_single_reporter && of_link(zone, zone) == Agreement::kHealthy)
+  if (!options_.flaw_single_reporter && link_agreement(zone, zone) == Agreement::kHealthy)
     return Agreement::kHealthy;
   int unhealthy = 0;
   int healthy = 0;
   int reporters = 0;  // zones of proxies
   for (const auto& [key, votes] : input_.observation.votes()) {
     if (key.second != zone) continue;
-    auto agreement = of_link(key.first, zone);
-    if (agreement == Agreement::kNothing && votes.all() < options_.min_reporters) continue;
+    auto agreement = link_agreement(key.first, zone);
+    if (agreement == Agreement::kUndecided && votes.total() < options_.min_reporters) continue;
     ++reporters;
     unhealthy += agreement == Agreement::kUnhealthy;
     healthy += agreement == Agreement::kHealthy;
   }
   if (options_.flaw_single_reporter && unhealthy > 0) return Agreement::kUnhealthy;
   if (unhealthy >= zones_needed() && unhealthy * 2 > reporters) return Agreement::kUnhealthy;
-  return reporters > 0 && healthy * 2 > reporters ? Agreement::kHealthy : Agreement::kNothing;
+  return reporters > 0 && healthy * 2 > reporters ? Agreement::kHealthy : Agreement::kUndecided;
 }
 
 // Returns how many zones of proxies must agree. Where all proxies are in one zone, that one decides.
 int ZoneHealthAgreement::zones_needed() const {
   std::set<Zone> reporters;
   for (const auto& [key, votes] : input_.observation.votes())
-    if (votes.all() >= options_.min_reporters) reporters.insert(key.first);
+    if (votes.total() >= options_.min_reporters) reporters.insert(key.first);
   return std::min(options_.min_zones, std::max(1, static_cast<int>(reporters.size())));
 }
 
@@ -77,7 +77,7 @@
 bool ZoneHealthAgreement::finds_any_healthy(const Zone& from) const {
   return std::any_of(input_.observation.votes().begin(), input_.observation.votes().end(), [&](const auto& entry) {
     const auto& [key, votes] = entry;
-    return key.first == from && votes.all() > 0 && is_mostly_healthy(votes);
+    return key.first == from && votes.total() > 0 && is_mostly_healthy(votes);
   });
 }
 
@@ -86,7 +86,7 @@
   double capacity = 0;
   for (const auto& [key, sample] : input_.observation.samples()) {
     if (std::get<2>(key) != zone) continue;
-    auto not_served = sample.refused + sample.timed_out + sample.failed + sample.full;
+    auto not_served = sample.refused + sample.timed_out + sample.failed + sample.rejected;
     served += static_cast<double>(sample.attempts - std::min(sample.attempts, not_served));
   }
   for (const auto& [key, supply] : input_.supply)
--- a/src/placement/zone_health_agreement.h
+++ b/src/placement/zone_health_agreement.h
@@ -7,7 +7,7 @@
 namespace database_proxy::placement {
 
 // kNothing: too few have an opinion, or they differ.
-enum class Agreement { kNothing, kUnhealthy, kHealthy };
+enum class Agreement { kUndecided, kUnhealthy, kHealthy };
 
 // A view of one round's input; both arguments must outlive it. The planner makes one for each plan.
 class ZoneHealthAgreement {
@@ -15,10 +15,10 @@
   ZoneHealthAgreement(const Options& options, const Input& input) : options_(options), input_(input) {}
 
   // Of the proxies in `from` about the servers in `to`.
-  Agreement of_link(const Zone& from, const Zone& to) const;
+  Agreement link_agreement(const Zone& from, const Zone& to) const;
   // Of the proxies of all zones about the servers in `zone`. Where only one zone's proxies find it unhealthy,
   // the link from there is.
-  Agreement of_zone(const Zone& zone) const;
+  Agreement zone_agreement(const Zone& zone) const;
   // Whether the zone serves nobody, by the proxies of every zone that sent requests there. A zone that is cut
   // off from all others may still serve its own clients.
   bool has_failed(const Zone& zone) const;
--- a/src/placement/zone_health_observer.cpp
+++ b/src/placement/zone_health_observer.cpp
@@ -21,16 +21,16 @@
 constexpr Micros kMinOverdue{150'000};
 constexpr double kLatencySmoothing = 0.1;       // weight of a span in the usual latency
 constexpr std::size_t kAttemptsForOpinion = 3;  // the fewest that make an opinion of a zone
-constexpr unsigned kSpansPerProbe = 2;          // of a healthy zone
-constexpr std::size_t kMaxSpansForOpinion = kAttemptsForOpinion * kSpansPerProbe;
+constexpr unsigned kIntervalsPerProbe = 2;          // of a healthy zone
+constexpr std::size_t kMaxIntervalsForOpinion = kAttemptsForOpinion * kIntervalsPerProbe;
 
-void count_attempt(ZoneSample* sample, RequestOutcome outcome) {
-  if (outcome == RequestOutcome::kNothing) return;
+void count_attempt(ZoneSample* sample, ObservedOutcome outcome) {
+  if (outcome == ObservedOutcome::kInconclusive) return;
   ++sample->attempts;
-  sample->refused += outcome == RequestOutcome::kRefused;
-  sample->timed_out += outcome == RequestOutcome::kTimedOut;
-  sample->failed += outcome == RequestOutcome::kFailed;
-  sample->full += outcome == RequestOutcome::kFull;
+  sample->refused += outcome == ObservedOutcome::kRefused;
+  sample->timed_out += outcome == ObservedOutcome::kTimedOut;
+  sample->failed += outcome == ObservedOutcome::kFailed;
+  sample->rejected += outcome == ObservedOutcome::kRejected;
 }
 
 }  // namespace
@@ -41,22 +41,22 @@
 }
 
 void ZoneHealthObserver::on_attempt_sent(std::uint64_t request, int attempt, const std::string& server,
-                                         Micros now, bool waited) {
-  open_attempts_[{request, attempt}] = {server, now};
+                                         Micros now, bool was_postponed) {
+  in_flight_attempts_[{request, attempt}] = {server, now};
   const auto* location = location_of(server);
-  if (location && waited) ++zones_[location->zone].sample.postponed;
+  if (location && was_postponed) ++zones_[location->zone].sample.postponed;
 }
 
 void ZoneHealthObserver::on_attempt_ended(std::uint64_t request, int attempt, const std::string& server,
-                                          RequestOutcome outcome, Micros latency) {
-  auto it = open_attempts_.find({request, attempt});
-  bool counted = it != open_attempts_.end() && it->second.counted;
-  if (it != open_attempts_.end()) open_attempts_.erase(it);
+                                          ObservedOutcome outcome, Micros latency) {
+  auto it = in_flight_attempts_.find({request, attempt});
+  bool counted = it != in_flight_attempts_.end() && it->second.counted;
+  if (it != in_flight_attempts_.end()) in_flight_attempts_.erase(it);
   const auto* location = location_of(server);
   if (!location || counted) return;
   auto& sample = zones_[location->zone].sample;
   count_attempt(&sample, outcome);
-  if (outcome == RequestOutcome::kServed)
+  if (outcome == ObservedOutcome::kServed)
     sample.latency_us += static_cast<std::uint64_t>(std::max<std::int64_t>(0, latency.count()));
 }
 
@@ -68,7 +68,7 @@
   const auto* location = location_of(server);
   if (!location) return;
   auto& health = zones_[location->zone];
-  count_attempt(&health.sample, ok ? RequestOutcome::kServed : RequestOutcome::kTimedOut);
+  count_attempt(&health.sample, ok ? ObservedOutcome::kServed : ObservedOutcome::kTimedOut);
   ++health.probes;
   if (!ok) health.suspected = true;
   // A probe tells that the server lives, and nothing of the latency of requests: it counts as the usual one.
@@ -80,25 +80,25 @@
     const std::function<double(const std::string&)>& spare_capacity) {
   count_overdue_attempts(now);
   count_server_states(now, spare_capacity);
-  forget_unlisted_zones();
+  remove_unlisted_zones();
   Observation observation;
   observation.add_followers(followed_plan);
   for (const auto& [shard_group, requests] : requests_) observation.add_demand(own_zone_, shard_group, requests);
   for (const auto& [shard_group, zone] : primaries_) observation.add_primary(shard_group, zone);
-  for (auto& [zone, health] : zones_) close_span(zone, &health, &observation);
+  for (auto& [zone, health] : zones_) end_interval(zone, &health, &observation);
   requests_.clear();
   return observation;
 }
 
 void ZoneHealthObserver::count_overdue_attempts(Micros now) {
-  for (auto& [key, attempt] : open_attempts_) {
+  for (auto& [key, attempt] : in_flight_attempts_) {
     const auto* location = location_of(attempt.server);
     if (!location || attempt.counted) continue;
     auto& health = zones_[location->zone];
     Micros overdue_after(static_cast<std::int64_t>(health.usual_latency_us * kOverdueFactor));
     if (now - attempt.sent_at <= std::max(kMinOverdue, overdue_after)) continue;
     attempt.counted = true;
-    count_attempt(&health.sample, RequestOutcome::kTimedOut);
+    count_attempt(&health.sample, ObservedOutcome::kTimedOut);
   }
 }
 
@@ -106,19 +106,19 @@
     Micros now, const std::function<double(const std::string&)>& spare_capacity) {
   for (const auto& [server, location] : locations_) {
     auto& sample = zones_[location.zone].sample;
-    sample.warming_up += location.warm_at > now;
+    sample.warming_up += location.warmed_up_at > now;
     sample.spare_capacity += spare_capacity(server);
   }
 }
 
-void ZoneHealthObserver::forget_unlisted_zones() {
+void ZoneHealthObserver::remove_unlisted_zones() {
   std::set<Zone> listed;
   for (const auto& [server, location] : locations_) listed.insert(location.zone);
   std::erase_if(zones_, [&](const auto& zone) { return !listed.contains(zone.first); });
 }
 
 // Adds the zone's sample of this span, and the opinion on it, to the observation, and begins the next span.
-void ZoneHealthObserver::close_span(const Zone& zone, ZoneHealth* health, Observation* observation) const {
+void ZoneHealthObserver::end_interval(const Zone& zone, ZoneHealth* health, Observation* observation) const {
   auto& sample = health->sample;
   // Where few requests go, the opinion is of several spans: of as few as will do.
   auto sum = sample;
@@ -134,7 +134,7 @@
         own_zone_, zone,
         {opinion == Opinion::kHealthy, opinion == Opinion::kUnhealthy, opinion == Opinion::kLate});
   observation->record(own_zone_, 0, zone, sample);
-  auto answered = sample.attempts - sample.refused - sample.timed_out - sample.failed - sample.full;
+  auto answered = sample.attempts - sample.refused - sample.timed_out - sample.failed - sample.rejected;
   if (opinion == Opinion::kHealthy && answered > health->probes) {
     double mean = static_cast<double>(sample.latency_us) / static_cast<double>(answered);
     double& usual = health->usual_latency_us;
@@ -143,10 +143,10 @@
   health->previous_requests = sample.attempts - health->probes;
   health->probes = 0;
   health->previous_samples.push_front(std::exchange(sample, {}));
-  if (health->previous_samples.size() >= kMaxSpansForOpinion) health->previous_samples.pop_back();
+  if (health->previous_samples.size() >= kMaxIntervalsForOpinion) health->previous_samples.pop_back();
 }
 
-std::vector<std::string> ZoneHealthObserver::choose_probe_targets(std::uint64_t draw) {
+std::vector<std::string> ZoneHealthObserver::choose_probe_targets(std::uint64_t random_value) {
   std::vector<std::string> targets;
   if (!probes_unused_zones_) return targets;
   std::map<Zone, std::vector<const std::string*>> servers_in;
@@ -154,12 +154,12 @@
   for (const auto& [zone, servers] : servers_in) {
     auto& health = zones_[zone];
     // A healthy zone gets one now and then, a suspected one enough for an opinion at once.
-    bool is_due = ++health.spans_since_probe >= kSpansPerProbe;
+    bool is_due = ++health.intervals_since_probe >= kIntervalsPerProbe;
     std::size_t needed = is_due ? 1 : 0;
     if (health.suspected) needed = kAttemptsForOpinion;
-    if (needed > 0) health.spans_since_probe = 0;
+    if (needed > 0) health.intervals_since_probe = 0;
     for (std::size_t i = 0; health.previous_requests + i < needed; ++i)
-      targets.push_back(*servers[(draw + i) % servers.size()]);
+      targets.push_back(*servers[(random_value + i) % servers.size()]);
   }
   return targets;
 }
--- a/src/placement/zone_health_observer.h
+++ b/src/placement/zone_health_observer.h
@@ -18,20 +18,20 @@
 using Micros = std::chrono::microseconds;
 
 // How an attempt ended, as far as it says something of the server.
-enum class RequestOutcome {
+enum class ObservedOutcome {
   kServed,
   kRefused,  // no connection
-  kFull,     // rejected untouched, for its load
+  kRejected,     // rejected untouched, for its load
   kTimedOut,
   kFailed,
-  kNothing  // it says nothing of the server
+  kInconclusive  // it says nothing of the server
 };
 
 // Where a server is.
 struct EndpointLocation {
   ShardGroupId shard_group = 0;
   Zone zone;
-  Micros warm_at{0};  // when it has warmed up, by the caller's clock; 0: it has
+  Micros warmed_up_at{0};  // when it has warmed up, by the caller's clock; 0: it has
 };
 
 // One proxy's observer. The proxy's event loop calls it for each request, and takes an observation from it at
@@ -47,10 +47,10 @@
 
   // A read of `set` arrived from a client.
   void on_read_request(ShardGroupId shard_group) { ++requests_[shard_group]; }
-  // `waited`: it was postponed until a replica was fresh enough.
+  // `was_postponed`: it was postponed until a replica was fresh enough.
   void on_attempt_sent(std::uint64_t request, int attempt, const std::string& server, Micros now,
-                       bool waited);
-  void on_attempt_ended(std::uint64_t request, int attempt, const std::string& server, RequestOutcome outcome,
+                       bool was_postponed);
+  void on_attempt_ended(std::uint64_t request, int attempt, const std::string& server, ObservedOutcome outcome,
                         Micros latency);
   // `server` has proved to be the primary of its set.
   void on_primary_observed(const std::string& server);
@@ -62,11 +62,11 @@
   Observation take_observation(Micros now, std::uint64_t followed_plan,
                                const std::function<double(const std::string&)>& spare_capacity);
   // Returns the servers to probe before the next take_observation(), in zones of which too little was
-  // observed. `draw`, any number, picks among a zone's servers.
-  std::vector<std::string> choose_probe_targets(std::uint64_t draw);
+  // observed. `random_value`, any number, picks among a zone's servers.
+  std::vector<std::string> choose_probe_targets(std::uint64_t random_value);
 
  private:
-  struct OpenAttempt {
+  struct InFlightAttempt {
     std::string server;
     Micros sent_at{0};
     bool counted = false;  // already as timed out
@@ -77,15 +77,15 @@
     std::uint64_t probes = 0;                 // in `sample`
     std::uint64_t previous_requests = 0;      // attempts in the last span that were no probes
     bool suspected = false;                   // a probe failed, or the last opinion was bad: probe more
-    unsigned spans_since_probe = 0;
+    unsigned intervals_since_probe = 0;
     double usual_latency_us = 0;  // of requests while the zone is healthy; 0: not known
   };
 
   const EndpointLocation* location_of(const std::string& server) const;
   void count_overdue_attempts(Micros now);
   void count_server_states(Micros now, const std::function<double(const std::string&)>& spare_capacity);
-  void forget_unlisted_zones();
-  void close_span(const Zone& zone, ZoneHealth* health, Observation* observation) const;
+  void remove_unlisted_zones();
+  void end_interval(const Zone& zone, ZoneHealth* health, Observation* observation) const;
 
   Zone own_zone_;
   bool probes_unused_zones_;
@@ -93,7 +93,7 @@
   std::map<ShardGroupId, std::uint64_t> requests_;
   std::map<ShardGroupId, Zone> primaries_;
   std::map<Zone, ZoneHealth> zones_;
-  std::map<std::pair<std::uint64_t, int>, OpenAttempt> open_attempts_;  // by request and attempt
+  std::map<std::pair<std::uint64_t, int>, InFlightAttempt> in_flight_attempts_;  // by request and attempt
 };
 
 }  // namespace database_proxy::placement
--- a/src/placement/zone_observation.cpp
+++ b/src/placement/zone_observation.cpp
@@ -19,13 +19,13 @@
 // Weight of the newest span in the demand.
 constexpr double kSmoothing = 0.2;
 // A rise by this part of the demand, and by this many standard deviations of a count, is a true one.
-constexpr double kTrueRise = 0.2, kChanceDeviations = 3;
+constexpr double kSignificantRise = 0.2, kSignificantDeviations = 3;
 // Requests a second below which a demand that is not observed any more is forgotten.
-constexpr double kForgottenRate = 0.01;
+constexpr double kNegligibleRate = 0.01;
 
 // Whether the map has the key or may still take it.
 template <typename Map, typename Key>
-bool has_place_for(const Map& map, const Key& key, std::size_t max_size) {
+bool can_store(const Map& map, const Key& key, std::size_t max_size) {
   return map.size() < max_size || map.count(key) > 0;
 }
 
@@ -36,7 +36,7 @@
   refused += other.refused;
   timed_out += other.timed_out;
   failed += other.failed;
-  full += other.full;
+  rejected += other.rejected;
   latency_us += other.latency_us;
   postponed += other.postponed;
   warming_up += other.warming_up;
@@ -45,24 +45,24 @@
 
 void Observation::record(const Zone& from, ShardGroupId shard_group, const Zone& zone, const ZoneSample& sample) {
   std::tuple key(from, shard_group, zone);
-  if (!has_place_for(samples_, key, kMaxZones * kMaxShardGroups)) key = {"", 0, ""};
+  if (!can_store(samples_, key, kMaxZones * kMaxShardGroups)) key = {"", 0, ""};
   samples_[key].add(sample);
 }
 
 void Observation::add_votes(const Zone& from, const Zone& zone, const HealthVotes& votes) {
   std::pair key(from, zone);
-  if (has_place_for(votes_, key, kMaxZones * kMaxZones)) votes_[key].add(votes);
+  if (can_store(votes_, key, kMaxZones * kMaxZones)) votes_[key].add(votes);
 }
 
 void Observation::add_demand(const Zone& from, ShardGroupId shard_group, std::uint64_t requests) {
   std::pair key(from, shard_group);
-  if (!has_place_for(demand_, key, kMaxZones * kMaxShardGroups)) key = {"", 0};
+  if (!can_store(demand_, key, kMaxZones * kMaxShardGroups)) key = {"", 0};
   demand_[key] += requests;
 }
 
 void Observation::add_primary(ShardGroupId shard_group, const Zone& zone, std::uint64_t proxies) {
   std::pair key(shard_group, zone);
-  if (has_place_for(primaries_, key, kMaxZones * kMaxShardGroups)) primaries_[key] += proxies;
+  if (can_store(primaries_, key, kMaxZones * kMaxShardGroups)) primaries_[key] += proxies;
 }
 
 void Observation::add_followers(std::uint64_t plan, std::uint64_t proxies) {
@@ -91,7 +91,7 @@
 void Demand::debounce(const Observation& observation, double seconds) {
   const auto& demand = observation.demand();
   std::erase_if(rates_, [&](const auto& entry) {
-    return entry.second < kForgottenRate && !demand.contains(entry.first);
+    return entry.second < kNegligibleRate && !demand.contains(entry.first);
   });
   for (auto& [key, rate] : rates_)
     if (!demand.contains(key)) rate -= kSmoothing * rate;
@@ -99,16 +99,16 @@
     double newest = static_cast<double>(requests) / seconds;
     double& rate = rates_.try_emplace(key, newest).first->second;
     // The standard deviation of a count is its square root.
-    double chance = kChanceDeviations * std::sqrt(static_cast<double>(requests)) / seconds;
-    bool is_true_rise = newest - rate > kTrueRise * rate + chance;
-    rate += (is_true_rise ? 1 : kSmoothing) * (newest - rate);
+    double noise = kSignificantDeviations * std::sqrt(static_cast<double>(requests)) / seconds;
+    bool is_significant_rise = newest - rate > kSignificantRise * rate + noise;
+    rate += (is_significant_rise ? 1 : kSmoothing) * (newest - rate);
   }
 }
 
 Opinion assess(const ZoneSample& sample, std::uint64_t usual_latency_us) {
   if (sample.attempts < kMinAttempts) return Opinion::kNone;
   if ((sample.refused + sample.failed) * 2 >= sample.attempts) return Opinion::kUnhealthy;
-  auto lost = sample.refused + sample.timed_out + sample.failed + sample.full;
+  auto lost = sample.refused + sample.timed_out + sample.failed + sample.rejected;
   if (lost * 2 >= sample.attempts) return Opinion::kLate;
   auto answered = sample.attempts - lost;
   bool is_slow = usual_latency_us > 0 && sample.latency_us > usual_latency_us * kLateFactor * answered;
--- a/src/placement/zone_observation.h
+++ b/src/placement/zone_observation.h
@@ -29,7 +29,7 @@
   std::uint64_t refused = 0;  // no connection
   std::uint64_t timed_out = 0;
   std::uint64_t failed = 0;
-  std::uint64_t full = 0;        // rejected untouched, for the server's load
+  std::uint64_t rejected = 0;        // rejected untouched, for the server's load
   std::uint64_t latency_us = 0;  // sum over those that were answered
   std::uint64_t postponed = 0;   // reads that waited for a fresh replica
   std::uint64_t warming_up = 0;  // servers
@@ -51,7 +51,7 @@
     unhealthy += other.unhealthy;
     late += other.late;
   }
-  std::uint64_t all() const { return healthy + unhealthy + late; }
+  std::uint64_t total() const { return healthy + unhealthy + late; }
   bool operator==(const HealthVotes&) const = default;
 };
 
--- a/src/placement/zone_phase_machine.cpp
+++ b/src/placement/zone_phase_machine.cpp
@@ -27,7 +27,7 @@
     for (const auto& zone : zones) {
       if (health_.has_failed(zone) != failed) continue;
       auto& state = plan_->zones[zone];
-      record_health(&state, health_.of_zone(zone));
+      record_health(&state, health_.zone_agreement(zone));
       advance_zone(zone, &state);
     }
   advance_links();
@@ -101,7 +101,7 @@
 
 void ZonePhaseMachine::advance_links() {
   for (const auto& [key, votes] : input_.observation.votes()) {
-    auto agreement = health_.of_link(key.first, key.second);
+    auto agreement = health_.link_agreement(key.first, key.second);
     auto it = plan_->links.find(key);
     if (it == plan_->links.end()) {
       if (agreement != Agreement::kUnhealthy) continue;
@@ -125,7 +125,7 @@
   bool zone_is_open = zone == plan_->zones.end() || zone->second.phase == Phase::kOpen;
   if (!zone_is_open || !has_lasted(state->unhealthy_since, options_.link_close_after)) return;
   // The zone itself comes first: it is closed in the same round where others agree.
-  if (health_.of_zone(to) == Agreement::kUnhealthy || !consume_change(name)) return;
+  if (health_.zone_agreement(to) == Agreement::kUnhealthy || !consume_change(name)) return;
   enter_phase(state, Phase::kClosed, PhaseReason::kUnhealthy, 0, input_.now);
 }
 
--- a/src/request_router/zone_routing.cpp
+++ b/src/request_router/zone_routing.cpp
@@ -60,7 +60,7 @@
       if (first_draw < 0) pending.zones.first = &zone;
     }
     if (!pending.zones.second) {
-      second_draw -= zone.spare;
+      second_draw -= zone.surplus_share;
       if (second_draw < 0) pending.zones.second = &zone;
     }
   }
--- a/tests/placement/placement_test.cpp
+++ b/tests/placement/placement_test.cpp
@@ -92,14 +92,14 @@
   sample.latency_us = 100'000;  // ten times slower: unhealthy, or overloaded
   EXPECT_EQ(assess(sample, 1000), Opinion::kLate);
   sample.latency_us = 10'000;
-  sample.full = 3, sample.timed_out = 2;
+  sample.rejected = 3, sample.timed_out = 2;
   EXPECT_EQ(assess(sample, 1000), Opinion::kLate);
 }
 
 TEST(Observation, SurvivesTheCodecUnchangedAndSoDoesAPlan) {
   Observation observation;
   ZoneSample sample;
-  sample.attempts = 9, sample.refused = 1, sample.timed_out = 2, sample.failed = 3, sample.full = 4,
+  sample.attempts = 9, sample.refused = 1, sample.timed_out = 2, sample.failed = 3, sample.rejected = 4,
   sample.latency_us = 5, sample.postponed = 6;
   sample.warming_up = 7, sample.spare_capacity = 8.5;
   observation.record("a", 0, "b", sample);
@@ -157,7 +157,7 @@
     now += 500ms;
     return observer.take_observation(now, 3, [](const std::string&) { return 2.0; });
   }
-  void serve(int count, const std::string& server, RequestOutcome how = RequestOutcome::kServed,
+  void serve(int count, const std::string& server, ObservedOutcome how = ObservedOutcome::kServed,
              Micros took = 2ms) {
     for (int i = 0; i < count; ++i) {
       observer.on_attempt_sent(++id, 0, server, now, false);
@@ -173,7 +173,7 @@
   observer.on_read_request(1);
   observer.on_read_request(1);
   serve(4, "a1");
-  serve(1, "a2", RequestOutcome::kFailed);
+  serve(1, "a2", ObservedOutcome::kFailed);
   observer.on_primary_observed("a1");
   auto observation = take();
   EXPECT_EQ(observation.demand().at({"a", 1}), 2u);
@@ -198,7 +198,7 @@
   EXPECT_EQ(observation.votes().at({"a", "a"}), (HealthVotes{0, 0, 1}));
   // When they end later, they are not counted again.
   for (int i = 0; i < 5; ++i)
-    observer.on_attempt_ended(100 + static_cast<std::uint64_t>(i), 0, "a1", RequestOutcome::kTimedOut, 2s);
+    observer.on_attempt_ended(100 + static_cast<std::uint64_t>(i), 0, "a1", ObservedOutcome::kTimedOut, 2s);
   EXPECT_EQ(take().samples().at({"a", 0, "a"}).attempts, 0u);
 }
 
