--- a/tests/placement/placement_test.cpp
+++ b/tests/placement/placement_test.cpp
@@ -13,7 +13,7 @@
 
 using namespace std::chrono_literals;
 
-ZoneTopology three() {
+ZoneTopology three_zones() {
   ZoneTopology topology;
   topology.put("a", "north");
   topology.put("b", "north");
@@ -22,7 +22,7 @@
 }
 
 // Each zone has `capacity` for set 1, and a demand of `demand`; all proxies find all zones healthy.
-Input calm(double demand, double capacity, Millis now = 1'000'000) {
+Input healthy_input(double demand, double capacity, Millis now = 1'000'000) {
   Input input;
   input.now = now;
   for (Zone from : {"a", "b", "c"}) {
@@ -35,7 +35,7 @@
 }
 
 // `input`, but `unhealthy` of the four proxies of each zone in `by` find `zone` unhealthy.
-Input found_unhealthy(Input input, const Zone& zone, const std::vector<Zone>& by, int unhealthy = 4) {
+Input with_unhealthy_zone(Input input, const Zone& zone, const std::vector<Zone>& by, int unhealthy = 4) {
   Observation observation;
   for (auto& [key, votes] : input.observation.votes()) {
     int bad = key.second == zone && std::count(by.begin(), by.end(), key.first) ? unhealthy : 0;
@@ -49,8 +49,8 @@
   return input;
 }
 
-Plan settle(const Planner& planner, Plan plan, Input input, Millis span) {
-  for (Millis end = input.now + span; input.now <= end; input.now += 500) plan = planner.next(plan, input);
+Plan run_rounds(const Planner& planner, Plan plan, Input input, Millis duration) {
+  for (Millis end = input.now + duration; input.now <= end; input.now += 500) plan = planner.next(plan, input);
   return plan;
 }
 
@@ -118,11 +118,11 @@
   plan.surplus_capacity[{1, "a"}] = {{"b", 0.125}};
   plan.changes = {{"a", 77}};
   plan.frozen = true;
-  auto back = plan_from_json(nlohmann::json::parse(to_json(plan).dump()));
-  EXPECT_TRUE(back.is_equivalent_to(plan));
-  EXPECT_EQ(back.number, 9u);
-  EXPECT_EQ(back.zones.at("a"), plan.zones.at("a"));
-  EXPECT_EQ(back.changes, plan.changes);
+  auto decoded = plan_from_json(nlohmann::json::parse(to_json(plan).dump()));
+  EXPECT_TRUE(decoded.is_equivalent_to(plan));
+  EXPECT_EQ(decoded.number, 9u);
+  EXPECT_EQ(decoded.zones.at("a"), plan.zones.at("a"));
+  EXPECT_EQ(decoded.changes, plan.changes);
 }
 
 TEST(Observation, CountsOnlyTheNewestPlansSeparately) {
@@ -153,15 +153,15 @@
   ZoneHealthObserverTest() : observer("a", true) {
     observer.set_locations({{"a1", {1, "a", 0s}}, {"a2", {1, "a", 0s}}, {"b1", {1, "b", 5s}}});
   }
-  Observation take() {
+  Observation take_observation() {
     now += 500ms;
     return observer.take_observation(now, 3, [](const std::string&) { return 2.0; });
   }
-  void serve(int count, const std::string& server, ObservedOutcome how = ObservedOutcome::kServed,
-             Micros took = 2ms) {
+  void complete_attempts(int count, const std::string& server, ObservedOutcome outcome = ObservedOutcome::kServed,
+             Micros latency = 2ms) {
     for (int i = 0; i < count; ++i) {
       observer.on_attempt_sent(++id, 0, server, now, false);
-      observer.on_attempt_ended(id, 0, server, how, took);
+      observer.on_attempt_ended(id, 0, server, outcome, latency);
     }
   }
   ZoneHealthObserver observer;
@@ -172,10 +172,10 @@
 TEST_F(ZoneHealthObserverTest, SumsUpTheOutcomesOfRequests) {
   observer.on_read_request(1);
   observer.on_read_request(1);
-  serve(4, "a1");
-  serve(1, "a2", ObservedOutcome::kFailed);
+  complete_attempts(4, "a1");
+  complete_attempts(1, "a2", ObservedOutcome::kFailed);
   observer.on_primary_observed("a1");
-  auto observation = take();
+  auto observation = take_observation();
   EXPECT_EQ(observation.demand().at({"a", 1}), 2u);
   EXPECT_EQ(observation.primaries().at({1, "a"}), 1u);
   EXPECT_EQ(observation.followers().at(3), 1u);
@@ -190,70 +190,70 @@
 }
 
 TEST_F(ZoneHealthObserverTest, AHangingServerIsLateBeforeItsClientsGiveUp) {
-  serve(5, "a1");
-  take();
+  complete_attempts(5, "a1");
+  take_observation();
   for (int i = 0; i < 5; ++i)
     observer.on_attempt_sent(100 + static_cast<std::uint64_t>(i), 0, "a1", now, false);
-  auto observation = take();
+  auto observation = take_observation();
   EXPECT_EQ(observation.votes().at({"a", "a"}), (HealthVotes{0, 0, 1}));
   // When they end later, they are not counted again.
   for (int i = 0; i < 5; ++i)
     observer.on_attempt_ended(100 + static_cast<std::uint64_t>(i), 0, "a1", ObservedOutcome::kTimedOut, 2s);
-  EXPECT_EQ(take().samples().at({"a", 0, "a"}).attempts, 0u);
+  EXPECT_EQ(take_observation().samples().at({"a", 0, "a"}).attempts, 0u);
 }
 
 TEST_F(ZoneHealthObserverTest, ProbesZonesThatGetNoRequests) {
-  serve(5, "a1");
-  take();
+  complete_attempts(5, "a1");
+  take_observation();
   EXPECT_TRUE(observer.choose_probe_targets(7).empty());  // not each time
   for (int round = 0; round < 3; ++round) {
-    serve(5, "a1");
-    EXPECT_FALSE(take().votes().count({"a", "b"}));
+    complete_attempts(5, "a1");
+    EXPECT_FALSE(take_observation().votes().count({"a", "b"}));
     ASSERT_EQ(observer.choose_probe_targets(7), std::vector<std::string>{"b1"});
     observer.on_probe_ended("b1", true);
-    auto observation = take();
+    auto observation = take_observation();
     ASSERT_EQ(observation.votes().count({"a", "b"}), round == 2);  // three attempts make an opinion
-    serve(5, "a1");
+    complete_attempts(5, "a1");
     EXPECT_TRUE(observer.choose_probe_targets(7).empty());
   }
-  serve(5, "a1");
-  take();
+  complete_attempts(5, "a1");
+  take_observation();
   ASSERT_EQ(observer.choose_probe_targets(7).size(), 1u);
   observer.on_probe_ended("b1", false);
-  serve(5, "a1");
-  take();
+  complete_attempts(5, "a1");
+  take_observation();
   // After a failed probe, enough probes follow at once for an opinion.
-  auto closer = observer.choose_probe_targets(7);
-  ASSERT_EQ(closer.size(), 3u);
-  for (auto& server : closer) observer.on_probe_ended(server, false);
-  EXPECT_EQ(take().votes().at({"a", "b"}), (HealthVotes{0, 0, 1}));
+  auto targets = observer.choose_probe_targets(7);
+  ASSERT_EQ(targets.size(), 3u);
+  for (auto& server : targets) observer.on_probe_ended(server, false);
+  EXPECT_EQ(take_observation().votes().at({"a", "b"}), (HealthVotes{0, 0, 1}));
   ZoneHealthObserver other("a", false);
   other.set_locations({{"b1", {1, "b", 0s}}});
   EXPECT_TRUE(other.choose_probe_targets(7).empty());
 }
 
 TEST(Plan, NoZoneIsClosedWhereAllAreLate) {
-  Planner planner(three());
-  auto input = calm(300, 1000);
+  Planner planner(three_zones());
+  auto input = healthy_input(300, 1000);
   input.observation = input.observation.demand_only();
   // The proxies themselves are slow: there is little demand, and all answers are late.
   for (Zone from : {"a", "b", "c"})
     for (Zone to : {"a", "b", "c"}) input.observation.add_votes(from, to, {0, 0, 4});
-  auto plan = settle(planner, {}, input, 20'000);
+  auto plan = run_rounds(planner, {}, input, 20'000);
   for (Zone zone : {"a", "b", "c"}) EXPECT_EQ(plan.zones.at(zone).phase, Phase::kOpen) << zone;
   EXPECT_TRUE(plan.links.empty());
 }
 
 TEST(Plan, AZoneThatServesItsOwnClientsLosesLinksAndStaysOpen) {
-  Planner planner(three());
-  auto input = calm(300, 1000);
+  Planner planner(three_zones());
+  auto input = healthy_input(300, 1000);
   input.observation = input.observation.demand_only();
   // Every link between zones is cut, and each zone is healthy to its own proxies: closing one would help
   // nobody.
   for (Zone from : {"a", "b", "c"})
     for (Zone to : {"a", "b", "c"})
       input.observation.add_votes(from, to, from == to ? HealthVotes{4, 0, 0} : HealthVotes{0, 4, 0});
-  auto plan = settle(planner, {}, input, 10'000);
+  auto plan = run_rounds(planner, {}, input, 10'000);
   for (Zone zone : {"a", "b", "c"}) {
     EXPECT_EQ(plan.zones.at(zone).phase, Phase::kOpen) << zone;
     EXPECT_EQ(plan.shares.at({1, zone}), (std::map<Zone, double>{{zone, 1.0}}));
@@ -263,8 +263,8 @@
 }
 
 TEST(Plan, AZoneThatIsLateForItsLoadIsNotClosed) {
-  Planner planner(three());
-  auto input = calm(300, 1000);
+  Planner planner(three_zones());
+  auto input = healthy_input(300, 1000);
   input.observation = {};
   for (Zone from : {"a", "b", "c"}) {
     input.observation.add_demand(from, 1, 500);
@@ -273,7 +273,7 @@
   ZoneSample busy;
   busy.attempts = 900;
   input.observation.record("b", 0, "b", busy);  // it answers nine tenths of its capacity
-  EXPECT_EQ(settle(planner, {}, input, 10'000).zones.at("b").phase, Phase::kOpen);
+  EXPECT_EQ(run_rounds(planner, {}, input, 10'000).zones.at("b").phase, Phase::kOpen);
   input.observation = [&] {
     auto observation = input.observation.demand_only();
     for (auto& [key, votes] : input.observation.votes()) observation.add_votes(key.first, key.second, votes);
@@ -282,42 +282,42 @@
     observation.record("b", 0, "b", slow);  // late, and doing next to nothing
     return observation;
   }();
-  EXPECT_EQ(settle(planner, {}, input, 10'000).zones.at("b").phase, Phase::kClosed);
+  EXPECT_EQ(run_rounds(planner, {}, input, 10'000).zones.at("b").phase, Phase::kClosed);
 }
 
 TEST(Plan, SurplusCapacityCoversTheLossOfAnyOneZone) {
-  Planner planner(three());
-  auto input = calm(300, 1000);
-  auto plan = settle(planner, {}, input, 10'000);
+  Planner planner(three_zones());
+  auto input = healthy_input(300, 1000);
+  auto plan = run_rounds(planner, {}, input, 10'000);
   auto surplus_share = [&](const Zone& from, const Zone& to) {
     auto it = plan.surplus_capacity.find({1, from});
     return it == plan.surplus_capacity.end() || !it->second.count(to) ? 0.0 : it->second.at(to);
   };
   EXPECT_EQ(surplus_share("a", "a"), 0);    // all of its reads are served there anyway
   EXPECT_EQ(surplus_share("a", "b"), 1.0);  // 300 fit beside 300 in 950
-  input = calm(600, 1000);
-  plan = settle(planner, {}, input, 10'000);
+  input = healthy_input(600, 1000);
+  plan = run_rounds(planner, {}, input, 10'000);
   EXPECT_NEAR(surplus_share("a", "b"), 350.0 / 600, 0.02);
   EXPECT_NEAR(surplus_share("a", "c"), 1 - 350.0 / 600,
               0.02);  // the far zone takes what the near one has no capacity for
   for (auto& [key, supply] : input.supply) supply.warming_up = key.second == "b";
-  plan = settle(planner, {}, input, 10'000);
+  plan = run_rounds(planner, {}, input, 10'000);
   EXPECT_EQ(surplus_share("a", "b"), 0);  // a zone that is warming up has no surplus
 }
 
 TEST(Plan, TrafficStaysNearWhileThereIsCapacity) {
-  Planner planner(three());
-  auto plan = settle(planner, {}, calm(700, 1000), 5000);
+  Planner planner(three_zones());
+  auto plan = run_rounds(planner, {}, healthy_input(700, 1000), 5000);
   for (Zone zone : {"a", "b", "c"}) EXPECT_NEAR(plan.shares.at({1, zone}).at(zone), 1, 1e-5) << zone;
-  auto again = planner.next(plan, calm(705, 1000, 1'010'000));
-  EXPECT_EQ(again.number, plan.number);  // random swings make no new plan
+  auto next = planner.next(plan, healthy_input(705, 1000, 1'010'000));
+  EXPECT_EQ(next.number, plan.number);  // random swings make no new plan
 }
 
 TEST(Plan, TrafficGoesNoFurtherThanNeeded) {
-  Planner planner(three());
-  auto input = calm(300, 1000);
+  Planner planner(three_zones());
+  auto input = healthy_input(300, 1000);
   input.observation.add_demand("a", 1, 700);  // a demand of 1000, of which it may serve 800
-  auto plan = settle(planner, {}, input, 10'000);
+  auto plan = run_rounds(planner, {}, input, 10'000);
   EXPECT_NEAR(plan.shares.at({1, "a"}).at("a"), 0.8, 0.01);
   EXPECT_NEAR(plan.shares.at({1, "a"}).at("b"), 0.2, 0.01);  // the same region first
   EXPECT_EQ(plan.shares.at({1, "a"}).count("c"), 0u);
@@ -325,98 +325,98 @@
 }
 
 TEST(Plan, AZoneThatSeveralZonesFindUnhealthyIsClosedAndOpensInSteps) {
-  Planner planner(three());
-  auto plan = settle(planner, {}, calm(400, 1000), 5000);
-  auto input = found_unhealthy(calm(400, 1000, 1'010'000), "a", {"a", "b", "c"});
-  auto lost = settle(planner, plan, input, 2500);
+  Planner planner(three_zones());
+  auto plan = run_rounds(planner, {}, healthy_input(400, 1000), 5000);
+  auto input = with_unhealthy_zone(healthy_input(400, 1000, 1'010'000), "a", {"a", "b", "c"});
+  auto lost = run_rounds(planner, plan, input, 2500);
   EXPECT_EQ(lost.zones.at("a").phase, Phase::kClosed);
   EXPECT_EQ(lost.shares.at({1, "a"}).count("a"), 0u);
   EXPECT_NEAR(lost.rejected_share(1, "a"), 0, 0.01);
-  auto healthy = calm(400, 1000, 1'013'000);
-  auto still = settle(planner, lost, healthy, 4000);
-  EXPECT_EQ(still.zones.at("a").phase, Phase::kClosed);
+  auto healthy = healthy_input(400, 1000, 1'013'000);
+  auto reopening = run_rounds(planner, lost, healthy, 4000);
+  EXPECT_EQ(reopening.zones.at("a").phase, Phase::kClosed);
   double before = 0;
   bool stepped = false;
   for (; healthy.now < 1'060'000; healthy.now += 500) {
-    still = planner.next(still, healthy);
-    double fraction = still.zones.at("a").capacity_fraction;
+    reopening = planner.next(reopening, healthy);
+    double fraction = reopening.zones.at("a").capacity_fraction;
     EXPECT_LE(fraction, std::max(0.1, before * 2) + 1e-9);
     stepped = stepped || (fraction > 0 && fraction < 1);
     before = fraction;
   }
   EXPECT_TRUE(stepped);
-  EXPECT_EQ(still.zones.at("a").phase, Phase::kOpen);
-  EXPECT_GT(still.shares.at({1, "a"}).at("a"), 0.95);
+  EXPECT_EQ(reopening.zones.at("a").phase, Phase::kOpen);
+  EXPECT_GT(reopening.shares.at({1, "a"}).at("a"), 0.95);
 }
 
 TEST(Plan, OneProxyClosesNothingAndOneZoneClosesOnlyALink) {
-  Planner planner(three());
-  auto plan = settle(planner, {}, calm(400, 1000), 5000);
-  auto one =
-      settle(planner, plan, found_unhealthy(calm(400, 1000, 1'010'000), "a", {"a", "b", "c"}, 1), 20'000);
-  EXPECT_EQ(one.zones.at("a").phase, Phase::kOpen);
-  EXPECT_TRUE(one.links.empty());
-  auto link = settle(planner, plan, found_unhealthy(calm(900, 1000, 1'010'000), "a", {"b"}), 10'000);
-  EXPECT_EQ(link.zones.at("a").phase, Phase::kOpen);
-  EXPECT_EQ((link.links.at({"b", "a"}).phase), Phase::kClosed);
-  EXPECT_EQ(link.shares.at({1, "b"}).count("a"), 0u);
-  EXPECT_GT(link.shares.at({1, "a"}).at("a"), 0.7);
+  Planner planner(three_zones());
+  auto plan = run_rounds(planner, {}, healthy_input(400, 1000), 5000);
+  auto single_proxy =
+      run_rounds(planner, plan, with_unhealthy_zone(healthy_input(400, 1000, 1'010'000), "a", {"a", "b", "c"}, 1), 20'000);
+  EXPECT_EQ(single_proxy.zones.at("a").phase, Phase::kOpen);
+  EXPECT_TRUE(single_proxy.links.empty());
+  auto single_zone = run_rounds(planner, plan, with_unhealthy_zone(healthy_input(900, 1000, 1'010'000), "a", {"b"}), 10'000);
+  EXPECT_EQ(single_zone.zones.at("a").phase, Phase::kOpen);
+  EXPECT_EQ((single_zone.links.at({"b", "a"}).phase), Phase::kClosed);
+  EXPECT_EQ(single_zone.shares.at({1, "b"}).count("a"), 0u);
+  EXPECT_GT(single_zone.shares.at({1, "a"}).at("a"), 0.7);
 }
 
 TEST(Plan, AZoneStaysOpenWithoutCapacityElsewhereAndRefusalsAreNearHome) {
-  Planner planner(three());
-  auto plan = settle(planner, {}, calm(900, 1000), 5000);
+  Planner planner(three_zones());
+  auto plan = run_rounds(planner, {}, healthy_input(900, 1000), 5000);
   auto partly_failed =
-      found_unhealthy(calm(900, 1000, 1'010'000), "a", {"a", "b", "c"}, 3);  // unhealthy, still serving
-  auto still_open = settle(planner, plan, partly_failed, 10'000);
+      with_unhealthy_zone(healthy_input(900, 1000, 1'010'000), "a", {"a", "b", "c"}, 3);  // unhealthy, still serving
+  auto still_open = run_rounds(planner, plan, partly_failed, 10'000);
   EXPECT_EQ(still_open.zones.at("a").phase, Phase::kOpen);
   EXPECT_EQ(still_open.zones.at("a").reason, PhaseReason::kInsufficientCapacity);
-  auto dead =
-      settle(planner, plan, found_unhealthy(calm(900, 1000, 1'010'000), "a", {"a", "b", "c"}), 10'000);
-  EXPECT_EQ(dead.zones.at("a").phase, Phase::kClosed);
+  auto failed =
+      run_rounds(planner, plan, with_unhealthy_zone(healthy_input(900, 1000, 1'010'000), "a", {"a", "b", "c"}), 10'000);
+  EXPECT_EQ(failed.zones.at("a").phase, Phase::kClosed);
   // The other zones are not overloaded: zone a's clients refuse what there is no capacity for.
-  EXPECT_GT(dead.rejected_share(1, "a"), 0.7);
-  EXPECT_LT(dead.rejected_share(1, "b"), 0.05);
+  EXPECT_GT(failed.rejected_share(1, "a"), 0.7);
+  EXPECT_LT(failed.rejected_share(1, "b"), 0.05);
 }
 
 TEST(Plan, AnEvacuationGoesInStepsWithinCapacityAndOutlivesItsOwner) {
-  auto input = calm(500, 1000);
-  Plan plan = settle(Planner(three()), {}, input, 5000);
+  auto input = healthy_input(500, 1000);
+  Plan plan = run_rounds(Planner(three_zones()), {}, input, 5000);
   input.now += 10'000;
-  EXPECT_NE(Planner(three()).evacuate(&plan, "nowhere", false, input), "");
-  EXPECT_EQ(Planner(three()).evacuate(&plan, "a", false, input), "");
+  EXPECT_NE(Planner(three_zones()).evacuate(&plan, "nowhere", false, input), "");
+  EXPECT_EQ(Planner(three_zones()).evacuate(&plan, "a", false, input), "");
   double before = 1;
   for (int i = 0; i < 40; ++i, input.now += 500) {
-    plan = Planner(three()).next(plan, input);  // another owner each time
+    plan = Planner(three_zones()).next(plan, input);  // another owner each time
     EXPECT_GE(plan.zones.at("a").capacity_fraction, before - 0.25 - 1e-9);
     before = plan.zones.at("a").capacity_fraction;
   }
   EXPECT_EQ(plan.zones.at("a").phase, Phase::kEvacuated);
   EXPECT_EQ(plan.shares.at({1, "a"}).count("a"), 0u);
-  EXPECT_NE(Planner(three()).evacuate(&plan, "a", false, input), "");
-  EXPECT_EQ(Planner(three()).restore(&plan, "a", input), "");
-  plan = settle(Planner(three()), plan, input, 30'000);
+  EXPECT_NE(Planner(three_zones()).evacuate(&plan, "a", false, input), "");
+  EXPECT_EQ(Planner(three_zones()).restore(&plan, "a", input), "");
+  plan = run_rounds(Planner(three_zones()), plan, input, 30'000);
   EXPECT_EQ(plan.zones.at("a").phase, Phase::kOpen);
-  auto full = calm(900, 1000, input.now);
-  EXPECT_NE(Planner(three()).evacuate(&plan, "a", false, full), "");
-  EXPECT_EQ(Planner(three()).evacuate(&plan, "a", true, full), "");
+  auto full = healthy_input(900, 1000, input.now);
+  EXPECT_NE(Planner(three_zones()).evacuate(&plan, "a", false, full), "");
+  EXPECT_EQ(Planner(three_zones()).evacuate(&plan, "a", true, full), "");
 }
 
 TEST(Plan, AnUnknownZoneIsReportedAndFar) {
-  Planner planner(three());
-  auto input = calm(400, 1000);
+  Planner planner(three_zones());
+  auto input = healthy_input(400, 1000);
   input.supply[{1, "x"}] = {1000};
   EXPECT_EQ(planner.unknown_zones(input), std::vector<Zone>{"x"});
   input.supply[{1, "a"}] = {0};
-  auto plan = settle(planner, {}, input, 5000);
+  auto plan = run_rounds(planner, {}, input, 5000);
   EXPECT_EQ(plan.shares.at({1, "a"}).count("x"), 0u);  // b is nearer
 }
 
 TEST(Plan, AFrozenPlanDoesNotChange) {
-  Planner planner(three());
-  auto plan = settle(planner, {}, calm(400, 1000), 5000);
+  Planner planner(three_zones());
+  auto plan = run_rounds(planner, {}, healthy_input(400, 1000), 5000);
   plan.frozen = true;
-  auto after = settle(planner, plan, found_unhealthy(calm(400, 1000, 1'010'000), "a", {"a", "b", "c"}), 5000);
+  auto after = run_rounds(planner, plan, with_unhealthy_zone(healthy_input(400, 1000, 1'010'000), "a", {"a", "b", "c"}), 5000);
   EXPECT_EQ(after.number, plan.number);
   EXPECT_EQ(after.zones.at("a").phase, Phase::kOpen);
 }
