--- a/src/placement/capacity_check.cpp
+++ b/src/placement/capacity_check.cpp
@@ -20,10 +20,12 @@
 }
 
 // The capacity that may be used, where `fraction` of the capacity of `zone` may.
-RatesByShardGroup capacity_by_shard_group(const Plan& plan, const Zone& zone, double fraction, const Input& input) {
+RatesByShardGroup capacity_by_shard_group(const Plan& plan, const Zone& zone, double fraction,
+                                          const Input& input) {
   RatesByShardGroup capacity;
   for (const auto& [key, supply] : input.supply)
-    capacity[key.first] += supply.current_capacity * (key.second == zone ? fraction : plan.capacity_fraction(key.second));
+    capacity[key.first] +=
+        supply.current_capacity * (key.second == zone ? fraction : plan.capacity_fraction(key.second));
   return capacity;
 }
 
@@ -40,8 +42,9 @@
     if (key.second == zone) shard_groups.insert(key.first);
   auto demand = demand_by_shard_group(input);
   auto capacity = capacity_by_shard_group(plan, zone, 0, input);
-  return std::all_of(shard_groups.begin(), shard_groups.end(),
-                     [&](ShardGroupId shard_group) { return rate_of(demand, shard_group) <= rate_of(capacity, shard_group); });
+  return std::all_of(shard_groups.begin(), shard_groups.end(), [&](ShardGroupId shard_group) {
+    return rate_of(demand, shard_group) <= rate_of(capacity, shard_group);
+  });
 }
 
 bool has_capacity_with_fraction(const Plan& plan, const Zone& zone, double fraction, const Input& input) {
--- a/src/placement/placement_codec.cpp
+++ b/src/placement/placement_codec.cpp
@@ -99,7 +99,7 @@
                        sample_from_row(row));
   for (const auto& row : rows_of(encoded, "votes"))
     observation.add_votes(row.at(0).get<Zone>(), row.at(1).get<Zone>(),
-                      {number_at(row, 2), number_at(row, 3), number_at(row, 4)});
+                          {number_at(row, 2), number_at(row, 3), number_at(row, 4)});
   for (const auto& row : rows_of(encoded, "asked"))
     observation.add_demand(row.at(0).get<Zone>(), row.at(1).get<ShardGroupId>(), number_at(row, 2));
   for (const auto& row : rows_of(encoded, "leads"))
--- a/src/placement/placement_plan.h
+++ b/src/placement/placement_plan.h
@@ -29,7 +29,7 @@
   kUnhealthyAgain,        // while it was being opened
   kOperator,              // evacuated or restored by command
   kInsufficientCapacity,  // unhealthy, but the others have no capacity for what it still serves
-  kChangeBudgetExhausted      // it would change, but it has changed too often within a minute
+  kChangeBudgetExhausted  // it would change, but it has changed too often within a minute
 };
 
 // The texts that logs, operators' commands and stored plans show.
@@ -41,7 +41,7 @@
   Phase phase = Phase::kOpen;
   PhaseReason reason = PhaseReason::kNone;
   Millis since = 0;              // when it entered the phase
-  Millis last_step = 0;            // the last step while opening or evacuating
+  Millis last_step = 0;          // the last step while opening or evacuating
   Millis unhealthy_since = 0;    // by agreement of the proxies; 0: not so now
   Millis healthy_since = 0;      // the same
   double capacity_fraction = 1;  // of its capacity: what may be used
--- a/src/placement/planner_input.h
+++ b/src/placement/planner_input.h
@@ -11,16 +11,16 @@
 
 // What the servers of one set in one zone can take.
 struct Supply {
-  double current_capacity = 0;          // requests a second, in their present state of warming up
-  bool warming_up = false;  // some of them are
+  double current_capacity = 0;  // requests a second, in their present state of warming up
+  bool warming_up = false;      // some of them are
 };
 
 // One round's input, gathered by the owner of the placement job.
 struct Input {
   Millis now = 0;
-  Observation observation;                                 // of the last seconds, all proxies together
-  double seconds = 1;                               // the length of that span
-  Demand::Rates smoothed_demand;                              // requests a second, smoothed; empty: those in `seen`
+  Observation observation;        // of the last seconds, all proxies together
+  double seconds = 1;             // the length of that span
+  Demand::Rates smoothed_demand;  // requests a second, smoothed; empty: those in `seen`
   std::map<std::pair<ShardGroupId, Zone>, Supply> supply;  // of the servers in the endpoint list that are up
 };
 
@@ -39,7 +39,7 @@
   Millis link_close_after = 3000;          // a link: only one zone's proxies judge it, and they may be wrong
   Millis open_after = 5000;                // healthy for so long: longer than most outages that repeat
   Millis minimum_phase_duration = 10'000;  // in a phase, before the opposite one
-  Millis step_interval = 2000;                // of opening and evacuating: a step's effect is observed by then
+  Millis step_interval = 2000;             // of opening and evacuating: a step's effect is observed by then
   double initial_fraction = 0.1;           // of its capacity when it opens; each step doubles it
   int max_changes_per_minute = 4;          // of each zone or link by itself
   // Of a zone's capacity before the next zone is used: bursts fit into the rest.
--- a/src/placement/surplus_split.cpp
+++ b/src/placement/surplus_split.cpp
@@ -31,8 +31,8 @@
 using SurplusOffers = std::map<Zone, SurplusOffer>;
 
 // The load of each zone by this plan or the last one, whichever is more.
-std::map<Zone, double> max_loads(const ShardGroupDemand& shard_group, const Options& options, const Plan& last,
-                                 const Plan& plan) {
+std::map<Zone, double> max_loads(const ShardGroupDemand& shard_group, const Options& options,
+                                 const Plan& last, const Plan& plan) {
   std::map<Zone, double> loads;
   for (const auto& [to, capacity] : shard_group.capacity)
     for (const auto& [from, demand] : shard_group.demand) {
@@ -61,8 +61,9 @@
 
 // The surplus for clients in `from`: the nearest zones' first, all together no more than their demand. The
 // last plan's is returned where it may stay.
-std::map<Zone, double> surplus_for(const Zone& from, const ShardGroupDemand& shard_group, const SurplusOffers& offers,
-                                   const ZoneTopology& topology, const Plan& last, const Plan& plan) {
+std::map<Zone, double> surplus_for(const Zone& from, const ShardGroupDemand& shard_group,
+                                   const SurplusOffers& offers, const ZoneTopology& topology,
+                                   const Plan& last, const Plan& plan) {
   std::map<Zone, double> surplus;
   double uncovered = 1;
   bool last_may_stay = true;
@@ -70,8 +71,8 @@
     for (const auto& [to, capacity] : shard_group.capacity) {
       if (topology.distance(from, to) != distance) continue;
       auto offer = offers.find(to);
-      bool is_usable =
-          plan.link_is_open(from, to) && share_of(plan.shares, shard_group.id, from, to) < 1 && offer != offers.end();
+      bool is_usable = plan.link_is_open(from, to) && share_of(plan.shares, shard_group.id, from, to) < 1 &&
+                       offer != offers.end();
       double share = is_usable ? std::floor(std::min(uncovered, offer->second.share) * kSurplusPrecision) /
                                      kSurplusPrecision
                                : 0;
@@ -89,8 +90,8 @@
 
 }  // namespace
 
-void split_surplus_capacity(const ShardGroupDemand& shard_group, const ZoneTopology& topology, const Options& options,
-                            const Plan& last, Plan* plan) {
+void split_surplus_capacity(const ShardGroupDemand& shard_group, const ZoneTopology& topology,
+                            const Options& options, const Plan& last, Plan* plan) {
   auto offers = surplus_offers(shard_group, options, last, *plan);
   for (const auto& [from, demand] : shard_group.demand) {
     auto surplus = surplus_for(from, shard_group, offers, topology, last, *plan);
--- a/src/placement/surplus_split.h
+++ b/src/placement/surplus_split.h
@@ -22,7 +22,7 @@
 // Adds the set's surplus capacity to `*plan`, whose shares of the set are complete. It is what each zone has
 // left beside this plan and the last one, for the loss of any one other zone. A zone that is warming up or is
 // not fully open has none.
-void split_surplus_capacity(const ShardGroupDemand& shard_group, const ZoneTopology& topology, const Options& options,
-                            const Plan& last, Plan* plan);
+void split_surplus_capacity(const ShardGroupDemand& shard_group, const ZoneTopology& topology,
+                            const Options& options, const Plan& last, Plan* plan);
 
 }  // namespace database_proxy::placement
--- a/src/placement/traffic_split.cpp
+++ b/src/placement/traffic_split.cpp
@@ -27,8 +27,8 @@
 // The traffic of one set. The steps are to be called in their order.
 class ShardGroupTraffic {
  public:
-  ShardGroupTraffic(const ShardGroupDemand& shard_group, const ZoneTopology& topology, const Options& options, const Plan& last,
-             const Plan& plan)
+  ShardGroupTraffic(const ShardGroupDemand& shard_group, const ZoneTopology& topology, const Options& options,
+                    const Plan& last, const Plan& plan)
       : shard_group_(shard_group), topology_(topology), options_(options), last_(last), plan_(plan) {}
 
   void assign_nearest_first();
@@ -69,7 +69,8 @@
       for (auto& [from, rate] : unassigned) assign_at_distance(utilization, distance, from, &rate);
 }
 
-void ShardGroupTraffic::assign_at_distance(double utilization, int distance, const Zone& from, double* unassigned) {
+void ShardGroupTraffic::assign_at_distance(double utilization, int distance, const Zone& from,
+                                           double* unassigned) {
   auto free_capacity = [&](const Zone& to, double capacity) {
     return std::max(0.0, capacity * utilization - assigned_[to]);
   };
@@ -192,7 +193,8 @@
     traffic.assign_nearest_first();
     traffic.limit_growth_to_free_capacity();
     traffic.keep_remainder_with_last_plan();
-    for (const auto& [from, demand] : shard_group.demand) plan->shares[{id, from}] = traffic.shares(from, demand);
+    for (const auto& [from, demand] : shard_group.demand)
+      plan->shares[{id, from}] = traffic.shares(from, demand);
     split_surplus_capacity(shard_group, topology, options, last, plan);
   }
 }
--- a/src/placement/zone_health_agreement.cpp
+++ b/src/placement/zone_health_agreement.cpp
@@ -75,10 +75,11 @@
 // Whether the proxies in `from` find any zone healthy. If all zones are late to them, they are slow
 // themselves.
 bool ZoneHealthAgreement::finds_any_healthy(const Zone& from) const {
-  return std::any_of(input_.observation.votes().begin(), input_.observation.votes().end(), [&](const auto& entry) {
-    const auto& [key, votes] = entry;
-    return key.first == from && votes.total() > 0 && is_mostly_healthy(votes);
-  });
+  return std::any_of(input_.observation.votes().begin(), input_.observation.votes().end(),
+                     [&](const auto& entry) {
+                       const auto& [key, votes] = entry;
+                       return key.first == from && votes.total() > 0 && is_mostly_healthy(votes);
+                     });
 }
 
 bool ZoneHealthAgreement::serves_near_capacity(const Zone& zone) const {
--- a/src/placement/zone_health_observer.cpp
+++ b/src/placement/zone_health_observer.cpp
@@ -21,7 +21,7 @@
 constexpr Micros kMinOverdue{150'000};
 constexpr double kLatencySmoothing = 0.1;       // weight of a span in the usual latency
 constexpr std::size_t kAttemptsForOpinion = 3;  // the fewest that make an opinion of a zone
-constexpr unsigned kIntervalsPerProbe = 2;          // of a healthy zone
+constexpr unsigned kIntervalsPerProbe = 2;      // of a healthy zone
 constexpr std::size_t kMaxIntervalsForOpinion = kAttemptsForOpinion * kIntervalsPerProbe;
 
 void count_attempt(ZoneSample* sample, ObservedOutcome outcome) {
@@ -83,7 +83,8 @@
   remove_unlisted_zones();
   Observation observation;
   observation.add_followers(followed_plan);
-  for (const auto& [shard_group, requests] : requests_) observation.add_demand(own_zone_, shard_group, requests);
+  for (const auto& [shard_group, requests] : requests_)
+    observation.add_demand(own_zone_, shard_group, requests);
   for (const auto& [shard_group, zone] : primaries_) observation.add_primary(shard_group, zone);
   for (auto& [zone, health] : zones_) end_interval(zone, &health, &observation);
   requests_.clear();
--- a/src/placement/zone_health_observer.h
+++ b/src/placement/zone_health_observer.h
@@ -20,8 +20,8 @@
 // How an attempt ended, as far as it says something of the server.
 enum class ObservedOutcome {
   kServed,
-  kRefused,  // no connection
-  kRejected,     // rejected untouched, for its load
+  kRefused,   // no connection
+  kRejected,  // rejected untouched, for its load
   kTimedOut,
   kFailed,
   kInconclusive  // it says nothing of the server
@@ -50,8 +50,8 @@
   // `was_postponed`: it was postponed until a replica was fresh enough.
   void on_attempt_sent(std::uint64_t request, int attempt, const std::string& server, Micros now,
                        bool was_postponed);
-  void on_attempt_ended(std::uint64_t request, int attempt, const std::string& server, ObservedOutcome outcome,
-                        Micros latency);
+  void on_attempt_ended(std::uint64_t request, int attempt, const std::string& server,
+                        ObservedOutcome outcome, Micros latency);
   // `server` has proved to be the primary of its set.
   void on_primary_observed(const std::string& server);
   void on_probe_ended(const std::string& server, bool ok);
--- a/src/placement/zone_observation.cpp
+++ b/src/placement/zone_observation.cpp
@@ -43,7 +43,8 @@
   spare_capacity += other.spare_capacity;
 }
 
-void Observation::record(const Zone& from, ShardGroupId shard_group, const Zone& zone, const ZoneSample& sample) {
+void Observation::record(const Zone& from, ShardGroupId shard_group, const Zone& zone,
+                         const ZoneSample& sample) {
   std::tuple key(from, shard_group, zone);
   if (!can_store(samples_, key, kMaxZones * kMaxShardGroups)) key = {"", 0, ""};
   samples_[key].add(sample);
--- a/src/placement/zone_observation.h
+++ b/src/placement/zone_observation.h
@@ -29,7 +29,7 @@
   std::uint64_t refused = 0;  // no connection
   std::uint64_t timed_out = 0;
   std::uint64_t failed = 0;
-  std::uint64_t rejected = 0;        // rejected untouched, for the server's load
+  std::uint64_t rejected = 0;    // rejected untouched, for the server's load
   std::uint64_t latency_us = 0;  // sum over those that were answered
   std::uint64_t postponed = 0;   // reads that waited for a fresh replica
   std::uint64_t warming_up = 0;  // servers
@@ -103,7 +103,8 @@
 // job keeps one.
 class Demand {
  public:
-  using Rates = std::map<std::pair<Zone, ShardGroupId>, double>;  // requests a second, by clients' zone and set
+  using Rates =
+      std::map<std::pair<Zone, ShardGroupId>, double>;  // requests a second, by clients' zone and set
 
   // Takes in the next span of `seconds`.
   void debounce(const Observation& observation, double seconds);
--- a/src/placement/zone_phase_machine.cpp
+++ b/src/placement/zone_phase_machine.cpp
@@ -160,7 +160,7 @@
 // changes would be left of this minute's.
 bool ZonePhaseMachine::consume_change(const Zone& name, int reserve) {
   auto consumed = std::count_if(plan_->changes.begin(), plan_->changes.end(),
-                             [&](const auto& change) { return change.first == name; });
+                                [&](const auto& change) { return change.first == name; });
   if (consumed + reserve >= options_.max_changes_per_minute && !options_.flaw_no_budget) return false;
   plan_->changes.emplace_back(name, input_.now);
   return true;
--- a/tests/placement/placement_test.cpp
+++ b/tests/placement/placement_test.cpp
@@ -41,7 +41,8 @@
     int bad = key.second == zone && std::count(by.begin(), by.end(), key.first) ? unhealthy : 0;
     for (int i = 0; i < 4; ++i) observation.add_vote(key.first, key.second, i >= bad);
   }
-  for (auto& [key, requests] : input.observation.demand()) observation.add_demand(key.first, key.second, requests);
+  for (auto& [key, requests] : input.observation.demand())
+    observation.add_demand(key.first, key.second, requests);
   ZoneSample lost;
   lost.attempts = lost.timed_out = 100;
   if (unhealthy == 4) observation.record(by[0], 1, zone, lost);
@@ -50,7 +51,8 @@
 }
 
 Plan run_rounds(const Planner& planner, Plan plan, Input input, Millis duration) {
-  for (Millis end = input.now + duration; input.now <= end; input.now += 500) plan = planner.next(plan, input);
+  for (Millis end = input.now + duration; input.now <= end; input.now += 500)
+    plan = planner.next(plan, input);
   return plan;
 }
 
@@ -157,8 +159,8 @@
     now += 500ms;
     return observer.take_observation(now, 3, [](const std::string&) { return 2.0; });
   }
-  void complete_attempts(int count, const std::string& server, ObservedOutcome outcome = ObservedOutcome::kServed,
-             Micros latency = 2ms) {
+  void complete_attempts(int count, const std::string& server,
+                         ObservedOutcome outcome = ObservedOutcome::kServed, Micros latency = 2ms) {
     for (int i = 0; i < count; ++i) {
       observer.on_attempt_sent(++id, 0, server, now, false);
       observer.on_attempt_ended(id, 0, server, outcome, latency);
@@ -268,7 +270,8 @@
   input.observation = {};
   for (Zone from : {"a", "b", "c"}) {
     input.observation.add_demand(from, 1, 500);
-    for (Zone to : {"a", "b", "c"}) input.observation.add_votes(from, to, {to == "b" ? 0u : 4u, 0, to == "b" ? 4u : 0u});
+    for (Zone to : {"a", "b", "c"})
+      input.observation.add_votes(from, to, {to == "b" ? 0u : 4u, 0, to == "b" ? 4u : 0u});
   }
   ZoneSample busy;
   busy.attempts = 900;
@@ -353,10 +356,12 @@
   Planner planner(three_zones());
   auto plan = run_rounds(planner, {}, healthy_input(400, 1000), 5000);
   auto single_proxy =
-      run_rounds(planner, plan, with_unhealthy_zone(healthy_input(400, 1000, 1'010'000), "a", {"a", "b", "c"}, 1), 20'000);
+      run_rounds(planner, plan,
+                 with_unhealthy_zone(healthy_input(400, 1000, 1'010'000), "a", {"a", "b", "c"}, 1), 20'000);
   EXPECT_EQ(single_proxy.zones.at("a").phase, Phase::kOpen);
   EXPECT_TRUE(single_proxy.links.empty());
-  auto single_zone = run_rounds(planner, plan, with_unhealthy_zone(healthy_input(900, 1000, 1'010'000), "a", {"b"}), 10'000);
+  auto single_zone =
+      run_rounds(planner, plan, with_unhealthy_zone(healthy_input(900, 1000, 1'010'000), "a", {"b"}), 10'000);
   EXPECT_EQ(single_zone.zones.at("a").phase, Phase::kOpen);
   EXPECT_EQ((single_zone.links.at({"b", "a"}).phase), Phase::kClosed);
   EXPECT_EQ(single_zone.shares.at({1, "b"}).count("a"), 0u);
@@ -366,13 +371,13 @@
 TEST(Plan, AZoneStaysOpenWithoutCapacityElsewhereAndRefusalsAreNearHome) {
   Planner planner(three_zones());
   auto plan = run_rounds(planner, {}, healthy_input(900, 1000), 5000);
-  auto partly_failed =
-      with_unhealthy_zone(healthy_input(900, 1000, 1'010'000), "a", {"a", "b", "c"}, 3);  // unhealthy, still serving
+  auto partly_failed = with_unhealthy_zone(healthy_input(900, 1000, 1'010'000), "a", {"a", "b", "c"},
+                                           3);  // unhealthy, still serving
   auto still_open = run_rounds(planner, plan, partly_failed, 10'000);
   EXPECT_EQ(still_open.zones.at("a").phase, Phase::kOpen);
   EXPECT_EQ(still_open.zones.at("a").reason, PhaseReason::kInsufficientCapacity);
-  auto failed =
-      run_rounds(planner, plan, with_unhealthy_zone(healthy_input(900, 1000, 1'010'000), "a", {"a", "b", "c"}), 10'000);
+  auto failed = run_rounds(
+      planner, plan, with_unhealthy_zone(healthy_input(900, 1000, 1'010'000), "a", {"a", "b", "c"}), 10'000);
   EXPECT_EQ(failed.zones.at("a").phase, Phase::kClosed);
   // The other zones are not overloaded: zone a's clients refuse what there is no capacity for.
   EXPECT_GT(failed.rejected_share(1, "a"), 0.7);
@@ -416,7 +421,8 @@
   Planner planner(three_zones());
   auto plan = run_rounds(planner, {}, healthy_input(400, 1000), 5000);
   plan.frozen = true;
-  auto after = run_rounds(planner, plan, with_unhealthy_zone(healthy_input(400, 1000, 1'010'000), "a", {"a", "b", "c"}), 5000);
+  auto after = run_rounds(
+      planner, plan, with_unhealthy_zone(healthy_input(400, 1000, 1'010'000), "a", {"a", "b", "c"}), 5000);
   EXPECT_EQ(after.number, plan.number);
   EXPECT_EQ(after.zones.at("a").phase, Phase::kOpen);
 }
