--- a/src/placement/capacity_check.cpp
+++ b/src/placement/capacity_check.cpp
@@ -19,7 +19,7 @@
   return demand;
 }
 
-// The capacity that may be used, where `fraction` of the capacity of `zone` may.
+// Returns the usable capacity of each shard group if `zone` may use only `fraction` of its capacity.
 RatesByShardGroup capacity_by_shard_group(const Plan& plan, const Zone& zone, double fraction,
                                           const Input& input) {
   RatesByShardGroup capacity;
--- a/src/placement/capacity_check.h
+++ b/src/placement/capacity_check.h
@@ -1,4 +1,4 @@
-// Whether zones have the capacity for the demand when one of them serves less. Pure.
+// Checks whether the zones can serve the demand when one of them serves less of it. Pure functions.
 #pragma once
 
 #include "placement/placement_plan.h"
@@ -7,11 +7,12 @@
 
 namespace database_proxy::placement {
 
-// Whether, for every set that `zone` serves, the other zones have the capacity for the whole demand.
+// Returns whether, for every shard group that `zone` serves, the other zones have the capacity for the whole
+// demand.
 bool others_have_capacity(const Plan& plan, const Zone& zone, const Input& input);
 
-// Whether, for every set, all zones together have the capacity for the whole demand if only `fraction` of the
-// capacity of `zone` may be used.
+// Returns whether, for every shard group, all zones together have the capacity for the whole demand if only
+// `fraction` of the capacity of `zone` may be used.
 bool has_capacity_with_fraction(const Plan& plan, const Zone& zone, double fraction, const Input& input);
 
 }  // namespace database_proxy::placement
--- a/src/placement/placement_codec.h
+++ b/src/placement/placement_codec.h
@@ -1,6 +1,6 @@
-// The JSON form of observations and plans, between processes and in the group's log. Unknown keys are
-// ignored, and absent ones have their defaults, so that nodes of different versions understand each other. No
-// I/O.
+// JSON encoding of observations and plans, for messages between processes and for the consensus log. Unknown
+// keys are ignored and absent keys have their defaults, so that nodes of different versions can exchange
+// them. Does no I/O.
 #pragma once
 
 #include <nlohmann/json.hpp>
--- a/src/placement/placement_commands.cpp
+++ b/src/placement/placement_commands.cpp
@@ -26,12 +26,13 @@
   auto it = plan->zones.find(zone);
   if (it == plan->zones.end()) return fmt::format("no server stands in zone '{}'", zone);
   auto& state = it->second;
-  if (is_evacuated_or_evacuating(state)) return "it is evacuated already";
+  if (is_evacuated_or_evacuating(state)) return "the zone is already evacuated or being evacuated";
   if (!force && !options.flaw_no_capacity_check && !others_have_capacity(*plan, zone, input))
-    return fmt::format("the other zones cannot carry what zone '{}' serves; force refuses the rest", zone);
+    return fmt::format(
+        "the other zones cannot carry the requests of zone '{}'; with force, the excess is rejected", zone);
   auto phase = state.capacity_fraction > 0 ? Phase::kEvacuating : Phase::kEvacuated;
   enter_phase(&state, phase, PhaseReason::kOperator, state.capacity_fraction, input.now);
-  state.last_step = input.now - options.step_interval;  // the first step is due at once
+  state.last_step = input.now - options.step_interval;  // makes the first step due at once
   state.forced = force;
   ++plan->number;
   return "";
@@ -41,7 +42,7 @@
   auto it = plan->zones.find(zone);
   if (it == plan->zones.end()) return fmt::format("no server stands in zone '{}'", zone);
   auto& state = it->second;
-  if (!is_evacuated_or_evacuating(state)) return "it was not evacuated";
+  if (!is_evacuated_or_evacuating(state)) return "the zone is neither evacuated nor being evacuated";
   auto capacity_fraction = std::max(state.capacity_fraction, options.initial_fraction);
   enter_phase(&state, Phase::kOpening, PhaseReason::kOperator, capacity_fraction, input.now);
   state.last_step = input.now;
--- a/src/placement/placement_commands.h
+++ b/src/placement/placement_commands.h
@@ -1,4 +1,4 @@
-// What operators change in a plan by command. Pure.
+// Operators' commands that change a plan. Pure functions.
 #pragma once
 
 #include <string>
@@ -9,15 +9,17 @@
 
 namespace database_proxy::placement {
 
-// Begins to evacuate the zone; the planner goes on in steps. `force`: also if the others have no capacity for
-// it. Returns a sentence that says why it cannot; empty: it was done.
+// Starts the evacuation of a zone, which the planner continues in steps. With `force`, the zone is evacuated
+// even if the other zones lack the capacity for its requests. Returns an error message, or an empty string on
+// success.
 std::string evacuate_zone(const Options& options, const Zone& zone, bool force, const Input& input,
                           Plan* plan);
 
-// Opens a zone again that was evacuated, or is being evacuated, in steps. Returns the same.
+// Starts to reopen, in steps, a zone that is evacuated or being evacuated. Returns an error message, or an
+// empty string on success.
 std::string restore_zone(const Options& options, const Zone& zone, const Input& input, Plan* plan);
 
-// How long an evacuation, or an opening, takes from its first step if nothing delays it.
+// Returns the duration of an evacuation, or of an opening, from its first step if nothing delays it.
 Millis evacuation_duration(const Options& options);
 Millis opening_duration(const Options& options);
 
--- a/src/placement/placement_plan.cpp
+++ b/src/placement/placement_plan.cpp
@@ -13,7 +13,7 @@
 
 using Links = std::map<std::pair<Zone, Zone>, ZoneState>;
 
-// Times are not compared: proxies do not act on them.
+// Compares two states without their times, on which proxies do not act.
 bool is_same_state(const ZoneState& one, const ZoneState& other) {
   return one.phase == other.phase && one.reason == other.reason &&
          one.capacity_fraction == other.capacity_fraction && one.forced == other.forced;
@@ -27,7 +27,8 @@
                     });
 }
 
-// A link that is only suspected, and open, makes no difference to proxies.
+// Returns the links that are not open. Proxies treat an open link that is suspected to be unhealthy like any
+// other open link.
 Links closed_links(const Links& links) {
   Links closed;
   for (const auto& [key, link] : links)
--- a/src/placement/plan.h
+++ b/src/placement/plan.h
@@ -1,4 +1,5 @@
-// All of the planner, under the header's earlier name: src/group/placement_job.h still includes it.
+// Includes the whole planner. Kept for callers that still include the header under this earlier name, such as
+// src/group/node_host.h.
 #pragma once
 
 #include "placement/planner.h"  // IWYU pragma: export
--- a/src/placement/planner.h
+++ b/src/placement/planner.h
@@ -1,6 +1,6 @@
-// Makes numbered plans of traffic from the last plan, what proxies observed, and the servers there are. Pure:
-// the same input gives the same plan, whichever node owns the job; all that has to be remembered is in the
-// plan.
+// Makes numbered placement plans from the last plan, the observations of proxies, and the servers that are
+// up. Pure: the same input gives the same plan on whichever node holds the job's lease, because all state is
+// kept in the plan.
 #pragma once
 
 #include <string>
@@ -14,26 +14,26 @@
 
 namespace database_proxy::placement {
 
-// Joins the health agreement, the phase machine, the traffic split and the operators' commands. The owner of
-// the placement job calls it on its event loop.
+// Combines the health agreement, the phase machine, the traffic split and the operators' commands. The lease
+// holder of the placement job calls it on its event loop.
 class Planner {
  public:
   explicit Planner(ZoneTopology topology, Options options = {})
       : topology_(std::move(topology)), options_(options) {}
 
-  // Returns the next plan. If proxies would act on it as on `last`, it has the number of `last`, otherwise
-  // the following one. A frozen plan is returned as it is.
+  // Returns the next plan. It keeps the number of `last` if proxies would act alike on both, and has the
+  // following number otherwise. A frozen plan is returned unchanged.
   Plan next(const Plan& last, const Input& input) const;
 
-  // Commands of operators: change `*plan` into the following one. Return a sentence that says why they
-  // cannot; empty: done.
+  // Operators' commands: each replaces `*plan` by the plan that follows it. They return an error message, or
+  // an empty string on success.
   std::string evacuate(Plan* plan, const Zone& zone, bool force, const Input& input) const;
   std::string restore(Plan* plan, const Zone& zone, const Input& input) const;
 
-  // How long an opening, or else an evacuation, takes from its first step if nothing delays it.
+  // Returns the duration of an opening, or else of an evacuation, from its first step if nothing delays it.
   Millis expected_duration(bool opening) const;
 
-  // Zones of servers that the topology does not know: operators should add them.
+  // Returns the zones of servers that are missing from the topology. Operators should add them.
   std::vector<Zone> unknown_zones(const Input& input) const;
 
  private:
--- a/src/placement/planner_input.h
+++ b/src/placement/planner_input.h
@@ -1,4 +1,4 @@
-// What the planner makes a plan from, and its thresholds.
+// The planner's input and its options.
 #pragma once
 
 #include <map>
@@ -9,44 +9,46 @@
 
 namespace database_proxy::placement {
 
-// What the servers of one set in one zone can take.
+// The capacity of the servers of one shard group in one zone.
 struct Supply {
-  double current_capacity = 0;  // requests a second, in their present state of warming up
-  bool warming_up = false;      // some of them are
+  double current_capacity = 0;  // requests per second that they can serve now; lower while they warm up
+  bool warming_up = false;      // some of the servers are warming up
 };
 
-// One round's input, gathered by the owner of the placement job.
+// The input of one planning round, gathered by the lease holder of the placement job.
 struct Input {
   Millis now = 0;
-  Observation observation;        // of the last seconds, all proxies together
-  double seconds = 1;             // the length of that span
-  Demand::Rates smoothed_demand;  // requests a second, smoothed; empty: those in `seen`
-  std::map<std::pair<ShardGroupId, Zone>, Supply> supply;  // of the servers in the endpoint list that are up
+  Observation observation;        // sum over all proxies, from the last seconds
+  double seconds = 1;             // length of the interval that `observation` covers
+  Demand::Rates smoothed_demand;  // requests per second; empty: that of `observation` is used
+  std::map<std::pair<ShardGroupId, Zone>, Supply> supply;  // of the servers that are up in the endpoint list
 };
 
-// Returns the demand: requests a second by clients' zone and set.
+// Returns the demand in requests per second, by clients' zone and shard group.
 Demand::Rates current_demand(const Input& input);
 
-// Thresholds and durations. The simulator checks the defaults together; src/group sets the configured ones.
+// Thresholds and durations. The simulator checks the default values in combination; src/group sets the values
+// that are configurable.
 struct Options {
-  // Of the proxies of a zone that have an opinion: so many must agree.
+  // Fraction of a zone's proxies with an opinion that must agree that a zone is unhealthy, or healthy.
   double unhealthy_fraction = 0.6, healthy_fraction = 0.8;
-  // Proxies of one zone that must have an opinion: one alone may have a fault of its own.
+  // Number of proxies of one zone that must have an opinion, because a single proxy may itself be faulty.
   std::uint64_t min_reporters = 2;
-  // Zones of proxies that must agree; where fewer zones have proxies, all of them.
+  // Number of zones of proxies that must agree. Where fewer zones have proxies, all of them must.
   int min_zones = 2;
-  Millis close_after = 1000;               // unhealthy for so long: a pause of one second is none
-  Millis link_close_after = 3000;          // a link: only one zone's proxies judge it, and they may be wrong
-  Millis open_after = 5000;                // healthy for so long: longer than most outages that repeat
-  Millis minimum_phase_duration = 10'000;  // in a phase, before the opposite one
-  Millis step_interval = 2000;             // of opening and evacuating: a step's effect is observed by then
-  double initial_fraction = 0.1;           // of its capacity when it opens; each step doubles it
-  int max_changes_per_minute = 4;          // of each zone or link by itself
-  // Of a zone's capacity before the next zone is used: bursts fit into the rest.
+  Millis close_after = 1000;               // unhealthy for this long; a stall of one second is no outage
+  Millis link_close_after = 3000;          // longer: only one zone's proxies judge a link, and may be wrong
+  Millis open_after = 5000;                // healthy for this long: longer than most outages that recur
+  Millis minimum_phase_duration = 10'000;  // minimum time in a phase before the opposite one
+  Millis step_interval = 2000;             // while opening or evacuating; a step's effect is observed by then
+  double initial_fraction = 0.1;           // usable fraction when a zone begins to open; each step doubles it
+  int max_changes_per_minute = 4;          // limit for each zone or link separately
+  // Fraction of a zone's capacity that is used before the next zone is; the rest absorbs bursts.
   double target_utilization = 0.8;
-  // Of a zone's capacity at most: demand changes by some hundredths each second.
+  // Upper limit of the used fraction of a zone's capacity. The rest covers the demand's fluctuation of a few
+  // percent per second.
   double hard_utilization_limit = 0.95;
-  // Take a guard away. Only the simulator sets them, to prove that it would notice.
+  // Each flag disables one safeguard. Only the simulator sets them, to prove that it detects the fault.
   bool flaw_single_reporter = false, flaw_no_capacity_check = false, flaw_no_minimum_duration = false,
        flaw_no_budget = false, flaw_no_overlap = false, flaw_open_at_once = false;
 };
--- a/src/placement/surplus_split.cpp
+++ b/src/placement/surplus_split.cpp
@@ -13,24 +13,24 @@
 namespace database_proxy::placement {
 namespace {
 
-// Requests a second below which a zone serves nothing, but the rounding of sums.
+// Requests per second below which a load is only the rounding error of a sum.
 constexpr double kNegligible = 1e-9;
-// A smaller share is not worth an entry in the plan.
+// A smaller surplus share gets no entry in the plan.
 constexpr double kMinSurplus = 0.02;
-// The last plan's surplus stays while there is capacity for it and it is no less than this part of what it
-// would be now: otherwise it would follow every swing of the demand.
+// The last plan's surplus is kept while there is capacity for it and it is at least this fraction of the
+// surplus computed now. Otherwise it would change with every fluctuation of the demand.
 constexpr double kRetainedSurplusFraction = 0.6;
-constexpr double kSurplusPrecision = 1e3;  // shares are multiples of its inverse
+constexpr double kSurplusPrecision = 1e3;  // shares are multiples of 1 / kSurplusPrecision
 
-// What a zone can take over, as a share of the load of the largest other zone.
+// The load that a zone can take over, as a share of the load of the most loaded other zone.
 struct SurplusOffer {
-  double share = 0;      // for a new plan
-  double max_share = 0;  // up to which the last plan's surplus may stay
+  double share = 0;      // share to put into a new plan
+  double max_share = 0;  // limit up to which the last plan's surplus may be kept
 };
 
 using SurplusOffers = std::map<Zone, SurplusOffer>;
 
-// The load of each zone by this plan or the last one, whichever is more.
+// Returns the load of each zone by this plan or by the last one, whichever is higher.
 std::map<Zone, double> max_loads(const ShardGroupDemand& shard_group, const Options& options,
                                  const Plan& last, const Plan& plan) {
   std::map<Zone, double> loads;
@@ -59,8 +59,8 @@
   return offers;
 }
 
-// The surplus for clients in `from`: the nearest zones' first, all together no more than their demand. The
-// last plan's is returned where it may stay.
+// Returns the surplus for clients in `from`, the nearest zones first and not more than their demand in total.
+// Returns the last plan's surplus where that may be kept.
 std::map<Zone, double> surplus_for(const Zone& from, const ShardGroupDemand& shard_group,
                                    const SurplusOffers& offers, const ZoneTopology& topology,
                                    const Plan& last, const Plan& plan) {
--- a/src/placement/surplus_split.h
+++ b/src/placement/surplus_split.h
@@ -1,4 +1,5 @@
-// Splits the capacity that zones have left, for proxies whose own zone fails before the next plan. Pure.
+// Splits the surplus capacity of the zones, for proxies whose own zone fails before the next plan. Pure
+// function.
 #pragma once
 
 #include <map>
@@ -11,17 +12,17 @@
 
 namespace database_proxy::placement {
 
-// One set's side of a plan; rates are requests a second.
+// The demand and capacity of one shard group, in requests per second.
 struct ShardGroupDemand {
   ShardGroupId id = 0;
   std::map<Zone, double> demand;    // by clients' zone
-  std::map<Zone, double> capacity;  // by servers' zone: what may be used of it
-  std::set<Zone> warming_up;        // of the servers' zones
+  std::map<Zone, double> capacity;  // usable capacity, by servers' zone
+  std::set<Zone> warming_up;        // servers' zones that are warming up
 };
 
-// Adds the set's surplus capacity to `*plan`, whose shares of the set are complete. It is what each zone has
-// left beside this plan and the last one, for the loss of any one other zone. A zone that is warming up or is
-// not fully open has none.
+// Adds the surplus capacity of the shard group to `*plan`, whose shares for the shard group must be complete.
+// The surplus of a zone is the capacity that neither this plan nor the last one uses; it covers the loss of
+// any one other zone. A zone that is warming up or not fully open has none.
 void split_surplus_capacity(const ShardGroupDemand& shard_group, const ZoneTopology& topology,
                             const Options& options, const Plan& last, Plan* plan);
 
--- a/src/placement/traffic_split.cpp
+++ b/src/placement/traffic_split.cpp
@@ -15,16 +15,16 @@
 namespace database_proxy::placement {
 namespace {
 
-// Requests a second below which there is no demand or capacity, but the rounding of sums.
+// Requests per second below which a demand or capacity is only the rounding error of a sum.
 constexpr double kNegligible = 1e-9;
-// Shares that differ by less stay as they were: demand within a second swings by some 3 % both ways, which is
-// no reason for a new plan.
+// A share that would change by less is kept, because the demand fluctuates by about 3 % in both directions
+// within a second, which is no reason for a new plan.
 constexpr double kMinShareChange = 0.06;
-constexpr double kSharePrecision = 1e6;  // shares are multiples of its inverse
+constexpr double kSharePrecision = 1e6;  // shares are multiples of 1 / kSharePrecision
 
-using FlowRates = std::map<std::pair<Zone, Zone>, double>;  // from clients' zone, to servers' zone
+using FlowRates = std::map<std::pair<Zone, Zone>, double>;  // by clients' zone and servers' zone
 
-// The traffic of one set. The steps are to be called in their order.
+// Computes the traffic of one shard group. The three steps must be called in the order of their declaration.
 class ShardGroupTraffic {
  public:
   ShardGroupTraffic(const ShardGroupDemand& shard_group, const ZoneTopology& topology, const Options& options,
@@ -52,16 +52,16 @@
   const ZoneTopology& topology_;
   const Options& options_;
   const Plan& last_;
-  const Plan& plan_;                  // its phases; its shares are not read
-  FlowRates desired_;                 // where demand and capacity alone would put the traffic
-  std::map<Zone, double> assigned_;   // of each servers' zone, in desired_
-  std::map<Zone, double> last_load_;  // of each servers' zone, with the present demand by the last plan
-  FlowRates next_;                    // as far as it fits beside the last plan
+  const Plan& plan_;                  // only its phases are read, not its shares
+  FlowRates desired_;                 // traffic as demand and capacity alone would assign it
+  std::map<Zone, double> assigned_;   // load of each servers' zone in desired_
+  std::map<Zone, double> last_load_;  // load of each servers' zone if the last plan met the present demand
+  FlowRates next_;                    // traffic that fits in addition to that of the last plan
   std::map<Zone, double> next_load_;
 };
 
-// Fills near zones to their target first, then near zones to their limit: in this order clients from afar
-// take no capacity that a zone's own clients need.
+// Fills zones to their target utilization, the nearest first, and then to their limit in the same order, so
+// that clients from far zones take no capacity that a zone's own clients need.
 void ShardGroupTraffic::assign_nearest_first() {
   auto unassigned = shard_group_.demand;
   for (double utilization : {options_.target_utilization, options_.hard_utilization_limit})
@@ -88,8 +88,8 @@
   }
 }
 
-// Half of the proxies may still follow the last plan: what a zone gets more of must fit beside all that the
-// last plan sends there.
+// Limits the growth of each zone's traffic. Half of the proxies may still follow the last plan, so additional
+// traffic must fit into the capacity that remains beside all traffic that the last plan sends to the zone.
 void ShardGroupTraffic::limit_growth_to_free_capacity() {
   std::map<Zone, double> added;
   for (const auto& [from, demand] : shard_group_.demand)
@@ -110,7 +110,8 @@
     }
 }
 
-// What does not fit yet stays where the last plan sent it, as far as that may still be used.
+// Keeps the traffic that does not fit yet where the last plan sent it, as far as those zones are still
+// usable.
 void ShardGroupTraffic::keep_remainder_with_last_plan() {
   for (const auto& [from, demand] : shard_group_.demand) {
     double assigned = 0;
@@ -128,7 +129,7 @@
   }
 }
 
-// The shares of the demand from `from`. Without any demand, the nearest zone gets whoever comes first.
+// Returns the shares of the demand from `from`. Without demand, the first requests go to the nearest zone.
 std::map<Zone, double> ShardGroupTraffic::shares(const Zone& from, double demand) const {
   std::map<Zone, double> shares;
   if (demand <= kNegligible) {
@@ -142,7 +143,7 @@
   return shares;
 }
 
-// Rounded down: never more than there is capacity for.
+// Returns the share, rounded down so that it never exceeds the capacity.
 double ShardGroupTraffic::new_share(const Zone& from, const Zone& to, double demand) const {
   return std::floor(next_.at({from, to}) / demand * kSharePrecision) / kSharePrecision;
 }
@@ -164,8 +165,8 @@
   return nearest;
 }
 
-// Returns the demand and usable capacity of each set for which there is demand, or may be at any moment:
-// every zone with proxies has its place in the plan, for every set that has servers.
+// Returns the demand and usable capacity of each shard group for which there is demand or may be at any
+// moment. The plan covers every zone with proxies for every shard group that has servers.
 std::map<ShardGroupId, ShardGroupDemand> demand_by_shard_group(const Input& input, const Plan& plan) {
   std::map<ShardGroupId, ShardGroupDemand> shard_groups;
   for (const auto& [key, rate] : current_demand(input)) shard_groups[key.second].demand[key.first] = rate;
--- a/src/placement/zone_topology.h
+++ b/src/placement/zone_topology.h
@@ -1,4 +1,4 @@
-// Which region each zone lies in, as the operators configured it.
+// The region of each zone, as configured by operators.
 #pragma once
 
 #include <map>
@@ -8,11 +8,11 @@
 
 namespace database_proxy::placement {
 
-// Tells near zones from far ones. A zone that was not put into a region is far from all others; Planner
-// reports such zones as unknown.
+// Distinguishes near zones from far ones. A zone that was not put into a region is far from all others, and
+// Planner::unknown_zones() reports it.
 class ZoneTopology {
  public:
-  // Distances: zones are equal, zones are in one region, anything else.
+  // Distances: the same zone, two zones of the same region, and any other pair.
   static constexpr int kSameZone = 0, kSameRegion = 1, kFar = 2;
 
   void put(const Zone& zone, const std::string& region) { regions_[zone] = region; }
