--- a/src/placement/zone_health_agreement.cpp
+++ b/src/placement/zone_health_agreement.cpp
@@ -12,11 +12,11 @@
 namespace database_proxy::placement {
 namespace {
 
-// A zone that answers so much of its capacity is late because of its load.
+// A zone that serves at least this fraction of its capacity is taken to be late because of its load.
 constexpr double kNearCapacity = 0.5;
-// A zone that loses so much of what it is sent serves nobody by staying open.
+// A zone that loses at least this fraction of the attempts sent to it helps no client by staying open.
 constexpr double kFailedFraction = 0.9;
-// One proxy of so many or more that finds a zone unhealthy, alone, does not keep it closed.
+// Among at least this many proxies, a single one that finds a zone unhealthy does not keep it closed.
 constexpr std::uint64_t kReportersToOutvoteOne = 3;
 
 struct Attempts {
@@ -35,7 +35,7 @@
   const auto& votes = it->second;
   auto total = votes.total();
   if (total < (options_.flaw_single_reporter ? 1 : options_.min_reporters)) return Agreement::kUndecided;
-  // A zone that is late while it serves near its capacity is overloaded: closing it would help nobody.
+  // A zone that is late while it serves near its capacity is overloaded, and closing it would help no client.
   bool ignores_late_votes = serves_near_capacity(to) || !finds_any_healthy(from);
   auto unhealthy = votes.unhealthy + (ignores_late_votes ? 0 : votes.late);
   if (static_cast<double>(unhealthy) >= options_.unhealthy_fraction * static_cast<double>(total))
@@ -45,12 +45,12 @@
 }
 
 Agreement ZoneHealthAgreement::zone_agreement(const Zone& zone) const {
-  // Where the proxies in the zone itself are served well by it, only the links to it fail.
+  // If the proxies in the zone itself find it healthy, only the links to it have failed.
   if (!options_.flaw_single_reporter && link_agreement(zone, zone) == Agreement::kHealthy)
     return Agreement::kHealthy;
   int unhealthy = 0;
   int healthy = 0;
-  int reporters = 0;  // zones of proxies
+  int reporters = 0;  // zones whose proxies have an opinion
   for (const auto& [key, votes] : input_.observation.votes()) {
     if (key.second != zone) continue;
     auto agreement = link_agreement(key.first, zone);
@@ -64,7 +64,7 @@
   return reporters > 0 && healthy * 2 > reporters ? Agreement::kHealthy : Agreement::kUndecided;
 }
 
-// Returns how many zones of proxies must agree. Where all proxies are in one zone, that one decides.
+// Returns the number of zones of proxies that must agree. If all proxies are in one zone, that zone decides.
 int ZoneHealthAgreement::zones_needed() const {
   std::set<Zone> reporters;
   for (const auto& [key, votes] : input_.observation.votes())
@@ -72,8 +72,8 @@
   return std::min(options_.min_zones, std::max(1, static_cast<int>(reporters.size())));
 }
 
-// Whether the proxies in `from` find any zone healthy. If all zones are late to them, they are slow
-// themselves.
+// Returns whether the proxies in `from` find any zone healthy. If they find all zones late, the proxies
+// themselves are slow.
 bool ZoneHealthAgreement::finds_any_healthy(const Zone& from) const {
   return std::any_of(input_.observation.votes().begin(), input_.observation.votes().end(),
                      [&](const auto& entry) {
@@ -101,7 +101,8 @@
     if (std::get<2>(key) != zone || sample.attempts == 0) continue;
     auto& attempts = attempts_from[std::get<0>(key)];
     attempts.sent += sample.attempts;
-    attempts.lost += sample.refused + sample.timed_out + sample.failed;  // a server that is full is alive
+    attempts.lost += sample.refused + sample.timed_out +
+                     sample.failed;  // rejected attempts are not lost: the server works
   }
   return !attempts_from.empty() &&
          std::all_of(attempts_from.begin(), attempts_from.end(), [](const auto& entry) {
--- a/src/placement/zone_health_agreement.h
+++ b/src/placement/zone_health_agreement.h
@@ -1,4 +1,4 @@
-// What the proxies of all zones agree on about the health of a zone or link, in one round. Pure.
+// The agreement of the proxies of all zones on the health of a zone or link, in one planning round. Pure.
 #pragma once
 
 #include "placement/planner_input.h"
@@ -6,21 +6,21 @@
 
 namespace database_proxy::placement {
 
-// kNothing: too few have an opinion, or they differ.
+// The result of the proxies' votes. kUndecided: too few proxies have an opinion, or their opinions differ.
 enum class Agreement { kUndecided, kUnhealthy, kHealthy };
 
-// A view of one round's input; both arguments must outlive it. The planner makes one for each plan.
+// A view of one round's input, made by the planner for each plan. Both constructor arguments must outlive it.
 class ZoneHealthAgreement {
  public:
   ZoneHealthAgreement(const Options& options, const Input& input) : options_(options), input_(input) {}
 
-  // Of the proxies in `from` about the servers in `to`.
+  // Returns the agreement of the proxies in `from` on the servers in `to`.
   Agreement link_agreement(const Zone& from, const Zone& to) const;
-  // Of the proxies of all zones about the servers in `zone`. Where only one zone's proxies find it unhealthy,
-  // the link from there is.
+  // Returns the agreement of the proxies of all zones on the servers in `zone`. If only one zone's proxies
+  // find it unhealthy, the link from that zone is unhealthy instead.
   Agreement zone_agreement(const Zone& zone) const;
-  // Whether the zone serves nobody, by the proxies of every zone that sent requests there. A zone that is cut
-  // off from all others may still serve its own clients.
+  // Returns whether the zone serves no requests according to the proxies of every zone that sent requests
+  // there. All must agree, because a zone that is cut off from all others may still serve its own clients.
   bool has_failed(const Zone& zone) const;
 
  private:
--- a/src/placement/zone_health_observer.cpp
+++ b/src/placement/zone_health_observer.cpp
@@ -15,13 +15,14 @@
 namespace database_proxy::placement {
 namespace {
 
-// An attempt that is out for so many times the usual latency, and for so long at least, is counted as timed
-// out: a server that hangs does not answer at all, and clients wait for seconds before they give up.
+// An attempt that is in flight for more than this multiple of the usual latency, and for more than this
+// minimum, is counted as timed out: a server that hangs does not answer at all, and clients wait for seconds
+// before they give up.
 constexpr double kOverdueFactor = 8;
 constexpr Micros kMinOverdue{150'000};
-constexpr double kLatencySmoothing = 0.1;       // weight of a span in the usual latency
-constexpr std::size_t kAttemptsForOpinion = 3;  // the fewest that make an opinion of a zone
-constexpr unsigned kIntervalsPerProbe = 2;      // of a healthy zone
+constexpr double kLatencySmoothing = 0.1;       // weight of the newest interval in the usual latency
+constexpr std::size_t kAttemptsForOpinion = 3;  // minimum number of attempts for an opinion on a zone
+constexpr unsigned kIntervalsPerProbe = 2;      // intervals from one probe of a healthy zone to the next
 constexpr std::size_t kMaxIntervalsForOpinion = kAttemptsForOpinion * kIntervalsPerProbe;
 
 void count_attempt(ZoneSample* sample, ObservedOutcome outcome) {
@@ -71,7 +72,7 @@
   count_attempt(&health.sample, ok ? ObservedOutcome::kServed : ObservedOutcome::kTimedOut);
   ++health.probes;
   if (!ok) health.suspected = true;
-  // A probe tells that the server lives, and nothing of the latency of requests: it counts as the usual one.
+  // A probe shows that the server works, but not the latency of requests: it counts with the usual latency.
   if (ok) health.sample.latency_us += static_cast<std::uint64_t>(health.usual_latency_us);
 }
 
@@ -118,10 +119,11 @@
   std::erase_if(zones_, [&](const auto& zone) { return !listed.contains(zone.first); });
 }
 
-// Adds the zone's sample of this span, and the opinion on it, to the observation, and begins the next span.
+// Adds the zone's sample of this interval and the opinion on it to the observation, and begins the next
+// interval.
 void ZoneHealthObserver::end_interval(const Zone& zone, ZoneHealth* health, Observation* observation) const {
   auto& sample = health->sample;
-  // Where few requests go, the opinion is of several spans: of as few as will do.
+  // If the zone got few requests, the opinion is formed from several intervals, but no more than necessary.
   auto sum = sample;
   for (const auto& previous : health->previous_samples) {
     if (sum.attempts >= kAttemptsForOpinion) break;
@@ -154,7 +156,8 @@
   for (const auto& [server, location] : locations_) servers_in[location.zone].push_back(&server);
   for (const auto& [zone, servers] : servers_in) {
     auto& health = zones_[zone];
-    // A healthy zone gets one now and then, a suspected one enough for an opinion at once.
+    // A healthy zone gets one probe per kIntervalsPerProbe intervals; a suspected one gets enough probes for
+    // an opinion at once.
     bool is_due = ++health.intervals_since_probe >= kIntervalsPerProbe;
     std::size_t needed = is_due ? 1 : 0;
     if (health.suspected) needed = kAttemptsForOpinion;
--- a/src/placement/zone_health_observer.h
+++ b/src/placement/zone_health_observer.h
@@ -1,5 +1,5 @@
-// What one proxy observes of its own requests, summed up by zone of servers, with an opinion on each zone.
-// Pure: no clock, I/O or thread.
+// Sums up the outcomes of one proxy's own requests by zone of servers, and forms an opinion on each zone.
+// Pure: uses no clock, I/O or thread.
 #pragma once
 
 #include <chrono>
@@ -17,68 +17,69 @@
 
 using Micros = std::chrono::microseconds;
 
-// How an attempt ended, as far as it says something of the server.
+// The outcome of an attempt, as evidence of the server's health.
 enum class ObservedOutcome {
   kServed,
   kRefused,   // no connection
-  kRejected,  // rejected untouched, for its load
+  kRejected,  // the overloaded server did not process the request
   kTimedOut,
   kFailed,
-  kInconclusive  // it says nothing of the server
+  kInconclusive  // no evidence of the server's health
 };
 
-// Where a server is.
+// The location of a server.
 struct EndpointLocation {
   ShardGroupId shard_group = 0;
   Zone zone;
-  Micros warmed_up_at{0};  // when it has warmed up, by the caller's clock; 0: it has
+  Micros warmed_up_at{0};  // time at which it has warmed up, by the caller's clock; 0: it is warm
 };
 
 // One proxy's observer. The proxy's event loop calls it for each request, and takes an observation from it at
-// a fixed interval, a span. All times are of one clock of the caller.
+// a fixed interval. All times are of one clock of the caller.
 class ZoneHealthObserver {
  public:
-  // `probes_unused_zones`: this is one of the few proxies that probe zones where their requests do not go.
+  // `probes_unused_zones`: whether this is one of the few proxies that probe zones to which they send no
+  // requests.
   ZoneHealthObserver(Zone own_zone, bool probes_unused_zones)
       : own_zone_(std::move(own_zone)), probes_unused_zones_(probes_unused_zones) {}
 
-  // Replaces the servers that are up, by id. Events of other servers are ignored.
+  // Replaces the locations of the servers that are up, by server ID. Events of other servers are ignored.
   void set_locations(std::map<std::string, EndpointLocation> locations) { locations_ = std::move(locations); }
 
-  // A read of `set` arrived from a client.
+  // Counts a read of `shard_group` that arrived from a client.
   void on_read_request(ShardGroupId shard_group) { ++requests_[shard_group]; }
-  // `was_postponed`: it was postponed until a replica was fresh enough.
+  // `was_postponed`: whether the attempt waited until a replica was fresh enough.
   void on_attempt_sent(std::uint64_t request, int attempt, const std::string& server, Micros now,
                        bool was_postponed);
   void on_attempt_ended(std::uint64_t request, int attempt, const std::string& server,
                         ObservedOutcome outcome, Micros latency);
-  // `server` has proved to be the primary of its set.
+  // Records that an answer proved `server` to be the primary of its shard group.
   void on_primary_observed(const std::string& server);
   void on_probe_ended(const std::string& server, bool ok);
 
-  // Returns the sum over the span since the last call. `followed_plan`: the number of the plan that this
-  // proxy follows, 0 for none. `spare_capacity`: the requests a second that this proxy would send to a server
-  // beside those that it has in flight there.
+  // Returns the sum over the interval since the last call. `followed_plan`: the number of the plan that this
+  // proxy follows, 0 for none. `spare_capacity`: returns the requests per second that this proxy would send
+  // to a server in addition to those in flight there.
   Observation take_observation(Micros now, std::uint64_t followed_plan,
                                const std::function<double(const std::string&)>& spare_capacity);
-  // Returns the servers to probe before the next take_observation(), in zones of which too little was
-  // observed. `random_value`, any number, picks among a zone's servers.
+  // Returns the servers to probe before the next take_observation(), in zones that got too few attempts.
+  // `random_value`, any number, selects among a zone's servers.
   std::vector<std::string> choose_probe_targets(std::uint64_t random_value);
 
  private:
   struct InFlightAttempt {
     std::string server;
     Micros sent_at{0};
-    bool counted = false;  // already as timed out
+    bool counted = false;  // it was already counted as timed out
   };
   struct ZoneHealth {
-    ZoneSample sample;                        // of this span
-    std::deque<ZoneSample> previous_samples;  // the newest first
-    std::uint64_t probes = 0;                 // in `sample`
-    std::uint64_t previous_requests = 0;      // attempts in the last span that were no probes
-    bool suspected = false;                   // a probe failed, or the last opinion was bad: probe more
+    ZoneSample sample;                        // of this interval
+    std::deque<ZoneSample> previous_samples;  // of earlier intervals, newest first
+    std::uint64_t probes = 0;                 // number of probes in `sample`
+    std::uint64_t previous_requests = 0;      // attempts in the last interval, without probes
+    bool suspected = false;  // a probe failed or the last opinion was bad; the zone is probed more
     unsigned intervals_since_probe = 0;
-    double usual_latency_us = 0;  // of requests while the zone is healthy; 0: not known
+    double usual_latency_us = 0;  // of requests while the zone is healthy; 0: unknown
   };
 
   const EndpointLocation* location_of(const std::string& server) const;
--- a/src/placement/zone_observation.cpp
+++ b/src/placement/zone_observation.cpp
@@ -11,19 +11,20 @@
 namespace database_proxy::placement {
 namespace {
 
-// Fewer attempts in a span make no opinion: one lost request says nothing of a zone.
+// Minimum number of attempts for an opinion, because one lost request is no evidence against a zone.
 constexpr std::uint64_t kMinAttempts = 3;
-// Of the usual latency; a busy hour triples it at most.
+// Multiple of the usual latency above which a zone is late. A busy hour at most triples the latency.
 constexpr std::uint64_t kLateFactor = 5;
 
-// Weight of the newest span in the demand.
+// Weight of the newest interval in the demand.
 constexpr double kSmoothing = 0.2;
-// A rise by this part of the demand, and by this many standard deviations of a count, is a true one.
+// A rise is significant if it exceeds this fraction of the demand plus this many standard deviations of a
+// count.
 constexpr double kSignificantRise = 0.2, kSignificantDeviations = 3;
-// Requests a second below which a demand that is not observed any more is forgotten.
+// Requests per second below which a demand that is no longer observed is removed.
 constexpr double kNegligibleRate = 0.01;
 
-// Whether the map has the key or may still take it.
+// Returns whether the map has the key, or has room for it.
 template <typename Map, typename Key>
 bool can_store(const Map& map, const Key& key, std::size_t max_size) {
   return map.size() < max_size || map.count(key) > 0;
--- a/src/placement/zone_observation.h
+++ b/src/placement/zone_observation.h
@@ -1,6 +1,6 @@
-// What proxies observed of zones of data servers, summed up. Sums are associative and commutative, so they
-// can be made on the way to the owner of the placement job; their size is bounded by zones and sets, whatever
-// the size of the fleet. Pure: no clock, I/O or thread.
+// Sums of what proxies observed of zones of data servers. Summing is associative and commutative, so voters
+// can do it on the way to the lease holder of the placement job. The size of a sum is bounded by the number
+// of zones and shard groups, however large the fleet is. Pure: uses no clock, I/O or thread.
 #pragma once
 
 #include <cstddef>
@@ -12,36 +12,36 @@
 
 namespace database_proxy::placement {
 
-// Of data servers, clients and proxies. Empty: not known, and far from all others.
+// The zone of data servers, clients or proxies. Empty: unknown, and far from all other zones.
 using Zone = std::string;
-// A set of servers with the same data (a cell of the endpoint list).
+// A shard group: servers with the same data (`cell` in the endpoint list).
 using ShardGroupId = std::int64_t;
 
-// Entries beyond these are summed up under the unknown zone and set 0, so that no list can make a sum grow
-// without bound.
+// Samples and demand beyond these limits are summed up under the unknown zone and shard group 0, and other
+// entries beyond them are dropped, so that no endpoint list can make a sum grow without bound.
 constexpr std::size_t kMaxZones = 32, kMaxShardGroups = 256;
-// The newest plans that are told apart among those that proxies follow.
+// Number of followed plans that are counted separately, the newest ones.
 constexpr std::size_t kMaxFollowedPlans = 8;
 
-// What became of the attempts of one proxy, or of many, in one span of time at one zone of servers.
+// The outcomes of the attempts of one or more proxies at one zone of servers in one interval.
 struct ZoneSample {
   std::uint64_t attempts = 0;
   std::uint64_t refused = 0;  // no connection
   std::uint64_t timed_out = 0;
   std::uint64_t failed = 0;
-  std::uint64_t rejected = 0;    // rejected untouched, for the server's load
-  std::uint64_t latency_us = 0;  // sum over those that were answered
-  std::uint64_t postponed = 0;   // reads that waited for a fresh replica
-  std::uint64_t warming_up = 0;  // servers
-  double spare_capacity = 0;     // requests a second that proxies would send there beside these
+  std::uint64_t rejected = 0;    // the overloaded server did not process them
+  std::uint64_t latency_us = 0;  // sum over the answered attempts
+  std::uint64_t postponed = 0;   // reads that waited until a replica was fresh enough
+  std::uint64_t warming_up = 0;  // number of servers that are warming up
+  double spare_capacity = 0;     // requests per second that proxies would send in addition
 
   void add(const ZoneSample& other);
   bool operator==(const ZoneSample&) const = default;
 };
 
-// How many proxies of one zone found a zone of servers healthy, unhealthy or late. A zone that answers late,
-// or that rejects requests, may be unhealthy or overloaded, which no proxy can tell by itself. A proxy that
-// sent nothing there does not vote. One with a fault of its own, to which all zones seem unhealthy, is one
+// Number of proxies of one zone that found a zone of servers healthy, unhealthy or late. A zone that answers
+// late or rejects requests may be unhealthy or overloaded; a single proxy cannot distinguish the two. A proxy
+// that sent nothing to the zone does not vote. A faulty proxy, to which all zones seem unhealthy, has one
 // vote.
 struct HealthVotes {
   std::uint64_t healthy = 0, unhealthy = 0, late = 0;
@@ -55,39 +55,40 @@
   bool operator==(const HealthVotes&) const = default;
 };
 
-// The sum of what proxies observed in one span of time. Each proxy makes one of its own, voters add them up.
+// The sum of what proxies observed in one interval. Each proxy makes its own, and voters add them up.
 class Observation {
  public:
-  // By proxies in `from`, of servers of `set` in `zone`.
+  // Adds a sample that proxies in `from` took of the servers of `shard_group` in `zone`.
   void record(const Zone& from, ShardGroupId shard_group, const Zone& zone, const ZoneSample& sample);
-  // By one proxy in `from`.
+  // Adds the vote of one proxy in `from` on `zone`.
   void add_vote(const Zone& from, const Zone& zone, bool healthy) {
     add_votes(from, zone, healthy ? HealthVotes{1, 0} : HealthVotes{0, 1});
   }
-  // By many proxies in `from`.
+  // Adds the votes of one or more proxies in `from` on `zone`.
   void add_votes(const Zone& from, const Zone& zone, const HealthVotes& votes);
   // Adds requests by clients in `from` to the demand.
   void add_demand(const Zone& from, ShardGroupId shard_group, std::uint64_t requests);
-  // So many proxies observed the primary of `set` in `zone`.
+  // Adds `proxies` that observed the primary of `shard_group` in `zone`.
   void add_primary(ShardGroupId shard_group, const Zone& zone, std::uint64_t proxies = 1);
-  // So many proxies follow the plan of this number; 0: none.
+  // Adds `proxies` that follow the plan with the number `plan`; 0: no plan.
   void add_followers(std::uint64_t plan, std::uint64_t proxies = 1);
   void add(const Observation& other);
 
-  // By proxies' zone, set and servers' zone.
+  // Returns the samples, by proxies' zone, shard group and servers' zone.
   const std::map<std::tuple<Zone, ShardGroupId, Zone>, ZoneSample>& samples() const { return samples_; }
-  // The earlier name of samples(): tests/group/zones_test.cpp still uses it.
+  // Returns samples(). Kept under its earlier name for tests/group/zones_test.cpp.
   const std::map<std::tuple<Zone, ShardGroupId, Zone>, ZoneSample>& seen() const { return samples_; }
-  // By proxies' zone and servers' zone.
+  // Returns the votes, by proxies' zone and servers' zone.
   const std::map<std::pair<Zone, Zone>, HealthVotes>& votes() const { return votes_; }
-  // By clients' zone and set: requests in this span.
+  // Returns the number of requests in this interval, by clients' zone and shard group.
   const std::map<std::pair<Zone, ShardGroupId>, std::uint64_t>& demand() const { return demand_; }
-  // By set and zone: proxies that observed the set's primary there.
+  // Returns the number of proxies that observed the shard group's primary in a zone, by shard group and zone.
   const std::map<std::pair<ShardGroupId, Zone>, std::uint64_t>& primaries() const { return primaries_; }
-  // By plan: proxies that follow it. The oldest entry also counts all older plans.
+  // Returns the number of proxies that follow a plan, by plan number. The oldest entry includes all older
+  // plans.
   const std::map<std::uint64_t, std::uint64_t>& followers() const { return followers_; }
 
-  // The part of an old observation that is still of use: demand changes slowly, health does not.
+  // Returns the part of an old observation that is still valid: demand changes slowly, but health does not.
   Observation demand_only() const;
   bool operator==(const Observation&) const = default;
 
@@ -99,14 +100,13 @@
   std::map<std::uint64_t, std::uint64_t> followers_;
 };
 
-// The demand without the random swings of short spans; a true rise counts at once. The owner of the placement
-// job keeps one.
+// The demand, smoothed against the random fluctuation of short intervals. A significant rise takes effect at
+// once. The lease holder of the placement job keeps one.
 class Demand {
  public:
-  using Rates =
-      std::map<std::pair<Zone, ShardGroupId>, double>;  // requests a second, by clients' zone and set
+  using Rates = std::map<std::pair<Zone, ShardGroupId>, double>;  // per second, by clients' zone, shard group
 
-  // Takes in the next span of `seconds`.
+  // Updates the rates with the next interval, of length `seconds`.
   void debounce(const Observation& observation, double seconds);
   const Rates& rates() const { return rates_; }
 
@@ -114,11 +114,12 @@
   Rates rates_;
 };
 
-// One proxy's opinion of a zone, from its own span.
+// One proxy's opinion of a zone, from its own attempts.
 enum class Opinion { kNone, kHealthy, kUnhealthy, kLate };
 
-// kUnhealthy: half of all attempts were refused or failed. kLate: half of them were lost otherwise, or all
-// are five times as slow as usual. kNone: too few attempts. `usual_latency_us` 0: not known.
+// Returns the opinion that a sample supports. kUnhealthy: half of all attempts were refused or failed. kLate:
+// half of them were lost in any way, or the mean latency is more than five times the usual one. kNone: too
+// few attempts. `usual_latency_us` 0: unknown.
 Opinion assess(const ZoneSample& sample, std::uint64_t usual_latency_us);
 
 }  // namespace database_proxy::placement
--- a/src/placement/zone_phase_machine.cpp
+++ b/src/placement/zone_phase_machine.cpp
@@ -12,7 +12,7 @@
 namespace database_proxy::placement {
 namespace {
 
-constexpr Millis kChangeBudgetPeriod = 60'000;  // of Options::max_changes_per_minute
+constexpr Millis kChangeBudgetPeriod = 60'000;  // period of Options::max_changes_per_minute
 
 }  // namespace
 
@@ -22,7 +22,7 @@
   std::set<Zone> zones;
   for (const auto& [key, supply] : input_.supply) zones.insert(key.second);
   std::erase_if(plan_->zones, [&](const auto& zone) { return !zones.contains(zone.first); });
-  // Failed zones come first: the capacity of the others is then counted without them.
+  // Failed zones are advanced first, so that the capacity of the others is computed without them.
   for (bool failed : {true, false})
     for (const auto& zone : zones) {
       if (health_.has_failed(zone) != failed) continue;
@@ -67,7 +67,7 @@
 
 void ZonePhaseMachine::advance_closed(const Zone& zone, ZoneState* state) {
   bool is_ready = options_.flaw_no_minimum_duration ? state->healthy_since != 0 : is_ready_to_open(*state);
-  // One change is kept in reserve: it may be unhealthy again at once, and must then be closed.
+  // One change is reserved, because the zone may become unhealthy again at once and must then be closed.
   if (!is_ready || !consume_change(zone, 1)) return;
   enter(state, Phase::kOpening, PhaseReason::kHealthy,
         options_.flaw_open_at_once ? 1 : options_.initial_fraction);
@@ -87,7 +87,7 @@
 
 void ZonePhaseMachine::advance_evacuating(const Zone& zone, ZoneState* state) {
   if (input_.now - state->last_step < options_.step_interval) return;
-  // What stays in the zone needs no capacity elsewhere: only the step does.
+  // Only the traffic of this step needs capacity elsewhere; the rest stays in the zone.
   double remaining = std::max(0.0, state->capacity_fraction - kEvacuationStep);
   if (!state->forced && !has_capacity_with_fraction(*plan_, zone, remaining, input_)) {
     state->reason = PhaseReason::kInsufficientCapacity;
@@ -124,7 +124,7 @@
   auto zone = plan_->zones.find(to);
   bool zone_is_open = zone == plan_->zones.end() || zone->second.phase == Phase::kOpen;
   if (!zone_is_open || !has_lasted(state->unhealthy_since, options_.link_close_after)) return;
-  // The zone itself comes first: it is closed in the same round where others agree.
+  // A zone takes precedence over its links: if the other zones' proxies agree, the zone is closed instead.
   if (health_.zone_agreement(to) == Agreement::kUnhealthy || !consume_change(name)) return;
   enter_phase(state, Phase::kClosed, PhaseReason::kUnhealthy, 0, input_.now);
 }
@@ -146,7 +146,7 @@
   state->last_step = input_.now;
 }
 
-// Whether what began at `since`, 0 if it did not, has lasted for `duration`.
+// Returns whether a condition that began at `since` has lasted for `duration`; 0: it does not hold.
 bool ZonePhaseMachine::has_lasted(Millis since, Millis duration) const {
   return since != 0 && input_.now - since >= duration;
 }
@@ -156,8 +156,8 @@
          input_.now - state.since >= options_.minimum_phase_duration;
 }
 
-// Counts a change of the zone or link. Returns false, and counts none, if fewer than `reserve` further
-// changes would be left of this minute's.
+// Consumes one change from the budget of the zone or link. Returns false and consumes none if fewer than
+// `reserve` changes would remain for this minute.
 bool ZonePhaseMachine::consume_change(const Zone& name, int reserve) {
   auto consumed = std::count_if(plan_->changes.begin(), plan_->changes.end(),
                                 [&](const auto& change) { return change.first == name; });
--- a/src/placement/zone_phase_machine.h
+++ b/src/placement/zone_phase_machine.h
@@ -1,13 +1,13 @@
-// Moves the zones and links of a plan through their phases. Pure.
+// Moves the zones and links of a plan through their phases. Pure: uses no clock, I/O or thread.
 //
-//   kOpen -> kClosed         the proxies agree that it is unhealthy, and the others have the capacity
-//   kClosed -> kOpening      they agree that it is healthy, for long enough
-//   kOpening -> kOpen        in steps, each doubling what may be used of its capacity
-//   kOpening -> kClosed      it is unhealthy again
+//   kOpen -> kClosed         the proxies agree that the zone is unhealthy, and the others have the capacity
+//   kClosed -> kOpening      the proxies have agreed for long enough that it is healthy
+//   kOpening -> kOpen        in steps, each of which doubles the usable fraction of its capacity
+//   kOpening -> kClosed      it becomes unhealthy again
 //   kEvacuating -> kEvacuated  in steps, as far as the others have the capacity
 //
-// Operators' commands (placement/placement_commands.h) start an evacuation and end it. A link goes from kOpen
-// to kClosed and back without steps. Each zone and link may change a few times a minute only.
+// Operators' commands (placement/placement_commands.h) start and end an evacuation. A link changes between
+// kOpen and kClosed without steps. The number of changes per minute is limited for each zone and link.
 #pragma once
 
 #include "placement/placement_plan.h"
@@ -17,16 +17,16 @@
 
 namespace database_proxy::placement {
 
-// The part of a zone's capacity that each step of an evacuation takes out of use.
+// The fraction of a zone's capacity that each step of an evacuation takes out of use.
 constexpr double kEvacuationStep = 0.25;
 
-// One round over a plan; all arguments must outlive it. The planner makes one for each plan.
+// Processes one planning round, made by the planner for each plan. All constructor arguments must outlive it.
 class ZonePhaseMachine {
  public:
   ZonePhaseMachine(const Options& options, const Input& input, const ZoneHealthAgreement& health, Plan* plan)
       : options_(options), input_(input), health_(health), plan_(plan) {}
 
-  // Records health in all zones and links and moves those that are due. Zones without servers are removed.
+  // Records the health of all zones and links and advances those that are due. Removes zones without servers.
   void advance();
 
  private:
