--- a/tests/placement/placement_test.cpp
+++ b/tests/placement/placement_test.cpp
@@ -1,5 +1,5 @@
-// The plan of zones: examples, and simulated time over a fixed few dozen seeds, which also notices each guard
-// that is taken away.
+// Tests the placement plan with examples, and in simulated time over a fixed set of a few dozen seeds. The
+// simulation must also detect each mutant, in which one safeguard is disabled.
 #include "testbench/simulation/placement.h"
 
 #include <gtest/gtest.h>
@@ -21,7 +21,8 @@
   return topology;
 }
 
-// Each zone has `capacity` for set 1, and a demand of `demand`; all proxies find all zones healthy.
+// Returns an input in which each zone has `capacity` and `demand` for shard group 1, and all proxies find all
+// zones healthy.
 Input healthy_input(double demand, double capacity, Millis now = 1'000'000) {
   Input input;
   input.now = now;
@@ -34,7 +35,7 @@
   return input;
 }
 
-// `input`, but `unhealthy` of the four proxies of each zone in `by` find `zone` unhealthy.
+// Returns `input` with `unhealthy` of the four proxies of each zone in `by` finding `zone` unhealthy.
 Input with_unhealthy_zone(Input input, const Zone& zone, const std::vector<Zone>& by, int unhealthy = 4) {
   Observation observation;
   for (auto& [key, votes] : input.observation.votes()) {
@@ -91,7 +92,7 @@
   sample.failed = 5;
   EXPECT_EQ(assess(sample, 1000), Opinion::kUnhealthy);
   sample.failed = 0;
-  sample.latency_us = 100'000;  // ten times slower: unhealthy, or overloaded
+  sample.latency_us = 100'000;  // ten times as slow as usual: unhealthy or overloaded
   EXPECT_EQ(assess(sample, 1000), Opinion::kLate);
   sample.latency_us = 10'000;
   sample.rejected = 3, sample.timed_out = 2;
@@ -131,11 +132,11 @@
   Observation observation;
   for (std::uint64_t plan = 1; plan <= 20; ++plan) observation.add_followers(plan);
   EXPECT_EQ(observation.followers().size(), kMaxFollowedPlans);
-  EXPECT_EQ(observation.followers().begin()->second, 13u);  // 1 to 13 together
+  EXPECT_EQ(observation.followers().begin()->second, 13u);  // plans 1 to 13 are counted together
   EXPECT_EQ(observation.followers().rbegin()->first, 20u);
 }
 
-TEST(Demand, FollowsATrueRiseAtOnceAndChanceSlowly) {
+TEST(Demand, FollowsASignificantRiseAtOnceAndFluctuationsSlowly) {
   Demand demand;
   auto next_half_second = [&](std::uint64_t requests) {
     Observation observation;
@@ -145,7 +146,7 @@
   };
   EXPECT_EQ(next_half_second(500), 1000);
   EXPECT_LT(next_half_second(520), 1020);
-  EXPECT_EQ(next_half_second(1000), 2000);  // twice as many is no chance
+  EXPECT_EQ(next_half_second(1000), 2000);  // a doubled demand is no random fluctuation
   EXPECT_GT(next_half_second(500), 1500);
   for (int i = 0; i < 100; ++i) demand.debounce(Observation(), 0.5);
   EXPECT_TRUE(demand.rates().empty());
@@ -188,7 +189,7 @@
   EXPECT_EQ(sample.spare_capacity, 4.0);
   EXPECT_EQ(observation.samples().at({"a", 0, "b"}).warming_up, 1u);
   EXPECT_EQ(observation.votes().at({"a", "a"}), (HealthVotes{1, 0, 0}));
-  EXPECT_FALSE(observation.votes().count({"a", "b"}));  // it sent nothing there
+  EXPECT_FALSE(observation.votes().count({"a", "b"}));  // the proxy sent nothing there
 }
 
 TEST_F(ZoneHealthObserverTest, AHangingServerIsLateBeforeItsClientsGiveUp) {
@@ -198,7 +199,7 @@
     observer.on_attempt_sent(100 + static_cast<std::uint64_t>(i), 0, "a1", now, false);
   auto observation = take_observation();
   EXPECT_EQ(observation.votes().at({"a", "a"}), (HealthVotes{0, 0, 1}));
-  // When they end later, they are not counted again.
+  // Attempts that end later are not counted again.
   for (int i = 0; i < 5; ++i)
     observer.on_attempt_ended(100 + static_cast<std::uint64_t>(i), 0, "a1", ObservedOutcome::kTimedOut, 2s);
   EXPECT_EQ(take_observation().samples().at({"a", 0, "a"}).attempts, 0u);
@@ -207,14 +208,14 @@
 TEST_F(ZoneHealthObserverTest, ProbesZonesThatGetNoRequests) {
   complete_attempts(5, "a1");
   take_observation();
-  EXPECT_TRUE(observer.choose_probe_targets(7).empty());  // not each time
+  EXPECT_TRUE(observer.choose_probe_targets(7).empty());  // no probe in every interval
   for (int round = 0; round < 3; ++round) {
     complete_attempts(5, "a1");
     EXPECT_FALSE(take_observation().votes().count({"a", "b"}));
     ASSERT_EQ(observer.choose_probe_targets(7), std::vector<std::string>{"b1"});
     observer.on_probe_ended("b1", true);
     auto observation = take_observation();
-    ASSERT_EQ(observation.votes().count({"a", "b"}), round == 2);  // three attempts make an opinion
+    ASSERT_EQ(observation.votes().count({"a", "b"}), round == 2);  // an opinion takes three attempts
     complete_attempts(5, "a1");
     EXPECT_TRUE(observer.choose_probe_targets(7).empty());
   }
@@ -224,7 +225,7 @@
   observer.on_probe_ended("b1", false);
   complete_attempts(5, "a1");
   take_observation();
-  // After a failed probe, enough probes follow at once for an opinion.
+  // After a failed probe, enough probes for an opinion are sent at once.
   auto targets = observer.choose_probe_targets(7);
   ASSERT_EQ(targets.size(), 3u);
   for (auto& server : targets) observer.on_probe_ended(server, false);
@@ -238,7 +239,7 @@
   Planner planner(three_zones());
   auto input = healthy_input(300, 1000);
   input.observation = input.observation.demand_only();
-  // The proxies themselves are slow: there is little demand, and all answers are late.
+  // The proxies themselves are slow: demand is low, and all answers are late.
   for (Zone from : {"a", "b", "c"})
     for (Zone to : {"a", "b", "c"}) input.observation.add_votes(from, to, {0, 0, 4});
   auto plan = run_rounds(planner, {}, input, 20'000);
@@ -250,8 +251,8 @@
   Planner planner(three_zones());
   auto input = healthy_input(300, 1000);
   input.observation = input.observation.demand_only();
-  // Every link between zones is cut, and each zone is healthy to its own proxies: closing one would help
-  // nobody.
+  // Every link between zones is cut, and each zone's own proxies find it healthy. Closing a zone would help
+  // no client.
   for (Zone from : {"a", "b", "c"})
     for (Zone to : {"a", "b", "c"})
       input.observation.add_votes(from, to, from == to ? HealthVotes{4, 0, 0} : HealthVotes{0, 4, 0});
@@ -264,7 +265,7 @@
   EXPECT_EQ((plan.links.at({"a", "b"}).phase), Phase::kClosed);
 }
 
-TEST(Plan, AZoneThatIsLateForItsLoadIsNotClosed) {
+TEST(Plan, AZoneThatIsLateUnderLoadIsNotClosed) {
   Planner planner(three_zones());
   auto input = healthy_input(300, 1000);
   input.observation = {};
@@ -275,14 +276,14 @@
   }
   ZoneSample busy;
   busy.attempts = 900;
-  input.observation.record("b", 0, "b", busy);  // it answers nine tenths of its capacity
+  input.observation.record("b", 0, "b", busy);  // it serves nine tenths of its capacity
   EXPECT_EQ(run_rounds(planner, {}, input, 10'000).zones.at("b").phase, Phase::kOpen);
   input.observation = [&] {
     auto observation = input.observation.demand_only();
     for (auto& [key, votes] : input.observation.votes()) observation.add_votes(key.first, key.second, votes);
     ZoneSample slow;
     slow.attempts = 100;
-    observation.record("b", 0, "b", slow);  // late, and doing next to nothing
+    observation.record("b", 0, "b", slow);  // late although it serves very little
     return observation;
   }();
   EXPECT_EQ(run_rounds(planner, {}, input, 10'000).zones.at("b").phase, Phase::kClosed);
@@ -296,13 +297,13 @@
     auto it = plan.surplus_capacity.find({1, from});
     return it == plan.surplus_capacity.end() || !it->second.count(to) ? 0.0 : it->second.at(to);
   };
-  EXPECT_EQ(surplus_share("a", "a"), 0);    // all of its reads are served there anyway
-  EXPECT_EQ(surplus_share("a", "b"), 1.0);  // 300 fit beside 300 in 950
+  EXPECT_EQ(surplus_share("a", "a"), 0);    // the plan already sends all of its reads there
+  EXPECT_EQ(surplus_share("a", "b"), 1.0);  // 300 more fit into 950, the limit, of which 300 are used
   input = healthy_input(600, 1000);
   plan = run_rounds(planner, {}, input, 10'000);
   EXPECT_NEAR(surplus_share("a", "b"), 350.0 / 600, 0.02);
   EXPECT_NEAR(surplus_share("a", "c"), 1 - 350.0 / 600,
-              0.02);  // the far zone takes what the near one has no capacity for
+              0.02);  // the far zone takes what exceeds the near zone's capacity
   for (auto& [key, supply] : input.supply) supply.warming_up = key.second == "b";
   plan = run_rounds(planner, {}, input, 10'000);
   EXPECT_EQ(surplus_share("a", "b"), 0);  // a zone that is warming up has no surplus
@@ -313,16 +314,16 @@
   auto plan = run_rounds(planner, {}, healthy_input(700, 1000), 5000);
   for (Zone zone : {"a", "b", "c"}) EXPECT_NEAR(plan.shares.at({1, zone}).at(zone), 1, 1e-5) << zone;
   auto next = planner.next(plan, healthy_input(705, 1000, 1'010'000));
-  EXPECT_EQ(next.number, plan.number);  // random swings make no new plan
+  EXPECT_EQ(next.number, plan.number);  // a random fluctuation makes no new plan
 }
 
 TEST(Plan, TrafficGoesNoFurtherThanNeeded) {
   Planner planner(three_zones());
   auto input = healthy_input(300, 1000);
-  input.observation.add_demand("a", 1, 700);  // a demand of 1000, of which it may serve 800
+  input.observation.add_demand("a", 1, 700);  // total demand 1000, of which zone a may serve 800
   auto plan = run_rounds(planner, {}, input, 10'000);
   EXPECT_NEAR(plan.shares.at({1, "a"}).at("a"), 0.8, 0.01);
-  EXPECT_NEAR(plan.shares.at({1, "a"}).at("b"), 0.2, 0.01);  // the same region first
+  EXPECT_NEAR(plan.shares.at({1, "a"}).at("b"), 0.2, 0.01);  // a zone of the same region is used first
   EXPECT_EQ(plan.shares.at({1, "a"}).count("c"), 0u);
   EXPECT_NEAR(plan.rejected_share(1, "a"), 0, 1e-5);
 }
@@ -368,23 +369,23 @@
   EXPECT_GT(single_zone.shares.at({1, "a"}).at("a"), 0.7);
 }
 
-TEST(Plan, AZoneStaysOpenWithoutCapacityElsewhereAndRefusalsAreNearHome) {
+TEST(Plan, AZoneStaysOpenWithoutCapacityElsewhereAndOnlyItsClientsAreRejected) {
   Planner planner(three_zones());
   auto plan = run_rounds(planner, {}, healthy_input(900, 1000), 5000);
   auto partly_failed = with_unhealthy_zone(healthy_input(900, 1000, 1'010'000), "a", {"a", "b", "c"},
-                                           3);  // unhealthy, still serving
+                                           3);  // unhealthy, but still serving
   auto still_open = run_rounds(planner, plan, partly_failed, 10'000);
   EXPECT_EQ(still_open.zones.at("a").phase, Phase::kOpen);
   EXPECT_EQ(still_open.zones.at("a").reason, PhaseReason::kInsufficientCapacity);
   auto failed = run_rounds(
       planner, plan, with_unhealthy_zone(healthy_input(900, 1000, 1'010'000), "a", {"a", "b", "c"}), 10'000);
   EXPECT_EQ(failed.zones.at("a").phase, Phase::kClosed);
-  // The other zones are not overloaded: zone a's clients refuse what there is no capacity for.
+  // The other zones are not overloaded: requests of zone a's clients beyond the capacity are rejected.
   EXPECT_GT(failed.rejected_share(1, "a"), 0.7);
   EXPECT_LT(failed.rejected_share(1, "b"), 0.05);
 }
 
-TEST(Plan, AnEvacuationGoesInStepsWithinCapacityAndOutlivesItsOwner) {
+TEST(Plan, AnEvacuationGoesInStepsWithinCapacityAndOutlivesItsLeaseHolder) {
   auto input = healthy_input(500, 1000);
   Plan plan = run_rounds(Planner(three_zones()), {}, input, 5000);
   input.now += 10'000;
@@ -392,7 +393,7 @@
   EXPECT_EQ(Planner(three_zones()).evacuate(&plan, "a", false, input), "");
   double before = 1;
   for (int i = 0; i < 40; ++i, input.now += 500) {
-    plan = Planner(three_zones()).next(plan, input);  // another owner each time
+    plan = Planner(three_zones()).next(plan, input);  // another lease holder in each round
     EXPECT_GE(plan.zones.at("a").capacity_fraction, before - 0.25 - 1e-9);
     before = plan.zones.at("a").capacity_fraction;
   }
@@ -414,7 +415,7 @@
   EXPECT_EQ(planner.unknown_zones(input), std::vector<Zone>{"x"});
   input.supply[{1, "a"}] = {0};
   auto plan = run_rounds(planner, {}, input, 5000);
-  EXPECT_EQ(plan.shares.at({1, "a"}).count("x"), 0u);  // b is nearer
+  EXPECT_EQ(plan.shares.at({1, "a"}).count("x"), 0u);  // zone b is nearer
 }
 
 TEST(Plan, AFrozenPlanDoesNotChange) {
@@ -427,7 +428,7 @@
   EXPECT_EQ(after.zones.at("a").phase, Phase::kOpen);
 }
 
-TEST(Simulation, AFixedFewDozenSeedsOfThePlanHold) {
+TEST(Simulation, ThePlanBreaksNoRuleInAFixedFewDozenSeeds) {
   for (std::uint64_t seed = 1; seed <= 60; ++seed) {
     auto result = testbench::simulation::run_placement(seed, testbench::simulation::PlanMutant::kNone);
     ASSERT_EQ(result.broken, "") << "seed " << seed;
