--- a/src/group/plan_builder.cpp
+++ b/src/group/plan_builder.cpp
@@ -20,7 +20,7 @@
 
 placement::ZoneTopology topology_of(const PlacementOptions& options) {
   placement::ZoneTopology topology;
-  for (auto& [zone, region] : options.regions) topology.put(zone, region);
+  for (auto& [zone, region] : options.regions) topology.set_region(zone, region);
   return topology;
 }
 
@@ -85,7 +85,7 @@
   input.now = unix_ms;
   input.seconds = static_cast<double>(kObserveEvery.count()) / 1e6;
   input.observation = sum_of(by_voter_, now);
-  demand_.debounce(input.observation, input.seconds);
+  demand_.add_interval(input.observation, input.seconds);
   input.smoothed_demand = demand_.rates();
   set_capacities(&input, list);
   return input;
--- a/src/placement/planner.cpp
+++ b/src/placement/planner.cpp
@@ -39,7 +39,7 @@
 std::vector<Zone> Planner::unknown_zones(const Input& input) const {
   std::set<Zone> zones;
   for (const auto& [key, supply] : input.supply)
-    if (!topology_.knows(key.second)) zones.insert(key.second);
+    if (!topology_.contains(key.second)) zones.insert(key.second);
   return {zones.begin(), zones.end()};
 }
 
--- a/src/placement/zone_observation.cpp
+++ b/src/placement/zone_observation.cpp
@@ -90,7 +90,7 @@
   for (const auto& [key, requests] : other.demand_) add_demand(key.first, key.second, requests);
 }
 
-void Demand::debounce(const Observation& observation, double seconds) {
+void Demand::add_interval(const Observation& observation, double seconds) {
   const auto& demand = observation.demand();
   std::erase_if(rates_, [&](const auto& entry) {
     return entry.second < kNegligibleRate && !demand.contains(entry.first);
--- a/src/placement/zone_observation.h
+++ b/src/placement/zone_observation.h
@@ -107,7 +107,7 @@
   using Rates = std::map<std::pair<Zone, ShardGroupId>, double>;  // per second, by clients' zone, shard group
 
   // Updates the rates with the next interval, of length `seconds`.
-  void debounce(const Observation& observation, double seconds);
+  void add_interval(const Observation& observation, double seconds);
   const Rates& rates() const { return rates_; }
 
  private:
--- a/src/placement/zone_topology.cpp
+++ b/src/placement/zone_topology.cpp
@@ -3,7 +3,7 @@
 namespace database_proxy::placement {
 
 int ZoneTopology::distance(const Zone& one, const Zone& other) const {
-  if (!knows(one) || !knows(other)) return kFar;
+  if (!contains(one) || !contains(other)) return kFar;
   if (one == other) return kSameZone;
   return regions_.at(one) == regions_.at(other) ? kSameRegion : kFar;
 }
--- a/src/placement/zone_topology.h
+++ b/src/placement/zone_topology.h
@@ -8,15 +8,15 @@
 
 namespace database_proxy::placement {
 
-// Distinguishes near zones from far ones. A zone that was not put into a region is far from all others, and
+// Distinguishes near zones from far ones. A zone without a region is far from all others, and
 // Planner::unknown_zones() reports it.
 class ZoneTopology {
  public:
   // Distances: the same zone, two zones of the same region, and any other pair.
   static constexpr int kSameZone = 0, kSameRegion = 1, kFar = 2;
 
-  void put(const Zone& zone, const std::string& region) { regions_[zone] = region; }
-  bool knows(const Zone& zone) const { return !zone.empty() && regions_.contains(zone); }
+  void set_region(const Zone& zone, const std::string& region) { regions_[zone] = region; }
+  bool contains(const Zone& zone) const { return !zone.empty() && regions_.contains(zone); }
   // Returns kSameZone, kSameRegion or kFar.
   int distance(const Zone& one, const Zone& other) const;
 
--- a/src/testbench/simulation/placement.cpp
+++ b/src/testbench/simulation/placement.cpp
@@ -81,7 +81,7 @@
   int count = 3 + static_cast<int>(draw(3));
   for (int i = 0; i < count; ++i) {
     zones_.push_back(fmt::format("z{}", i + 1));
-    places_.put(zones_.back(), i < (count + 1) / 2 ? "north" : "south");
+    places_.set_region(zones_.back(), i < (count + 1) / 2 ? "north" : "south");
   }
   sets_ = 1 + static_cast<int>(draw(3));
   for (auto& zone : zones_) {
@@ -165,7 +165,7 @@
   pl::Input input;
   input.now = now_ + 1'000'000;
   input.observation = seen;
-  asked_smoothly_.debounce(seen, 1);
+  asked_smoothly_.add_interval(seen, 1);
   input.smoothed_demand = asked_smoothly_.rates();
   for (auto& [key, most] : capacity_) input.supply[key] = {most * warm(key.second), warm(key.second) < 1};
   return input;
@@ -433,7 +433,7 @@
   std::vector<Zone> names;
   for (int z = 0; z < zones; ++z) {
     names.push_back(fmt::format("zone-{}", z));
-    places.put(names.back(), z % 2 ? "south" : "north");
+    places.set_region(names.back(), z % 2 ? "south" : "north");
   }
   std::vector<pl::Observation> all(static_cast<std::size_t>(proxies));
   for (int i = 0; i < proxies; ++i) {
@@ -461,7 +461,7 @@
   input.now = 1'000'000;
   input.seconds = 0.5;
   pl::Demand demand;
-  demand.debounce(input.observation, 0.5);
+  demand.add_interval(input.observation, 0.5);
   input.smoothed_demand = demand.rates();
   double each = 300.0 * servers / sets / zones;
   for (auto& zone : names)
--- a/tests/placement/placement_test.cpp
+++ b/tests/placement/placement_test.cpp
@@ -15,9 +15,9 @@
 
 ZoneTopology three_zones() {
   ZoneTopology topology;
-  topology.put("a", "north");
-  topology.put("b", "north");
-  topology.put("c", "south");
+  topology.set_region("a", "north");
+  topology.set_region("b", "north");
+  topology.set_region("c", "south");
   return topology;
 }
 
@@ -141,14 +141,14 @@
   auto next_half_second = [&](std::uint64_t requests) {
     Observation observation;
     observation.add_demand("a", 1, requests);
-    demand.debounce(observation, 0.5);
+    demand.add_interval(observation, 0.5);
     return demand.rates().at({"a", 1});
   };
   EXPECT_EQ(next_half_second(500), 1000);
   EXPECT_LT(next_half_second(520), 1020);
   EXPECT_EQ(next_half_second(1000), 2000);  // a doubled demand is no random fluctuation
   EXPECT_GT(next_half_second(500), 1500);
-  for (int i = 0; i < 100; ++i) demand.debounce(Observation(), 0.5);
+  for (int i = 0; i < 100; ++i) demand.add_interval(Observation(), 0.5);
   EXPECT_TRUE(demand.rates().empty());
 }
 
