--- a/src/placement/capacity_check.cpp
+++ b/src/placement/capacity_check.cpp
@@ -11,7 +11,7 @@
 namespace database_proxy::placement {
 namespace {
 
-using RatesByShardGroup = std::map<ShardGroupId, double>;  // requests a second
+using RatesByShardGroup = std::map<ShardGroupId, double>;  // requests per second
 
 RatesByShardGroup demand_by_shard_group(const Input& input) {
   RatesByShardGroup demand;
--- a/src/placement/traffic_split.cpp
+++ b/src/placement/traffic_split.cpp
@@ -89,7 +89,7 @@
 }
 
 // Limits the growth of each zone's traffic. Half of the proxies may still follow the last plan, so additional
-// traffic must fit into the capacity that remains beside all traffic that the last plan sends to the zone.
+// traffic must fit into the capacity that remains after all traffic that the last plan sends to the zone.
 void ShardGroupTraffic::limit_growth_to_free_capacity() {
   std::map<Zone, double> added;
   for (const auto& [from, demand] : shard_group_.demand)
--- a/src/placement/traffic_split.h
+++ b/src/placement/traffic_split.h
@@ -9,7 +9,7 @@
 
 // Replaces the shares and the surplus capacity of `*plan` by those for the present demand. Near zones are
 // used first. Half of the proxies may still follow `last`, so a zone gets additional traffic only up to the
-// capacity that remains beside all traffic that `last` sends there. Shares that would hardly change are kept.
+// capacity that remains after all traffic that `last` sends there. Shares that would hardly change are kept.
 void split_traffic(const ZoneTopology& topology, const Options& options, const Input& input, const Plan& last,
                    Plan* plan);
 
--- a/src/placement/zone_topology.h
+++ b/src/placement/zone_topology.h
@@ -8,8 +8,8 @@
 
 namespace database_proxy::placement {
 
-// Distinguishes near zones from far ones. A zone without a region is far from all others, and
-// Planner::unknown_zones() reports it.
+// Distinguishes near zones from far ones. A zone without a region is far from all others, and Planner reports
+// it as unknown.
 class ZoneTopology {
  public:
   // Distances: the same zone, two zones of the same region, and any other pair.
