--- a/src/app/fleet_placement.cpp
+++ b/src/app/fleet_placement.cpp
@@ -48,7 +48,7 @@
                         : fmt::format("{} proxies follow plan {}\n", proxies, number);
   for (auto& [key, v] : seen.votes())
     if (v.unhealthy + v.late > 0)
-      text += fmt::format("of {} proxies in {} {} find {} ill and {} find it late\n", v.all(),
+      text += fmt::format("of {} proxies in {} {} find {} ill and {} find it late\n", v.total(),
                           named(key.first), v.unhealthy, named(key.second), v.late);
   return text;
 }
@@ -78,7 +78,7 @@
       text += "; spare:";
       for (auto& [zone, share] : it->second) text += fmt::format(" {} {:.1f} %", named(zone), share * 100);
     }
-    if (double refused = plan.refused(set, key.second); refused > 0.001)
+    if (double refused = plan.rejected_share(set, key.second); refused > 0.001)
       text += fmt::format("; refused {:.1f} %: all zones together bear no more", refused * 100);
     text += "\n";
   }
--- a/src/group/plan_builder.cpp
+++ b/src/group/plan_builder.cpp
@@ -21,7 +21,7 @@
 
 placement::ZoneTopology topology_of(const PlacementOptions& options) {
   placement::ZoneTopology topology;
-  for (auto& [zone, region] : options.regions) topology.put(zone, region);
+  for (auto& [zone, region] : options.regions) topology.set_region(zone, region);
   return topology;
 }
 
@@ -29,7 +29,7 @@
   placement::Options planner;
   planner.minimum_phase_duration = options.minimum_phase_duration / Micros(1000);
   planner.open_after = options.open_after / Micros(1000);
-  planner.step_every = options.step_every / Micros(1000);
+  planner.step_interval = options.step_every / Micros(1000);
   return planner;
 }
 
@@ -85,9 +85,9 @@
   placement::Input input;
   input.now = unix_ms;
   input.seconds = static_cast<double>(kObservationInterval.count()) / 1e6;
-  input.seen = sum_observations(sums_by_voter_, now);
-  demand_.debounce(input.seen, input.seconds);
-  input.asked = demand_.rates();
+  input.observation = sum_observations(sums_by_voter_, now);
+  demand_.add_interval(input.observation, input.seconds);
+  input.smoothed_demand = demand_.rates();
   set_capacities(&input, list);
   return input;
 }
@@ -107,7 +107,7 @@
     int count = 0;
     bool is_warming_up = false;
   };
-  std::map<std::pair<placement::SetId, placement::Zone>, ZoneServers> servers_by_zone;
+  std::map<std::pair<placement::ShardGroupId, placement::Zone>, ZoneServers> servers_by_zone;
   for (auto& endpoint : list.members) {
     if (endpoint.lifecycle != discovery::Lifecycle::kUp) continue;
     double share = capacity_share(endpoint, input->now);
@@ -118,8 +118,8 @@
   }
   // A primary serves writes, and the plan only distributes reads: the primary's share of its zone's capacity
   // is left out. Its zone is the one in which most proxies observed it.
-  std::map<placement::SetId, std::pair<std::uint64_t, placement::Zone>> primary_zones;
-  for (auto& [key, proxies] : input->seen.primaries()) {
+  std::map<placement::ShardGroupId, std::pair<std::uint64_t, placement::Zone>> primary_zones;
+  for (auto& [key, proxies] : input->observation.primaries()) {
     auto& most_observed = primary_zones[key.first];
     most_observed = std::max(most_observed, std::pair(proxies, key.second));
   }
@@ -135,18 +135,18 @@
                                                            const discovery::EndpointListUpdate& list,
                                                            Micros now, placement::Millis unix_ms) {
   input_ = make_input(list, now, unix_ms);
-  if (input_.seen.votes().empty() && input_.asked.empty()) return std::nullopt;  // nothing was observed yet
+  if (input_.observation.votes().empty() && input_.smoothed_demand.empty()) return std::nullopt;  // nothing was observed yet
   if (!working_plan_ || working_plan_->number != committed.number) {
     working_plan_ = committed;
     committed_plan_first_seen_ = now;
   }
-  auto& followers = input_.seen.followers();
+  auto& followers = input_.observation.followers();
   bool all_follow = std::all_of(followers.begin(), followers.end(),
                                 [&](auto& entry) { return entry.first >= committed.number; });
   if (!all_follow && now - committed_plan_first_seen_ < kMaxFollowerWait) return std::nullopt;
   // The wall clock may have been set back since then: times ahead of it are replaced by the present time.
   for (auto& [zone, state] : working_plan_->zones)
-    for (auto* time : {&state.since, &state.stepped, &state.unhealthy_since, &state.healthy_since})
+    for (auto* time : {&state.since, &state.last_step, &state.unhealthy_since, &state.healthy_since})
       *time = std::min(*time, unix_ms);
   auto plan = planner_.next(*working_plan_, input_);
   if (plan.number != committed.number) return plan;
--- a/src/group/plan_builder.h
+++ b/src/group/plan_builder.h
@@ -53,7 +53,7 @@
   // The input of the last make_next_plan().
   const placement::Input& input() const { return input_; }
   // Returns the zones of data servers that are configured in no region.
-  std::vector<placement::Zone> unknown_zones() const { return planner_.unknown(input_); }
+  std::vector<placement::Zone> unknown_zones() const { return planner_.unknown_zones(input_); }
 
  private:
   struct ReceivedObservation {
--- a/src/placement/placement_codec.cpp
+++ b/src/placement/placement_codec.cpp
@@ -29,7 +29,7 @@
   sample.postponed = number_at(row, 8);
   sample.warming_up = number_at(row, 9);
   sample.spare_capacity = row.at(10).get<double>();
-  sample.full = number_at(row, 11);
+  sample.rejected = number_at(row, 11);
   return sample;
 }
 
@@ -38,7 +38,7 @@
           {"reason", static_cast<int>(state.reason)},
           {"why", text_of(state.reason)},
           {"since", state.since},
-          {"stepped", state.stepped},
+          {"stepped", state.last_step},
           {"ill_since", state.unhealthy_since},
           {"well_since", state.healthy_since},
           {"part", state.capacity_fraction},
@@ -51,9 +51,9 @@
   for (auto phase : {Phase::kOpen, Phase::kClosed, Phase::kOpening, Phase::kEvacuating, Phase::kEvacuated})
     if (text == text_of(phase)) state.phase = phase;
   state.reason = static_cast<PhaseReason>(
-      std::clamp(encoded.value("reason", 0), 0, static_cast<int>(PhaseReason::kChangeBudgetSpent)));
+      std::clamp(encoded.value("reason", 0), 0, static_cast<int>(PhaseReason::kChangeBudgetExhausted)));
   state.since = encoded.value("since", Millis{0});
-  state.stepped = encoded.value("stepped", Millis{0});
+  state.last_step = encoded.value("stepped", Millis{0});
   state.unhealthy_since = encoded.value("ill_since", Millis{0});
   state.healthy_since = encoded.value("well_since", Millis{0});
   state.capacity_fraction = std::clamp(encoded.value("part", 1.0), 0.0, 1.0);
@@ -70,7 +70,7 @@
 Shares shares_from_json(const json& rows) {
   Shares shares;
   for (const auto& row : rows)
-    shares[{row.at(0).get<SetId>(), row.at(1).get<Zone>()}] = row.at(2).get<std::map<Zone, double>>();
+    shares[{row.at(0).get<ShardGroupId>(), row.at(1).get<Zone>()}] = row.at(2).get<std::map<Zone, double>>();
   return shares;
 }
 
@@ -81,7 +81,7 @@
   for (const auto& [key, sample] : observation.samples())
     encoded["seen"].push_back({std::get<0>(key), std::get<1>(key), std::get<2>(key), sample.attempts,
                                sample.refused, sample.timed_out, sample.failed, sample.latency_us,
-                               sample.postponed, sample.warming_up, sample.spare_capacity, sample.full});
+                               sample.postponed, sample.warming_up, sample.spare_capacity, sample.rejected});
   for (const auto& [key, votes] : observation.votes())
     encoded["votes"].push_back({key.first, key.second, votes.healthy, votes.unhealthy, votes.late});
   for (const auto& [key, requests] : observation.demand())
@@ -95,17 +95,17 @@
 Observation observation_from_json(const json& encoded) {
   Observation observation;
   for (const auto& row : rows_of(encoded, "seen"))
-    observation.record(row.at(0).get<Zone>(), row.at(1).get<SetId>(), row.at(2).get<Zone>(),
+    observation.record(row.at(0).get<Zone>(), row.at(1).get<ShardGroupId>(), row.at(2).get<Zone>(),
                        sample_from_row(row));
   for (const auto& row : rows_of(encoded, "votes"))
-    observation.voted(row.at(0).get<Zone>(), row.at(1).get<Zone>(),
-                      {number_at(row, 2), number_at(row, 3), number_at(row, 4)});
+    observation.add_votes(row.at(0).get<Zone>(), row.at(1).get<Zone>(),
+                          {number_at(row, 2), number_at(row, 3), number_at(row, 4)});
   for (const auto& row : rows_of(encoded, "asked"))
-    observation.asked(row.at(0).get<Zone>(), row.at(1).get<SetId>(), number_at(row, 2));
+    observation.add_demand(row.at(0).get<Zone>(), row.at(1).get<ShardGroupId>(), number_at(row, 2));
   for (const auto& row : rows_of(encoded, "leads"))
-    observation.leads(row.at(0).get<SetId>(), row.at(1).get<Zone>(), number_at(row, 2));
+    observation.add_primary(row.at(0).get<ShardGroupId>(), row.at(1).get<Zone>(), number_at(row, 2));
   for (const auto& row : rows_of(encoded, "follow"))
-    observation.follows(number_at(row, 0), number_at(row, 1));
+    observation.add_followers(number_at(row, 0), number_at(row, 1));
   return observation;
 }
 
--- a/src/placement/placement_plan.cpp
+++ b/src/placement/placement_plan.cpp
@@ -13,7 +13,7 @@
 
 using Links = std::map<std::pair<Zone, Zone>, ZoneState>;
 
-// Times are not compared: proxies do not act on them.
+// Compares two states without their times, on which proxies do not act.
 bool is_same_state(const ZoneState& one, const ZoneState& other) {
   return one.phase == other.phase && one.reason == other.reason &&
          one.capacity_fraction == other.capacity_fraction && one.forced == other.forced;
@@ -27,7 +27,8 @@
                     });
 }
 
-// A link that is only suspected, and open, makes no difference to proxies.
+// Returns the links that are not open. Proxies treat an open link that is suspected to be unhealthy like any
+// other open link.
 Links closed_links(const Links& links) {
   Links closed;
   for (const auto& [key, link] : links)
@@ -61,15 +62,15 @@
   state->since = now;
 }
 
-double share_of(const Shares& shares, SetId set, const Zone& from, const Zone& to) {
-  auto it = shares.find({set, from});
+double share_of(const Shares& shares, ShardGroupId shard_group, const Zone& from, const Zone& to) {
+  auto it = shares.find({shard_group, from});
   if (it == shares.end()) return 0;
   auto share = it->second.find(to);
   return share == it->second.end() ? 0 : share->second;
 }
 
-double Plan::refused(SetId set, const Zone& from) const {
-  auto it = shares.find({set, from});
+double Plan::rejected_share(ShardGroupId shard_group, const Zone& from) const {
+  auto it = shares.find({shard_group, from});
   if (it == shares.end()) return 0;
   double sum = 0;
   for (const auto& [zone, share] : it->second) sum += share;
@@ -86,7 +87,7 @@
   return it == zones.end() ? 1 : it->second.capacity_fraction;
 }
 
-bool Plan::same_but_number(const Plan& other) const {
+bool Plan::is_equivalent_to(const Plan& other) const {
   return are_same_states(zones, other.zones) &&
          are_same_states(closed_links(links), closed_links(other.links)) && shares == other.shares &&
          surplus_capacity == other.surplus_capacity && frozen == other.frozen;
--- a/src/placement/zone_observation.cpp
+++ b/src/placement/zone_observation.cpp
@@ -11,21 +11,22 @@
 namespace database_proxy::placement {
 namespace {
 
-// Fewer attempts in a span make no opinion: one lost request says nothing of a zone.
+// Minimum number of attempts for an opinion, because one lost request is no evidence against a zone.
 constexpr std::uint64_t kMinAttempts = 3;
-// Of the usual latency; a busy hour triples it at most.
+// Multiple of the usual latency above which a zone is late. A busy hour at most triples the latency.
 constexpr std::uint64_t kLateFactor = 5;
 
-// Weight of the newest span in the demand.
+// Weight of the newest interval in the demand.
 constexpr double kSmoothing = 0.2;
-// A rise by this part of the demand, and by this many standard deviations of a count, is a true one.
-constexpr double kTrueRise = 0.2, kChanceDeviations = 3;
-// Requests a second below which a demand that is not observed any more is forgotten.
-constexpr double kForgottenRate = 0.01;
+// A rise is significant if it exceeds this fraction of the demand plus this many standard deviations of a
+// count.
+constexpr double kSignificantRise = 0.2, kSignificantDeviations = 3;
+// Requests per second below which a demand that is no longer observed is removed.
+constexpr double kNegligibleRate = 0.01;
 
-// Whether the map has the key or may still take it.
+// Returns whether the map has the key, or has room for it.
 template <typename Map, typename Key>
-bool has_place_for(const Map& map, const Key& key, std::size_t max_size) {
+bool can_store(const Map& map, const Key& key, std::size_t max_size) {
   return map.size() < max_size || map.count(key) > 0;
 }
 
@@ -36,38 +37,39 @@
   refused += other.refused;
   timed_out += other.timed_out;
   failed += other.failed;
-  full += other.full;
+  rejected += other.rejected;
   latency_us += other.latency_us;
   postponed += other.postponed;
   warming_up += other.warming_up;
   spare_capacity += other.spare_capacity;
 }
 
-void Observation::record(const Zone& from, SetId set, const Zone& zone, const ZoneSample& sample) {
-  std::tuple key(from, set, zone);
-  if (!has_place_for(samples_, key, kMostZones * kMostSets)) key = {"", 0, ""};
+void Observation::record(const Zone& from, ShardGroupId shard_group, const Zone& zone,
+                         const ZoneSample& sample) {
+  std::tuple key(from, shard_group, zone);
+  if (!can_store(samples_, key, kMaxZones * kMaxShardGroups)) key = {"", 0, ""};
   samples_[key].add(sample);
 }
 
-void Observation::voted(const Zone& from, const Zone& zone, const HealthVotes& votes) {
+void Observation::add_votes(const Zone& from, const Zone& zone, const HealthVotes& votes) {
   std::pair key(from, zone);
-  if (has_place_for(votes_, key, kMostZones * kMostZones)) votes_[key].add(votes);
+  if (can_store(votes_, key, kMaxZones * kMaxZones)) votes_[key].add(votes);
 }
 
-void Observation::asked(const Zone& from, SetId set, std::uint64_t requests) {
-  std::pair key(from, set);
-  if (!has_place_for(demand_, key, kMostZones * kMostSets)) key = {"", 0};
+void Observation::add_demand(const Zone& from, ShardGroupId shard_group, std::uint64_t requests) {
+  std::pair key(from, shard_group);
+  if (!can_store(demand_, key, kMaxZones * kMaxShardGroups)) key = {"", 0};
   demand_[key] += requests;
 }
 
-void Observation::leads(SetId set, const Zone& zone, std::uint64_t proxies) {
-  std::pair key(set, zone);
-  if (has_place_for(primaries_, key, kMostZones * kMostSets)) primaries_[key] += proxies;
+void Observation::add_primary(ShardGroupId shard_group, const Zone& zone, std::uint64_t proxies) {
+  std::pair key(shard_group, zone);
+  if (can_store(primaries_, key, kMaxZones * kMaxShardGroups)) primaries_[key] += proxies;
 }
 
-void Observation::follows(std::uint64_t plan, std::uint64_t proxies) {
+void Observation::add_followers(std::uint64_t plan, std::uint64_t proxies) {
   followers_[plan] += proxies;
-  if (followers_.size() <= kMostPlans) return;
+  if (followers_.size() <= kMaxFollowedPlans) return;
   auto oldest = followers_.begin();
   std::next(oldest)->second += oldest->second;
   followers_.erase(oldest);
@@ -80,18 +82,18 @@
 }
 
 void Observation::add(const Observation& other) {
-  for (const auto& [key, proxies] : other.primaries_) leads(key.first, key.second, proxies);
-  for (const auto& [plan, proxies] : other.followers_) follows(plan, proxies);
+  for (const auto& [key, proxies] : other.primaries_) add_primary(key.first, key.second, proxies);
+  for (const auto& [plan, proxies] : other.followers_) add_followers(plan, proxies);
   for (const auto& [key, sample] : other.samples_)
     record(std::get<0>(key), std::get<1>(key), std::get<2>(key), sample);
-  for (const auto& [key, votes] : other.votes_) voted(key.first, key.second, votes);
-  for (const auto& [key, requests] : other.demand_) asked(key.first, key.second, requests);
+  for (const auto& [key, votes] : other.votes_) add_votes(key.first, key.second, votes);
+  for (const auto& [key, requests] : other.demand_) add_demand(key.first, key.second, requests);
 }
 
-void Demand::debounce(const Observation& observation, double seconds) {
+void Demand::add_interval(const Observation& observation, double seconds) {
   const auto& demand = observation.demand();
   std::erase_if(rates_, [&](const auto& entry) {
-    return entry.second < kForgottenRate && !demand.contains(entry.first);
+    return entry.second < kNegligibleRate && !demand.contains(entry.first);
   });
   for (auto& [key, rate] : rates_)
     if (!demand.contains(key)) rate -= kSmoothing * rate;
@@ -99,16 +101,16 @@
     double newest = static_cast<double>(requests) / seconds;
     double& rate = rates_.try_emplace(key, newest).first->second;
     // The standard deviation of a count is its square root.
-    double chance = kChanceDeviations * std::sqrt(static_cast<double>(requests)) / seconds;
-    bool is_true_rise = newest - rate > kTrueRise * rate + chance;
-    rate += (is_true_rise ? 1 : kSmoothing) * (newest - rate);
+    double noise = kSignificantDeviations * std::sqrt(static_cast<double>(requests)) / seconds;
+    bool is_significant_rise = newest - rate > kSignificantRise * rate + noise;
+    rate += (is_significant_rise ? 1 : kSmoothing) * (newest - rate);
   }
 }
 
 Opinion assess(const ZoneSample& sample, std::uint64_t usual_latency_us) {
   if (sample.attempts < kMinAttempts) return Opinion::kNone;
   if ((sample.refused + sample.failed) * 2 >= sample.attempts) return Opinion::kUnhealthy;
-  auto lost = sample.refused + sample.timed_out + sample.failed + sample.full;
+  auto lost = sample.refused + sample.timed_out + sample.failed + sample.rejected;
   if (lost * 2 >= sample.attempts) return Opinion::kLate;
   auto answered = sample.attempts - lost;
   bool is_slow = usual_latency_us > 0 && sample.latency_us > usual_latency_us * kLateFactor * answered;
--- a/tests/formats/stored_format_test.cpp
+++ b/tests/formats/stored_format_test.cpp
@@ -212,7 +212,7 @@
   EXPECT_EQ(probe->publisher_token, 0u);
   auto plan = placement::plan_from_json(json::parse(placement_job->data));
   EXPECT_EQ(plan.number, 12u);
-  EXPECT_TRUE(plan.same_but_number(stored_plan()));
+  EXPECT_TRUE(plan.is_equivalent_to(stored_plan()));
   EXPECT_EQ(registry.settings().size(), 41u);
   EXPECT_EQ(registry.settings().at("name"), "first");
   for (int i = kPutCommands - 40; i < kPutCommands; ++i)
--- a/tests/formats/wire_format_test.cpp
+++ b/tests/formats/wire_format_test.cpp
@@ -94,10 +94,10 @@
 placement::Observation observation() {
   placement::Observation observation;
   observation.record("z1", 7, "z2", {11, 2, 3, 4, 5, 6000, 7, 8, 9.5});
-  observation.voted("z1", "z2", {1, 2, 3});
-  observation.asked("z1", 7, 120);
-  observation.leads(7, "z2", 4);
-  observation.follows(12, 5);
+  observation.add_votes("z1", "z2", {1, 2, 3});
+  observation.add_demand("z1", 7, 120);
+  observation.add_primary(7, "z2", 4);
+  observation.add_followers(12, 5);
   return observation;
 }
 
@@ -270,7 +270,7 @@
             placement::Observation());
   auto decoded = placement::plan_from_json(nlohmann::json::parse(golden_bytes("plan")));
   EXPECT_EQ(decoded.number, 12u);
-  EXPECT_TRUE(decoded.same_but_number(plan()));
+  EXPECT_TRUE(decoded.is_equivalent_to(plan()));
   EXPECT_EQ(decoded.zones, plan().zones);
   EXPECT_EQ(decoded.links, plan().links);
   EXPECT_EQ(decoded.shares, plan().shares);
