--- a/src/group/plan_builder.cpp
+++ b/src/group/plan_builder.cpp
@@ -135,7 +135,8 @@
                                                            const discovery::EndpointListUpdate& list,
                                                            Micros now, placement::Millis unix_ms) {
   input_ = make_input(list, now, unix_ms);
-  if (input_.observation.votes().empty() && input_.smoothed_demand.empty()) return std::nullopt;  // nothing was observed yet
+  if (input_.observation.votes().empty() && input_.smoothed_demand.empty())
+    return std::nullopt;  // nothing was observed yet
   if (!working_plan_ || working_plan_->number != committed.number) {
     working_plan_ = committed;
     committed_plan_first_seen_ = now;
--- a/src/testbench/simulation/placement.cpp
+++ b/src/testbench/simulation/placement.cpp
@@ -261,7 +261,8 @@
           for (auto& from : zones_) asked += demand(set, from);
           for (auto& other : zones_)
             if (other != zone)
-              borne += input.supply.at({set, other}).current_capacity * plan.zones.at(other).capacity_fraction;
+              borne +=
+                  input.supply.at({set, other}).current_capacity * plan.zones.at(other).capacity_fraction;
           if (asked > borne * 1.02)
             throw fmt::format("{} is closed, set {} asks for {:.0f}, the rest bears {:.0f}", zone, set, asked,
                               borne);
