--- a/src/app/commands.cpp
+++ b/src/app/commands.cpp
@@ -39,7 +39,7 @@
 constexpr net::Micros kShutdownGrace = std::chrono::milliseconds(700);
 
 // As many descriptors as the configuration allows, where the system lets us have them.
-std::size_t descriptor_limit(std::size_t wanted) {
+std::size_t raise_descriptor_limit(std::size_t wanted) {
   rlimit limit{};
   if (getrlimit(RLIMIT_NOFILE, &limit) != 0) return wanted;
   limit.rlim_cur = std::min<rlim_t>(limit.rlim_max, wanted);
@@ -48,12 +48,12 @@
   return std::min<std::size_t>(limit.rlim_cur, wanted);
 }
 
-proxy::ProxyOptions options_of(const Config& config, const OperatorFile& own) {
+proxy::ProxyOptions make_proxy_options(const Config& config, const OperatorFile& operator_file) {
   proxy::ProxyOptions options;
-  options.logs_decisions = own.log.least == net::Level::kDebug;
+  options.logs_decisions = operator_file.log.least == net::Level::kDebug;
   options.listen = config.listen;
   options.discovery = config.discovery;
-  options.descriptors = descriptor_limit(config.sockets);
+  options.descriptors = raise_descriptor_limit(config.sockets);
   options.memory = config.memory;
   options.pool = config.pool;
   options.known = config.known;
@@ -67,16 +67,16 @@
   return options;
 }
 
-// Where the program reads what it is told, and what of that is in force.
-struct Told {
+// Where the program reads what it is loaded, and what of that is in force.
+struct LoadedConfig {
   std::string config_path, operator_path;  // operator_path: empty where none was given
   StartEnvironment environment;
   Config config;
-  OperatorFile own;
+  OperatorFile operator_file;
 
   void read() {
     config = read_config(config_path);
-    if (!operator_path.empty()) own = read_operator_file(operator_path);
+    if (!operator_path.empty()) operator_file = read_operator_file(operator_path);
     // Two processes that start from one configuration must not draw the same numbers.
     if (environment.inherited_listener >= 0) config.seed ^= seed_of_process();
   }
@@ -96,18 +96,18 @@
 using ApplyReload = std::function<void(const proxy::ProxyOptions&, const OperatorFile&)>;
 
 // SIGHUP: reads the files again. A bad one changes nothing, and one line says so.
-void reload(net::Loop& loop, const Told& running, Logger& logger, const net::Log& log,
+void reload(net::Loop& loop, const LoadedConfig& running, Logger& logger, const net::Log& log,
             const ApplyReload& apply, int attempts = kReloadAttempts) try {
-  auto told = running;
-  told.read();
-  logger.configure(told.own.log);
-  apply(options_of(told.config, told.own), told.own);
-  bool restart = told.config.listen != running.config.listen ||
-                 told.config.settings_text != running.config.settings_text;
+  auto loaded = running;
+  loaded.read();
+  logger.configure(loaded.operator_file.log);
+  apply(make_proxy_options(loaded.config, loaded.operator_file), loaded.operator_file);
+  bool restart = loaded.config.listen != running.config.listen ||
+                 loaded.config.settings_text != running.config.settings_text;
   log(net::Level::kInfo,
-      fmt::format("configuration read again: discovery {}, {} descriptors{}", told.config.discovery,
-                  told.config.sockets, restart ? "; listen or settings differ, which needs a restart" : ""));
-  if (auto keys = needs_restart(running.own, told.own); !keys.empty())
+      fmt::format("configuration read again: discovery {}, {} descriptors{}", loaded.config.discovery,
+                  loaded.config.sockets, restart ? "; listen or settings differ, which needs a restart" : ""));
+  if (auto keys = needs_restart(running.operator_file, loaded.operator_file); !keys.empty())
     log(net::Level::kWarning, fmt::format("{}: differs in the operator's file, which needs a restart", keys));
 } catch (const UnreadableFile& e) {
   bool is_first = attempts == kReloadAttempts, is_tried_again = net::is_transient(e.error) && attempts > 1;
@@ -122,7 +122,7 @@
   log(net::Level::kError, fmt::format("the configuration in force stays: {}", e.what()));
 }
 
-std::string listens(const Config& config, int port, std::size_t descriptors) {
+std::string listening_message(const Config& config, int port, std::size_t descriptors) {
   return fmt::format("linenwinch {} listens on {}:{}, {} servers known, {} descriptors", kVersion,
                      config.listen.substr(0, config.listen.rfind(':')), port, config.known.members.size(),
                      descriptors);
@@ -130,7 +130,7 @@
 
 // One proxy, or a pool of workers, as operators see it; it must outlive what is returned.
 template <class Serving>
-Operations::Process operators_view_of(Serving& serving) {
+Operations::Process make_operations_process(Serving& serving) {
   Operations::Process process;
   process.unhealthy_reason = [&serving] { return serving.unhealthy_reason(); };
   process.apply_change = [&serving](discovery::EndpointListUpdate change) {
@@ -148,65 +148,65 @@
   return process;
 }
 
-int serve_with_workers(const Told& told, Logger& logger, const net::Log& log, bool* has_started) {
-  auto& own = told.own.workers;
-  workers::WorkerPoolConfig config{told.config.settings, told.config.seed, options_of(told.config, told.own),
-                                   own};
+int serve_with_workers(const LoadedConfig& loaded, Logger& logger, const net::Log& log, bool* has_started) {
+  auto& worker_options = loaded.operator_file.workers;
+  workers::WorkerPoolConfig config{loaded.config.settings, loaded.config.seed, make_proxy_options(loaded.config, loaded.operator_file),
+                                   worker_options};
   net::Loop control;
-  Operations operations(control, told.config, told.environment, log);
+  Operations operations(control, loaded.config, loaded.environment, log);
   operations.prepare(&config.proxy);
   if (config.proxy.inherited_listener >= 0 && config.options.accept == workers::Accept::kReusePort) {
     log(net::Level::kWarning, "the listening socket is inherited: one thread accepts all clients");
     config.options.accept = workers::Accept::kBalanced;
   }
-  workers::WorkerPool group(control, config, [&](const std::string& tag) { return logger.sink(tag); });
+  workers::WorkerPool pool(control, config, [&](const std::string& tag) { return logger.sink(tag); });
   Signals signals(
-      control, [&] { group.shut_down(operations.on_shutdown()); },
+      control, [&] { pool.shut_down(operations.on_shutdown()); },
       [&] {
-        reload(control, told, logger, log, [&](auto& options, auto& file) {
-          group.reconfigure(options, file.workers.connections_per_server);
+        reload(control, loaded, logger, log, [&](auto& options, auto& operator_file) {
+          pool.reconfigure(options, operator_file.workers.connections_per_server);
         });
       });
-  log(net::Level::kInfo, listens(told.config, group.port(), config.proxy.descriptors));
+  log(net::Level::kInfo, listening_message(loaded.config, pool.port(), config.proxy.descriptors));
   log(net::Level::kInfo,
       fmt::format(
-          "{} workers, decisions {}, clients {}", own.count,
-          own.decisions == workers::Decisions::kShared ? "shared" : "split",
+          "{} workers, decisions {}, clients {}", worker_options.count,
+          worker_options.decisions == workers::Decisions::kShared ? "shared" : "split",
           config.options.accept == workers::Accept::kBalanced ? "dealt out" : "dealt out by the kernel"));
-  group.on_ready = [&] { operations.on_serving(); };
-  group.on_unknown_cancel = [&](auto number, auto secret) { operations.forward_cancel(number, secret); };
-  operations.open(operators_view_of(group));
+  pool.on_ready = [&] { operations.on_serving(); };
+  pool.on_unknown_cancel = [&](auto number, auto secret) { operations.forward_cancel(number, secret); };
+  operations.open(make_operations_process(pool));
   *has_started = true;
-  group.run();
+  pool.run();
   return 0;
 }
 
-// Runs until the process is told to end. `has_started`: a failure after it is set is none of the start.
-int serve_once(const Told& told, Logger& logger, const net::Log& log, bool* has_started) {
-  auto& config = told.config;
-  for (auto& line : warnings(told.own)) log(net::Level::kWarning, line);
-  if (!net::set_congestion_control(told.own.congestion))
+// Runs until the process is loaded to end. `has_started`: a failure after it is set is none of the start.
+int serve_once(const LoadedConfig& loaded, Logger& logger, const net::Log& log, bool* has_started) {
+  auto& config = loaded.config;
+  for (auto& line : warnings(loaded.operator_file)) log(net::Level::kWarning, line);
+  if (!net::set_congestion_control(loaded.operator_file.congestion))
     throw std::runtime_error(
         fmt::format("operator's file {}: network.congestion: the kernel does not offer '{}'",
-                    told.operator_path, told.own.congestion));
-  if (!net::set_source(told.own.source))
+                    loaded.operator_path, loaded.operator_file.congestion));
+  if (!net::set_source(loaded.operator_file.source))
     throw std::runtime_error(
         fmt::format("operator's file {}: network.source: '{}' is no address of this machine",
-                    told.operator_path, told.own.source));
-  if (told.own.workers.count > 1) return serve_with_workers(told, logger, log, has_started);
+                    loaded.operator_path, loaded.operator_file.source));
+  if (loaded.operator_file.workers.count > 1) return serve_with_workers(loaded, logger, log, has_started);
   net::Loop loop;
   std::optional<GroupRunner> group;
   routing::DecisionFacade facade(
       config.settings, config.seed, routing::UnixClock::measured(),
       [&](const std::string& text) { log(net::Level::kInfo, "decisions: " + text); });
-  auto options = options_of(config, told.own);
+  auto options = make_proxy_options(config, loaded.operator_file);
   routing::LocalDecider decider(facade);
-  options.watches = !told.own.group;
-  Operations operations(loop, config, told.environment, log);
+  options.watches = !loaded.operator_file.group;
+  Operations operations(loop, config, loaded.environment, log);
   operations.prepare(&options);
   proxy::Proxy proxy(loop, decider, options, log);
-  if (told.own.group)
-    group.emplace(loop, proxy, decider, *told.own.group, options, config.settings, config.seed,
+  if (loaded.operator_file.group)
+    group.emplace(loop, proxy, decider, *loaded.operator_file.group, options, config.settings, config.seed,
                   logger.sink("group"));
   Signals signals(
       loop,
@@ -215,15 +215,15 @@
         proxy.shut_down(operations.on_shutdown());
       },
       [&] {
-        reload(loop, told, logger, log, [&](auto& read, auto& own) {
-          proxy.reconfigure(read);
-          if (group && own.group) group->reconfigure(read.discovery, own.group->nodes);
+        reload(loop, loaded, logger, log, [&](auto& reloaded, auto& operator_file) {
+          proxy.reconfigure(reloaded);
+          if (group && operator_file.group) group->reconfigure(reloaded.discovery, operator_file.group->nodes);
         });
       });
-  log(net::Level::kInfo, listens(config, proxy.port(), options.descriptors));
+  log(net::Level::kInfo, listening_message(config, proxy.port(), options.descriptors));
   proxy.on_ready = [&] { operations.on_serving(); };
   proxy.on_unknown_cancel = [&](auto number, auto secret) { operations.forward_cancel(number, secret); };
-  operations.open(operators_view_of(proxy));
+  operations.open(make_operations_process(proxy));
   if (group) group->start();
   *has_started = true;
   proxy.run();
@@ -231,31 +231,31 @@
   return 0;
 }
 
-// Reads what the program is told; a file that cannot be read for the moment is read again.
-void read_with_retries(Told* told) {
+// Reads what the program is loaded; a file that cannot be read for the moment is read again.
+void read_with_retries(LoadedConfig* loaded) {
   StartRetry retry(
       [](net::Level, const std::string& line) { std::cerr << "database-proxy: " << line << "\n"; });
   while (true) {
     try {
-      return told->read();
+      return loaded->read();
     } catch (const UnreadableFile& e) {
       if (!retry.wait_after(e.error, e.what())) throw;
     }
   }
 }
 
-int serve(Told* told) try {
+int serve(LoadedConfig* loaded) try {
   block_handled_signals();
   signal(SIGPIPE, SIG_IGN);
-  told->environment = StartEnvironment::read();
-  read_with_retries(told);
-  Logger logger(told->config.name, told->own.log);
+  loaded->environment = StartEnvironment::read();
+  read_with_retries(loaded);
+  Logger logger(loaded->config.name, loaded->operator_file.log);
   auto log = logger.sink();
   StartRetry retry(log);
   bool has_started = false;
   while (true) {
     try {
-      return serve_once(*told, logger, log, &has_started);
+      return serve_once(*loaded, logger, log, &has_started);
     } catch (const std::system_error& e) {
       if (has_started || !retry.wait_after(e.code().value(), e.what())) throw;
     }
@@ -302,24 +302,24 @@
     throw std::runtime_error(command.empty()
                                  ? "no command given; see database-proxy --help"
                                  : "unknown command '" + command + "'; see database-proxy --help");
-  Told told;
-  if (given.count("operator")) told.operator_path = given["operator"].as<std::string>();
+  LoadedConfig loaded;
+  if (given.count("operator")) loaded.operator_path = given["operator"].as<std::string>();
   if (given.count("config"))
-    told.config_path = given["config"].as<std::string>();
+    loaded.config_path = given["config"].as<std::string>();
   else if (const char* named = std::getenv("NODE_CONFIG"))
-    told.config_path = named;
-  else if (command == "serve" || told.operator_path.empty())
+    loaded.config_path = named;
+  else if (command == "serve" || loaded.operator_path.empty())
     throw std::runtime_error("no configuration: give --config FILE or set NODE_CONFIG");
-  if (command == "serve") return serve(&told);
-  if (!told.config_path.empty()) {
-    told.config = read_config(told.config_path);
-    std::cout << fmt::format("{}: good ({} classes, {} servers known)\n", told.config_path,
-                             told.config.settings.classes.size(), told.config.known.members.size());
+  if (command == "serve") return serve(&loaded);
+  if (!loaded.config_path.empty()) {
+    loaded.config = read_config(loaded.config_path);
+    std::cout << fmt::format("{}: good ({} classes, {} servers known)\n", loaded.config_path,
+                             loaded.config.settings.classes.size(), loaded.config.known.members.size());
   }
-  if (!told.operator_path.empty()) {
-    told.own = read_operator_file(told.operator_path);
-    std::cout << fmt::format("{}: good ({} workers)\n", told.operator_path, told.own.workers.count);
-    for (auto& line : warnings(told.own)) std::cout << "warning: " << line << "\n";
+  if (!loaded.operator_path.empty()) {
+    loaded.operator_file = read_operator_file(loaded.operator_path);
+    std::cout << fmt::format("{}: good ({} workers)\n", loaded.operator_path, loaded.operator_file.workers.count);
+    for (auto& line : warnings(loaded.operator_file)) std::cout << "warning: " << line << "\n";
   }
   return 0;
 } catch (const std::exception& e) {
