--- a/src/app/commands.cpp
+++ b/src/app/commands.cpp
@@ -104,9 +104,9 @@
   apply(make_proxy_options(loaded.config, loaded.operator_file), loaded.operator_file);
   bool restart = loaded.config.listen != running.config.listen ||
                  loaded.config.settings_text != running.config.settings_text;
-  log(net::Level::kInfo,
-      fmt::format("configuration read again: discovery {}, {} descriptors{}", loaded.config.discovery,
-                  loaded.config.sockets, restart ? "; listen or settings differ, which needs a restart" : ""));
+  log(net::Level::kInfo, fmt::format("configuration read again: discovery {}, {} descriptors{}",
+                                     loaded.config.discovery, loaded.config.sockets,
+                                     restart ? "; listen or settings differ, which needs a restart" : ""));
   if (auto keys = needs_restart(running.operator_file, loaded.operator_file); !keys.empty())
     log(net::Level::kWarning, fmt::format("{}: differs in the operator's file, which needs a restart", keys));
 } catch (const UnreadableFile& e) {
@@ -150,8 +150,8 @@
 
 int serve_with_workers(const LoadedConfig& loaded, Logger& logger, const net::Log& log, bool* has_started) {
   auto& worker_options = loaded.operator_file.workers;
-  workers::WorkerPoolConfig config{loaded.config.settings, loaded.config.seed, make_proxy_options(loaded.config, loaded.operator_file),
-                                   worker_options};
+  workers::WorkerPoolConfig config{loaded.config.settings, loaded.config.seed,
+                                   make_proxy_options(loaded.config, loaded.operator_file), worker_options};
   net::Loop control;
   Operations operations(control, loaded.config, loaded.environment, log);
   operations.prepare(&config.proxy);
@@ -217,7 +217,8 @@
       [&] {
         reload(loop, loaded, logger, log, [&](auto& reloaded, auto& operator_file) {
           proxy.reconfigure(reloaded);
-          if (group && operator_file.group) group->reconfigure(reloaded.discovery, operator_file.group->nodes);
+          if (group && operator_file.group)
+            group->reconfigure(reloaded.discovery, operator_file.group->nodes);
         });
       });
   log(net::Level::kInfo, listening_message(config, proxy.port(), options.descriptors));
@@ -318,7 +319,8 @@
   }
   if (!loaded.operator_path.empty()) {
     loaded.operator_file = read_operator_file(loaded.operator_path);
-    std::cout << fmt::format("{}: good ({} workers)\n", loaded.operator_path, loaded.operator_file.workers.count);
+    std::cout << fmt::format("{}: good ({} workers)\n", loaded.operator_path,
+                             loaded.operator_file.workers.count);
     for (auto& line : warnings(loaded.operator_file)) std::cout << "warning: " << line << "\n";
   }
   return 0;
--- a/src/app/fleet.cpp
+++ b/src/app/fleet.cpp
@@ -27,7 +27,7 @@
 
 constexpr const char* kConsequence = "what only the lost nodes knew is gone";
 // A new member is given the whole state before it votes; one whose disk is slow takes a while.
-constexpr int kPromoteTries = 150, kPromotePauseMs = 200;
+constexpr int kPromoteAttempts = 150, kPromoteRetryMs = 200;
 
 constexpr const char* kHelp =
     "database-proxy fleet COMMAND [argument] --operator FILE [--node ADDRESS] [--json]\n\n"
@@ -52,46 +52,46 @@
     std::cout << j.dump(1) << "\n";
     return;
   }
-  auto one = [](const json& v) { return v.is_string() ? v.get<std::string>() : v.dump(); };
+  auto to_text = [](const json& v) { return v.is_string() ? v.get<std::string>() : v.dump(); };
   auto table = [&](const json& rows) {
     for (auto& row : rows) {
       std::string line;
       for (auto& [key, value] : row.items())
-        line += fmt::format("{}{}={}", line.empty() ? "" : "  ", key, one(value));
+        line += fmt::format("{}{}={}", line.empty() ? "" : "  ", key, to_text(value));
       std::cout << line << "\n";
     }
   };
   for (auto& [key, value] : j.items()) {
     if (key == "t" || key == "ok" || key == "node" || key == "via") continue;
     if (key == "status")
-      for (auto& [k, v] : value.items()) std::cout << fmt::format("{:16} {}\n", k, one(v));
+      for (auto& [k, v] : value.items()) std::cout << fmt::format("{:16} {}\n", k, to_text(v));
     else if (value.is_array())
       table(value);
     else if (!(value.is_string() && value.get<std::string>().empty()))
-      std::cout << fmt::format("{:16} {}\n", key, one(value));
+      std::cout << fmt::format("{:16} {}\n", key, to_text(value));
   }
 }
 
 }  // namespace
 
-FleetCall::FleetCall(const std::string& address, const std::string& installation, int patience_ms)
+FleetConnection::FleetConnection(const std::string& address, const std::string& installation, int timeout_ms)
     : address_(address) {
   auto to = net::parse_address(address);
   if (!to) throw std::runtime_error(fmt::format("'{}' is no address", address));
   fd_ = socket(to->storage.ss_family, SOCK_STREAM | SOCK_CLOEXEC, 0);
-  timeval patience{patience_ms / 1000, patience_ms % 1000 * 1000};
-  setsockopt(fd_, SOL_SOCKET, SO_RCVTIMEO, &patience, sizeof patience);
-  setsockopt(fd_, SOL_SOCKET, SO_SNDTIMEO, &patience, sizeof patience);
+  timeval timeout{timeout_ms / 1000, timeout_ms % 1000 * 1000};
+  setsockopt(fd_, SOL_SOCKET, SO_RCVTIMEO, &timeout, sizeof timeout);
+  setsockopt(fd_, SOL_SOCKET, SO_SNDTIMEO, &timeout, sizeof timeout);
   try {
     if (connect(fd_, reinterpret_cast<sockaddr*>(&to->storage), to->length) != 0)
       throw std::runtime_error(fmt::format("{}: {}", address, std::strerror(errno)));
-    auto answer = ask({{"t", "hello"},
-                       {"v", peers::kVersion},
-                       {"least", peers::kLeastVersion},
-                       {"installation", installation},
-                       {"name", "fleet"},
-                       {"id", 0},
-                       {"kind", "tool"}});
+    auto answer = send_request({{"t", "hello"},
+                                {"v", peers::kVersion},
+                                {"least", peers::kLeastVersion},
+                                {"installation", installation},
+                                {"name", "fleet"},
+                                {"id", 0},
+                                {"kind", "tool"}});
     if (answer.value("t", "") != "welcome")
       throw std::runtime_error(fmt::format("{}: {}", address, answer.value("why", "no welcome")));
   } catch (...) {
@@ -100,9 +100,9 @@
   }
 }
 
-FleetCall::~FleetCall() { close(fd_); }
+FleetConnection::~FleetConnection() { close(fd_); }
 
-json FleetCall::ask(json request) {
+json FleetConnection::send_request(json request) {
   if (!request.contains("t")) request["t"] = "tool";
   auto text = peers::frame(request);
   for (std::size_t at = 0; at < text.size();) {
@@ -110,17 +110,17 @@
     if (n <= 0) throw std::runtime_error(fmt::format("{}: the connection broke", address_));
     at += static_cast<std::size_t>(n);
   }
-  return next();
+  return receive_answer();
 }
 
-json FleetCall::next() {
+json FleetConnection::receive_answer() {
   while (true) {
     json message;
     std::size_t size = 0;
-    auto parse = peers::parse_frame(in_, &message, &size);
+    auto parse = peers::parse_frame(received_, &message, &size);
     if (parse == peers::FrameParse::kBad) throw std::runtime_error(fmt::format("{}: no message", address_));
     if (parse == peers::FrameParse::kOk) {
-      in_.erase(0, size);
+      received_.erase(0, size);
       auto t = message.value("t", "");
       if (t == "answer" || t == "welcome" || t == "no") return message;
       continue;
@@ -131,7 +131,7 @@
     if (n < 0 && errno != EAGAIN && errno != EWOULDBLOCK)
       throw std::runtime_error(fmt::format("{}: the connection broke", address_));
     if (n < 0) throw std::runtime_error(fmt::format("{}: no answer in time", address_));
-    in_.append(chunk, static_cast<std::size_t>(n));
+    received_.append(chunk, static_cast<std::size_t>(n));
   }
 }
 
@@ -165,24 +165,25 @@
   auto& group = *file.group;
   auto node = given["node"].as<std::string>();
   if (node.empty()) node = group.listen.empty() ? group.nodes[0].address : group.listen;
-  auto what = words[0];
-  auto word = [&](std::size_t i, const char* name) {
-    if (words.size() <= i) throw std::runtime_error(fmt::format("fleet {}: {} is missing", what, name));
+  auto command = words[0];
+  auto required = [&](std::size_t i, const char* name) {
+    if (words.size() <= i) throw std::runtime_error(fmt::format("fleet {}: {} is missing", command, name));
     return words[i];
   };
   bool as_json = given.count("json") > 0;
 
-  if (what == "init") {
+  if (command == "init") {
     std::vector<std::uint64_t> ids;
     for (auto& n : group.nodes) {
-      auto answer = FleetCall(n.address, group.installation).ask({{"do", "identify"}});
+      auto answer = FleetConnection(n.address, group.installation).send_request({{"do", "identify"}});
       if (answer.value("name", "") != n.name)
         throw std::runtime_error(
             fmt::format("fleet init: {} is {}, not {}", n.address, answer.value("name", "?"), n.name));
       ids.push_back(answer.at("id").get<std::uint64_t>());
     }
     for (auto& n : group.nodes) {
-      auto answer = FleetCall(n.address, group.installation).ask({{"do", "bootstrap"}, {"voters", ids}});
+      auto answer =
+          FleetConnection(n.address, group.installation).send_request({{"do", "bootstrap"}, {"voters", ids}});
       if (!answer.value("ok", false))
         throw std::runtime_error(fmt::format("fleet init: {}: {}", n.name, answer.value("why", "?")));
     }
@@ -190,55 +191,56 @@
     return 0;
   }
 
-  FleetCall call(node, group.installation);
-  json request = {{"do", what}};
-  if (what == "transfer") {
+  FleetConnection connection(node, group.installation);
+  json request = {{"do", command}};
+  if (command == "transfer") {
     if (words.size() > 1) request["name"] = words[1];
-  } else if (what == "add" || what == "remove") {
-    request["name"] = word(1, "NODE");
+  } else if (command == "add" || command == "remove") {
+    request["name"] = required(1, "NODE");
     if (auto id = given["id"].as<std::uint64_t>()) request["id"] = id;
-  } else if (what == "put") {
-    request["key"] = word(1, "KEY");
-    request["value"] = word(2, "VALUE");
-  } else if (what == "get") {
-    request["key"] = word(1, "KEY");
-  } else if (what == "placement") {
-    auto which = word(1, "show, explain, evacuate, restore, freeze or resume");
-    request["what"] = which;
-    if (which == "evacuate" || which == "restore") request["zone"] = word(2, "ZONE");
-    if (which == "evacuate") request["force"] = given.count("force") > 0;
-    if (which == "explain") {
-      auto text = word(2, "SET");
+  } else if (command == "put") {
+    request["key"] = required(1, "KEY");
+    request["value"] = required(2, "VALUE");
+  } else if (command == "get") {
+    request["key"] = required(1, "KEY");
+  } else if (command == "placement") {
+    auto subcommand = required(1, "show, explain, evacuate, restore, freeze or resume");
+    request["what"] = subcommand;
+    if (subcommand == "evacuate" || subcommand == "restore") request["zone"] = required(2, "ZONE");
+    if (subcommand == "evacuate") request["force"] = given.count("force") > 0;
+    if (subcommand == "explain") {
+      auto text = required(2, "SET");
       std::int64_t set = 0;
       auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), set);
       if (error != std::errc() || end != text.data() + text.size())
         throw std::runtime_error(fmt::format("fleet placement explain: '{}' is no number of a set", text));
       request["set"] = set;
     }
-  } else if (what == "recover") {
+  } else if (command == "recover") {
     request["consequence"] = given["consequence"].as<std::string>();
     if (request["consequence"] != kConsequence)
       throw std::runtime_error(fmt::format("fleet recover: demands --consequence \"{}\"", kConsequence));
-  } else if (what != "status" && what != "members" && what != "owners" && what != "step-down") {
-    throw std::runtime_error(fmt::format("fleet: unknown command '{}'; see database-proxy fleet help", what));
+  } else if (command != "status" && command != "members" && command != "owners" && command != "step-down") {
+    throw std::runtime_error(
+        fmt::format("fleet: unknown command '{}'; see database-proxy fleet help", command));
   }
-  auto answer = call.ask(request);
-  if (what == "add" && answer.value("ok", false)) {
+  auto answer = connection.send_request(request);
+  if (command == "add" && answer.value("ok", false)) {
     request["do"] = "promote";
-    for (int i = 0; i < kPromoteTries; ++i) {
-      answer = call.ask(request);
+    for (int i = 0; i < kPromoteAttempts; ++i) {
+      answer = connection.send_request(request);
       if (answer.value("ok", false)) break;
-      std::this_thread::sleep_for(std::chrono::milliseconds(kPromotePauseMs));
+      std::this_thread::sleep_for(std::chrono::milliseconds(kPromoteRetryMs));
     }
   }
   if (!answer.value("ok", false))
-    throw std::runtime_error(fmt::format("fleet {}: {}", what, answer.value("why", "refused")));
-  if (what == "placement" && !as_json) {
-    auto which = request.at("what").get<std::string>();
-    if (which == "show")
-      std::cout << plan_in_words(answer);
-    else if (which == "explain")
-      std::cout << set_in_words(answer, request.at("set").get<std::int64_t>());
+    throw std::runtime_error(fmt::format("fleet {}: {}", command, answer.value("why", "refused")));
+  if (command == "placement" && !as_json) {
+    auto subcommand = request.at("what").get<std::string>();
+    if (subcommand == "show")
+      std::cout << format_plan(answer);
+    else if (subcommand == "explain")
+      std::cout << format_explanation(answer, request.at("set").get<std::int64_t>());
     else
       std::cout << fmt::format("plan {} says so{}\n", answer.value("plan", 0),
                                answer.value("takes_ms", 0) > 0
--- a/src/app/fleet.h
+++ b/src/app/fleet.h
@@ -9,21 +9,21 @@
 
 int run_fleet(const std::vector<std::string>& arguments);
 
-// One connection to a node, for tools and tests. Blocks, for `patience_ms` at most a call.
-class FleetCall {
+// One connection to a node, for tools and tests. Blocks, for `timeout_ms` at most a call.
+class FleetConnection {
  public:
   // Throws std::runtime_error with one line: nobody there, or turned away.
-  FleetCall(const std::string& address, const std::string& installation, int patience_ms = 5000);
-  ~FleetCall();
-  FleetCall(const FleetCall&) = delete;
-  FleetCall& operator=(const FleetCall&) = delete;
+  FleetConnection(const std::string& address, const std::string& installation, int timeout_ms = 5000);
+  ~FleetConnection();
+  FleetConnection(const FleetConnection&) = delete;
+  FleetConnection& operator=(const FleetConnection&) = delete;
   // The answer's object; throws std::runtime_error where none came in time.
-  nlohmann::json ask(nlohmann::json request);
+  nlohmann::json send_request(nlohmann::json request);
 
  private:
-  nlohmann::json next();
+  nlohmann::json receive_answer();
   int fd_ = -1;
-  std::string address_, in_;
+  std::string address_, received_;
 };
 
 }  // namespace database_proxy::app
--- a/src/testbench/fault_injection/experiments.cpp
+++ b/src/testbench/fault_injection/experiments.cpp
@@ -89,7 +89,7 @@
   }
   void run(int number) {
     std::mt19937_64 random(seed_ * 977 + static_cast<std::uint64_t>(number));
-    std::unique_ptr<app::FleetCall> call;
+    std::unique_ptr<app::FleetConnection> call;
     std::size_t at = random() % rig_.voters().size();
     for (std::uint64_t n = 0; !stop_; ++n) {
       Operation o;
@@ -104,8 +104,8 @@
       o.called = rig_.history().now();
       try {
         if (!call)
-          call = std::make_unique<app::FleetCall>(rig_.address(rig_.voters()[at]), "lab", kClientPatienceMs);
-        auto answer = call->ask(o.write ? json{{"do", "put"}, {"key", key}, {"value", o.value}}
+          call = std::make_unique<app::FleetConnection>(rig_.address(rig_.voters()[at]), "lab", kClientPatienceMs);
+        auto answer = call->send_request(o.write ? json{{"do", "put"}, {"key", key}, {"value", o.value}}
                                         : json{{"do", "get"}, {"key", key}});
         auto now = rig_.history().now();
         bool ok = answer.value("ok", false), unknown = answer.value("why", "").starts_with("unknown");
@@ -157,13 +157,13 @@
 
  private:
   void run(const std::string& name) {
-    std::unique_ptr<app::FleetCall> call;
+    std::unique_ptr<app::FleetConnection> call;
     bool anew = true;  // it may have come back with an earlier state that it then catches up from
     while (!stop_) {
       try {
-        if (!call) call = std::make_unique<app::FleetCall>(rig_.address(name), "lab", 30'000);
-        auto s = call->ask({{"do", "status"}}).at("status");
-        auto owners = call->ask({{"do", "owners"}}).at("owners");
+        if (!call) call = std::make_unique<app::FleetConnection>(rig_.address(name), "lab", 30'000);
+        auto s = call->send_request({{"do", "status"}}).at("status");
+        auto owners = call->send_request({{"do", "owners"}}).at("owners");
         json e = {{"node", name},
                   {"clock_us", s.at("clock_us")},
                   {"holds", s.at("holds")},
@@ -627,9 +627,9 @@
   for (int w = 0; w < 64; ++w)
     writers.emplace_back([&, w] {
       try {
-        app::FleetCall call(rig.address(leader), "lab", 10'000);
+        app::FleetConnection call(rig.address(leader), "lab", 10'000);
         while (left-- > 0)
-          if (!call.ask({{"do", "put"}, {"key", fmt::format("k{}", w)}, {"value", std::string(100, 'x')}})
+          if (!call.send_request({{"do", "put"}, {"key", fmt::format("k{}", w)}, {"value", std::string(100, 'x')}})
                    .value("ok", false))
             ++refused;
       } catch (const std::runtime_error&) {
--- a/tests/group/processes_test.cpp
+++ b/tests/group/processes_test.cpp
@@ -87,9 +87,9 @@
     for (int w = 0; w < 16; ++w)
       writers.emplace_back([&, w] {
         try {
-          app::FleetCall call(to, "lab");
+          app::FleetConnection call(to, "lab");
           while (left-- > 0)
-            if (!call.ask({{"do", "put"}, {"key", "k" + std::to_string(w)}, {"value", std::to_string(left)}})
+            if (!call.send_request({{"do", "put"}, {"key", "k" + std::to_string(w)}, {"value", std::to_string(left)}})
                      .value("ok", false))
               ++lost;
         } catch (const std::runtime_error&) {
@@ -390,8 +390,8 @@
     for (int i = from; !stop; ++i) {
       try {
         for (auto& name : f->voters()) {
-          auto a = app::FleetCall(f->address(name), "lab", 500)
-                       .ask({{"do", "put"},
+          auto a = app::FleetConnection(f->address(name), "lab", 500)
+                       .send_request({{"do", "put"},
                              {"key", "w" + std::to_string(i % 50)},
                              {"value", std::string(4000, 'a' + i % 26)}});
           if (a.value("ok", false)) {
@@ -516,19 +516,19 @@
   CHECK(told(3));
   CHECK(send_bytes(database_proxy::peers::frame({{"t", "raft"}, {"k", 2}})));  // before any greeting
   CHECK(f->soon([&] { return times(f->log("n1"), "it spoke before it greeted") == 1; }));
-  CHECK_THROWS_WITH(app::FleetCall(f->address("n1"), "elsewhere"),
+  CHECK_THROWS_WITH(app::FleetConnection(f->address("n1"), "elsewhere"),
                     Catch::Contains("it is of the installation 'elsewhere'"));
   CHECK_THROWS_WITH(
       [&] {
-        app::FleetCall call(f->address("n1"), "lab");
-        call.ask({{"t", "hello"},
+        app::FleetConnection call(f->address("n1"), "lab");
+        call.send_request({{"t", "hello"},
                   {"v", 99},
                   {"least", 98},
                   {"installation", "lab"},
                   {"name", "x"},
                   {"id", 5},
                   {"kind", "voter"}});
-        auto a = call.ask({{"do", "status"}});
+        auto a = call.send_request({{"do", "status"}});
         throw std::runtime_error(a.dump());
       }(),
       Catch::Contains("speaks versions") || Catch::Contains("ended") || Catch::Contains("broke"));
@@ -539,17 +539,17 @@
 
 TEST_CASE("group: kinds and keys of a newer version are passed over") {
   Fleet f;
-  app::FleetCall call(f->address("n1"), "lab");
+  app::FleetConnection call(f->address("n1"), "lab");
   // On one connection: what is not known is answered or passed over, and the link stays.
-  auto status = call.ask({{"do", "status"}, {"more", {{"of", "this"}}}});
+  auto status = call.send_request({{"do", "status"}, {"more", {{"of", "this"}}}});
   CHECK(status.contains("status"));
   // A newer version that still speaks ours is let in, also as a follower.
-  app::FleetCall newer(f->address("n1"), "lab");
+  app::FleetConnection newer(f->address("n1"), "lab");
   json hello = {{"t", "hello"},  {"v", 2},  {"least", 1},         {"installation", "lab"},
                 {"name", "new"}, {"id", 0}, {"kind", "follower"}, {"tomorrow", {1, 2}}};
-  CHECK(newer.ask(hello).value("t", "") == "welcome");
-  CHECK(call.ask({{"do", "something new"}}).value("why", "").find("not known") != std::string::npos);
-  CHECK(call.ask({{"do", "status"}}).contains("status"));
+  CHECK(newer.send_request(hello).value("t", "") == "welcome");
+  CHECK(call.send_request({{"do", "something new"}}).value("why", "").find("not known") != std::string::npos);
+  CHECK(call.send_request({{"do", "status"}}).contains("status"));
 }
 
 TEST_CASE("group: a follower far behind, and dozens that come back at once, are fed whole") {
