--- a/src/app/commands.cpp
+++ b/src/app/commands.cpp
@@ -50,7 +50,7 @@
 
 proxy::ProxyOptions make_proxy_options(const Config& config, const OperatorFile& operator_file) {
   proxy::ProxyOptions options;
-  options.logs_decisions = operator_file.log.least == net::Level::kDebug;
+  options.logs_decisions = operator_file.log.min_level == net::Level::kDebug;
   options.listen = config.listen;
   options.discovery = config.discovery;
   options.descriptors = raise_descriptor_limit(config.sockets);
@@ -211,7 +211,7 @@
   Signals signals(
       loop,
       [&] {
-        if (group) group->leave();
+        if (group) group->hand_over();
         proxy.shut_down(operations.on_shutdown());
       },
       [&] {
--- a/src/app/group_runner.cpp
+++ b/src/app/group_runner.cpp
@@ -19,7 +19,7 @@
 // Between two probes of a server by its owner: where no class bounds the age, and at least.
 // Left alone together, proxies ask the list service so far apart, one by one: a hundred calls a second.
 constexpr group::Micros kPollSpacing{10'000};
-constexpr group::Micros kNoBound{500'000}, kLeastProbeEvery{20'000};
+constexpr group::Micros kDefaultHealthCheckInterval{500'000}, kMinHealthCheckInterval{20'000};
 
 // A lease holder's health checks go over connections of their own, in the group's thread.
 class PoolHealthChecker : public group::HealthChecker, private proxy::ServerEvents {
@@ -44,11 +44,11 @@
 };
 
 // Proxies of one zone of clients, about, that look into zones where no request of theirs goes; two must.
-constexpr double kWatchersPerZone = 4;
+constexpr double kProbersPerZone = 4;
 
 // Of the reads of a group, what its plan says for the clients of one zone.
-request_router::Plan for_zone(const placement::Plan& plan, const placement::Zone& zone) {
-  request_router::Plan own;
+request_router::Plan plan_for_zone(const placement::Plan& plan, const placement::Zone& zone) {
+  request_router::Plan zone_plan;
   for (auto& [key, shares] : plan.shares) {
     if (key.second != zone) continue;
     std::map<std::string, request_router::ZoneShare> by_zone;
@@ -58,10 +58,10 @@
         by_zone[to].zone = to;
         by_zone[to].spare = spare;
       }
-    auto& group = own.groups.emplace_back(key.first, std::vector<request_router::ZoneShare>{}).second;
+    auto& group = zone_plan.groups.emplace_back(key.first, std::vector<request_router::ZoneShare>{}).second;
     for (auto& [to, share] : by_zone) group.push_back(share);
   }
-  return own;
+  return zone_plan;
 }
 
 }  // namespace
@@ -69,63 +69,65 @@
 // The proxy's eyes on zones, in its thread.
 class GroupRunner::ZoneObserver : public proxy::RequestObserver {
  public:
-  ZoneObserver(net::Loop& loop, const request_router::Settings& settings, placement::Zone own, bool watches)
-      : loop_(loop), warm_up_(settings.warm_up), observer_(std::move(own), watches) {
+  ZoneObserver(net::Loop& loop, const request_router::Settings& settings, placement::Zone own_zone,
+               bool probes_unused_zones)
+      : loop_(loop), warm_up_(settings.warm_up), observer_(std::move(own_zone), probes_unused_zones) {
     for (auto& c : settings.classes)
-      reads_.push_back(c.level != request_router::ReadLevel::kWrite &&
-                       c.level != request_router::ReadLevel::kFresh);
+      is_read_class_.push_back(c.level != request_router::ReadLevel::kWrite &&
+                               c.level != request_router::ReadLevel::kFresh);
   }
-  void list(const discovery::EndpointListUpdate& whole) {
-    std::map<std::string, placement::EndpointLocation> places;
+  void update_locations(const discovery::EndpointListUpdate& list) {
+    std::map<std::string, placement::EndpointLocation> locations;
     auto unix =
         std::chrono::duration_cast<group::Micros>(std::chrono::system_clock::now().time_since_epoch());
-    for (auto& m : whole.members) {
+    for (auto& m : list.members) {
       if (m.lifecycle != discovery::Lifecycle::kUp) continue;
-      group::Micros warm{0};
-      if (m.started_at_ms > 0) warm = loop_.now() + group::Micros(m.started_at_ms * 1000) + warm_up_ - unix;
-      places[m.id] = {m.cell, m.zone, warm};
+      group::Micros warm_at{0};
+      if (m.started_at_ms > 0)
+        warm_at = loop_.now() + group::Micros(m.started_at_ms * 1000) + warm_up_ - unix;
+      locations[m.id] = {m.cell, m.zone, warm_at};
     }
-    observer_.set_locations(std::move(places));
+    observer_.set_locations(std::move(locations));
   }
   placement::ZoneHealthObserver& observer() { return observer_; }
 
   void submitted(const routing::Request& r) override {
-    if (reads_[r.request_class]) observer_.on_read_request(r.shard_group);
+    if (is_read_class_[r.request_class]) observer_.on_read_request(r.shard_group);
   }
   void sent(const routing::Decision& d, bool waited) override {
     observer_.on_attempt_sent(d.request, d.attempt, d.server, loop_.now(), waited);
   }
   void ended(const routing::AttemptResult& r) override {
     using routing::AttemptOutcome;
-    auto how = placement::RequestOutcome::kNothing;
+    auto outcome = placement::RequestOutcome::kNothing;
     if (r.outcome == AttemptOutcome::kServed || r.outcome == AttemptOutcome::kDeclined)
-      how = placement::RequestOutcome::kServed;
-    if (r.outcome == AttemptOutcome::kNoConnection) how = placement::RequestOutcome::kRefused;
-    if (r.outcome == AttemptOutcome::kRejected) how = placement::RequestOutcome::kFull;
-    if (r.outcome == AttemptOutcome::kTimedOut) how = placement::RequestOutcome::kTimedOut;
+      outcome = placement::RequestOutcome::kServed;
+    if (r.outcome == AttemptOutcome::kNoConnection) outcome = placement::RequestOutcome::kRefused;
+    if (r.outcome == AttemptOutcome::kRejected) outcome = placement::RequestOutcome::kFull;
+    if (r.outcome == AttemptOutcome::kTimedOut) outcome = placement::RequestOutcome::kTimedOut;
     if (r.outcome == AttemptOutcome::kError || r.outcome == AttemptOutcome::kReset)
-      how = placement::RequestOutcome::kFailed;
+      outcome = placement::RequestOutcome::kFailed;
     if (r.role == routing::ServerRole::kPrimary) observer_.on_primary_observed(r.server);
-    observer_.on_attempt_ended(r.request, r.attempt, r.server, how, r.duration);
+    observer_.on_attempt_ended(r.request, r.attempt, r.server, outcome, r.duration);
   }
   void probed(const routing::ProbeResult& r) override { observer_.on_probe_ended(r.server, r.ok); }
 
  private:
   net::Loop& loop_;
   group::Micros warm_up_;
-  std::vector<bool> reads_;  // by class
+  std::vector<bool> is_read_class_;  // by class
   placement::ZoneHealthObserver observer_;
 };
 
 GroupRunner::GroupRunner(net::Loop& loop, proxy::Proxy& proxy, routing::Decider& decider,
-                         group::Options options, const proxy::ProxyOptions& of,
+                         group::Options options, const proxy::ProxyOptions& proxy_options,
                          const request_router::Settings& settings, std::uint64_t seed, net::Log log)
     : loop_(loop),
       proxy_(proxy),
       decider_(decider),
       tasks_(loop),
       own_zone_(settings.zone),
-      health_check_limits_(of.pool),
+      health_check_limits_(proxy_options.pool),
       log_(log) {
   signal(SIGXFSZ, SIG_IGN);  // a limit on files is a full disk, not the end
   rlimit limit{};
@@ -138,34 +140,35 @@
   if (options.probe_every.count() == 0) {
     // Replicas are asked in turn: of two, one was asked within a third of the bound, which leaves two thirds
     // for lag and the way here; of one, it is asked twice as often.
-    options.probe_every = kNoBound;
+    options.probe_every = kDefaultHealthCheckInterval;
     for (auto& c : settings.classes)
       if (c.bound.count() > 0) options.probe_every = std::min(options.probe_every, c.bound * 2 / 3);
-    options.probe_every = std::max(options.probe_every, kLeastProbeEvery);
+    options.probe_every = std::max(options.probe_every, kMinHealthCheckInterval);
   }
   if (options.placement) {
     options.placement->warm_up = settings.warm_up;
     options.placement->initial_capacity_share = settings.initial_capacity_share;
     std::set<std::string> zones;
     for (auto& [zone, region] : options.placement->regions) zones.insert(zone);
-    auto each = std::max(1.0, static_cast<double>(settings.routers) / static_cast<double>(zones.size()));
+    auto proxies_per_zone =
+        std::max(1.0, static_cast<double>(settings.routers) / static_cast<double>(zones.size()));
     auto draw = static_cast<double>(std::hash<std::string>{}(options.name) >> 11) * 0x1p-53;
-    zone_observer_ =
-        std::make_unique<ZoneObserver>(loop, settings, settings.zone, draw * each < kWatchersPerZone);
-    zone_observer_->list(of.known);
+    zone_observer_ = std::make_unique<ZoneObserver>(loop, settings, settings.zone,
+                                                    draw * proxies_per_zone < kProbersPerZone);
+    zone_observer_->update_locations(proxy_options.known);
     proxy.dispatcher().set_observer(zone_observer_.get());
   }
   proxy.dispatcher().use_load_reports(
       [this](const std::string& server) { node_->subscribe_to_load(server); });
   proxy.before_iteration_end = [this] { tasks_.drain(); };
   group::NodeHost& host = *this;
-  node_ = std::make_unique<group::Node>(std::move(options), of.discovery, of.schedule, of.known, host,
-                                        std::move(log));
+  node_ = std::make_unique<group::Node>(std::move(options), proxy_options.discovery, proxy_options.schedule,
+                                        proxy_options.known, host, std::move(log));
 }
 
 void GroupRunner::on_effective_endpoint_list(const discovery::EndpointListUpdate& list, bool is_restart) {
   tasks_.post([this, list, is_restart] {
-    if (zone_observer_) zone_observer_->list(list);
+    if (zone_observer_) zone_observer_->update_locations(list);
     proxy_.dispatcher().expect_load_reports(true);
     proxy_.apply_endpoint_list(list, is_restart);
   });
@@ -187,7 +190,7 @@
 }
 
 void GroupRunner::on_plan_adopted(const std::optional<placement::Plan>& plan) {
-  auto own_plan = plan ? for_zone(*plan, own_zone_) : request_router::Plan{};
+  auto own_plan = plan ? plan_for_zone(*plan, own_zone_) : request_router::Plan{};
   tasks_.post([this, own_plan = std::move(own_plan)] { proxy_.dispatcher().plan(own_plan); });
 }
 
@@ -198,11 +201,12 @@
 
 void GroupRunner::start() {
   node_->start();
-  if (zone_observer_) look_timer_ = loop_.at(loop_.now() + group::kObserveEvery, [this] { look(); });
+  if (zone_observer_)
+    observation_timer_ = loop_.at(loop_.now() + group::kObserveEvery, [this] { observe_zones(); });
 }
 
-void GroupRunner::look() {
-  look_timer_ = loop_.at(loop_.now() + group::kObserveEvery, [this] { look(); });
+void GroupRunner::observe_zones() {
+  observation_timer_ = loop_.at(loop_.now() + group::kObserveEvery, [this] { observe_zones(); });
   node_->submit_observation(zone_observer_->observer().take_observation(
       loop_.now(), node_->adopted_plan_number(),
       [this](const std::string& server) { return decider_.spare_capacity(server); }));
@@ -212,7 +216,7 @@
 }
 
 GroupRunner::~GroupRunner() {
-  loop_.cancel(&look_timer_);
+  loop_.cancel(&observation_timer_);
   node_.reset();
   proxy_.dispatcher().set_observer(nullptr);
   proxy_.before_iteration_end = [] {};
--- a/src/app/group_runner.h
+++ b/src/app/group_runner.h
@@ -17,18 +17,18 @@
  public:
   // `loop` is the proxy's, which is not running yet. Throws std::runtime_error with one line.
   GroupRunner(net::Loop& loop, proxy::Proxy& proxy, routing::Decider& decider, group::Options options,
-              const proxy::ProxyOptions& of, const request_router::Settings& settings, std::uint64_t seed,
-              net::Log log);
+              const proxy::ProxyOptions& proxy_options, const request_router::Settings& settings,
+              std::uint64_t seed, net::Log log);
   ~GroupRunner() override;
   void start();
-  void leave() { node_->hand_over(); }
+  void hand_over() { node_->hand_over(); }
   void reconfigure(const std::string& discovery, std::vector<group::NodeAddress> nodes) {
     node_->reconfigure(discovery, std::move(nodes));
   }
 
  private:
   class ZoneObserver;
-  void look();
+  void observe_zones();
 
   void on_effective_endpoint_list(const discovery::EndpointListUpdate& list, bool is_restart) override;
   void on_load_reports(std::vector<group::LoadReport> reports) override;
@@ -45,7 +45,7 @@
   proxy::PoolLimits health_check_limits_;
   net::Log log_;
   std::unique_ptr<ZoneObserver> zone_observer_;
-  net::Loop::TimerId look_timer_ = net::Loop::kNoTimer;
+  net::Loop::TimerId observation_timer_ = net::Loop::kNoTimer;
   std::unique_ptr<group::Node> node_;
 };
 
--- a/src/app/logger.cpp
+++ b/src/app/logger.cpp
@@ -18,12 +18,12 @@
 namespace database_proxy::app {
 namespace {
 
-constexpr std::size_t kLongestLine = 1000;  // under what a pipe takes whole
+constexpr std::size_t kMaxLineBytes = 1000;  // under what a pipe takes whole
 // Lines that wait for the writing thread; the oldest give way. It takes hundreds of thousands of lines a
 // second, so only a thread that gets no core lets so many gather.
-constexpr std::size_t kQueue = 512;
+constexpr std::size_t kQueueLines = 512;
 
-const char* word(spdlog::level::level_enum level) {
+const char* level_name(spdlog::level::level_enum level) {
   if (level >= spdlog::level::err) return "error";
   if (level == spdlog::level::warn) return "warning";
   return level == spdlog::level::info ? "info" : "debug";
@@ -44,8 +44,8 @@
 }
 
 // Peers' bytes may be in it: one line stays one line, and JSON stays UTF-8.
-std::string clean(spdlog::string_view_t text, bool json) {
-  std::string line(text.data(), std::min(text.size(), kLongestLine));
+std::string sanitize(spdlog::string_view_t text, bool json) {
+  std::string line(text.data(), std::min(text.size(), kMaxLineBytes));
   std::replace_if(
       line.begin(), line.end(), [&](unsigned char c) { return c < ' ' || c == 127 || (json && c > 127); },
       '?');
@@ -54,48 +54,50 @@
 
 }  // namespace
 
-class Logger::Lines : public spdlog::sinks::base_sink<std::mutex> {
+class Logger::LineSink : public spdlog::sinks::base_sink<std::mutex> {
  public:
-  Lines(std::string name, LogOptions options, int fd) : name_(std::move(name)), fd_(fd) {
+  LineSink(std::string name, LogOptions options, int fd) : name_(std::move(name)), fd_(fd) {
     configure(options);
   }
   void configure(LogOptions options) {
     json_ = options.json;
-    per_second_ = options.lines_per_second;
-    set_level(level_of(options.least));
+    lines_per_second_ = options.lines_per_second;
+    set_level(level_of(options.min_level));
   }
   // Lines that spdlog's queue had no room for, so far.
-  std::function<std::size_t()> overrun = [] { return std::size_t{0}; };
+  std::function<std::size_t()> queue_overruns = [] { return std::size_t{0}; };
 
  protected:
   void sink_it_(const spdlog::details::log_msg& message) override {
     auto ms = std::chrono::duration_cast<std::chrono::milliseconds>(message.time.time_since_epoch()).count();
-    if (ms / 1000 != second_) {
-      second_ = ms / 1000;
-      lines_ = 0;
+    if (ms / 1000 != current_second_) {
+      current_second_ = ms / 1000;
+      lines_this_second_ = 0;
     }
-    auto lost = overrun();
-    dropped_ += lost - std::exchange(overrun_, lost);
+    auto lost = queue_overruns();
+    dropped_ += lost - std::exchange(seen_overruns_, lost);
     // A pipe that nobody reads would hold this thread for ever, and the end of the process with it.
     pollfd writable{fd_, POLLOUT, 0};
-    if (++lines_ > per_second_ || poll(&writable, 1, 0) != 1 || !(writable.revents & POLLOUT)) {
+    if (++lines_this_second_ > lines_per_second_ || poll(&writable, 1, 0) != 1 ||
+        !(writable.revents & POLLOUT)) {
       ++dropped_;
       return;
     }
     auto time = fmt::format("{:%Y-%m-%dT%H:%M:%S}.{:03}Z", fmt::gmtime(std::time_t(ms / 1000)), ms % 1000);
     auto& tag = message.logger_name;
     bool json = json_;
-    auto text = clean(message.payload, json);
+    auto text = sanitize(message.payload, json);
     std::string line;
     if (json) {
-      nlohmann::ordered_json object = {{"time", time}, {"proxy", name_}, {"level", word(message.level)}};
+      nlohmann::ordered_json object = {
+          {"time", time}, {"proxy", name_}, {"level", level_name(message.level)}};
       if (tag.size() > 0) object["thread"] = std::string(tag.data(), tag.size());
       object["text"] = text;
       if (dropped_ > 0) object["dropped"] = dropped_;
       line = object.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
     } else {
       line = fmt::format("{} {}{}{} {} {}", time, name_, tag.size() > 0 ? "/" : "",
-                         std::string_view(tag.data(), tag.size()), word(message.level), text);
+                         std::string_view(tag.data(), tag.size()), level_name(message.level), text);
       if (dropped_ > 0) line += fmt::format(" ({} lines dropped before this one)", dropped_);
     }
     dropped_ = 0;
@@ -108,33 +110,33 @@
   std::string name_;
   int fd_;
   std::atomic<bool> json_{false};
-  std::atomic<int> per_second_{40};
-  std::int64_t second_ = 0;
-  int lines_ = 0;
-  std::size_t dropped_ = 0, overrun_ = 0;
+  std::atomic<int> lines_per_second_{40};
+  std::int64_t current_second_ = 0;
+  int lines_this_second_ = 0;
+  std::size_t dropped_ = 0, seen_overruns_ = 0;
 };
 
 Logger::Logger(std::string name, LogOptions options, int fd)
-    : thread_(std::make_shared<spdlog::details::thread_pool>(kQueue, 1)),
-      lines_(std::make_shared<Lines>(std::move(name), options, fd)) {
-  lines_->overrun = [thread = thread_.get()] { return thread->overrun_counter(); };
+    : thread_(std::make_shared<spdlog::details::thread_pool>(kQueueLines, 1)),
+      line_sink_(std::make_shared<LineSink>(std::move(name), options, fd)) {
+  line_sink_->queue_overruns = [thread = thread_.get()] { return thread->overrun_counter(); };
   sink_ = sink();
 }
 
 Logger::~Logger() { thread_.reset(); }
 
 net::Log Logger::sink(const std::string& tag) {
-  auto logger = std::make_shared<spdlog::async_logger>(tag, lines_, thread_,
+  auto logger = std::make_shared<spdlog::async_logger>(tag, line_sink_, thread_,
                                                        spdlog::async_overflow_policy::overrun_oldest);
   logger->set_level(spdlog::level::debug);  // the sink has the level that is configured
   return [logger](net::Level level, const std::string& line) { logger->log(level_of(level), line); };
 }
 
-void Logger::configure(LogOptions options) { lines_->configure(options); }
+void Logger::configure(LogOptions options) { line_sink_->configure(options); }
 
 void Logger::flush() {
   // The thread takes in order: what reaches a sink of its own behind the rest says that the rest is through.
-  class Reached : public spdlog::sinks::base_sink<std::mutex> {
+  class FlushMarker : public spdlog::sinks::base_sink<std::mutex> {
    public:
     std::promise<void> reached;
 
@@ -147,7 +149,7 @@
    private:
     bool done_ = false;
   };
-  auto marker = std::make_shared<Reached>();
+  auto marker = std::make_shared<FlushMarker>();
   auto logger =
       std::make_shared<spdlog::async_logger>("flush", marker, thread_, spdlog::async_overflow_policy::block);
   logger->log(spdlog::level::err, "");
--- a/src/app/logger.h
+++ b/src/app/logger.h
@@ -15,7 +15,7 @@
 
 struct LogOptions {
   bool json = false;
-  net::Level least = net::Level::kInfo;
+  net::Level min_level = net::Level::kInfo;
   int lines_per_second = 40;
 };
 
@@ -31,9 +31,9 @@
   void flush();  // returns when all that was logged before has been written or dropped
 
  private:
-  class Lines;
+  class LineSink;
   std::shared_ptr<spdlog::details::thread_pool> thread_;
-  std::shared_ptr<Lines> lines_;
+  std::shared_ptr<LineSink> line_sink_;
   net::Log sink_;
 };
 
--- a/src/app/operator_file.cpp
+++ b/src/app/operator_file.cpp
@@ -126,10 +126,10 @@
     auto& l = root.at("log");
     file.log.json = l.value("format", "text") == "json";
     auto level = l.value("level", "info");
-    file.log.least = level == "error"     ? net::Level::kError
-                     : level == "warning" ? net::Level::kWarning
-                     : level == "debug"   ? net::Level::kDebug
-                                          : net::Level::kInfo;
+    file.log.min_level = level == "error"     ? net::Level::kError
+                         : level == "warning" ? net::Level::kWarning
+                         : level == "debug"   ? net::Level::kDebug
+                                              : net::Level::kInfo;
     file.log.lines_per_second = l.value("lines_per_second", file.log.lines_per_second);
   }
   return file;
