--- a/src/app/commands.cpp
+++ b/src/app/commands.cpp
@@ -107,7 +107,7 @@
   log(net::Level::kInfo, fmt::format("configuration read again: discovery {}, {} descriptors{}",
                                      loaded.config.discovery, loaded.config.sockets,
                                      restart ? "; listen or settings differ, which needs a restart" : ""));
-  if (auto keys = needs_restart(running.operator_file, loaded.operator_file); !keys.empty())
+  if (auto keys = keys_needing_restart(running.operator_file, loaded.operator_file); !keys.empty())
     log(net::Level::kWarning, fmt::format("{}: differs in the operator's file, which needs a restart", keys));
 } catch (const UnreadableFile& e) {
   bool is_first = attempts == kReloadAttempts, is_tried_again = net::is_transient(e.error) && attempts > 1;
--- a/src/app/config.cpp
+++ b/src/app/config.cpp
@@ -21,7 +21,7 @@
 using nlohmann::json;
 using Pairs = std::map<std::string, std::string, std::less<>>;
 
-std::string plain(const json& value) {
+std::string scalar_text(const json& value) {
   if (value.is_string()) return value.get<std::string>();
   if (value.is_null()) return "";
   return value.dump();
@@ -38,11 +38,11 @@
     std::string joined;
     for (auto& item : value) {
       if (!joined.empty()) joined.push_back(',');
-      joined.append(plain(item));
+      joined.append(scalar_text(item));
     }
     (*pairs)[path] = joined;
   } else {
-    (*pairs)[path] = plain(value);
+    (*pairs)[path] = scalar_text(value);
   }
 }
 
@@ -87,7 +87,7 @@
   request_router::SettingsReader settings(std::move(pairs));
   c.settings = settings.settings();
   if (c.settings.classes.empty()) throw ConfigError("settings.RequestClasses is empty");
-  request_router::Router probe(c.settings, c.seed);  // throws where they are impossible
+  request_router::Router trial(c.settings, c.seed);  // throws where they are impossible
   c.pool.connect_timeout = settings.millis("Limits.ConnectTimeoutMs", 250);
   c.pool.probe_timeout = c.pool.connect_timeout;
   auto keepalive = settings.millis("Limits.KeepaliveMs", 30000);
--- a/src/app/operations.cpp
+++ b/src/app/operations.cpp
@@ -23,8 +23,8 @@
 // A process that is ending looks so often whether another one serves by now.
 constexpr net::Micros kSuccessorCheckInterval = 25ms;
 // The answer to a command is owed within a second: so often and so long its keeping is tried before.
-constexpr int kKeepAttempts = 15;
-constexpr net::Micros kKeepRetry = 50ms;
+constexpr int kStoreAttempts = 15;
+constexpr net::Micros kStoreRetryInterval = 50ms;
 // The processes beside this one read its record 40 times a second; one that does not is not waited for
 // any longer.
 constexpr net::Micros kAcknowledgementTimeout = 500ms;
@@ -74,7 +74,7 @@
 
 Operations::~Operations() {
   loop_.cancel(&owner_timer_);
-  loop_.cancel(&others_timer_);
+  loop_.cancel(&acknowledgement_timer_);
 }
 
 void Operations::on_serving() {
@@ -87,7 +87,7 @@
 // The newest process that serves has claimed the socket last. Where that one ends, this one does again.
 void Operations::watch_owner() {
   if (owner_->is_vacant()) owner_->claim();
-  share_with_others();
+  update_limit_shares();
   owner_timer_ = loop_.at(loop_.now() + kOwnerCheckInterval, [this] { watch_owner(); });
 }
 
@@ -115,9 +115,9 @@
   options->inherited_listener = inherited_listener_;
   options->overlay = [this](discovery::EndpointListUpdate update) {
     if (exchange_) exchange_->merge_from_socket();
-    auto shown = overlay_.apply_to(std::move(update), net::monotonic_now());
+    auto overlaid = overlay_.apply_to(std::move(update), net::monotonic_now());
     if (exchange_) exchange_->publish();
-    return shown;
+    return overlaid;
   };
   options->reserved_descriptors = address_.empty() ? 0 : operator_endpoint::kListenerDescriptors;
   if (inherited_listener_ >= 0) options->reserved_descriptors += handover::kFolderDescriptors;
@@ -142,9 +142,9 @@
   host.add_endpoints = [this](auto& view) { return add_endpoints(view); };
   host.descriptors = process_.descriptors_held;
   host.on_other_processes_changed = [this](const handover::OtherProcesses& others) {
-    others_ = others;
-    share_with_others();
-    if (others_.know_this_process) stop_waiting_for_others();
+    other_processes_ = others;
+    update_limit_shares();
+    if (other_processes_.know_this_process) stop_waiting_for_other_processes();
   };
   host.cancel = [this](const handover::ForwardedCancel& cancel) {
     process_.cancel(cancel.session_number, cancel.secret);
@@ -152,36 +152,36 @@
   // Whoever served the socket up to now may have taken writes of any session.
   process_.share_limits_with({0, 0, true});
   exchange_.emplace(loop_, shared_folder_, inherited_listener_, std::move(host), log_);
-  share_with_others();
-  if (!others_.know_this_process) wait_for_others();
+  update_limit_shares();
+  if (!other_processes_.know_this_process) wait_for_other_processes();
 }
 
 // Until they know of this process, the others hold more than their part of what all share.
-void Operations::wait_for_others() {
+void Operations::wait_for_other_processes() {
   process_.set_waiting_for_others(true);
-  others_timer_ = loop_.at(loop_.now() + kAcknowledgementTimeout, [this] {
+  acknowledgement_timer_ = loop_.at(loop_.now() + kAcknowledgementTimeout, [this] {
     log_(net::Level::kWarning, "a process with the same listening socket does not read this one's record");
-    stop_waiting_for_others();
+    stop_waiting_for_other_processes();
   });
 }
 
-void Operations::stop_waiting_for_others() {
-  if (others_timer_ == net::Loop::kNoTimer) return;
-  loop_.cancel(&others_timer_);
+void Operations::stop_waiting_for_other_processes() {
+  if (acknowledgement_timer_ == net::Loop::kNoTimer) return;
+  loop_.cancel(&acknowledgement_timer_);
   process_.set_waiting_for_others(false);
 }
 
 std::string Operations::unhealthy_reason() const {
   auto reason = process_.unhealthy_reason();
-  bool is_waiting = others_timer_ != net::Loop::kNoTimer;
+  bool is_waiting = acknowledgement_timer_ != net::Loop::kNoTimer;
   if (reason.empty() && is_waiting) return "a process with the same listening socket has not heard of it yet";
   return reason;
 }
 
-void Operations::share_with_others() {
+void Operations::update_limit_shares() {
   if (predecessor_ > 0 && handover::state_of(predecessor_) == handover::ProcessState::kGone) predecessor_ = 0;
-  bool takes_requests = others_.count > 0 || predecessor_ > 0 || owner_->other_owner() > 0;
-  process_.share_limits_with({others_.count, others_.descriptors, takes_requests});
+  bool takes_requests = other_processes_.count > 0 || predecessor_ > 0 || owner_->other_owner() > 0;
+  process_.share_limits_with({other_processes_.count, other_processes_.descriptors, takes_requests});
 }
 
 bool Operations::merge_cordons(const endpoint_list::CordonMarks& marks, pid_t from) {
@@ -225,7 +225,7 @@
           fmt::format("{} data servers are cordoned already", endpoint_list::kMostCordonMarks)));
     case Result::kUnchanged:
       command.remark = is_cordoned ? "it was cordoned already" : "it was not cordoned";
-      return answer_when_kept(command, kKeepAttempts);
+      return answer_when_stored(command, kStoreAttempts);
     case Result::kDone:
       break;
   }
@@ -236,28 +236,28 @@
        fmt::format("server {} is {} by an operator{}", server, is_cordoned ? "cordoned" : "put back",
                    is_last ? "; no other server of its group takes work" : ""));
   process_.apply_change(std::move(change));
-  answer_when_kept(command, kKeepAttempts);
+  answer_when_stored(command, kStoreAttempts);
 }
 
 // YES is a promise for every later process: it is not given before one is sure to know.
-void Operations::answer_when_kept(const CordonCommand& command, int attempts) {
+void Operations::answer_when_stored(const CordonCommand& command, int attempts) {
   if (exchange_) exchange_->publish();
   if (!exchange_ || exchange_->are_cordons_stored())
     return command.answer(operator_endpoint::yes(command.remark));
   if (attempts > 0) {
-    loop_.at(loop_.now() + kKeepRetry,
-             [this, command, attempts] { answer_when_kept(command, attempts - 1); });
+    loop_.at(loop_.now() + kStoreRetryInterval,
+             [this, command, attempts] { answer_when_stored(command, attempts - 1); });
     return;
   }
-  if (command.changed_at) take_back(command);
+  if (command.changed_at) revert(command);
   command.answer(operator_endpoint::no(
       "it cannot be kept for later processes: neither the listening socket nor TMPDIR takes it"));
 }
 
-void Operations::take_back(const CordonCommand& command) {
+void Operations::revert(const CordonCommand& command) {
   auto mark = overlay_.cordons().find(command.server);
-  bool is_last_word = mark != overlay_.cordons().end() && mark->second.changed_at == *command.changed_at;
-  if (!is_last_word) return;
+  bool is_latest_change = mark != overlay_.cordons().end() && mark->second.changed_at == *command.changed_at;
+  if (!is_latest_change) return;
   discovery::EndpointListUpdate change;
   overlay_.set_cordon(command.server, !command.is_cordoned, net::monotonic_now(), &change);
   log_(net::Level::kWarning, fmt::format("server {} is {} again: the command cannot be kept", command.server,
--- a/src/app/operations.h
+++ b/src/app/operations.h
@@ -60,10 +60,10 @@
  private:
   void watch_owner();
   void wait_for_successor();
-  void share_with_others();
+  void update_limit_shares();
   void start_exchange();
-  void wait_for_others();
-  void stop_waiting_for_others();
+  void wait_for_other_processes();
+  void stop_waiting_for_other_processes();
   std::string unhealthy_reason() const;
   bool merge_cordons(const endpoint_list::CordonMarks& marks, pid_t from);
   bool add_endpoints(const endpoint_list::EndpointListView& view);
@@ -77,8 +77,8 @@
   };
   void set_cordon(const std::string& server, bool is_cordoned,
                   const operator_endpoint::OperatorListener::Answer& answer);
-  void answer_when_kept(const CordonCommand& command, int attempts);
-  void take_back(const CordonCommand& command);
+  void answer_when_stored(const CordonCommand& command, int attempts);
+  void revert(const CordonCommand& command);
   void handle(const operator_endpoint::OperatorCommand& command,
               const operator_endpoint::OperatorListener::Answer& answer);
 
@@ -90,8 +90,8 @@
   net::Loop::TimerId owner_timer_ = net::Loop::kNoTimer;
   bool is_shutting_down_ = false;
   pid_t predecessor_ = 0;  // that served the socket when this process started; 0: none did
-  handover::OtherProcesses others_;
-  net::Loop::TimerId others_timer_ = net::Loop::kNoTimer;  // runs while the others are waited for
+  handover::OtherProcesses other_processes_;
+  net::Loop::TimerId acknowledgement_timer_ = net::Loop::kNoTimer;  // runs while the others are waited for
   Process process_;
   endpoint_list::EndpointOverlay overlay_;
   std::optional<handover::ProcessExchange> exchange_;
--- a/src/app/operator_file.cpp
+++ b/src/app/operator_file.cpp
@@ -52,7 +52,7 @@
   throw ConfigError(more > 0 ? fmt::format("{} (and {} more)", first, more) : first);
 }
 
-unsigned cores() {
+unsigned available_cores() {
   cpu_set_t set;
   CPU_ZERO(&set);
   return sched_getaffinity(0, sizeof set, &set) == 0 ? static_cast<unsigned>(CPU_COUNT(&set)) : 1;
@@ -90,20 +90,20 @@
     for (auto& n : g.at("nodes")) o.nodes.push_back({n.value("name", ""), n.value("address", "")});
     if (g.contains("placement")) {
       auto& p = g.at("placement");
-      auto& places = o.placement.emplace();
+      auto& placement_options = o.placement.emplace();
       for (auto& [region, zones] : p.at("regions").items())
         for (auto& zone : zones)
-          if (!places.regions.emplace(zone.get<std::string>(), region).second)
+          if (!placement_options.regions.emplace(zone.get<std::string>(), region).second)
             throw ConfigError(
                 fmt::format("group.placement.regions: zone '{}' is in two regions", zone.get<std::string>()));
-      places.requests_per_weight = p.value("requests_per_weight", 0.0);
-      auto span = [&](const char* key, group::Micros* to) {
+      placement_options.requests_per_weight = p.value("requests_per_weight", 0.0);
+      auto placement_millis = [&](const char* key, group::Micros* to) {
         if (p.contains(key)) *to = group::Micros(p.at(key).get<std::int64_t>() * 1000);
       };
-      span("keep_ms", &places.keep);
-      span("dwell_ms", &places.minimum_phase_duration);
-      span("open_after_ms", &places.open_after);
-      span("step_ms", &places.step);
+      placement_millis("keep_ms", &placement_options.keep);
+      placement_millis("dwell_ms", &placement_options.minimum_phase_duration);
+      placement_millis("open_after_ms", &placement_options.open_after);
+      placement_millis("step_ms", &placement_options.step);
     }
     if (o.voter()) o.jobs = {"list", "probe"};
     if (o.voter() && o.placement) o.jobs.push_back("placement");
@@ -152,16 +152,16 @@
   std::vector<std::string> all;
   auto& w = file.workers;
   auto threads = w.count + (w.count > 1 && w.decisions == workers::Decisions::kShared);
-  if (w.count > 1 && threads > cores())
+  if (w.count > 1 && threads > available_cores())
     all.push_back(fmt::format("{} busy threads ({} workers{}) share {} cores", threads, w.count,
-                              threads > w.count ? " and the decisions" : "", cores()));
+                              threads > w.count ? " and the decisions" : "", available_cores()));
   return all;
 }
 
-std::string needs_restart(const OperatorFile& running, const OperatorFile& read) {
+std::string keys_needing_restart(const OperatorFile& running, const OperatorFile& read) {
   std::string keys;
-  auto differs = [&](bool does, const char* key) {
-    if (does) keys += (keys.empty() ? "" : ", ") + std::string(key);
+  auto differs = [&](bool is_different, const char* key) {
+    if (is_different) keys += (keys.empty() ? "" : ", ") + std::string(key);
   };
   auto &a = running.workers, &b = read.workers;
   differs(a.count != b.count, "workers.count");
--- a/src/app/operator_file.h
+++ b/src/app/operator_file.h
@@ -30,6 +30,6 @@
 
 // What of a newly read file differs from the one in force and needs a restart, as a list of keys; empty:
 // nothing.
-std::string needs_restart(const OperatorFile& running, const OperatorFile& read);
+std::string keys_needing_restart(const OperatorFile& running, const OperatorFile& read);
 
 }  // namespace database_proxy::app
--- a/src/app/start_retry.cpp
+++ b/src/app/start_retry.cpp
@@ -11,14 +11,14 @@
 using namespace std::chrono_literals;
 
 // The platform gives a new process 6 s to serve, some of which it needs after its start.
-constexpr net::Micros kLongestStart = 5500ms;
+constexpr net::Micros kMaxStartDuration = 5500ms;
 constexpr net::Micros kRetryInterval = 50ms;
 
 }  // namespace
 
 bool StartRetry::wait_after(int error, const std::string& what) {
   if (!net::is_transient(error)) return false;
-  if (net::monotonic_now() - began_at_ > kLongestStart) return false;
+  if (net::monotonic_now() - started_at_ > kMaxStartDuration) return false;
   if (logged_.insert(what).second) log_(net::Level::kWarning, what + "; trying again");
   if (wait_for_termination(kRetryInterval)) throw StartAborted();
   return true;
--- a/src/app/start_retry.h
+++ b/src/app/start_retry.h
@@ -17,7 +17,7 @@
 
 class StartRetry {
  public:
-  explicit StartRetry(net::Log log) : log_(std::move(log)), began_at_(net::monotonic_now()) {}
+  explicit StartRetry(net::Log log) : log_(std::move(log)), started_at_(net::monotonic_now()) {}
 
   // A part of the start has failed with this error. Returns after a moment where it is to be made again;
   // false: the error does not pass, or has lasted too long. Throws StartAborted.
@@ -25,7 +25,7 @@
 
  private:
   net::Log log_;
-  net::Micros began_at_;
+  net::Micros started_at_;
   std::set<std::string> logged_;
 };
 
