--- a/src/app/commands.cpp
+++ b/src/app/commands.cpp
@@ -33,12 +33,13 @@
 
 constexpr const char* kVersion = "0.4.0";
 
-// The platform ends a process so long after SIGTERM: the longest deadline, counted as 3 s where it is longer,
-// and the grace.
+// The platform kills a process this long after SIGTERM: the longest deadline, but at most
+// kLongestCountedDeadline, and the grace.
 constexpr net::Micros kLongestCountedDeadline = std::chrono::seconds(3);
 constexpr net::Micros kShutdownGrace = std::chrono::milliseconds(700);
 
-// As many descriptors as the configuration allows, where the system lets us have them.
+// Raises the limit on descriptors to `wanted` as far as the system permits. Returns how many of them this
+// process may use.
 std::size_t raise_descriptor_limit(std::size_t wanted) {
   rlimit limit{};
   if (getrlimit(RLIMIT_NOFILE, &limit) != 0) return wanted;
@@ -67,9 +68,9 @@
   return options;
 }
 
-// Where the program reads what it is loaded, and what of that is in force.
+// The files and the environment that the process is configured by, and their content as last read.
 struct LoadedConfig {
-  std::string config_path, operator_path;  // operator_path: empty where none was given
+  std::string config_path, operator_path;  // operator_path: empty if none was given
   StartEnvironment environment;
   Config config;
   OperatorFile operator_file;
@@ -77,7 +78,7 @@
   void read() {
     config = read_config(config_path);
     if (!operator_path.empty()) operator_file = read_operator_file(operator_path);
-    // Two processes that start from one configuration must not draw the same numbers.
+    // Two processes with the same configuration must not draw the same random numbers.
     if (environment.inherited_listener >= 0) config.seed ^= seed_of_process();
   }
 
@@ -89,13 +90,14 @@
   }
 };
 
-// A file that cannot be read for the moment is read again so often after SIGHUP, which has to count in 4 s.
+// Attempts after SIGHUP to read a file that cannot be read for the moment, and the time between them: a
+// reload must take effect within 4 s.
 constexpr int kReloadAttempts = 30;
 constexpr net::Micros kReloadRetry = std::chrono::milliseconds(100);
 
 using ApplyReload = std::function<void(const proxy::ProxyOptions&, const OperatorFile&)>;
 
-// SIGHUP: reads the files again. A bad one changes nothing, and one line says so.
+// Handles SIGHUP: reads the files again. An invalid file changes nothing and is logged in one line.
 void reload(net::Loop& loop, const LoadedConfig& running, Logger& logger, const net::Log& log,
             const ApplyReload& apply, int attempts = kReloadAttempts) try {
   auto loaded = running;
@@ -104,9 +106,10 @@
   apply(make_proxy_options(loaded.config, loaded.operator_file), loaded.operator_file);
   bool restart = loaded.config.listen != running.config.listen ||
                  loaded.config.settings_text != running.config.settings_text;
-  log(net::Level::kInfo, fmt::format("configuration read again: discovery {}, {} descriptors{}",
-                                     loaded.config.discovery, loaded.config.sockets,
-                                     restart ? "; listen or settings differ, which needs a restart" : ""));
+  log(net::Level::kInfo,
+      fmt::format("configuration read again: discovery {}, {} descriptors{}", loaded.config.discovery,
+                  loaded.config.sockets,
+                  restart ? "; listen or settings have changed, which takes effect after a restart" : ""));
   if (auto keys = keys_needing_restart(running.operator_file, loaded.operator_file); !keys.empty())
     log(net::Level::kWarning, fmt::format("{}: differs in the operator's file, which needs a restart", keys));
 } catch (const UnreadableFile& e) {
@@ -128,7 +131,7 @@
                      descriptors);
 }
 
-// One proxy, or a pool of workers, as operators see it; it must outlive what is returned.
+// Returns the callbacks of `serving`, a proxy or a pool of workers, which must outlive them.
 template <class Serving>
 Operations::Process make_operations_process(Serving& serving) {
   Operations::Process process;
@@ -169,10 +172,10 @@
       });
   log(net::Level::kInfo, listening_message(loaded.config, pool.port(), config.proxy.descriptors));
   log(net::Level::kInfo,
-      fmt::format(
-          "{} workers, decisions {}, clients {}", worker_options.count,
-          worker_options.decisions == workers::Decisions::kShared ? "shared" : "split",
-          config.options.accept == workers::Accept::kBalanced ? "dealt out" : "dealt out by the kernel"));
+      fmt::format("{} workers, decisions {}, clients {}", worker_options.count,
+                  worker_options.decisions == workers::Decisions::kShared ? "shared" : "split",
+                  config.options.accept == workers::Accept::kBalanced ? "balanced by the process"
+                                                                      : "balanced by the kernel"));
   pool.on_ready = [&] { operations.on_serving(); };
   pool.on_unknown_cancel = [&](auto number, auto secret) { operations.forward_cancel(number, secret); };
   operations.open(make_operations_process(pool));
@@ -181,7 +184,7 @@
   return 0;
 }
 
-// Runs until the process is loaded to end. `has_started`: a failure after it is set is none of the start.
+// Runs until the process is told to stop. `has_started`: once it is set, a failure is not a failed start.
 int serve_once(const LoadedConfig& loaded, Logger& logger, const net::Log& log, bool* has_started) {
   auto& config = loaded.config;
   for (auto& line : warnings(loaded.operator_file)) log(net::Level::kWarning, line);
@@ -191,7 +194,7 @@
                     loaded.operator_path, loaded.operator_file.congestion));
   if (!net::set_source(loaded.operator_file.source))
     throw std::runtime_error(
-        fmt::format("operator's file {}: network.source: '{}' is no address of this machine",
+        fmt::format("operator's file {}: network.source: '{}' is not an address of this machine",
                     loaded.operator_path, loaded.operator_file.source));
   if (loaded.operator_file.workers.count > 1) return serve_with_workers(loaded, logger, log, has_started);
   net::Loop loop;
@@ -232,7 +235,7 @@
   return 0;
 }
 
-// Reads what the program is loaded; a file that cannot be read for the moment is read again.
+// Reads the files; one that cannot be read for the moment is read again.
 void read_with_retries(LoadedConfig* loaded) {
   StartRetry retry(
       [](net::Level, const std::string& line) { std::cerr << "database-proxy: " << line << "\n"; });
@@ -271,9 +274,9 @@
   if (argc > 1 && std::string_view(argv[1]) == "fleet")
     return run_fleet(std::vector<std::string>(argv + 2, argv + argc));
   po::options_description options("Options");
-  options.add_options()("help,h", "show this text")("config,c", po::value<std::string>(),
-                                                    "configuration file (else NODE_CONFIG names it)")(
-      "operator,o", po::value<std::string>(), "the operator's own file (deploy/operator.schema.json)");
+  options.add_options()("help,h", "show this text")(
+      "config,c", po::value<std::string>(), "configuration file (default: the one that NODE_CONFIG names)")(
+      "operator,o", po::value<std::string>(), "the operator's file (deploy/operator.schema.json)");
   po::options_description hidden;
   hidden.add_options()("command", po::value<std::string>()->default_value(""));
   po::options_description all;
@@ -288,9 +291,9 @@
   if (given.count("help") || command == "help") {
     std::cout << "database-proxy COMMAND [options]\n\n"
                  "  serve     run the proxy\n"
-                 "  check     read the configuration and the operator's file, say whether they are good, and "
-                 "leave\n"
-                 "  fleet     status and changes of the group of daemons (database-proxy fleet help)\n"
+                 "  check     read the configuration and the operator's file, and report whether they are "
+                 "valid\n"
+                 "  fleet     status and administration of the group of daemons (database-proxy fleet help)\n"
                  "  version   print the version\n\n"
               << options;
     return 0;
@@ -314,12 +317,12 @@
   if (command == "serve") return serve(&loaded);
   if (!loaded.config_path.empty()) {
     loaded.config = read_config(loaded.config_path);
-    std::cout << fmt::format("{}: good ({} classes, {} servers known)\n", loaded.config_path,
+    std::cout << fmt::format("{}: valid ({} classes, {} servers known)\n", loaded.config_path,
                              loaded.config.settings.classes.size(), loaded.config.known.members.size());
   }
   if (!loaded.operator_path.empty()) {
     loaded.operator_file = read_operator_file(loaded.operator_path);
-    std::cout << fmt::format("{}: good ({} workers)\n", loaded.operator_path,
+    std::cout << fmt::format("{}: valid ({} workers)\n", loaded.operator_path,
                              loaded.operator_file.workers.count);
     for (auto& line : warnings(loaded.operator_file)) std::cout << "warning: " << line << "\n";
   }
--- a/src/app/config.cpp
+++ b/src/app/config.cpp
@@ -27,7 +27,7 @@
   return value.dump();
 }
 
-// Brings the nested object into the form in which the simulator's first message gives the same settings.
+// Flattens the nested object into the pairs in which the simulator's first message carries the same settings.
 void flatten(const json& value, const std::string& path, Pairs* pairs) {
   if (value.is_object()) {
     for (auto& [name, inner] : value.items()) flatten(inner, path.empty() ? name : path + "." + name, pairs);
@@ -52,7 +52,7 @@
   std::uint64_t seed = 0;
   auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), seed, 16);
   if (text.empty() || error != std::errc() || end != text.data() + text.size())
-    throw ConfigError("seed is no hexadecimal number");
+    throw ConfigError("seed is not a hexadecimal number");
   return seed;
 }
 
@@ -66,7 +66,7 @@
 
 Config parse_config(std::string_view text) try {
   auto root = json::parse(text);
-  if (!root.is_object()) throw ConfigError("the configuration is no JSON object");
+  if (!root.is_object()) throw ConfigError("the configuration is not a JSON object");
   Config c;
   c.name = root.value("name", c.name);
   c.listen = address_of(root, "listen");
@@ -74,7 +74,7 @@
   if (root.contains("operator")) c.operator_address = address_of(root, "operator");
   if (root.contains("seed")) c.seed = seed_of(root.at("seed"));
   if (root.contains("limits")) c.sockets = root.at("limits").value("sockets", c.sockets);
-  if (c.sockets < 32) throw ConfigError("limits.sockets is under 32");
+  if (c.sockets < 32) throw ConfigError("limits.sockets is less than 32");
   if (root.contains("limits")) {
     auto mb = root.at("limits").value("memory_mb", static_cast<double>(c.memory >> 20));
     if (!(mb >= 8 && mb <= 1 << 20)) throw ConfigError("limits.memory_mb is not between 8 and 1048576");
@@ -87,12 +87,12 @@
   request_router::SettingsReader settings(std::move(pairs));
   c.settings = settings.settings();
   if (c.settings.classes.empty()) throw ConfigError("settings.RequestClasses is empty");
-  request_router::Router trial(c.settings, c.seed);  // throws where they are impossible
+  request_router::Router trial(c.settings, c.seed);  // throws if the settings are invalid
   c.pool.connect_timeout = settings.millis("Limits.ConnectTimeoutMs", 250);
   c.pool.probe_timeout = c.pool.connect_timeout;
   auto keepalive = settings.millis("Limits.KeepaliveMs", 30000);
   if (keepalive.count() <= 0 || c.pool.connect_timeout.count() <= 0)
-    throw ConfigError("Limits.KeepaliveMs or Limits.ConnectTimeoutMs is not above 0");
+    throw ConfigError("Limits.KeepaliveMs or Limits.ConnectTimeoutMs is not greater than 0");
   c.pool.idle = keepalive * 2 / 3;
   return c;
 } catch (const json::exception& e) {
@@ -103,8 +103,7 @@
 
 std::string read_file(const std::string& path, const std::string& kind) {
   auto fail = [&](int error) {
-    throw UnreadableFile(fmt::format("{} {}: it cannot be read: {}", kind, path, net::message_of(error)),
-                         error);
+    throw UnreadableFile(fmt::format("{} {} cannot be read: {}", kind, path, net::message_of(error)), error);
   };
   net::Fd file(open(path.c_str(), O_RDONLY | O_CLOEXEC));
   if (!file) fail(errno);
--- a/src/app/fleet.cpp
+++ b/src/app/fleet.cpp
@@ -26,26 +26,27 @@
 using nlohmann::json;
 
 constexpr const char* kConsequence = "what only the lost nodes knew is gone";
-// A new member is given the whole state before it votes; one whose disk is slow takes a while.
+// A new member receives the complete state before it may vote, which takes a while if its disk is slow.
 constexpr int kPromoteAttempts = 150, kPromoteRetryMs = 200;
 
 constexpr const char* kHelp =
     "database-proxy fleet COMMAND [argument] --operator FILE [--node ADDRESS] [--json]\n\n"
-    "  status            what the node knows: role, leader, term, what it holds\n"
-    "  members           who votes, how far each is, when it was heard of (ask the leader)\n"
-    "  owners            which job is whose, with its fencing token\n"
-    "  transfer [NODE]   hand leadership to that node, or to whoever is furthest on\n"
-    "  step-down         the leader hands over and goes on as a follower\n"
-    "  init              make the group of the voters in the operator's file; all must be up and new\n"
-    "  add NODE          take a voter in, once it has caught up\n"
-    "  remove NODE       take a voter out (--id where a name was used again)\n"
-    "  recover           this node goes on as the only voter; demands --consequence, spelled out\n"
-    "  put KEY VALUE     keep a setting in the group; get KEY reads it from the confirmed leader\n"
-    "  placement show    the plan of zones: phases, reasons, who follows it\n"
-    "  placement explain SET    where the reads of a set go, by zone of clients\n"
-    "  placement evacuate ZONE  empty a zone in steps, where the others carry it (else --force)\n"
-    "  placement restore ZONE   and back, in steps\n"
-    "  placement freeze|resume  no new plan until resumed\n";
+    "  status            state of the node: role, leader, term, leases that it holds\n"
+    "  members           voters, progress and last contact of each (query the leader)\n"
+    "  owners            lease holder of each job, with its fencing token\n"
+    "  transfer [NODE]   transfer leadership to that node, or to the most advanced one\n"
+    "  step-down         the leader transfers leadership and becomes a follower\n"
+    "  init              create the group from the voters in the operator's file; all must be running and "
+    "new\n"
+    "  add NODE          add a voter, once it has caught up\n"
+    "  remove NODE       remove a voter (--id if its name has been reused)\n"
+    "  recover           make this node the only voter; requires --consequence, spelled out\n"
+    "  put KEY VALUE     store a setting in the group; get KEY reads it from the confirmed leader\n"
+    "  placement show    the placement plan: phases, reasons, proxies that follow it\n"
+    "  placement explain SET    where the reads of a set are sent, by zone of the clients\n"
+    "  placement evacuate ZONE  evacuate a zone in steps, if the others have the capacity (else --force)\n"
+    "  placement restore ZONE   return a zone to service, in steps\n"
+    "  placement freeze|resume  suspend planning, or resume it\n";
 
 void print(const json& j, bool as_json) {
   if (as_json) {
@@ -77,7 +78,7 @@
 FleetConnection::FleetConnection(const std::string& address, const std::string& installation, int timeout_ms)
     : address_(address) {
   auto to = net::parse_address(address);
-  if (!to) throw std::runtime_error(fmt::format("'{}' is no address", address));
+  if (!to) throw std::runtime_error(fmt::format("'{}' is not an address", address));
   fd_ = socket(to->storage.ss_family, SOCK_STREAM | SOCK_CLOEXEC, 0);
   timeval timeout{timeout_ms / 1000, timeout_ms % 1000 * 1000};
   setsockopt(fd_, SOL_SOCKET, SO_RCVTIMEO, &timeout, sizeof timeout);
@@ -93,7 +94,8 @@
                                 {"id", 0},
                                 {"kind", "tool"}});
     if (answer.value("t", "") != "welcome")
-      throw std::runtime_error(fmt::format("{}: {}", address, answer.value("why", "no welcome")));
+      throw std::runtime_error(
+          fmt::format("{}: {}", address, answer.value("why", "the node did not accept the connection")));
   } catch (...) {
     close(fd_);
     throw;
@@ -118,7 +120,8 @@
     json message;
     std::size_t size = 0;
     auto parse = peers::parse_frame(received_, &message, &size);
-    if (parse == peers::FrameParse::kBad) throw std::runtime_error(fmt::format("{}: no message", address_));
+    if (parse == peers::FrameParse::kBad)
+      throw std::runtime_error(fmt::format("{}: received a malformed message", address_));
     if (parse == peers::FrameParse::kOk) {
       received_.erase(0, size);
       auto t = message.value("t", "");
@@ -138,11 +141,12 @@
 int run_fleet(const std::vector<std::string>& arguments) {
   po::options_description options("Options");
   options.add_options()("operator,o", po::value<std::string>()->default_value(""), "the operator's file")(
-      "node", po::value<std::string>()->default_value(""), "ask this address (else the file's own listen)")(
-      "json", "print the answer as JSON")("force", "placement evacuate: though the others cannot carry it")(
-      "id", po::value<std::uint64_t>()->default_value(0), "remove: by id")(
-      "consequence", po::value<std::string>()->default_value(""), "recover: what it costs, spelled out")(
-      "help,h", "this text");
+      "node", po::value<std::string>()->default_value(""),
+      "address of the node to query (default: listen of the file)")("json", "print the answer as JSON")(
+      "force", "placement evacuate: even if the others lack the capacity")(
+      "id", po::value<std::uint64_t>()->default_value(0), "remove: id of the voter")(
+      "consequence", po::value<std::string>()->default_value(""), "recover: the consequence, spelled out")(
+      "help,h", "show this text");
   po::options_description hidden;
   hidden.add_options()("words", po::value<std::vector<std::string>>());
   po::options_description all;
@@ -159,9 +163,10 @@
     return 0;
   }
   auto path = given["operator"].as<std::string>();
-  if (path.empty()) throw std::runtime_error("fleet: give --operator FILE, which names the group");
+  if (path.empty()) throw std::runtime_error("fleet: --operator FILE is required; it describes the group");
   auto file = read_operator_file(path);
-  if (!file.group) throw std::runtime_error(fmt::format("operator's file {}: it has no section group", path));
+  if (!file.group)
+    throw std::runtime_error(fmt::format("operator's file {}: the section group is missing", path));
   auto& group = *file.group;
   auto node = given["node"].as<std::string>();
   if (node.empty()) node = group.listen.empty() ? group.nodes[0].address : group.listen;
@@ -187,7 +192,7 @@
       if (!answer.value("ok", false))
         throw std::runtime_error(fmt::format("fleet init: {}: {}", n.name, answer.value("why", "?")));
     }
-    std::cout << fmt::format("the group of {} voters has begun\n", ids.size());
+    std::cout << fmt::format("created the group of {} voters\n", ids.size());
     return 0;
   }
 
@@ -213,13 +218,14 @@
       std::int64_t set = 0;
       auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), set);
       if (error != std::errc() || end != text.data() + text.size())
-        throw std::runtime_error(fmt::format("fleet placement explain: '{}' is no number of a set", text));
+        throw std::runtime_error(
+            fmt::format("fleet placement explain: '{}' is not the number of a set", text));
       request["set"] = set;
     }
   } else if (command == "recover") {
     request["consequence"] = given["consequence"].as<std::string>();
     if (request["consequence"] != kConsequence)
-      throw std::runtime_error(fmt::format("fleet recover: demands --consequence \"{}\"", kConsequence));
+      throw std::runtime_error(fmt::format("fleet recover: requires --consequence \"{}\"", kConsequence));
   } else if (command != "status" && command != "members" && command != "owners" && command != "step-down") {
     throw std::runtime_error(
         fmt::format("fleet: unknown command '{}'; see database-proxy fleet help", command));
@@ -242,9 +248,9 @@
     else if (subcommand == "explain")
       std::cout << format_explanation(answer, request.at("set").get<std::int64_t>());
     else
-      std::cout << fmt::format("plan {} says so{}\n", answer.value("plan", 0),
+      std::cout << fmt::format("committed in plan {}{}\n", answer.value("plan", 0),
                                answer.value("takes_ms", 0) > 0
-                                   ? fmt::format("; done in {:.0f} s where nothing is in the way",
+                                   ? fmt::format("; completes in {:.0f} s if nothing delays it",
                                                  answer.value("takes_ms", 0) / 1000.0)
                                    : "");
     return 0;
--- a/src/app/fleet.h
+++ b/src/app/fleet.h
@@ -1,4 +1,5 @@
-// `database-proxy fleet ...`: what an operator asks of the group, over the same links as the daemons use.
+// `database-proxy fleet ...`: an operator's admin commands to the consensus group, sent over the protocol
+// that the daemons use among themselves.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -7,17 +8,21 @@
 
 namespace database_proxy::app {
 
+// Runs the sub-command of `fleet` that the arguments name. Returns the exit code; throws std::runtime_error
+// with one line if the command fails.
 int run_fleet(const std::vector<std::string>& arguments);
 
-// One connection to a node, for tools and tests. Blocks, for `timeout_ms` at most a call.
+// A blocking connection to one node, for admin commands and tests. Each send or receive blocks for at most
+// `timeout_ms`.
 class FleetConnection {
  public:
-  // Throws std::runtime_error with one line: nobody there, or turned away.
+  // Throws std::runtime_error with one line if the node cannot be reached or rejects the connection.
   FleetConnection(const std::string& address, const std::string& installation, int timeout_ms = 5000);
   ~FleetConnection();
   FleetConnection(const FleetConnection&) = delete;
   FleetConnection& operator=(const FleetConnection&) = delete;
-  // The answer's object; throws std::runtime_error where none came in time.
+  // Sends the request and returns the answer. Throws std::runtime_error if the connection fails or no answer
+  // arrives in time.
   nlohmann::json send_request(nlohmann::json request);
 
  private:
--- a/src/app/fleet_placement.cpp
+++ b/src/app/fleet_placement.cpp
@@ -39,16 +39,16 @@
                         s.forced ? " (forced)" : "");
   for (auto& [key, s] : plan.links)
     if (s.phase == pl::Phase::kClosed)
-      text += fmt::format("way  {} to {} closed: the proxies there find it ill, others do not\n",
+      text += fmt::format("link {} to {} closed: only the proxies in the former find the latter unhealthy\n",
                           zone_text(key.first), zone_text(key.second));
-  if (!answer.contains("seen")) return text + "the owner was not asked: this is the plan as committed\n";
+  if (!answer.contains("seen")) return text + "the owner was not queried: this is the committed plan\n";
   auto seen = pl::observation_from_json(answer.at("seen"));
   for (auto& [number, proxies] : seen.followers())
-    text += number == 0 ? fmt::format("{} proxies follow none\n", proxies)
+    text += number == 0 ? fmt::format("{} proxies follow no plan\n", proxies)
                         : fmt::format("{} proxies follow plan {}\n", proxies, number);
   for (auto& [key, v] : seen.votes())
     if (v.unhealthy + v.late > 0)
-      text += fmt::format("of {} proxies in {} {} find {} ill and {} find it late\n", v.all(),
+      text += fmt::format("of {} proxies in {}, {} find {} unhealthy and {} find it late\n", v.all(),
                           zone_text(key.first), v.unhealthy, zone_text(key.second), v.late);
   return text;
 }
@@ -62,8 +62,8 @@
     auto it = plan.zones.find(key.second);
     auto fraction = it == plan.zones.end() ? 1.0 : it->second.capacity_fraction;
     text += fmt::format(
-        "zone {:<16} bears {:7.0f} reads a second, may be given {:.0f}{}\n", zone_text(key.second), max_rate,
-        max_rate * fraction,
+        "zone {:<16} can serve {:7.0f} reads a second, limited to {:.0f}{}\n", zone_text(key.second),
+        max_rate, max_rate * fraction,
         it == plan.zones.end() || it->second.reason == pl::PhaseReason::kNone
             ? ""
             : fmt::format("  ({}: {})", pl::text_of(it->second.phase), pl::text_of(it->second.reason)));
@@ -72,20 +72,22 @@
   for (auto& [key, shares] : plan.shares) {
     if (key.first != set) continue;
     has_shares = true;
-    text +=
-        fmt::format("clients of {:<11} ask for {:.0f}:", zone_text(key.second), demand[{set, key.second}]);
+    text += fmt::format("clients of {:<11} request {:.0f} reads a second:", zone_text(key.second),
+                        demand[{set, key.second}]);
     for (auto& [zone, share] : shares) text += fmt::format(" {} {:.1f} %", zone_text(zone), share * 100);
     if (auto it = plan.surplus_capacity.find(key); it != plan.surplus_capacity.end()) {
-      text += "; spare:";
+      text += "; surplus capacity:";
       for (auto& [zone, share] : it->second)
         text += fmt::format(" {} {:.1f} %", zone_text(zone), share * 100);
     }
     if (double refused = plan.refused(set, key.second); refused > 0.001)
-      text += fmt::format("; refused {:.1f} %: all zones together bear no more", refused * 100);
+      text += fmt::format("; rejected {:.1f} %: more than all zones together can serve", refused * 100);
     text += "\n";
   }
   if (!has_shares)
-    text += "the plan says nothing of it: each proxy decides alone (no replica, or nobody tells of it)\n";
+    text +=
+        "the plan does not cover this set: each proxy decides by itself (no replica, or no observations of "
+        "it)\n";
   return text;
 }
 
--- a/src/app/fleet_placement.h
+++ b/src/app/fleet_placement.h
@@ -1,4 +1,4 @@
-// `database-proxy fleet placement ...` in words: the plan as operators read it. No I/O.
+// The text output of `database-proxy fleet placement ...`. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -7,9 +7,10 @@
 
 namespace database_proxy::app {
 
-// Of an answer to `show`: zones with phase, part and reason, closed ways, who follows which plan.
+// Formats an answer to `show`: zones with phase, capacity fraction and reason, closed links, and how many
+// proxies follow which plan.
 std::string format_plan(const nlohmann::json& answer);
-// Of an answer to `explain`: for each zone of clients where the reads of this set go and why.
+// Formats an answer to `explain`: for each zone of clients, where the reads of this set are sent and why.
 std::string format_explanation(const nlohmann::json& answer, std::int64_t set);
 
 }  // namespace database_proxy::app
--- a/src/app/group_runner.cpp
+++ b/src/app/group_runner.cpp
@@ -14,14 +14,17 @@
 namespace database_proxy::app {
 namespace {
 
-// Beside what the configuration allows the proxy: links to hundreds of followers, the store, probes.
+// Descriptors in addition to those that the configuration allows the proxy: for links to hundreds of
+// followers, the store and health checks.
 constexpr rlim_t kGroupDescriptors = 2048;
-// Between two probes of a server by its owner: where no class bounds the age, and at least.
-// Left alone together, proxies ask the list service so far apart, one by one: a hundred calls a second.
+// When the group becomes unavailable to all proxies at once, they start to poll the list service one after
+// another, this far apart on average: a hundred calls a second.
 constexpr group::Micros kPollSpacing{10'000};
+// Interval between two health checks of a replica by the lease holder: if no class bounds the age of reads,
+// and the minimum.
 constexpr group::Micros kDefaultHealthCheckInterval{500'000}, kMinHealthCheckInterval{20'000};
 
-// A lease holder's health checks go over connections of their own, in the group's thread.
+// Health checks of a lease holder, over connections of their own, in the group's thread.
 class PoolHealthChecker : public group::HealthChecker, private proxy::ServerEvents {
  public:
   PoolHealthChecker(net::Loop& loop, proxy::PoolLimits limits, net::Log log,
@@ -43,10 +46,11 @@
   proxy::ServerPool pool_;
 };
 
-// Proxies of one zone of clients, about, that look into zones where no request of theirs goes; two must.
+// Average number of proxies in a zone that probe zones to which they send no requests. At least two are
+// needed.
 constexpr double kProbersPerZone = 4;
 
-// Of the reads of a group, what its plan says for the clients of one zone.
+// Returns the part of the placement plan that applies to the clients of one zone.
 request_router::Plan plan_for_zone(const placement::Plan& plan, const placement::Zone& zone) {
   request_router::Plan zone_plan;
   for (auto& [key, shares] : plan.shares) {
@@ -66,7 +70,7 @@
 
 }  // namespace
 
-// The proxy's eyes on zones, in its thread.
+// Observes the health of zones from the proxy's requests and probes, in the proxy's thread.
 class GroupRunner::ZoneObserver : public proxy::RequestObserver {
  public:
   ZoneObserver(net::Loop& loop, const request_router::Settings& settings, placement::Zone own_zone,
@@ -115,7 +119,7 @@
  private:
   net::Loop& loop_;
   group::Micros warm_up_;
-  std::vector<bool> is_read_class_;  // by class
+  std::vector<bool> is_read_class_;  // by request class
   placement::ZoneHealthObserver observer_;
 };
 
@@ -129,7 +133,7 @@
       own_zone_(settings.zone),
       health_check_limits_(proxy_options.pool),
       log_(log) {
-  signal(SIGXFSZ, SIG_IGN);  // a limit on files is a full disk, not the end
+  signal(SIGXFSZ, SIG_IGN);  // exceeding the file size limit is handled like a full disk
   rlimit limit{};
   if (getrlimit(RLIMIT_NOFILE, &limit) == 0) {
     limit.rlim_cur = std::min(limit.rlim_max, limit.rlim_cur + kGroupDescriptors);
@@ -138,8 +142,8 @@
   options.seed = seed;
   options.spread = std::max(options.spread, kPollSpacing * settings.routers);
   if (options.probe_every.count() == 0) {
-    // Replicas are asked in turn: of two, one was asked within a third of the bound, which leaves two thirds
-    // for lag and the way here; of one, it is asked twice as often.
+    // Replicas are checked in turn: of two, one was checked within a third of the bound, which leaves two
+    // thirds for its lag and the network delay; a single replica is checked twice as often.
     options.probe_every = kDefaultHealthCheckInterval;
     for (auto& c : settings.classes)
       if (c.bound.count() > 0) options.probe_every = std::min(options.probe_every, c.bound * 2 / 3);
--- a/src/app/group_runner.h
+++ b/src/app/group_runner.h
@@ -1,7 +1,8 @@
-// The group in a daemon: its node, in a thread of its own, and what goes between it and the proxy. Made only
-// where the operator's file has a section `group`.
+// Runs this process's node of the consensus group in a thread of its own, and connects it with the proxy.
+// Created only if the operator's file has a section `group`.
 //
-// What the node tells comes in the group's thread and is posted to the proxy's, where everything else runs.
+// The node makes its callbacks in the group's thread; they are posted to the proxy's thread, in which all
+// other code of this class runs.
 #pragma once
 
 #include <memory>
@@ -13,14 +14,17 @@
 
 namespace database_proxy::app {
 
+// Owned by the proxy's thread.
 class GroupRunner : private group::NodeHost {
  public:
-  // `loop` is the proxy's, which is not running yet. Throws std::runtime_error with one line.
+  // `loop` is the proxy's loop, which is not running yet. Throws std::runtime_error with one line.
   GroupRunner(net::Loop& loop, proxy::Proxy& proxy, routing::Decider& decider, group::Options options,
               const proxy::ProxyOptions& proxy_options, const request_router::Settings& settings,
               std::uint64_t seed, net::Log log);
   ~GroupRunner() override;
+  // Starts the node.
   void start();
+  // Hands leadership and leases over, before this process ends.
   void hand_over() { node_->hand_over(); }
   void reconfigure(const std::string& discovery, std::vector<group::NodeAddress> nodes) {
     node_->reconfigure(discovery, std::move(nodes));
@@ -28,6 +32,7 @@
 
  private:
   class ZoneObserver;
+  // Submits an observation of the zones to the node and probes zones of which too little is known; periodic.
   void observe_zones();
 
   void on_effective_endpoint_list(const discovery::EndpointListUpdate& list, bool is_restart) override;
--- a/src/app/logger.cpp
+++ b/src/app/logger.cpp
@@ -18,9 +18,9 @@
 namespace database_proxy::app {
 namespace {
 
-constexpr std::size_t kMaxLineBytes = 1000;  // under what a pipe takes whole
-// Lines that wait for the writing thread; the oldest give way. It takes hundreds of thousands of lines a
-// second, so only a thread that gets no core lets so many gather.
+constexpr std::size_t kMaxLineBytes = 1000;  // less than PIPE_BUF, so that a pipe takes a line atomically
+// Capacity of the queue to the writing thread; when it is full, the oldest lines are dropped. The thread
+// takes hundreds of thousands of lines a second, so the queue fills only while the thread gets no CPU time.
 constexpr std::size_t kQueueLines = 512;
 
 const char* level_name(spdlog::level::level_enum level) {
@@ -43,7 +43,8 @@
   return spdlog::level::err;
 }
 
-// Peers' bytes may be in it: one line stays one line, and JSON stays UTF-8.
+// Replaces control characters, and in JSON also bytes that are not ASCII: the text may contain bytes received
+// from peers, must stay one line and, in JSON, valid UTF-8.
 std::string sanitize(spdlog::string_view_t text, bool json) {
   std::string line(text.data(), std::min(text.size(), kMaxLineBytes));
   std::replace_if(
@@ -64,7 +65,7 @@
     lines_per_second_ = options.lines_per_second;
     set_level(level_of(options.min_level));
   }
-  // Lines that spdlog's queue had no room for, so far.
+  // Returns the number of lines that spdlog's queue has dropped so far because it was full.
   std::function<std::size_t()> queue_overruns = [] { return std::size_t{0}; };
 
  protected:
@@ -76,7 +77,8 @@
     }
     auto lost = queue_overruns();
     dropped_ += lost - std::exchange(seen_overruns_, lost);
-    // A pipe that nobody reads would hold this thread for ever, and the end of the process with it.
+    // Writing to a full pipe that nobody reads would block this thread, and so the exit of the process,
+    // forever.
     pollfd writable{fd_, POLLOUT, 0};
     if (++lines_this_second_ > lines_per_second_ || poll(&writable, 1, 0) != 1 ||
         !(writable.revents & POLLOUT)) {
@@ -128,14 +130,14 @@
 net::Log Logger::sink(const std::string& tag) {
   auto logger = std::make_shared<spdlog::async_logger>(tag, line_sink_, thread_,
                                                        spdlog::async_overflow_policy::overrun_oldest);
-  logger->set_level(spdlog::level::debug);  // the sink has the level that is configured
+  logger->set_level(spdlog::level::debug);  // the sink applies the configured level
   return [logger](net::Level level, const std::string& line) { logger->log(level_of(level), line); };
 }
 
 void Logger::configure(LogOptions options) { line_sink_->configure(options); }
 
 void Logger::flush() {
-  // The thread takes in order: what reaches a sink of its own behind the rest says that the rest is through.
+  // The thread handles lines in order: once a marker has reached its own sink, all earlier lines are done.
   class FlushMarker : public spdlog::sinks::base_sink<std::mutex> {
    public:
     std::promise<void> reached;
--- a/src/app/operations.cpp
+++ b/src/app/operations.cpp
@@ -18,17 +18,18 @@
 
 using namespace std::chrono_literals;
 
-// A process that serves takes over the socket of one that has ended within this.
+// A serving process claims the socket within this time after its owner has ended.
 constexpr net::Micros kOwnerCheckInterval = 100ms;
-// A process that is ending looks so often whether another one serves by now.
+// Interval at which a process that shuts down checks whether another one serves.
 constexpr net::Micros kSuccessorCheckInterval = 25ms;
-// The answer to a command is owed within a second: so often and so long its keeping is tried before.
+// Attempts to store a cordon before the command is answered, and the time between them: the answer is due
+// within 1 s.
 constexpr int kStoreAttempts = 15;
 constexpr net::Micros kStoreRetryInterval = 50ms;
-// The processes beside this one read its record 40 times a second; one that does not is not waited for
-// any longer.
+// The other processes on the listening socket read the record of this process 40 times a second; one that has
+// not read it after this time is not waited for.
 constexpr net::Micros kAcknowledgementTimeout = 500ms;
-// The standard streams are no listening sockets.
+// Lower descriptors are the standard streams.
 constexpr int kFirstInheritedDescriptor = 3;
 
 int descriptor_from(const char* text) {
@@ -80,11 +81,11 @@
 void Operations::on_serving() {
   if (!owner_ || is_shutting_down_) return;
   if (exchange_) exchange_->set_stage(handover::ProcessStage::kServing);
-  if (!owner_->claim()) log_(net::Level::kWarning, "the listening socket does not take an owner");
+  if (!owner_->claim()) log_(net::Level::kWarning, "cannot set the owner of the listening socket");
   watch_owner();
 }
 
-// The newest process that serves has claimed the socket last. Where that one ends, this one does again.
+// The newest serving process has claimed the socket last. When that process ends, this one claims it again.
 void Operations::watch_owner() {
   if (owner_->is_vacant()) owner_->claim();
   update_limit_shares();
@@ -102,7 +103,8 @@
   return proxy::ShutdownMode::kLast;
 }
 
-// One that serves claims the socket that this one has given up, and one that starts once it can serve.
+// A serving process claims the socket that this process has released; a starting process claims it once it
+// can serve.
 void Operations::wait_for_successor() {
   owner_timer_ = loop_.at(loop_.now() + kSuccessorCheckInterval, [this] {
     if (!owner_->is_served_by_other()) return wait_for_successor();
@@ -131,10 +133,11 @@
       loop_, address_, [this](auto& command, auto answer) { handle(command, answer); }, log_);
 }
 
-// Only with an inherited socket can another process serve beside this one.
+// Another process can serve concurrently only if the listening socket is inherited.
 void Operations::start_exchange() {
   if (shared_folder_.empty())
-    log_(net::Level::kWarning, "TMPDIR is not set: a successor learns nothing of cancel requests and limits");
+    log_(net::Level::kWarning,
+         "TMPDIR is not set: a successor receives no cancel requests and no limits of this process");
   handover::ProcessExchange::Host host;
   host.cordons = [this] { return overlay_.cordons(); };
   host.merge_cordons = [this](auto& marks, pid_t from) { return merge_cordons(marks, from); };
@@ -149,18 +152,20 @@
   host.cancel = [this](const handover::ForwardedCancel& cancel) {
     process_.cancel(cancel.session_number, cancel.secret);
   };
-  // Whoever served the socket up to now may have taken writes of any session.
+  // The process that has served the socket so far may have accepted writes of any session.
   process_.share_limits_with({0, 0, true});
   exchange_.emplace(loop_, shared_folder_, inherited_listener_, std::move(host), log_);
   update_limit_shares();
   if (!other_processes_.know_this_process) wait_for_other_processes();
 }
 
-// Until they know of this process, the others hold more than their part of what all share.
+// Until the other processes have read the record of this one, they hold more than their share of the common
+// limits.
 void Operations::wait_for_other_processes() {
   process_.set_waiting_for_others(true);
   acknowledgement_timer_ = loop_.at(loop_.now() + kAcknowledgementTimeout, [this] {
-    log_(net::Level::kWarning, "a process with the same listening socket does not read this one's record");
+    log_(net::Level::kWarning,
+         "a process with the same listening socket does not read this process's record");
     stop_waiting_for_other_processes();
   });
 }
@@ -174,7 +179,8 @@
 std::string Operations::unhealthy_reason() const {
   auto reason = process_.unhealthy_reason();
   bool is_waiting = acknowledgement_timer_ != net::Loop::kNoTimer;
-  if (reason.empty() && is_waiting) return "a process with the same listening socket has not heard of it yet";
+  if (reason.empty() && is_waiting)
+    return "a process with the same listening socket has not read this process's record yet";
   return reason;
 }
 
@@ -190,7 +196,7 @@
   auto now = net::monotonic_now();
   for (auto& [server, mark] : merge->accepted)
     log_(net::Level::kInfo,
-         fmt::format("server {} {}, as process {} has it, {:.3f} s after the call", server,
+         fmt::format("server {} {}, as process {} reports, {:.3f} s after the command", server,
                      mark.is_cordoned ? "is cordoned by an operator" : "was put back by an operator", from,
                      std::chrono::duration<double>(now - mark.changed_at).count()));
   process_.apply_change(std::move(merge->change));
@@ -201,8 +207,9 @@
   auto change = overlay_.add_view(view);
   if (!change) return false;
   if (!change->members.empty())
-    log_(net::Level::kInfo, fmt::format("another process has list version {}: {} servers are out by it",
-                                        view.generation, change->members.size()));
+    log_(net::Level::kInfo,
+         fmt::format("another process has list version {}: it takes {} servers out of service",
+                     view.generation, change->members.size()));
   process_.apply_change(std::move(*change));
   return true;
 }
@@ -233,13 +240,14 @@
   bool is_last = is_cordoned && overlay_.is_last_of_group(server);
   if (is_last) command.remark = "warning: no other data server of its group takes work";
   log_(is_last ? net::Level::kWarning : net::Level::kInfo,
-       fmt::format("server {} is {} by an operator{}", server, is_cordoned ? "cordoned" : "put back",
-                   is_last ? "; no other server of its group takes work" : ""));
+       fmt::format("server {} is {} by an operator{}", server, is_cordoned ? "cordoned" : "uncordoned",
+                   is_last ? "; no other server of its group is in service" : ""));
   process_.apply_change(std::move(change));
   answer_when_stored(command, kStoreAttempts);
 }
 
-// YES is a promise for every later process: it is not given before one is sure to know.
+// YES guarantees that every later process applies the command, so it is not sent before the cordon is stored
+// where such a process finds it.
 void Operations::answer_when_stored(const CordonCommand& command, int attempts) {
   if (exchange_) exchange_->publish();
   if (!exchange_ || exchange_->are_cordons_stored())
@@ -251,7 +259,7 @@
   }
   if (command.changed_at) revert(command);
   command.answer(operator_endpoint::no(
-      "it cannot be kept for later processes: neither the listening socket nor TMPDIR takes it"));
+      "it cannot be stored for later processes: neither on the listening socket nor in TMPDIR"));
 }
 
 void Operations::revert(const CordonCommand& command) {
@@ -260,8 +268,8 @@
   if (!is_latest_change) return;
   discovery::EndpointListUpdate change;
   overlay_.set_cordon(command.server, !command.is_cordoned, net::monotonic_now(), &change);
-  log_(net::Level::kWarning, fmt::format("server {} is {} again: the command cannot be kept", command.server,
-                                         command.is_cordoned ? "put back" : "cordoned"));
+  log_(net::Level::kWarning, fmt::format("server {} is {} again: the command cannot be stored",
+                                         command.server, command.is_cordoned ? "uncordoned" : "cordoned"));
   process_.apply_change(std::move(change));
   if (exchange_) exchange_->publish();
 }
--- a/src/app/operations.h
+++ b/src/app/operations.h
@@ -1,5 +1,5 @@
-// What operators need of a running process: the address on which they ask and command it. Nothing of it
-// exists where none is configured.
+// The operator interface of a running process: serves commands on the operators' address, if one is
+// configured, and coordinates with the other processes on an inherited listening socket.
 #pragma once
 
 #include <functional>
@@ -15,35 +15,36 @@
 
 namespace database_proxy::app {
 
-// What the environment says of this start.
+// The settings that this start takes from the environment.
 struct StartEnvironment {
-  std::string operator_address;  // NODE_OPERATOR, which goes before the configuration; empty: not given
+  std::string operator_address;  // NODE_OPERATOR, overrides the configuration; empty: not given
   int inherited_listener = -1;   // NODE_ACCEPT_FD; -1: not given
   std::string shared_folder;     // TMPDIR; empty: not given
 
-  // Throws ConfigError where a variable has no usable value.
+  // Throws ConfigError if a variable has an invalid value.
   static StartEnvironment read();
 };
 
+// Owned and used by the thread of its loop.
 class Operations {
  public:
-  // What the process offers to operators, in the thread of the loop.
+  // Callbacks into the process, called in the thread of the loop.
   struct Process {
-    std::function<std::string()> unhealthy_reason;  // empty: it can serve
+    std::function<std::string()> unhealthy_reason;  // empty: the process can serve
     std::function<void(discovery::EndpointListUpdate)> apply_change;
     std::function<std::size_t()> descriptors_held;
     std::function<void(const proxy::OtherProcessesUsage&)> share_limits_with;
-    std::function<void()> hand_over;                           // another serves, while this one is ending
-    std::function<void(bool)> set_waiting_for_others;          // while it is set, no client is accepted
-    std::function<void(std::uint32_t, std::uint32_t)> cancel;  // of a session number and its secret
+    std::function<void()> hand_over;                   // another process serves while this one shuts down
+    std::function<void(bool)> set_waiting_for_others;  // while this is set, no client is accepted
+    std::function<void(std::uint32_t, std::uint32_t)> cancel;  // takes the session number and its secret
   };
 
-  // Checks the inherited socket. Throws std::runtime_error where it is not what the configuration says.
+  // Checks the inherited socket. Throws std::runtime_error if it does not match the configuration.
   Operations(net::Loop& loop, const Config& config, const StartEnvironment& environment, net::Log log);
 
-  // Adds to the options what follows from this start; before a proxy is made of them.
+  // Sets the options that follow from this start. To be called before a proxy is created from them.
   void prepare(proxy::ProxyOptions* options);
-  // Serves operators from now on. `process` must outlive this.
+  // Serves operators from now on. What the callbacks of `process` refer to must outlive this object.
   void open(Process process);
   ~Operations();
   Operations(const Operations&) = delete;
@@ -51,10 +52,10 @@
 
   // This process accepts clients from now on.
   void on_serving();
-  // A client asked to cancel what no session of this process has out.
+  // Forwards a cancel request for a session that this process does not have.
   void forward_cancel(std::uint32_t number, std::uint32_t secret);
-  // It has been told to end; returns whether another process serves the same socket. Where one does later,
-  // Process::hand_over() is called.
+  // To be called when the process is told to stop. Returns whether another process serves the same socket. If
+  // one starts to serve later, Process::hand_over() is called.
   proxy::ShutdownMode on_shutdown();
 
  private:
@@ -67,12 +68,12 @@
   std::string unhealthy_reason() const;
   bool merge_cordons(const endpoint_list::CordonMarks& marks, pid_t from);
   bool add_endpoints(const endpoint_list::EndpointListView& view);
-  // A command whose answer waits until later processes will know of it.
+  // A command whose answer is delayed until processes that start later are certain to learn of it.
   struct CordonCommand {
     std::string server;
     bool is_cordoned = false;
-    std::optional<endpoint_list::Micros> changed_at;  // empty: it had been so before
-    std::string remark;                               // behind the word yes
+    std::optional<endpoint_list::Micros> changed_at;  // empty: the command changed nothing
+    std::string remark;                               // follows YES in the answer
     operator_endpoint::OperatorListener::Answer answer;
   };
   void set_cordon(const std::string& server, bool is_cordoned,
@@ -86,12 +87,13 @@
   net::Log log_;
   std::string address_, shared_folder_;
   int inherited_listener_;
-  std::optional<handover::ListenerOwner> owner_;  // where the socket is inherited
+  std::optional<handover::ListenerOwner> owner_;  // if the socket is inherited
   net::Loop::TimerId owner_timer_ = net::Loop::kNoTimer;
   bool is_shutting_down_ = false;
-  pid_t predecessor_ = 0;  // that served the socket when this process started; 0: none did
+  pid_t predecessor_ = 0;  // served the socket when this process started; 0: none
   handover::OtherProcesses other_processes_;
-  net::Loop::TimerId acknowledgement_timer_ = net::Loop::kNoTimer;  // runs while the others are waited for
+  // Runs while waiting for the other processes.
+  net::Loop::TimerId acknowledgement_timer_ = net::Loop::kNoTimer;
   Process process_;
   endpoint_list::EndpointOverlay overlay_;
   std::optional<handover::ProcessExchange> exchange_;
--- a/src/app/operator_file.cpp
+++ b/src/app/operator_file.cpp
@@ -13,14 +13,13 @@
 
 namespace database_proxy::app {
 
-extern const std::string_view
-    kOperatorSchema;  // deploy/operator.schema.json, made part of the program by CMake
+extern const std::string_view kOperatorSchema;  // deploy/operator.schema.json, embedded by CMake
 
 namespace {
 
 using nlohmann::json;
 
-// "<root>", "[workers]", "[count]" becomes workers.count.
+// Returns the path of a key: "<root>", "[workers]", "[count]" becomes workers.count.
 std::string path_of(const std::vector<std::string>& context) {
   std::string path;
   for (auto& step : context) {
@@ -42,7 +41,7 @@
   std::size_t more = 0;
   valijson::ValidationResults::Error error;
   while (results.popError(error)) {
-    // Each object on the way to a wrong value complains again; only the value itself is told.
+    // Each object that contains an invalid value is reported as well; only the value itself is kept.
     if (error.description.starts_with("Failed to validate against schema")) continue;
     if (first.empty())
       first = fmt::format("{}: {}", path_of(error.context), error.description);
@@ -120,7 +119,7 @@
       o.election_max = group::Micros(g.at("election_ms").at(1).get<std::int64_t>() * 1000);
     }
     group::check(o);
-    if (file.workers.count > 1) throw ConfigError("group: goes with one worker only (workers.count 1)");
+    if (file.workers.count > 1) throw ConfigError("group: requires a single worker (workers.count 1)");
   }
   if (root.contains("log")) {
     auto& l = root.at("log");
--- a/src/app/signals.cpp
+++ b/src/app/signals.cpp
@@ -36,12 +36,13 @@
   auto set = set_of({SIGTERM, SIGINT, SIGHUP});
   descriptor_ = net::Fd(signalfd(-1, &set, SFD_NONBLOCK | SFD_CLOEXEC));
   if (!descriptor_ || !loop_.add(descriptor_.get(), this))
-    throw std::system_error(errno, std::generic_category(), "cannot watch for signals");
+    throw std::system_error(errno, std::generic_category(), "cannot create a descriptor for signals");
 }
 
 Signals::~Signals() { loop_.remove(descriptor_.get(), this); }
 
-// Readiness is reported once for all that wait, so a read that fails for the moment is made again.
+// The loop reports readiness once for all pending signals, so a read that fails with a transient error is
+// retried.
 void Signals::on_ready(std::uint32_t) {
   while (true) {
     signalfd_siginfo info{};
--- a/src/app/signals.h
+++ b/src/app/signals.h
@@ -10,14 +10,15 @@
 
 namespace database_proxy::app {
 
-// Blocks them, so that one that comes before a loop runs waits for it. Before any thread is made.
+// Blocks the three signals, so that one that arrives before a loop runs stays pending. To be called before
+// any thread is created.
 void block_handled_signals();
 
-// Waits for so long, and less where the process is told to end. Returns whether it was; for a process that
-// has no loop yet. The signals must be blocked.
+// Waits until `longest` has passed or SIGTERM or SIGINT arrives, and returns whether one did. For a process
+// that has no loop yet. The signals must be blocked.
 bool wait_for_termination(net::Micros longest);
 
-// Owned by the thread of its loop.
+// Receives the signals through a descriptor. Owned by the thread of its loop.
 class Signals : public net::Handler {
  public:
   // `stop` is called for SIGTERM and SIGINT, `reload` for SIGHUP. Throws std::system_error.
--- a/src/app/start_retry.cpp
+++ b/src/app/start_retry.cpp
@@ -10,7 +10,7 @@
 
 using namespace std::chrono_literals;
 
-// The platform gives a new process 6 s to serve, some of which it needs after its start.
+// The platform gives a new process 6 s until it serves; it needs some of them after its start.
 constexpr net::Micros kMaxStartDuration = 5500ms;
 constexpr net::Micros kRetryInterval = 50ms;
 
--- a/src/app/start_retry.h
+++ b/src/app/start_retry.h
@@ -1,4 +1,4 @@
-// A start that fails for a reason that passes is made again, for as long as the platform waits for it.
+// Repeats a start that failed with a transient error, for as long as the platform waits for the process.
 #pragma once
 
 #include <set>
@@ -10,17 +10,19 @@
 
 namespace database_proxy::app {
 
-// The process was told to end before it had started.
+// The process received SIGTERM or SIGINT before it had started.
 struct StartAborted : std::runtime_error {
-  StartAborted() : std::runtime_error("told to end before it had started") {}
+  StartAborted() : std::runtime_error("stopped by a signal before it had started") {}
 };
 
+// The retries of one start.
 class StartRetry {
  public:
   explicit StartRetry(net::Log log) : log_(std::move(log)), started_at_(net::monotonic_now()) {}
 
-  // A part of the start has failed with this error. Returns after a moment where it is to be made again;
-  // false: the error does not pass, or has lasted too long. Throws StartAborted.
+  // To be called after a step of the start has failed with `error`, a value of errno. Waits briefly and
+  // returns true if the step is to be repeated. Returns false if the error is not transient or has lasted too
+  // long. Throws StartAborted.
   bool wait_after(int error, const std::string& what);
 
  private:
--- a/tests/app/proxy_test.sh
+++ b/tests/app/proxy_test.sh
@@ -1,11 +1,12 @@
 #!/bin/sh
-# The proxy as a process: its sub-commands, and one clear line for whatever is wrong on the command line.
+# Runs the proxy as a process: its sub-commands, one line of error for each invalid command line or file, reload
+# on SIGHUP and stop on SIGTERM.
 proxy=$1
 unset NODE_CONFIG
 failed=0
 folder=$(mktemp -d)
 trap 'rm -rf "$folder"' EXIT
-bad() { # name, expected text on standard error, arguments...
+expect_error() { # name, expected text on standard error, arguments...
   name=$1 expected=$2
   shift 2
   if message=$(timeout 10 "$proxy" "$@" 2>&1 >/dev/null); then echo "FAILED $name: exit code 0"; failed=1; fi
@@ -15,30 +16,30 @@
 "$proxy" version | grep -q '^linenwinch [0-9]' || { echo "FAILED version"; failed=1; }
 "$proxy" --help | grep -q serve || { echo "FAILED help"; failed=1; }
 echo '{"listen":"nowhere"}' >"$folder/bad.json"
-bad 'no command' 'no command'
-bad 'an unknown command' 'unknown command' sing
-bad 'an unknown option' 'sing' serve --sing
-bad 'no configuration' 'NODE_CONFIG' serve
-bad 'a missing file' 'cannot be read' serve --config "$folder/none.json"
-bad 'a bad configuration' "listen is no address: 'nowhere'" serve --config "$folder/bad.json"
-bad 'a bad configuration, only checked' 'bad.json' check --config "$folder/bad.json"
-operator() { # name, expected text, the operator's file
+expect_error 'no command' 'no command'
+expect_error 'an unknown command' 'unknown command' sing
+expect_error 'an unknown option' 'sing' serve --sing
+expect_error 'no configuration' 'NODE_CONFIG' serve
+expect_error 'a missing file' 'cannot be read' serve --config "$folder/none.json"
+expect_error 'a bad configuration' "listen is no address: 'nowhere'" serve --config "$folder/bad.json"
+expect_error 'a bad configuration, only checked' 'bad.json' check --config "$folder/bad.json"
+expect_file_error() { # name, expected text, the operator's file
   printf '%s' "$3" >"$folder/operator.json"
-  bad "$1" "$2" check --operator "$folder/operator.json"
+  expect_error "$1" "$2" check --operator "$folder/operator.json"
 }
-operator 'an unknown key' "'cuont'" '{"workers":{"cuont":4}}'
-operator 'an unknown section' "'works'" '{"works":{}}'
-operator 'an ill-typed key' 'workers.count: Value type' '{"workers":{"count":"4"}}'
-operator 'no workers' 'workers.count: Expected number greater' '{"workers":{"count":0}}'
-operator 'a thousand workers' 'workers.count: Expected number less' '{"workers":{"count":1000}}'
-operator 'half a file' 'line 1' '{"workers":'
-operator 'an unknown way' 'workers.decisions' '{"workers":{"decisions":"both"}}'
-bad 'no operator file' 'cannot be read' check --operator "$folder/none.json"
+expect_file_error 'an unknown key' "'cuont'" '{"workers":{"cuont":4}}'
+expect_file_error 'an unknown section' "'works'" '{"works":{}}'
+expect_file_error 'an ill-typed key' 'workers.count: Value type' '{"workers":{"count":"4"}}'
+expect_file_error 'no workers' 'workers.count: Expected number greater' '{"workers":{"count":0}}'
+expect_file_error 'a thousand workers' 'workers.count: Expected number less' '{"workers":{"count":1000}}'
+expect_file_error 'half a file' 'line 1' '{"workers":'
+expect_file_error 'an unknown kind of decisions' 'workers.decisions' '{"workers":{"decisions":"both"}}'
+expect_error 'no operator file' 'cannot be read' check --operator "$folder/none.json"
 "$proxy" check --operator "$(dirname "$0")/../../deploy/operator.example.json" >/dev/null || {
   echo "FAILED operator.example.json"
   failed=1
 }
-# Told to stop, it ends with 0, and has said so.
+# On SIGTERM the proxy ends with exit code 0 and logs that it has stopped.
 cat >"$folder/good.json" <<'EOF'
 {"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","known":{"generation":0,"reset":true,"instances":[]},
  "settings":{"RequestClasses":[{"Name":"a","Effect":"pure","TargetMs":500,"DeadlineMs":2000}]}}
@@ -50,8 +51,8 @@
   grep -q 'listens on' "$folder/log" && break
   sleep 0.05
 done
-# Told to read its configuration again, it does so each time; a bad file leaves the old one in force.
-told() { # expected text, how often it must stand in the log by now
+# On each SIGHUP the proxy reads its configuration again; an invalid file leaves the old one in effect.
+expect_in_log() { # expected text, how many lines of the log have to contain it
   for _ in $(seq 200); do
     [ "$(grep -c "$1" "$folder/log")" -eq "$2" ] && return
     sleep 0.05
@@ -61,15 +62,15 @@
 }
 sed -i 's/127.0.0.1:1"/127.0.0.1:2"/' "$folder/good.json"
 kill -HUP $pid
-told 'configuration read again: discovery 127.0.0.1:2,' 1
+expect_in_log 'configuration read again: discovery 127.0.0.1:2,' 1
 cp "$folder/bad.json" "$folder/kept.json"
 mv "$folder/good.json" "$folder/aside.json"
 mv "$folder/kept.json" "$folder/good.json"
 kill -HUP $pid
-told 'the configuration in force stays: ' 1
+expect_in_log 'the configuration in force stays: ' 1
 mv "$folder/aside.json" "$folder/good.json"
 kill -HUP $pid
-told 'configuration read again: discovery 127.0.0.1:2,' 2
+expect_in_log 'configuration read again: discovery 127.0.0.1:2,' 2
 kill -TERM $pid
 kill -HUP $pid
 wait $pid || { echo "FAILED stop: exit code $?"; failed=1; }
--- a/tests/app/site_names_test.sh
+++ b/tests/app/site_names_test.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
-# Nothing in the program is fitted to one deployment: it serves under settings whose names no page knows, and no
-# name of a deployment stands in its sources (the testbench apart) or in the deploy file.
+# Checks that the program depends on no particular deployment: it serves with settings whose names occur nowhere
+# else, and no name of a deployment occurs in its sources (except the testbench) or in the deploy file.
 proxy=$1
 root=$(cd "$(dirname "$0")/../.." && pwd)
 failed=0
--- a/tests/upgrade/upgrade_test.cpp
+++ b/tests/upgrade/upgrade_test.cpp
@@ -11,7 +11,7 @@
 
 namespace database_proxy::test {
 
-constexpr auto kRecordNotRead = "does not read this one's record";
+constexpr auto kRecordNotRead = "does not read this process's record";
 
 TEST_CASE("upgrade: a process serves on the listening socket it inherits, concurrently with its successor") {
   Node node;
