--- a/src/app/commands.cpp
+++ b/src/app/commands.cpp
@@ -33,20 +33,20 @@
 
 constexpr const char* kVersion = "0.4.0";
 
-// The platform kills a process this long after SIGTERM: the longest deadline, but at most
-// kLongestCountedDeadline, and the grace.
+// The platform kills a process this long after SIGTERM: the longest deadline, of which at most 3 s count, and
+// the grace.
 constexpr net::Micros kLongestCountedDeadline = std::chrono::seconds(3);
 constexpr net::Micros kShutdownGrace = std::chrono::milliseconds(700);
 
-// Raises the limit on descriptors to `wanted` as far as the system permits. Returns how many of them this
+// Raises the limit on descriptors to `requested` as far as the system permits. Returns how many of them this
 // process may use.
-std::size_t raise_descriptor_limit(std::size_t wanted) {
+std::size_t raise_descriptor_limit(std::size_t requested) {
   rlimit limit{};
-  if (getrlimit(RLIMIT_NOFILE, &limit) != 0) return wanted;
-  limit.rlim_cur = std::min<rlim_t>(limit.rlim_max, wanted);
+  if (getrlimit(RLIMIT_NOFILE, &limit) != 0) return requested;
+  limit.rlim_cur = std::min<rlim_t>(limit.rlim_max, requested);
   setrlimit(RLIMIT_NOFILE, &limit);
   getrlimit(RLIMIT_NOFILE, &limit);
-  return std::min<std::size_t>(limit.rlim_cur, wanted);
+  return std::min<std::size_t>(limit.rlim_cur, requested);
 }
 
 proxy::ProxyOptions make_proxy_options(const Config& config, const OperatorFile& operator_file) {
--- a/src/app/group_runner.cpp
+++ b/src/app/group_runner.cpp
@@ -58,9 +58,9 @@
     std::map<std::string, request_router::ZoneShare> by_zone;
     for (auto& [to, share] : shares) by_zone[to] = {to, share, 0};
     if (auto it = plan.surplus_capacity.find(key); it != plan.surplus_capacity.end())
-      for (auto& [to, spare] : it->second) {
+      for (auto& [to, surplus_share] : it->second) {
         by_zone[to].zone = to;
-        by_zone[to].spare = spare;
+        by_zone[to].spare = surplus_share;
       }
     auto& group = zone_plan.groups.emplace_back(key.first, std::vector<request_router::ZoneShare>{}).second;
     for (auto& [to, share] : by_zone) group.push_back(share);
--- a/src/app/operations.h
+++ b/src/app/operations.h
@@ -50,7 +50,7 @@
   Operations(const Operations&) = delete;
   Operations& operator=(const Operations&) = delete;
 
-  // This process accepts clients from now on.
+  // To be called when this process accepts clients.
   void on_serving();
   // Forwards a cancel request for a session that this process does not have.
   void forward_cancel(std::uint32_t number, std::uint32_t secret);
