--- a/src/workers/connection_balancer.cpp
+++ b/src/workers/connection_balancer.cpp
@@ -2,26 +2,26 @@
 
 namespace database_proxy::workers {
 
-std::optional<std::size_t> assign_worker(const std::vector<WorkerSlot>& worker_slots, std::size_t last) {
+std::optional<std::size_t> choose_worker_for_client(const std::vector<WorkerSlot>& worker_slots, std::size_t last_assigned) {
   std::optional<std::size_t> best;
   for (std::size_t i = 1; i <= worker_slots.size(); ++i) {
-    auto at = (last + i) % worker_slots.size();
-    auto& s = worker_slots[at];
-    if (!s.running || s.assigned >= kMostAssigned) continue;
-    if (!best || s.clients + s.assigned < worker_slots[*best].clients + worker_slots[*best].assigned)
-      best = at;
+    auto index = (last_assigned + i) % worker_slots.size();
+    auto& slot = worker_slots[index];
+    if (!slot.running || slot.assigned >= kMaxAssignedClients) continue;
+    if (!best || slot.clients + slot.assigned < worker_slots[*best].clients + worker_slots[*best].assigned)
+      best = index;
   }
   return best;
 }
 
-std::optional<std::size_t> release_descriptor(const std::vector<WorkerSlot>& worker_slots,
-                                              std::optional<std::size_t> asker) {
-  std::optional<std::size_t> most;
+std::optional<std::size_t> choose_worker_to_release_descriptor(const std::vector<WorkerSlot>& worker_slots,
+                                              std::optional<std::size_t> requester) {
+  std::optional<std::size_t> busiest;
   for (std::size_t i = 0; i < worker_slots.size(); ++i) {
-    if (i == asker || !worker_slots[i].running || worker_slots[i].clients == 0) continue;
-    if (!most || worker_slots[i].clients > worker_slots[*most].clients) most = i;
+    if (i == requester || !worker_slots[i].running || worker_slots[i].clients == 0) continue;
+    if (!busiest || worker_slots[i].clients > worker_slots[*busiest].clients) busiest = i;
   }
-  return most;
+  return busiest;
 }
 
 }  // namespace database_proxy::workers
--- a/src/workers/decision_staleness_check.cpp
+++ b/src/workers/decision_staleness_check.cpp
@@ -4,38 +4,38 @@
 namespace {
 
 // Decisions made before a change are too old for kStalest anyway after this; the change is forgotten then.
-constexpr Micros kKeep{1'000'000};
+constexpr Micros kOutOfServiceRetention{1'000'000};
 
 }  // namespace
 
 void DecisionStalenessCheck::on_endpoint_list(Micros now, const discovery::EndpointListUpdate& update) {
   ++version_;
   prune(now);
-  std::unordered_map<std::string, bool> before;
-  if (update.reset) before.swap(takes_);
-  for (auto& m : update.members) {
-    bool takes = m.lifecycle == discovery::Lifecycle::kUp;
-    if (takes) {
-      takes_[m.id] = true;
+  std::unordered_map<std::string, bool> previous;
+  if (update.reset) previous.swap(in_service_);
+  for (auto& endpoint : update.members) {
+    bool is_in_service = endpoint.lifecycle == discovery::Lifecycle::kUp;
+    if (is_in_service) {
+      in_service_[endpoint.id] = true;
       continue;
     }
-    auto& known = update.reset ? before : takes_;
-    auto it = known.find(m.id);
+    auto& known = update.reset ? previous : in_service_;
+    auto it = known.find(endpoint.id);
     // Only the step from taking work to not taking it closes: a second word of the same drain must not turn
     // back what was decided in full knowledge of the first.
-    if (it == known.end() || it->second) closed_[m.id] = {version_, now};
-    if (m.lifecycle == discovery::Lifecycle::kRemoved)
-      takes_.erase(m.id);
+    if (it == known.end() || it->second) out_of_service_[endpoint.id] = {version_, now};
+    if (endpoint.lifecycle == discovery::Lifecycle::kRemoved)
+      in_service_.erase(endpoint.id);
     else
-      takes_[m.id] = false;
+      in_service_[endpoint.id] = false;
   }
   if (update.reset)
-    for (auto& [id, takes] : before)
-      if (!takes_.count(id)) closed_[id] = {version_, now};
+    for (auto& [id, was_in_service] : previous)
+      if (!in_service_.count(id)) out_of_service_[id] = {version_, now};
 }
 
 void DecisionStalenessCheck::prune(Micros now) {
-  std::erase_if(closed_, [&](auto& entry) { return now - entry.second.at > kKeep; });
+  std::erase_if(out_of_service_, [&](auto& entry) { return now - entry.second.at > kOutOfServiceRetention; });
 }
 
 DecisionStalenessCheck::Verdict DecisionStalenessCheck::check(Micros now,
@@ -44,8 +44,8 @@
   if (decision.kind != routing::Decision::Kind::kSend) return Verdict::kCurrent;
   if (now - decision.decided_at > kLongestDecisionAge || now >= decision.decided_at + decision.timeout)
     return Verdict::kTooOld;
-  auto it = closed_.find(decision.server);
-  if (it != closed_.end() && decision.endpoint_list_version < it->second.version) return Verdict::kClosed;
+  auto it = out_of_service_.find(decision.server);
+  if (it != out_of_service_.end() && decision.endpoint_list_version < it->second.version) return Verdict::kOutOfService;
   return Verdict::kCurrent;
 }
 
--- a/src/workers/decision_staleness_check.h
+++ b/src/workers/decision_staleness_check.h
@@ -31,21 +31,21 @@
     kCurrent,
     kAhead,   // made on a list that has not come here yet: wait for that
     kTooOld,  // made too long ago
-    kClosed,  // made before word that this server takes no new work
+    kOutOfService,  // made before word that this server takes no new work
   };
   Verdict check(Micros now, const routing::Decision& decision) const;
-  std::size_t kept() const { return closed_.size(); }
+  std::size_t out_of_service_count() const { return out_of_service_.size(); }
 
  private:
-  struct Closed {
+  struct OutOfService {
     std::uint64_t version;  // the change with which it stopped taking new work
     Micros at;
   };
   void prune(Micros now);
 
   std::uint64_t version_ = 0;
-  std::unordered_map<std::string, bool> takes_;  // of the servers that are listed
-  std::unordered_map<std::string, Closed> closed_;
+  std::unordered_map<std::string, bool> in_service_;  // of the servers that are listed
+  std::unordered_map<std::string, OutOfService> out_of_service_;
 };
 
 }  // namespace database_proxy::workers
--- a/src/workers/worker_pool.cpp
+++ b/src/workers/worker_pool.cpp
@@ -220,11 +220,11 @@
                  kOfEachProxy * worker_slots.size() +
                  (group_.decisions_ ? group_.decisions_->descriptors() : 0);
       if (static_cast<double>(all.clients + assigned) >= most || all.descriptors + assigned + own >= limit) {
-        if (auto giver = release_descriptor(worker_slots, std::nullopt))
+        if (auto giver = choose_worker_to_release_descriptor(worker_slots, std::nullopt))
           group_.workers_[*giver]->post([&p = group_.workers_[*giver]->proxy()] { p.release_descriptor(); });
         return later();
       }
-      auto to = assign_worker(worker_slots, last_);
+      auto to = choose_worker_for_client(worker_slots, last_);
       if (!to) return later();
       int error = 0;
       auto fd = net::accept_from(listener_, &error);
@@ -407,7 +407,7 @@
 }
 
 void WorkerPool::request_descriptor(std::optional<std::size_t> asker) {
-  if (auto giver = release_descriptor(worker_slots(), asker))
+  if (auto giver = choose_worker_to_release_descriptor(worker_slots(), asker))
     workers_[*giver]->post([&p = workers_[*giver]->proxy()] { p.release_descriptor(); });
 }
 
--- a/tests/workers/worker_parts_test.cpp
+++ b/tests/workers/worker_parts_test.cpp
@@ -50,19 +50,19 @@
   CHECK(staleness_check.check(now, send_to("a", 1, now)) == DecisionStalenessCheck::Verdict::kCurrent);
   CHECK(staleness_check.check(now, send_to("a", 2, now)) == DecisionStalenessCheck::Verdict::kAhead);
   staleness_check.on_endpoint_list(now, update(false, {{"a", Lifecycle::kDraining}}));
-  CHECK(staleness_check.check(now, send_to("a", 1, now)) == DecisionStalenessCheck::Verdict::kClosed);
+  CHECK(staleness_check.check(now, send_to("a", 1, now)) == DecisionStalenessCheck::Verdict::kOutOfService);
   CHECK(staleness_check.check(now, send_to("b", 1, now)) == DecisionStalenessCheck::Verdict::kCurrent);
   CHECK(staleness_check.check(now, send_to("a", 2, now)) ==
         DecisionStalenessCheck::Verdict::kCurrent);  // a primary that hands over
   // The same word again does not turn back what was decided after the first.
   staleness_check.on_endpoint_list(now, update(false, {{"a", Lifecycle::kDraining}}));
   CHECK(staleness_check.check(now, send_to("a", 2, now)) == DecisionStalenessCheck::Verdict::kCurrent);
-  CHECK(staleness_check.check(now, send_to("a", 1, now)) == DecisionStalenessCheck::Verdict::kClosed);
+  CHECK(staleness_check.check(now, send_to("a", 1, now)) == DecisionStalenessCheck::Verdict::kOutOfService);
   // Removal closes too, told or by its absence from a whole list; up again opens.
   staleness_check.on_endpoint_list(now, update(false, {{"b", Lifecycle::kRemoved}}));
-  CHECK(staleness_check.check(now, send_to("b", 3, now)) == DecisionStalenessCheck::Verdict::kClosed);
+  CHECK(staleness_check.check(now, send_to("b", 3, now)) == DecisionStalenessCheck::Verdict::kOutOfService);
   staleness_check.on_endpoint_list(now, update(true, {{"c", Lifecycle::kUp}}));
-  CHECK(staleness_check.check(now, send_to("a", 4, now)) == DecisionStalenessCheck::Verdict::kClosed);
+  CHECK(staleness_check.check(now, send_to("a", 4, now)) == DecisionStalenessCheck::Verdict::kOutOfService);
   CHECK(staleness_check.check(now, send_to("c", 4, now)) == DecisionStalenessCheck::Verdict::kCurrent);
 }
 
@@ -91,27 +91,27 @@
     staleness_check.on_endpoint_list(now, update(false, {{id, Lifecycle::kUp}}));
     staleness_check.on_endpoint_list(now, update(false, {{id, Lifecycle::kRemoved}}));
   }
-  CHECK(staleness_check.kept() <= 25);
+  CHECK(staleness_check.out_of_service_count() <= 25);
 }
 
 TEST_CASE(
     "dealing: the fewest clients, in turn where equal, none to a worker that stands still or has ended") {
   std::vector<WorkerSlot> worker_slots(3);
-  CHECK(assign_worker(worker_slots, 0) == 1);
-  CHECK(assign_worker(worker_slots, 2) == 0);
+  CHECK(choose_worker_for_client(worker_slots, 0) == 1);
+  CHECK(choose_worker_for_client(worker_slots, 2) == 0);
   worker_slots[0].clients = 5;
   worker_slots[1].clients = 3;
   worker_slots[2].clients = 4;
-  CHECK(assign_worker(worker_slots, 0) == 1);
-  worker_slots[1].assigned = kMostAssigned;  // it takes none of those it has
-  CHECK(assign_worker(worker_slots, 0) == 2);
+  CHECK(choose_worker_for_client(worker_slots, 0) == 1);
+  worker_slots[1].assigned = kMaxAssignedClients;  // it takes none of those it has
+  CHECK(choose_worker_for_client(worker_slots, 0) == 2);
   worker_slots[2].running = false;
-  CHECK(assign_worker(worker_slots, 0) == 0);
-  worker_slots[0].assigned = kMostAssigned;
-  CHECK_FALSE(assign_worker(worker_slots, 0));
-  CHECK(release_descriptor(worker_slots, std::nullopt) == 0);
-  CHECK(release_descriptor(worker_slots, 0) == 1);
-  CHECK_FALSE(release_descriptor(std::vector<WorkerSlot>(2), 0));
+  CHECK(choose_worker_for_client(worker_slots, 0) == 0);
+  worker_slots[0].assigned = kMaxAssignedClients;
+  CHECK_FALSE(choose_worker_for_client(worker_slots, 0));
+  CHECK(choose_worker_to_release_descriptor(worker_slots, std::nullopt) == 0);
+  CHECK(choose_worker_to_release_descriptor(worker_slots, 0) == 1);
+  CHECK_FALSE(choose_worker_to_release_descriptor(std::vector<WorkerSlot>(2), 0));
 }
 
 TEST_CASE("channel: nothing is lost or reordered when the ring is full, from one thread to another") {
