--- a/src/workers/shared_request_registry.cpp
+++ b/src/workers/shared_request_registry.cpp
@@ -2,40 +2,40 @@
 
 namespace database_proxy::workers {
 
-void ResourceUsageTable::publish(std::size_t worker, const proxy::ResourceUsage& held) {
-  auto& line = channels_[worker];
-  line.descriptors.store(held.descriptors, std::memory_order_relaxed);
-  line.clients.store(held.clients, std::memory_order_relaxed);
-  line.asked.store(held.used_clients, std::memory_order_relaxed);
-  line.statement_bytes.store(held.statement_bytes, std::memory_order_relaxed);
+void ResourceUsageTable::publish(std::size_t worker, const proxy::ResourceUsage& usage) {
+  auto& entry = entries_[worker];
+  entry.descriptors.store(usage.descriptors, std::memory_order_relaxed);
+  entry.clients.store(usage.clients, std::memory_order_relaxed);
+  entry.used_clients.store(usage.used_clients, std::memory_order_relaxed);
+  entry.statement_bytes.store(usage.statement_bytes, std::memory_order_relaxed);
 }
 
 proxy::ResourceUsage ResourceUsageTable::of(std::size_t worker) const {
-  auto& line = channels_[worker];
-  return {line.descriptors.load(std::memory_order_relaxed), line.clients.load(std::memory_order_relaxed),
-          line.asked.load(std::memory_order_relaxed), line.statement_bytes.load(std::memory_order_relaxed)};
+  auto& entry = entries_[worker];
+  return {entry.descriptors.load(std::memory_order_relaxed), entry.clients.load(std::memory_order_relaxed),
+          entry.used_clients.load(std::memory_order_relaxed), entry.statement_bytes.load(std::memory_order_relaxed)};
 }
 
-proxy::ResourceUsage ResourceUsageTable::others(std::size_t worker) const {
+proxy::ResourceUsage ResourceUsageTable::sum_except(std::size_t worker) const {
   proxy::ResourceUsage sum;
-  for (std::size_t i = 0; i < channels_.size(); ++i) {
+  for (std::size_t i = 0; i < entries_.size(); ++i) {
     if (i == worker) continue;
-    auto one = of(i);
-    sum.descriptors += one.descriptors;
-    sum.clients += one.clients;
-    sum.used_clients += one.used_clients;
-    sum.statement_bytes += one.statement_bytes;
+    auto usage = of(i);
+    sum.descriptors += usage.descriptors;
+    sum.clients += usage.clients;
+    sum.used_clients += usage.used_clients;
+    sum.statement_bytes += usage.statement_bytes;
   }
   return sum;
 }
 
-ServerConnections::Count ServerConnections::counter(const std::string& server) {
+ServerConnections::Counter ServerConnections::counter(const std::string& server) {
   std::lock_guard lock(mutex_);
-  if (auto known = counters_[server].lock()) return known;
+  if (auto existing = counters_[server].lock()) return existing;
   std::erase_if(counters_, [](auto& entry) { return entry.second.expired(); });
-  auto made = std::make_shared<std::atomic<int>>(0);
-  counters_[server] = made;
-  return made;
+  auto created = std::make_shared<std::atomic<int>>(0);
+  counters_[server] = created;
+  return created;
 }
 
 std::size_t ServerConnections::servers() {
--- a/src/workers/shared_request_registry.h
+++ b/src/workers/shared_request_registry.h
@@ -16,23 +16,23 @@
 namespace database_proxy::workers {
 
 // Names of the requests that are open at any worker.
-class RequestNameRegistry {
+class OpenRequestNames {
  public:
-  bool take(std::string_view name) {
-    auto& s = shard(name);
-    std::lock_guard lock(s.mutex);
-    return s.names.emplace(name).second;
+  bool reserve(std::string_view name) {
+    auto& shard = shard_of(name);
+    std::lock_guard lock(shard.mutex);
+    return shard.names.emplace(name).second;
   }
   void release(std::string_view name) {
-    auto& s = shard(name);
-    std::lock_guard lock(s.mutex);
-    if (auto it = s.names.find(name); it != s.names.end()) s.names.erase(it);
+    auto& shard = shard_of(name);
+    std::lock_guard lock(shard.mutex);
+    if (auto it = shard.names.find(name); it != shard.names.end()) shard.names.erase(it);
   }
   std::size_t size() {
     std::size_t sum = 0;
-    for (auto& s : shards_) {
-      std::lock_guard lock(s.mutex);
-      sum += s.names.size();
+    for (auto& shard : shards_) {
+      std::lock_guard lock(shard.mutex);
+      sum += shard.names.size();
     }
     return sum;
   }
@@ -48,32 +48,32 @@
     std::mutex mutex;
     std::unordered_set<std::string, Hash, std::equal_to<>> names;
   };
-  Shard& shard(std::string_view name) { return shards_[Hash{}(name) / 64 % kShards]; }
+  Shard& shard_of(std::string_view name) { return shards_[Hash{}(name) / 64 % kShards]; }
   std::array<Shard, kShards> shards_;
 };
 
 // What each worker holds of the descriptors, clients and memory that all share. Each writes its own line.
 class ResourceUsageTable {
  public:
-  explicit ResourceUsageTable(std::size_t workers) : channels_(workers) {}
-  void publish(std::size_t worker, const proxy::ResourceUsage& held);
+  explicit ResourceUsageTable(std::size_t workers) : entries_(workers) {}
+  void publish(std::size_t worker, const proxy::ResourceUsage& usage);
   proxy::ResourceUsage of(std::size_t worker) const;
-  proxy::ResourceUsage others(
+  proxy::ResourceUsage sum_except(
       std::size_t worker) const;  // the sum without it; all: any number beyond the last
 
  private:
-  struct alignas(64) DecisionChannel {
-    std::atomic<std::size_t> descriptors{0}, clients{0}, asked{0}, statement_bytes{0};
+  struct alignas(64) Entry {
+    std::atomic<std::size_t> descriptors{0}, clients{0}, used_clients{0}, statement_bytes{0};
   };
-  std::vector<DecisionChannel> channels_;
+  std::vector<Entry> entries_;
 };
 
 // Connections to each data server over all workers.
 class ServerConnections {
  public:
-  using Count = std::shared_ptr<std::atomic<int>>;
+  using Counter = std::shared_ptr<std::atomic<int>>;
   // The one counter of a server; a worker keeps it at hand. Forgotten when nobody holds it any more.
-  Count counter(const std::string& server);
+  Counter counter(const std::string& server);
   std::size_t servers();
 
  private:
--- a/src/workers/spsc_queue.h
+++ b/src/workers/spsc_queue.h
@@ -18,7 +18,7 @@
   // By the sender. Never loses anything; the sender bounds what it sends by what it sends for.
   void send(T item) {
     if (!backlog_.empty() || !ring_.push(item)) {
-      ++delayed_;
+      ++overflowed_;
       backlog_.push_back(std::move(item));
     }
   }
@@ -28,17 +28,17 @@
     return !backlog_.empty();
   }
   std::size_t backlog() const { return backlog_.size(); }
-  std::uint64_t delayed() const { return delayed_; }  // so many have found the ring full
+  std::uint64_t overflowed() const { return overflowed_; }  // so many have found the ring full
 
   // By the receiver.
-  bool waiting() const { return ring_.read_available() > 0; }
-  T* front() { return waiting() ? &ring_.front() : nullptr; }
+  bool has_items() const { return ring_.read_available() > 0; }
+  T* front() { return has_items() ? &ring_.front() : nullptr; }
   void pop() { ring_.pop(); }
 
  private:
   boost::lockfree::spsc_queue<T> ring_;
   std::deque<T> backlog_;
-  std::uint64_t delayed_ = 0;
+  std::uint64_t overflowed_ = 0;
 };
 
 }  // namespace database_proxy::workers
--- a/src/workers/worker_pool.cpp
+++ b/src/workers/worker_pool.cpp
@@ -117,7 +117,7 @@
   // SiblingWorkers, in the worker's own thread.
   void publish(const proxy::ResourceUsage& held) override { group_.resource_usage_.publish(number_, held); }
   proxy::ResourceUsage sibling_usage() const override {
-    auto sum = group_.resource_usage_.others(number_);
+    auto sum = group_.resource_usage_.sum_except(number_);
     if (group_.decisions_) sum.descriptors += group_.decisions_->descriptors();
     return sum;
   }
@@ -127,8 +127,8 @@
     group_.request_descriptor(number_);
   }
   void cancel(std::uint32_t number, std::uint32_t secret) override { group_.cancel(number, secret); }
-  bool reserve_request_name(std::string_view name) override { return group_.names_.take(name); }
-  void release_request_name(std::string_view name) override { group_.names_.release(name); }
+  bool reserve_request_name(std::string_view name) override { return group_.request_names_.reserve(name); }
+  void release_request_name(std::string_view name) override { group_.request_names_.release(name); }
   void connection_opened(const std::string& server) override { ++*counter(server); }
   void connection_closed(const std::string& server) override { --*counter(server); }
   bool has_too_many_connections(const std::string& server) const override {
@@ -155,7 +155,7 @@
     if (counters_.size() > kMostKept)
       std::erase_if(counters_, [](auto& entry) { return entry.second->load() == 0; });
     auto& kept = counters_[server];
-    if (!kept) kept = group_.connections_.counter(server);
+    if (!kept) kept = group_.server_connections_.counter(server);
     return kept.get();
   }
 
@@ -168,7 +168,7 @@
   std::unique_ptr<routing::DecisionFacade> facade_;
   std::unique_ptr<routing::LocalDecider> local_;
   routing::Decider* decider_ = nullptr;
-  std::unordered_map<std::string, ServerConnections::Count> counters_;
+  std::unordered_map<std::string, ServerConnections::Counter> counters_;
   std::unique_ptr<proxy::Proxy> proxy_;
   std::atomic<std::size_t> assigned_{0};
   std::atomic<bool> running_{false};
@@ -211,7 +211,7 @@
     if (is_inherited()) net::ensure_non_blocking(listener_);
     for (int accepted = 0; accepted < kAcceptsPerIteration; ++accepted) {
       auto worker_slots = group_.worker_slots();
-      auto all = group_.resource_usage_.others(worker_slots.size());
+      auto all = group_.resource_usage_.sum_except(worker_slots.size());
       std::size_t assigned = 0;
       for (auto& s : worker_slots) assigned += s.assigned;
       auto limit = group_.descriptors_allowed();
@@ -387,7 +387,7 @@
 void WorkerPool::log_shutdown() {
   std::size_t clients = 0;
   for (auto& slot : worker_slots()) clients += slot.clients;
-  log_(net::Level::kInfo, fmt::format("told to stop: {} clients, {} requests open", clients, names_.size()));
+  log_(net::Level::kInfo, fmt::format("told to stop: {} clients, {} requests open", clients, request_names_.size()));
 }
 
 void WorkerPool::reconfigure(const proxy::ProxyOptions& options, int connections_per_server) {
@@ -431,7 +431,7 @@
 }
 
 std::size_t WorkerPool::descriptors_held() const {
-  return resource_usage_.others(workers_.size()).descriptors + kOwnDescriptors +
+  return resource_usage_.sum_except(workers_.size()).descriptors + kOwnDescriptors +
          config_.proxy.reserved_descriptors + kOfEachProxy * workers_.size() +
          (decisions_ ? decisions_->descriptors() : 0);
 }
--- a/src/workers/worker_pool.h
+++ b/src/workers/worker_pool.h
@@ -101,8 +101,8 @@
   std::function<net::Log(const std::string&)> make_log_;
   net::Log log_;
   ResourceUsageTable resource_usage_;
-  RequestNameRegistry names_;
-  ServerConnections connections_;
+  OpenRequestNames request_names_;
+  ServerConnections server_connections_;
   std::atomic<std::size_t> descriptors_;  // as configured now
   std::atomic<std::size_t> other_processes_{0}, other_descriptors_{0};
   std::atomic<int> connections_per_server_;
--- a/tests/workers/worker_parts_test.cpp
+++ b/tests/workers/worker_parts_test.cpp
@@ -115,22 +115,22 @@
 }
 
 TEST_CASE("channel: nothing is lost or reordered when the ring is full, from one thread to another") {
-  SpscQueue<int> channel(8);
-  for (int i = 0; i < 100; ++i) channel.send(i);
-  CHECK(channel.backlog() > 0);
-  CHECK(channel.delayed() == channel.backlog());
+  SpscQueue<int> queue(8);
+  for (int i = 0; i < 100; ++i) queue.send(i);
+  CHECK(queue.backlog() > 0);
+  CHECK(queue.overflowed() == queue.backlog());
   std::vector<int> got;
   std::thread receiver([&] {
     while (got.size() < 100000)
-      if (auto* item = channel.front()) {
+      if (auto* item = queue.front()) {
         got.push_back(*item);
-        channel.pop();
+        queue.pop();
       } else {
         std::this_thread::yield();
       }
   });
-  for (int i = 100; i < 100000; ++i) channel.send(i);
-  while (channel.flush()) std::this_thread::yield();
+  for (int i = 100; i < 100000; ++i) queue.send(i);
+  while (queue.flush()) std::this_thread::yield();
   receiver.join();
   for (int i = 0; i < 100000; ++i)
     if (got[static_cast<std::size_t>(i)] != i)
@@ -139,18 +139,18 @@
 
 TEST_CASE(
     "ledger: a name is taken once at a time, from any thread, connections are forgotten with their last") {
-  RequestNameRegistry names;
+  OpenRequestNames names;
   std::atomic<int> taken{0};
   std::vector<std::thread> threads;
   for (int t = 0; t < 4; ++t)
     threads.emplace_back([&] {
-      for (int i = 0; i < 1000; ++i) taken += names.take("id" + std::to_string(i));
+      for (int i = 0; i < 1000; ++i) taken += names.reserve("id" + std::to_string(i));
     });
   for (auto& t : threads) t.join();
   CHECK(taken == 1000);
   CHECK(names.size() == 1000);
   names.release("id7");
-  CHECK(names.take("id7"));
+  CHECK(names.reserve("id7"));
   ServerConnections connections;
   {
     auto a = connections.counter("a"), again = connections.counter("a");
@@ -158,12 +158,12 @@
     for (int i = 0; i < 100; ++i) connections.counter("gone" + std::to_string(i));
     CHECK(connections.servers() <= 2);
   }
-  ResourceUsageTable holdings(3);
-  holdings.publish(0, {1, 10, 5, 100});
-  holdings.publish(2, {2, 20, 6, 200});
-  CHECK(holdings.others(0).clients == 20);
-  CHECK(holdings.others(1).descriptors == 3);
-  CHECK(holdings.others(9).statement_bytes == 300);
+  ResourceUsageTable usage_table(3);
+  usage_table.publish(0, {1, 10, 5, 100});
+  usage_table.publish(2, {2, 20, 6, 200});
+  CHECK(usage_table.sum_except(0).clients == 20);
+  CHECK(usage_table.sum_except(1).descriptors == 3);
+  CHECK(usage_table.sum_except(9).statement_bytes == 300);
 }
 
 TEST_CASE("split: workers are routers of their own, told apart, and no two share a seed") {
