--- a/src/workers/decision_thread.cpp
+++ b/src/workers/decision_thread.cpp
@@ -17,18 +17,18 @@
 }  // namespace
 
 DecisionThread::DecisionThread(std::unique_ptr<routing::DecisionFacade> facade, std::size_t workers,
-                               std::size_t ring, proxy::PoolLimits limits, net::Log log,
+                               std::size_t ring_capacity, proxy::PoolLimits limits, net::Log log,
                                std::function<void(std::size_t)> wake)
     : tasks_(loop_,
              [this] {
                return std::any_of(channels_.begin(), channels_.end(),
-                                  [](auto& l) { return l->told.waiting(); });
+                                  [](auto& channel) { return channel->events.has_items(); });
              }),
       facade_(std::move(facade)),
       pool_(loop_, limits, *this, std::move(log)),
       wake_(std::move(wake)),
-      told_(workers, false) {
-  for (std::size_t i = 0; i < workers; ++i) channels_.push_back(std::make_unique<DecisionChannel>(ring));
+      workers_to_wake_(workers, false) {
+  for (std::size_t i = 0; i < workers; ++i) channels_.push_back(std::make_unique<DecisionChannel>(ring_capacity));
 }
 
 DecisionThread::~DecisionThread() { stop(); }
@@ -46,9 +46,9 @@
   thread_.join();
 }
 
-void DecisionThread::list(discovery::EndpointListUpdate update, bool cached) {
+void DecisionThread::update_endpoint_list(discovery::EndpointListUpdate update, bool cached) {
   post([this, update = std::move(update), cached] {
-    ++list_;
+    ++endpoint_list_version_;
     pool_.update(update);
     facade_->update(loop_.now(), update, cached);
   });
@@ -62,66 +62,66 @@
   post([this, limits] { pool_.set_limits(limits); });
 }
 
-void DecisionThread::take(DecisionChannel& line) {
+void DecisionThread::receive_events(DecisionChannel& channel) {
   auto now = loop_.now();
   for (int i = 0; i < kEventsPerIteration; ++i) {
-    auto* told = line.told.front();
-    if (!told) return;
-    switch (told->kind) {
-      case Told::Kind::kResult:
-        facade_->report(now, told->result);
+    auto* event = channel.events.front();
+    if (!event) return;
+    switch (event->kind) {
+      case WorkerEvent::Kind::kResult:
+        facade_->report(now, event->result);
         break;
-      case Told::Kind::kGone:
+      case WorkerEvent::Kind::kClientDisconnected:
         // It may have come in this same turn: then the decisions never hear of it.
-        if (std::erase_if(asked_, [&](auto& r) { return r.id == told->on_client_disconnected; }) == 0)
-          facade_->on_client_disconnected(now, told->on_client_disconnected);
+        if (std::erase_if(new_requests_, [&](auto& r) { return r.id == event->disconnected_request; }) == 0)
+          facade_->on_client_disconnected(now, event->disconnected_request);
         break;
-      case Told::Kind::kRequest:
-        asked_.push_back(told->request);
+      case WorkerEvent::Kind::kRequest:
+        new_requests_.push_back(event->request);
         break;
     }
-    line.told.pop();
+    channel.events.pop();
   }
 }
 
 void DecisionThread::on_iteration_end() {
   auto now = loop_.now();
   tasks_.drain();
-  for (auto& probe : std::exchange(probed_, {})) facade_->report(now, probe);
-  for (std::size_t i = 0; i < channels_.size(); ++i) take(*channels_[(first_ + i) % channels_.size()]);
-  ++first_;
-  for (auto& request : asked_) facade_->submit(now, request);
-  asked_.clear();
-  auto ticked = facade_->tick(now);
-  route(std::move(ticked.decisions));
-  bool ready = facade_->ready(), left = false;
+  for (auto& probe : std::exchange(probe_results_, {})) facade_->report(now, probe);
+  for (std::size_t i = 0; i < channels_.size(); ++i) receive_events(*channels_[(first_channel_ + i) % channels_.size()]);
+  ++first_channel_;
+  for (auto& request : new_requests_) facade_->submit(now, request);
+  new_requests_.clear();
+  auto tick_result = facade_->tick(now);
+  send_decisions(std::move(tick_result.decisions));
+  bool ready = facade_->ready(), has_backlog = false;
   for (std::size_t w = 0; w < channels_.size(); ++w) {
-    left |= channels_[w]->made.flush();
-    if (channels_[w]->ready.exchange(ready, std::memory_order_acq_rel) != ready) told_[w] = true;
-    if (told_[w]) wake_(w);
-    told_[w] = false;
+    has_backlog |= channels_[w]->decisions.flush();
+    if (channels_[w]->ready.exchange(ready, std::memory_order_acq_rel) != ready) workers_to_wake_[w] = true;
+    if (workers_to_wake_[w]) wake_(w);
+    workers_to_wake_[w] = false;
   }
   pool_.free_closed();
   descriptors_.store(loop_.watched(), std::memory_order_relaxed);
-  auto next_due = ticked.next_due;
-  if (left) next_due = std::min(next_due.value_or(now + kRetryInterval), now + kRetryInterval);
-  if (!probed_.empty()) next_due = now;  // a probe that ended at once
-  loop_.cancel(&due_);
-  if (next_due) due_ = loop_.at(*next_due, [] {});
+  auto next_due = tick_result.next_due;
+  if (has_backlog) next_due = std::min(next_due.value_or(now + kRetryInterval), now + kRetryInterval);
+  if (!probe_results_.empty()) next_due = now;  // a probe that ended at once
+  loop_.cancel(&due_timer_);
+  if (next_due) due_timer_ = loop_.at(*next_due, [] {});
 }
 
-void DecisionThread::route(std::vector<routing::Decision> decisions) {
-  for (auto& d : decisions) {
-    if (d.kind == Kind::kProbe) {
+void DecisionThread::send_decisions(std::vector<routing::Decision> decisions) {
+  for (auto& decision : decisions) {
+    if (decision.kind == Kind::kProbe) {
       probes_made_.fetch_add(1, std::memory_order_relaxed);
-      pool_.probe(d.server);
+      pool_.probe(decision.server);
       continue;
     }
-    d.decided_at = loop_.now();
-    d.endpoint_list_version = list_;
-    auto worker = static_cast<std::size_t>((d.request - 1) % channels_.size());
-    channels_[worker]->made.send(std::move(d));
-    told_[worker] = true;
+    decision.decided_at = loop_.now();
+    decision.endpoint_list_version = endpoint_list_version_;
+    auto worker = static_cast<std::size_t>((decision.request - 1) % channels_.size());
+    channels_[worker]->decisions.send(std::move(decision));
+    workers_to_wake_[worker] = true;
   }
 }
 
--- a/src/workers/decision_thread.h
+++ b/src/workers/decision_thread.h
@@ -17,11 +17,11 @@
  public:
   // `wake(w)` tells worker `w` that decisions wait for it. Request ids say whose they are: (id - 1) modulo
   // workers.
-  DecisionThread(std::unique_ptr<routing::DecisionFacade> facade, std::size_t workers, std::size_t ring,
+  DecisionThread(std::unique_ptr<routing::DecisionFacade> facade, std::size_t workers, std::size_t ring_capacity,
                  proxy::PoolLimits limits, net::Log log, std::function<void(std::size_t)> wake);
   ~DecisionThread();
 
-  DecisionChannel& line(std::size_t worker) { return *channels_[worker]; }
+  DecisionChannel& channel(std::size_t worker) { return *channels_[worker]; }
   const routing::DecisionFacade& facade() const { return *facade_; }  // only what never changes: its classes
   void start(int cpu);                                                // -1: not pinned
   void stop();
@@ -29,7 +29,7 @@
   // From any thread.
   void wake() { tasks_.notify(); }
   void post(net::TaskQueue::Task call) { tasks_.post(std::move(call)); }
-  void list(discovery::EndpointListUpdate update, bool cached);
+  void update_endpoint_list(discovery::EndpointListUpdate update, bool cached);
   // As DecisionFacade::share_sessions(); from any thread.
   void share_sessions(bool is_shared);
   void set_limits(proxy::PoolLimits limits);
@@ -38,11 +38,11 @@
 
  private:
   void on_iteration_end();
-  void take(DecisionChannel& line);
-  void route(std::vector<routing::Decision> decisions);
+  void receive_events(DecisionChannel& channel);
+  void send_decisions(std::vector<routing::Decision> decisions);
 
   void attempt_ended(proxy::AttemptEnd) override {}  // it sends no requests
-  void probe_ended(routing::ProbeResult result) override { probed_.push_back(std::move(result)); }
+  void probe_ended(routing::ProbeResult result) override { probe_results_.push_back(std::move(result)); }
   proxy::ClientPort* client_of(routing::RequestId) override { return nullptr; }
   void attempt_begins(routing::RequestId, const std::string&) override {}
 
@@ -52,12 +52,12 @@
   proxy::ServerPool pool_;
   std::function<void(std::size_t)> wake_;
   std::vector<std::unique_ptr<DecisionChannel>> channels_;
-  std::vector<bool> told_;  // workers to wake at the end of the turn
-  std::vector<routing::Request> asked_;
-  std::vector<routing::ProbeResult> probed_;
-  std::uint64_t list_ = 0;  // changes of the list so far
-  std::size_t first_ = 0;   // whose line is looked at first, in turn
-  net::Loop::TimerId due_ = net::Loop::kNoTimer;
+  std::vector<bool> workers_to_wake_;  // workers to wake at the end of the turn
+  std::vector<routing::Request> new_requests_;
+  std::vector<routing::ProbeResult> probe_results_;
+  std::uint64_t endpoint_list_version_ = 0;  // changes of the list so far
+  std::size_t first_channel_ = 0;   // whose line is looked at first, in turn
+  net::Loop::TimerId due_timer_ = net::Loop::kNoTimer;
   std::atomic<std::uint64_t> probes_made_{0};
   std::atomic<std::size_t> descriptors_{0};
   std::thread thread_;
--- a/src/workers/remote_decider.cpp
+++ b/src/workers/remote_decider.cpp
@@ -18,48 +18,48 @@
 }
 
 void RemoteDecider::report(Micros, routing::AttemptResult result) {
-  Told told;
-  told.kind = Told::Kind::kResult;
-  told.result = std::move(result);
-  line_.told.send(std::move(told));
-  told_ = true;
+  WorkerEvent event;
+  event.kind = WorkerEvent::Kind::kResult;
+  event.result = std::move(result);
+  channel_.events.send(std::move(event));
+  has_new_events_ = true;
 }
 
 void RemoteDecider::on_client_disconnected(Micros, routing::RequestId request) {
-  Told told;
-  told.on_client_disconnected = request;
-  line_.told.send(std::move(told));
-  told_ = true;
+  WorkerEvent event;
+  event.disconnected_request = request;
+  channel_.events.send(std::move(event));
+  has_new_events_ = true;
 }
 
 bool RemoteDecider::submit(Micros, const routing::Request& request) {
-  if (line_.told.backlog() >= most_queued_requests_) return false;
-  Told told;
-  told.kind = Told::Kind::kRequest;
-  told.request = request;
-  line_.told.send(std::move(told));
-  return told_ = true;
+  if (channel_.events.backlog() >= max_queued_requests_) return false;
+  WorkerEvent event;
+  event.kind = WorkerEvent::Kind::kRequest;
+  event.request = request;
+  channel_.events.send(std::move(event));
+  return has_new_events_ = true;
 }
 
 routing::TickResult RemoteDecider::collect(Micros now) {
-  routing::TickResult ticked;
-  bool left = line_.told.flush();
-  if (std::exchange(told_, false) || left) wake_();
-  if (left) ticked.next_due = now + kRetryInterval;
-  while (auto* decision = line_.made.front()) {
+  routing::TickResult result;
+  bool has_backlog = channel_.events.flush();
+  if (std::exchange(has_new_events_, false) || has_backlog) wake_();
+  if (has_backlog) result.next_due = now + kRetryInterval;
+  while (auto* decision = channel_.decisions.front()) {
     auto verdict = staleness_check_.check(now, *decision);
     if (verdict == DecisionStalenessCheck::Verdict::kAhead)
       break;  // its list is in the mailbox, which ends the next sleep
     decision->stale = verdict != DecisionStalenessCheck::Verdict::kCurrent;
-    returned_ += decision->stale;
+    stale_decisions_ += decision->stale;
     if (decision->kind == routing::Decision::Kind::kSend) {
       decision->timeout -= now - decision->decided_at;
       if (decision->start_within != Micros::max()) decision->start_within -= now - decision->decided_at;
     }
-    ticked.decisions.push_back(std::move(*decision));
-    line_.made.pop();
+    result.decisions.push_back(std::move(*decision));
+    channel_.decisions.pop();
   }
-  return ticked;
+  return result;
 }
 
 }  // namespace database_proxy::workers
--- a/src/workers/remote_decider.h
+++ b/src/workers/remote_decider.h
@@ -12,18 +12,18 @@
 
 // What a worker tells: one of three, told apart by `kind`. No variant: its members are small, and what goes
 // through the ring is copied into it anyway.
-struct Told {
-  enum class Kind { kRequest, kResult, kGone } kind = Kind::kGone;
-  routing::RequestId on_client_disconnected = 0;
+struct WorkerEvent {
+  enum class Kind { kRequest, kResult, kClientDisconnected } kind = Kind::kClientDisconnected;
+  routing::RequestId disconnected_request = 0;
   routing::Request request{};
   routing::AttemptResult result{};
 };
 
 // Both ways between one worker and the decision thread.
 struct DecisionChannel {
-  explicit DecisionChannel(std::size_t ring) : told(ring), made(ring) {}
-  SpscQueue<Told> told;               // worker to decisions
-  SpscQueue<routing::Decision> made;  // decisions to worker
+  explicit DecisionChannel(std::size_t ring_capacity) : events(ring_capacity), decisions(ring_capacity) {}
+  SpscQueue<WorkerEvent> events;               // worker to decisions
+  SpscQueue<routing::Decision> decisions;  // decisions to worker
   std::atomic<bool> ready{false};     // the decisions know of a server that is up
 };
 
@@ -31,13 +31,13 @@
  public:
   // `most_waiting`: new requests that may wait beyond the full ring; more are turned away. What else is sent
   // is bounded by what is open. `wake` tells the decision thread that something waits for it.
-  RemoteDecider(DecisionChannel& line,
+  RemoteDecider(DecisionChannel& channel,
                 const std::unordered_map<std::string, routing::RequestClassInfo>& classes,
-                std::size_t most_queued_requests, std::function<void()> wake)
-      : line_(line), classes_(classes), most_queued_requests_(most_queued_requests), wake_(std::move(wake)) {}
+                std::size_t max_queued_requests, std::function<void()> wake)
+      : channel_(channel), classes_(classes), max_queued_requests_(max_queued_requests), wake_(std::move(wake)) {}
 
   const routing::RequestClassInfo* find_class(std::string_view name) const override;
-  bool ready() const override { return line_.ready.load(std::memory_order_acquire); }
+  bool ready() const override { return channel_.ready.load(std::memory_order_acquire); }
   // Lists reach the decision thread by another way; here they only raise the fence.
   void update(Micros now, const discovery::EndpointListUpdate& list, bool cached) override;
   void report(Micros now, routing::AttemptResult result) override;
@@ -51,17 +51,17 @@
   double spare_capacity(const std::string&) const override { return 0; }
   routing::TickResult collect(Micros now) override;
 
-  bool waiting() const { return line_.made.waiting(); }  // decisions wait to be collected
-  std::uint64_t returned() const { return returned_; }   // decisions that went back as too old
+  bool has_decisions() const { return channel_.decisions.has_items(); }  // decisions wait to be collected
+  std::uint64_t stale_decisions() const { return stale_decisions_; }   // decisions that went back as too old
 
  private:
-  DecisionChannel& line_;
+  DecisionChannel& channel_;
   const std::unordered_map<std::string, routing::RequestClassInfo>& classes_;
-  std::size_t most_queued_requests_;
+  std::size_t max_queued_requests_;
   std::function<void()> wake_;
   DecisionStalenessCheck staleness_check_;
-  bool told_ = false;
-  std::uint64_t returned_ = 0;
+  bool has_new_events_ = false;
+  std::uint64_t stale_decisions_ = 0;
 };
 
 }  // namespace database_proxy::workers
--- a/src/workers/worker_pool.cpp
+++ b/src/workers/worker_pool.cpp
@@ -53,12 +53,12 @@
       : group_(group),
         number_(number),
         log_(group.make_log_(fmt::format("w{}", number))),
-        tasks_(loop_, [this] { return remote_ && remote_->waiting(); }) {
+        tasks_(loop_, [this] { return remote_ && remote_->has_decisions(); }) {
     auto& c = group.config_;
     if (c.options.decisions == Decisions::kShared) {
       remote_ = std::make_unique<RemoteDecider>(
-          group.decisions_->line(number), group.decisions_->facade().classes(),
-          c.options.most_queued_requests, [&group] { group.decisions_->wake(); });
+          group.decisions_->channel(number), group.decisions_->facade().classes(),
+          c.options.max_queued_requests, [&group] { group.decisions_->wake(); });
       decider_ = remote_.get();
     } else {
       facade_ = std::make_unique<routing::DecisionFacade>(
@@ -112,7 +112,7 @@
     return {group_.resource_usage_.of(number_).clients, assigned_.load(), running_.load()};
   }
   proxy::Proxy& proxy() { return *proxy_; }
-  std::uint64_t returned() const { return remote_ ? remote_->returned() : 0; }
+  std::uint64_t returned() const { return remote_ ? remote_->stale_decisions() : 0; }
 
   // SiblingWorkers, in the worker's own thread.
   void publish(const proxy::ResourceUsage& held) override { group_.resource_usage_.publish(number_, held); }
@@ -279,7 +279,7 @@
     auto facade = std::make_unique<routing::DecisionFacade>(
         config_.settings, config_.seed, routing::UnixClock::measured(),
         [decisions_log](const std::string& text) { decisions_log(net::Level::kInfo, "decisions: " + text); });
-    decisions_ = std::make_unique<DecisionThread>(std::move(facade), o.count, o.ring, config_.proxy.pool,
+    decisions_ = std::make_unique<DecisionThread>(std::move(facade), o.count, o.ring_capacity, config_.proxy.pool,
                                                   decisions_log,
                                                   [this](std::size_t worker) { workers_[worker]->wake(); });
   }
@@ -295,7 +295,7 @@
   auto known = config_.proxy.known;
   known.reset = true;
   known = config_.proxy.overlay(std::move(known));
-  if (decisions_) decisions_->list(known, true);  // the workers have it from their options
+  if (decisions_) decisions_->update_endpoint_list(known, true);  // the workers have it from their options
   note_usable_servers(known);
   discovery_.emplace(
       control_, config_.proxy.discovery, known.generation, config_.proxy.schedule,
@@ -330,7 +330,7 @@
   note_usable_servers(update);
   for (auto& worker : workers_)
     worker->post([update, cached, &p = worker->proxy()] { p.update_endpoint_list(update, cached); });
-  if (decisions_) decisions_->list(std::move(update), cached);
+  if (decisions_) decisions_->update_endpoint_list(std::move(update), cached);
 }
 
 void WorkerPool::run() {
--- a/src/workers/worker_pool.h
+++ b/src/workers/worker_pool.h
@@ -27,7 +27,7 @@
   bool share_probes = true;  // kSplit: a good probe counts for all workers
   // Entries of a ring between a worker and the decision thread: what a stalled peer lets gather in a tenth of
   // a second at 40,000 requests a second. New requests that may wait behind a full one; more are turned away.
-  std::size_t ring = 4096, most_queued_requests = 4096;
+  std::size_t ring_capacity = 4096, max_queued_requests = 4096;
   // Connections to one data server over all workers above which idle ones are closed rather than kept.
   // PostgreSQL's own default lets 100 in, of which it keeps 3 for its administrators.
   int connections_per_server = 90;
--- a/tests/workers/worker_pool_test.cpp
+++ b/tests/workers/worker_pool_test.cpp
@@ -268,8 +268,8 @@
 TEST_CASE(
     "workers: while the decisions stand still each request gets one answer in time, and no queue grows") {
   auto o = options(2);
-  o.ring = 8;
-  o.most_queued_requests = 8;
+  o.ring_capacity = 8;
+  o.max_queued_requests = 8;
   GroupRig rig(o);
   std::vector<std::unique_ptr<Placed>> placed;
   for (int i = 0; i < 4; ++i) placed.push_back(std::make_unique<Placed>(rig.port, 2));
