--- a/src/app/commands.cpp
+++ b/src/app/commands.cpp
@@ -155,9 +155,9 @@
   net::Loop control;
   Operations operations(control, told.config, told.environment, log);
   operations.prepare(&config.proxy);
-  if (config.proxy.inherited_listener >= 0 && config.options.accept == workers::Accept::kReusePort) {
+  if (config.proxy.inherited_listener >= 0 && config.options.accept == workers::AcceptMode::kReusePort) {
     log(net::Level::kWarning, "the listening socket is inherited: one thread accepts all clients");
-    config.options.accept = workers::Accept::kBalanced;
+    config.options.accept = workers::AcceptMode::kBalanced;
   }
   workers::WorkerPool group(control, config, [&](const std::string& tag) { return logger.sink(tag); });
   Signals signals(
@@ -171,8 +171,8 @@
   log(net::Level::kInfo,
       fmt::format(
           "{} workers, decisions {}, clients {}", own.count,
-          own.decisions == workers::Decisions::kShared ? "shared" : "split",
-          config.options.accept == workers::Accept::kBalanced ? "dealt out" : "dealt out by the kernel"));
+          own.decisions == workers::DecisionMode::kShared ? "shared" : "split",
+          config.options.accept == workers::AcceptMode::kBalanced ? "dealt out" : "dealt out by the kernel"));
   group.on_ready = [&] { operations.on_serving(); };
   group.on_unknown_cancel = [&](auto number, auto secret) { operations.forward_cancel(number, secret); };
   operations.open(operators_view_of(group));
--- a/src/app/operator_file.cpp
+++ b/src/app/operator_file.cpp
@@ -69,9 +69,9 @@
     auto& o = file.workers;
     o.count = w.value("count", o.count);
     o.decisions =
-        w.value("decisions", "shared") == "split" ? workers::Decisions::kSplit : workers::Decisions::kShared;
+        w.value("decisions", "shared") == "split" ? workers::DecisionMode::kSplit : workers::DecisionMode::kShared;
     o.accept =
-        w.value("accept", "deal") == "reuseport" ? workers::Accept::kReusePort : workers::Accept::kBalanced;
+        w.value("accept", "deal") == "reuseport" ? workers::AcceptMode::kReusePort : workers::AcceptMode::kBalanced;
     o.share_probes = w.value("share_probes", o.share_probes);
     o.connections_per_server = w.value("connections_per_server", o.connections_per_server);
     o.cpus = w.value("cpus", o.cpus);
@@ -151,7 +151,7 @@
 std::vector<std::string> warnings(const OperatorFile& file) {
   std::vector<std::string> all;
   auto& w = file.workers;
-  auto threads = w.count + (w.count > 1 && w.decisions == workers::Decisions::kShared);
+  auto threads = w.count + (w.count > 1 && w.decisions == workers::DecisionMode::kShared);
   if (w.count > 1 && threads > cores())
     all.push_back(fmt::format("{} busy threads ({} workers{}) share {} cores", threads, w.count,
                               threads > w.count ? " and the decisions" : "", cores()));
--- a/src/workers/decision_staleness_check.cpp
+++ b/src/workers/decision_staleness_check.cpp
@@ -45,7 +45,8 @@
   if (now - decision.decided_at > kLongestDecisionAge || now >= decision.decided_at + decision.timeout)
     return Verdict::kTooOld;
   auto it = out_of_service_.find(decision.server);
-  if (it != out_of_service_.end() && decision.endpoint_list_version < it->second.version) return Verdict::kOutOfService;
+  if (it != out_of_service_.end() && decision.endpoint_list_version < it->second.version)
+    return Verdict::kOutOfService;
   return Verdict::kCurrent;
 }
 
--- a/src/workers/decision_staleness_check.h
+++ b/src/workers/decision_staleness_check.h
@@ -29,8 +29,8 @@
 
   enum class Verdict {
     kCurrent,
-    kAhead,   // made on a list that has not come here yet: wait for that
-    kTooOld,  // made too long ago
+    kAhead,         // made on a list that has not come here yet: wait for that
+    kTooOld,        // made too long ago
     kOutOfService,  // made before word that this server takes no new work
   };
   Verdict check(Micros now, const routing::Decision& decision) const;
--- a/src/workers/decision_thread.cpp
+++ b/src/workers/decision_thread.cpp
@@ -28,7 +28,8 @@
       pool_(loop_, limits, *this, std::move(log)),
       wake_(std::move(wake)),
       workers_to_wake_(workers, false) {
-  for (std::size_t i = 0; i < workers; ++i) channels_.push_back(std::make_unique<DecisionChannel>(ring_capacity));
+  for (std::size_t i = 0; i < workers; ++i)
+    channels_.push_back(std::make_unique<DecisionChannel>(ring_capacity));
 }
 
 DecisionThread::~DecisionThread() { stop(); }
@@ -88,7 +89,8 @@
   auto now = loop_.now();
   tasks_.drain();
   for (auto& probe : std::exchange(probe_results_, {})) facade_->report(now, probe);
-  for (std::size_t i = 0; i < channels_.size(); ++i) receive_events(*channels_[(first_channel_ + i) % channels_.size()]);
+  for (std::size_t i = 0; i < channels_.size(); ++i)
+    receive_events(*channels_[(first_channel_ + i) % channels_.size()]);
   ++first_channel_;
   for (auto& request : new_requests_) facade_->submit(now, request);
   new_requests_.clear();
--- a/src/workers/decision_thread.h
+++ b/src/workers/decision_thread.h
@@ -17,8 +17,9 @@
  public:
   // `wake(w)` tells worker `w` that decisions wait for it. Request ids say whose they are: (id - 1) modulo
   // workers.
-  DecisionThread(std::unique_ptr<routing::DecisionFacade> facade, std::size_t workers, std::size_t ring_capacity,
-                 proxy::PoolLimits limits, net::Log log, std::function<void(std::size_t)> wake);
+  DecisionThread(std::unique_ptr<routing::DecisionFacade> facade, std::size_t workers,
+                 std::size_t ring_capacity, proxy::PoolLimits limits, net::Log log,
+                 std::function<void(std::size_t)> wake);
   ~DecisionThread();
 
   DecisionChannel& channel(std::size_t worker) { return *channels_[worker]; }
@@ -56,7 +57,7 @@
   std::vector<routing::Request> new_requests_;
   std::vector<routing::ProbeResult> probe_results_;
   std::uint64_t endpoint_list_version_ = 0;  // changes of the list so far
-  std::size_t first_channel_ = 0;   // whose line is looked at first, in turn
+  std::size_t first_channel_ = 0;            // whose line is looked at first, in turn
   net::Loop::TimerId due_timer_ = net::Loop::kNoTimer;
   std::atomic<std::uint64_t> probes_made_{0};
   std::atomic<std::size_t> descriptors_{0};
--- a/src/workers/remote_decider.h
+++ b/src/workers/remote_decider.h
@@ -22,9 +22,9 @@
 // Both ways between one worker and the decision thread.
 struct DecisionChannel {
   explicit DecisionChannel(std::size_t ring_capacity) : events(ring_capacity), decisions(ring_capacity) {}
-  SpscQueue<WorkerEvent> events;               // worker to decisions
+  SpscQueue<WorkerEvent> events;           // worker to decisions
   SpscQueue<routing::Decision> decisions;  // decisions to worker
-  std::atomic<bool> ready{false};     // the decisions know of a server that is up
+  std::atomic<bool> ready{false};          // the decisions know of a server that is up
 };
 
 class RemoteDecider : public routing::Decider {
@@ -34,7 +34,10 @@
   RemoteDecider(DecisionChannel& channel,
                 const std::unordered_map<std::string, routing::RequestClassInfo>& classes,
                 std::size_t max_queued_requests, std::function<void()> wake)
-      : channel_(channel), classes_(classes), max_queued_requests_(max_queued_requests), wake_(std::move(wake)) {}
+      : channel_(channel),
+        classes_(classes),
+        max_queued_requests_(max_queued_requests),
+        wake_(std::move(wake)) {}
 
   const routing::RequestClassInfo* find_class(std::string_view name) const override;
   bool ready() const override { return channel_.ready.load(std::memory_order_acquire); }
@@ -52,7 +55,7 @@
   routing::TickResult collect(Micros now) override;
 
   bool has_decisions() const { return channel_.decisions.has_items(); }  // decisions wait to be collected
-  std::uint64_t stale_decisions() const { return stale_decisions_; }   // decisions that went back as too old
+  std::uint64_t stale_decisions() const { return stale_decisions_; }  // decisions that went back as too old
 
  private:
   DecisionChannel& channel_;
--- a/src/workers/shared_request_registry.cpp
+++ b/src/workers/shared_request_registry.cpp
@@ -13,7 +13,8 @@
 proxy::ResourceUsage ResourceUsageTable::of(std::size_t worker) const {
   auto& entry = entries_[worker];
   return {entry.descriptors.load(std::memory_order_relaxed), entry.clients.load(std::memory_order_relaxed),
-          entry.used_clients.load(std::memory_order_relaxed), entry.statement_bytes.load(std::memory_order_relaxed)};
+          entry.used_clients.load(std::memory_order_relaxed),
+          entry.statement_bytes.load(std::memory_order_relaxed)};
 }
 
 proxy::ResourceUsage ResourceUsageTable::sum_except(std::size_t worker) const {
--- a/src/workers/worker_pool.h
+++ b/src/workers/worker_pool.h
@@ -17,13 +17,13 @@
 
 namespace database_proxy::workers {
 
-enum class Decisions { kShared, kSplit };     // one module for all; a module for each worker
-enum class Accept { kBalanced, kReusePort };  // one thread accepts and deals out; the kernel does
+enum class DecisionMode { kShared, kSplit };      // one module for all; a module for each worker
+enum class AcceptMode { kBalanced, kReusePort };  // one thread accepts and deals out; the kernel does
 
 struct WorkerPoolOptions {
   std::size_t count = 1;
-  Decisions decisions = Decisions::kShared;
-  Accept accept = Accept::kBalanced;
+  DecisionMode decisions = DecisionMode::kShared;
+  AcceptMode accept = AcceptMode::kBalanced;
   bool share_probes = true;  // kSplit: a good probe counts for all workers
   // Entries of a ring between a worker and the decision thread: what a stalled peer lets gather in a tenth of
   // a second at 40,000 requests a second. New requests that may wait behind a full one; more are turned away.
@@ -62,7 +62,7 @@
   void reconfigure(const proxy::ProxyOptions& options, int connections_per_server);
   int port() const;
   // In the control thread, as a proxy by itself has them.
-  void apply_change(discovery::EndpointListUpdate change) { told(std::move(change), false); }
+  void apply_change(discovery::EndpointListUpdate change) { update_endpoint_list(std::move(change), false); }
   void share_limits_with(const proxy::OtherProcessesUsage& others);
   void set_waiting_for_others(bool is_waiting);
   std::size_t descriptors_held() const;
@@ -74,27 +74,27 @@
 
   // For tests and tools, from any thread: runs it in the worker's, or the decision thread's, own thread.
   void post(std::size_t worker, std::function<void(proxy::Proxy&)> call);
-  void post_decisions(std::function<void()> call);
+  void post_to_decision_thread(std::function<void()> call);
   std::size_t workers() const { return workers_.size(); }
   std::size_t clients(std::size_t worker) const { return resource_usage_.of(worker).clients; }
-  std::uint64_t returned() const;  // decisions that came too late and were made anew; after run()
+  std::uint64_t stale_decisions() const;  // decisions that came too late and were made anew; after run()
   proxy::Counters counters() const { return counters_; }  // after run()
 
  private:
   class Worker;
   class Acceptor;
   friend class Worker;
-  void told(discovery::EndpointListUpdate update, bool cached);
-  void request_descriptor(std::optional<std::size_t> asker);
+  void update_endpoint_list(discovery::EndpointListUpdate update, bool cached);
+  void request_descriptor(std::optional<std::size_t> requester);
   std::vector<WorkerSlot> worker_slots() const;
   std::size_t descriptors_allowed() const;
   int connections_per_server() const;
   void log_shutdown();
-  void ended();  // a worker has stopped
+  void on_worker_stopped();  // a worker has stopped
   void on_worker_ready();
   void start_serving();
   void on_cancel_not_found(std::uint32_t number, std::uint32_t secret);
-  void note_usable_servers(const discovery::EndpointListUpdate& update);
+  void update_usable_servers(const discovery::EndpointListUpdate& update);
 
   net::Loop& control_;
   WorkerPoolConfig config_;
@@ -103,15 +103,15 @@
   ResourceUsageTable resource_usage_;
   OpenRequestNames request_names_;
   ServerConnections server_connections_;
-  std::atomic<std::size_t> descriptors_;  // as configured now
+  std::atomic<std::size_t> configured_descriptors_;  // as configured now
   std::atomic<std::size_t> other_processes_{0}, other_descriptors_{0};
   std::atomic<int> connections_per_server_;
-  std::unique_ptr<DecisionThread> decisions_;
+  std::unique_ptr<DecisionThread> decision_thread_;
   std::vector<std::unique_ptr<Worker>> workers_;
   std::unique_ptr<Acceptor> acceptor_;
   std::optional<discovery::EndpointListSubscription> discovery_;
   net::TaskQueue tasks_;
-  std::atomic<bool> logged_ready_{false};
+  std::atomic<bool> has_reported_ready_{false};
   bool stopping_ = false, has_discovery_answered_ = false;
   bool is_worker_ready_ = false, is_waiting_for_others_ = false, is_serving_ = false;
   Micros started_at_;
