--- a/src/workers/decision_staleness_check.cpp
+++ b/src/workers/decision_staleness_check.cpp
@@ -3,7 +3,8 @@
 namespace database_proxy::workers {
 namespace {
 
-// Decisions made before a change are too old for kStalest anyway after this; the change is forgotten then.
+// The time after which a change is forgotten: a decision made before it is rejected by then for its age
+// (kLongestDecisionAge).
 constexpr Micros kOutOfServiceRetention{1'000'000};
 
 }  // namespace
@@ -21,8 +22,8 @@
     }
     auto& known = update.reset ? previous : in_service_;
     auto it = known.find(endpoint.id);
-    // Only the step from taking work to not taking it closes: a second word of the same drain must not turn
-    // back what was decided in full knowledge of the first.
+    // Only the change from in service to out of service counts: a repeated update about the same drain must
+    // not make decisions stale that were based on the first one.
     if (it == known.end() || it->second) out_of_service_[endpoint.id] = {version_, now};
     if (endpoint.lifecycle == discovery::Lifecycle::kRemoved)
       in_service_.erase(endpoint.id);
--- a/src/workers/decision_thread.cpp
+++ b/src/workers/decision_thread.cpp
@@ -9,9 +9,10 @@
 
 using Kind = routing::Decision::Kind;
 
-// One turn's share of a worker: with more, a worker that floods would delay the decisions for all others.
+// The number of events received from one worker in one iteration: with more, a worker that sends a flood of
+// events would delay the decisions for all others.
 constexpr int kEventsPerIteration = 256;
-// While a worker's ring is full: how soon the rest is tried again.
+// The interval for flushing the backlog again while a worker's ring is full.
 constexpr Micros kRetryInterval{1000};
 
 }  // namespace
@@ -73,7 +74,8 @@
         facade_->report(now, event->result);
         break;
       case WorkerEvent::Kind::kClientDisconnected:
-        // It may have come in this same turn: then the decisions never hear of it.
+        // A request that arrived in this same iteration has not been submitted yet: it is dropped, and the
+        // facade never learns of it.
         if (std::erase_if(new_requests_, [&](auto& r) { return r.id == event->disconnected_request; }) == 0)
           facade_->on_client_disconnected(now, event->disconnected_request);
         break;
@@ -107,7 +109,7 @@
   descriptors_.store(loop_.watched(), std::memory_order_relaxed);
   auto next_due = tick_result.next_due;
   if (has_backlog) next_due = std::min(next_due.value_or(now + kRetryInterval), now + kRetryInterval);
-  if (!probe_results_.empty()) next_due = now;  // a probe that ended at once
+  if (!probe_results_.empty()) next_due = now;  // a probe ended at once
   loop_.cancel(&due_timer_);
   if (next_due) due_timer_ = loop_.at(*next_due, [] {});
 }
--- a/src/workers/remote_decider.cpp
+++ b/src/workers/remote_decider.cpp
@@ -3,7 +3,8 @@
 namespace database_proxy::workers {
 namespace {
 
-// While the ring is full: how soon the rest is tried again. The other side is busy and needs no wake-up.
+// The interval for flushing the backlog again while the ring is full. The decision thread is busy then and
+// needs no wake-up.
 constexpr Micros kRetryInterval{1000};
 
 }  // namespace
@@ -49,7 +50,7 @@
   while (auto* decision = channel_.decisions.front()) {
     auto verdict = staleness_check_.check(now, *decision);
     if (verdict == DecisionStalenessCheck::Verdict::kAhead)
-      break;  // its list is in the mailbox, which ends the next sleep
+      break;  // its list is in this worker's task queue, which keeps the loop from sleeping
     decision->stale = verdict != DecisionStalenessCheck::Verdict::kCurrent;
     stale_decisions_ += decision->stale;
     if (decision->kind == routing::Decision::Kind::kSend) {
--- a/src/workers/shared_request_registry.h
+++ b/src/workers/shared_request_registry.h
@@ -1,4 +1,5 @@
-// What all workers of a process count together. Safe from any thread; locks are held for one look-up at most.
+// State that all workers of a process share: names of open requests, resource usage and connection counts.
+// May be used from any thread; a lock is held for one look-up at most.
 #pragma once
 
 #include <array>
@@ -15,9 +16,10 @@
 
 namespace database_proxy::workers {
 
-// Names of the requests that are open at any worker.
+// The names of the requests that are open in any worker.
 class OpenRequestNames {
  public:
+  // Returns false if a request of that name is open.
   bool reserve(std::string_view name) {
     auto& shard = shard_of(name);
     std::lock_guard lock(shard.mutex);
@@ -42,7 +44,7 @@
     using is_transparent = void;
     std::size_t operator()(std::string_view s) const { return std::hash<std::string_view>{}(s); }
   };
-  // So many that two workers hardly ever meet at one: with 4 workers, one try in some hundred.
+  // Enough shards that two workers rarely contend for one: with 4 workers, about one access in a hundred.
   static constexpr std::size_t kShards = 256;
   struct alignas(64) Shard {
     std::mutex mutex;
@@ -52,14 +54,15 @@
   std::array<Shard, kShards> shards_;
 };
 
-// What each worker holds of the descriptors, clients and memory that all share. Each writes its own line.
+// The amounts of the shared descriptors, clients and memory that each worker holds. Each worker writes only
+// its own entry, which has a cache line to itself.
 class ResourceUsageTable {
  public:
   explicit ResourceUsageTable(std::size_t workers) : entries_(workers) {}
   void publish(std::size_t worker, const proxy::ResourceUsage& usage);
   proxy::ResourceUsage of(std::size_t worker) const;
-  proxy::ResourceUsage sum_except(
-      std::size_t worker) const;  // the sum without it; all: any number beyond the last
+  // Returns the sum over all workers except `worker`; with an index beyond the last worker, over all.
+  proxy::ResourceUsage sum_except(std::size_t worker) const;
 
  private:
   struct alignas(64) Entry {
@@ -68,11 +71,12 @@
   std::vector<Entry> entries_;
 };
 
-// Connections to each data server over all workers.
+// Counts the connections to each data server over all workers.
 class ServerConnections {
  public:
   using Counter = std::shared_ptr<std::atomic<int>>;
-  // The one counter of a server; a worker keeps it at hand. Forgotten when nobody holds it any more.
+  // Returns the counter of a server, which all workers share. A worker keeps the pointer for further use; the
+  // counter is freed when no worker holds it any more.
   Counter counter(const std::string& server);
   std::size_t servers();
 
--- a/src/workers/spsc_queue.h
+++ b/src/workers/spsc_queue.h
@@ -1,5 +1,5 @@
-// A bounded one-way queue between two threads: a lock-free ring (Boost.Lockfree's spsc_queue), and behind it
-// a backlog that belongs to the sender, so that what must not be lost is kept while the ring is full.
+// A one-way queue between two threads: a bounded lock-free ring (Boost.Lockfree's spsc_queue), and a backlog
+// owned by the sender, which keeps the items that do not fit while the ring is full.
 #pragma once
 
 #include <atomic>
@@ -10,27 +10,30 @@
 
 namespace database_proxy::workers {
 
+// A queue with a single producer and a single consumer.
 template <typename T>
 class SpscQueue {
  public:
   explicit SpscQueue(std::size_t capacity) : ring_(capacity) {}
 
-  // By the sender. Never loses anything; the sender bounds what it sends by what it sends for.
+  // The functions up to overflowed() are for the sender. No item is lost. The backlog is not limited here:
+  // the sender limits its items by what it sends them for, such as its open requests.
   void send(T item) {
     if (!backlog_.empty() || !ring_.push(item)) {
       ++overflowed_;
       backlog_.push_back(std::move(item));
     }
   }
-  // Moves what fits from the backlog into the ring. True: something is left, so call again soon.
+  // Moves items from the backlog into the ring while it has room. Returns true if items remain in the backlog
+  // and flush() must be called again soon.
   bool flush() {
     while (!backlog_.empty() && ring_.push(backlog_.front())) backlog_.pop_front();
     return !backlog_.empty();
   }
   std::size_t backlog() const { return backlog_.size(); }
-  std::uint64_t overflowed() const { return overflowed_; }  // so many have found the ring full
+  std::uint64_t overflowed() const { return overflowed_; }  // number of items that found the ring full
 
-  // By the receiver.
+  // The functions below are for the receiver.
   bool has_items() const { return ring_.read_available() > 0; }
   T* front() { return has_items() ? &ring_.front() : nullptr; }
   void pop() { ring_.pop(); }
--- a/src/workers/thread_name.h
+++ b/src/workers/thread_name.h
@@ -1,4 +1,4 @@
-// The calling thread's name, as tools such as top -H show it, and the core it runs on.
+// Sets the calling thread's name, which tools such as top -H show, and the core that it runs on.
 #pragma once
 
 #include <pthread.h>
@@ -8,7 +8,7 @@
 
 namespace database_proxy::workers {
 
-// `cpu` -1: any core. One that the process may not use is passed over: pinning is a wish, not a need.
+// `cpu` -1: any core. A core that the process may not use is ignored, because pinning is optional.
 inline void name_and_pin(const std::string& name, int cpu) {
   pthread_setname_np(pthread_self(), name.substr(0, 15).c_str());
   if (cpu < 0 || cpu >= CPU_SETSIZE) return;
