--- a/src/workers/decision_staleness_check.h
+++ b/src/workers/decision_staleness_check.h
@@ -46,7 +46,7 @@
   void prune(Micros now);
 
   std::uint64_t version_ = 0;
-  std::unordered_map<std::string, bool> in_service_;  // by id of each listed server
+  std::unordered_map<std::string, bool> in_service_;  // by server id; listed servers only
   std::unordered_map<std::string, OutOfService> out_of_service_;
 };
 
--- a/src/workers/decision_thread.h
+++ b/src/workers/decision_thread.h
@@ -24,9 +24,8 @@
   ~DecisionThread();
 
   DecisionChannel& channel(std::size_t worker) { return *channels_[worker]; }
-  const routing::DecisionFacade& facade() const {
-    return *facade_;
-  }                     // only for its classes, which never change
+  // Only for the facade's request classes, which never change: the rest belongs to this thread.
+  const routing::DecisionFacade& facade() const { return *facade_; }
   void start(int cpu);  // -1: not pinned to a core
   void stop();
 
--- a/src/workers/remote_decider.h
+++ b/src/workers/remote_decider.h
@@ -57,7 +57,7 @@
   routing::TickResult collect(Micros now) override;
 
   bool has_decisions() const { return channel_.decisions.has_items(); }  // for collect()
-  std::uint64_t stale_decisions() const { return stale_decisions_; }  // decisions that were not carried out
+  std::uint64_t stale_decisions() const { return stale_decisions_; }     // decisions reported back as stale
 
  private:
   DecisionChannel& channel_;
--- a/src/workers/spsc_queue.h
+++ b/src/workers/spsc_queue.h
@@ -31,7 +31,7 @@
     return !backlog_.empty();
   }
   std::size_t backlog() const { return backlog_.size(); }
-  std::uint64_t overflowed() const { return overflowed_; }  // number of items that found the ring full
+  std::uint64_t overflowed() const { return overflowed_; }  // items that went through the backlog
 
   // The functions below are for the receiver.
   bool has_items() const { return ring_.read_available() > 0; }
--- a/src/workers/worker_pool.cpp
+++ b/src/workers/worker_pool.cpp
@@ -17,17 +17,19 @@
 
 using namespace std::chrono_literals;
 
-// One turn's share of new clients, as a proxy by itself has it; the rest waits in the backlog of the kernel.
+// New clients accepted in one iteration, limited as in proxy.cpp; the others wait in the kernel's backlog.
 constexpr int kAcceptsPerIteration = 64;
-// Where no client may be let in: how soon it is looked again. A worker asked for room has closed one by then.
+// The delay before accepting again when no client may be accepted. A worker that was requested to release a
+// descriptor has closed a connection by then.
 constexpr Micros kAcceptRetry = 5ms;
-// A worker that wants room asks no more often, so that one in need does not flood the others.
+// The minimum interval between two requests of a worker for a descriptor, so that a worker that needs one
+// does not flood the others.
 constexpr Micros kDescriptorRequestInterval = 5ms;
-// The same share of descriptors as a proxy by itself leaves to clients, and what the process needs of its
-// own.
+// As in proxy.cpp: the share of the descriptors for clients, the descriptors that the process itself needs,
+// and those that each proxy needs.
 constexpr double kClientShare = 2.0 / 3;
 constexpr std::size_t kOwnDescriptors = 16, kDescriptorsPerProxy = 2;
-// As a proxy by itself waits for the first list of discovery.
+// The time to wait for discovery's first endpoint list, as in proxy.cpp.
 constexpr Micros kFirstListTimeout = 300ms;
 
 }  // namespace
@@ -44,8 +46,7 @@
   return worker == 0 ? seed : seed ^ (0x9e3779b97f4a7c15u * worker);
 }
 
-// ---- one worker
-// -------------------------------------------------------------------------------------------
+// ---- Worker: one proxy with its thread ----
 
 class WorkerPool::Worker : public proxy::SiblingWorkers {
  public:
@@ -101,7 +102,8 @@
   void wake() { tasks_.notify(); }
   void assign_client(net::Fd fd) {
     ++assigned_;
-    // std::function wants what can be copied, and a descriptor must not be lost where the call never runs.
+    // std::function requires a callable that can be copied, and the descriptor must be closed even if the
+    // call never runs.
     auto shared_fd = std::make_shared<net::Fd>(std::move(fd));
     post([this, shared_fd] {
       --assigned_;
@@ -114,7 +116,7 @@
   proxy::Proxy& proxy() { return *proxy_; }
   std::uint64_t stale_decisions() const { return remote_decider_ ? remote_decider_->stale_decisions() : 0; }
 
-  // SiblingWorkers, in the worker's own thread.
+  // SiblingWorkers: called in the worker's own thread.
   void publish(const proxy::ResourceUsage& usage) override { pool_.resource_usage_.publish(index_, usage); }
   proxy::ResourceUsage sibling_usage() const override {
     auto sum = pool_.resource_usage_.sum_except(index_);
@@ -150,7 +152,8 @@
 
  private:
   std::atomic<int>* counter(const std::string& server) {
-    // Servers are replaced all day: those without a connection anywhere are let go now and then.
+    // Servers are replaced all day: counters of servers without a connection in any worker are dropped when
+    // there are too many counters.
     constexpr std::size_t kMaxCounters = 512;
     if (counters_.size() > kMaxCounters)
       std::erase_if(counters_, [](auto& entry) { return entry.second->load() == 0; });
@@ -176,8 +179,7 @@
   std::thread thread_;
 };
 
-// ---- dealing clients out
-// ----------------------------------------------------------------------------------
+// ---- Acceptor: accepts clients and assigns them to workers ----
 
 class WorkerPool::Acceptor : public net::Handler {
  public:
@@ -245,7 +247,7 @@
   }
 
  private:
-  // The edge has passed, so it must be looked again without one.
+  // The listener's edge-triggered event has been consumed, so a timer makes the next try.
   void retry_later() {
     pool_.control_.cancel(&retry_timer_);
     retry_timer_ = pool_.control_.at(pool_.control_.now() + kAcceptRetry, [this] { on_ready(EPOLLIN); });
@@ -254,15 +256,14 @@
 
   WorkerPool& pool_;
   net::Fd own_listener_;
-  int listener_ = -1;  // its own, or the inherited one
+  int listener_ = -1;  // own_listener_ or the inherited one
   bool is_accepting_ = false;
   std::size_t last_assigned_ = 0;
   std::uint64_t accepts_without_descriptor_ = 0;
   net::Loop::TimerId retry_timer_ = net::Loop::kNoTimer;
 };
 
-// ---- the whole
-// ----------------------------------------------------------------------------------------------
+// ---- WorkerPool ----
 
 WorkerPool::WorkerPool(net::Loop& control, WorkerPoolConfig config,
                        std::function<net::Log(const std::string&)> log)
@@ -289,7 +290,7 @@
   auto configured = config_.proxy.listen;
   for (std::size_t i = 0; i < o.count; ++i) {
     workers_.push_back(std::make_unique<Worker>(*this, i));
-    // Where the system picks the port, the others listen on the one it gave to the first.
+    // If the system picks the port, the other workers listen on the one that the first worker got.
     if (o.accept == AcceptMode::kReusePort)
       config_.proxy.listen =
           fmt::format("{}:{}", configured.substr(0, configured.rfind(':')), workers_[0]->proxy().port());
@@ -298,7 +299,7 @@
   known.reset = true;
   known = config_.proxy.overlay(std::move(known));
   if (decision_thread_)
-    decision_thread_->update_endpoint_list(known, true);  // the workers have it from their options
+    decision_thread_->update_endpoint_list(known, true);  // the workers have this list from their options
   update_usable_servers(known);
   discovery_.emplace(
       control_, config_.proxy.discovery, known.generation, config_.proxy.schedule,
@@ -327,8 +328,8 @@
   }
 }
 
-// Workers first: a decision that knows of this list must not reach one that does not, and where it does all
-// the same, it waits there.
+// Updates the workers first: a decision based on this list must not reach a worker that does not have it. If
+// one does all the same, it waits in the worker's queue.
 void WorkerPool::update_endpoint_list(discovery::EndpointListUpdate update, bool cached) {
   update_usable_servers(update);
   for (auto& worker : workers_)
@@ -345,7 +346,7 @@
   for (auto& worker : workers_) worker->start();
   discovery_->start();
   control_.run([this] { tasks_.drain(); });
-  for (auto& worker : workers_) worker->join();  // one may still be telling of its end
+  for (auto& worker : workers_) worker->join();  // it may still be posting on_worker_stopped()
   if (decision_thread_) decision_thread_->stop();
   for (auto& worker : workers_) counters_.add(worker->proxy().dispatcher().counters());
   if (decision_thread_) counters_.probes += decision_thread_->probes();
@@ -423,7 +424,7 @@
   });
 }
 
-// From any thread.
+// Called from any thread.
 void WorkerPool::on_cancel_not_found(std::uint32_t number, std::uint32_t secret) {
   tasks_.post([this, number, secret] { on_unknown_cancel(number, secret); });
 }
--- a/tests/workers/worker_parts_test.cpp
+++ b/tests/workers/worker_parts_test.cpp
@@ -1,4 +1,4 @@
-// What decides among workers without I/O, as tables; and what they count together.
+// Table tests of the workers' parts that need no I/O, and tests of the state that workers share.
 #include <catch2/catch.hpp>
 #include <map>
 #include <random>
@@ -42,7 +42,8 @@
 
 }  // namespace
 
-TEST_CASE("fence: a send decided before the word of a drain goes back, one decided in its knowledge passes") {
+TEST_CASE(
+    "staleness check: a send decided before a drain was known is stale, one decided after it is current") {
   DecisionStalenessCheck staleness_check;
   staleness_check.on_endpoint_list(Micros(0), update(true, {{"a", Lifecycle::kUp}, {"b", Lifecycle::kUp}}));
   REQUIRE(staleness_check.version() == 1);
@@ -53,12 +54,13 @@
   CHECK(staleness_check.check(now, send_to("a", 1, now)) == DecisionStalenessCheck::Verdict::kOutOfService);
   CHECK(staleness_check.check(now, send_to("b", 1, now)) == DecisionStalenessCheck::Verdict::kCurrent);
   CHECK(staleness_check.check(now, send_to("a", 2, now)) ==
-        DecisionStalenessCheck::Verdict::kCurrent);  // a primary that hands over
-  // The same word again does not turn back what was decided after the first.
+        DecisionStalenessCheck::Verdict::kCurrent);  // such as a write to a primary that hands over
+  // A repeated update does not make decisions stale that were made after the first one.
   staleness_check.on_endpoint_list(now, update(false, {{"a", Lifecycle::kDraining}}));
   CHECK(staleness_check.check(now, send_to("a", 2, now)) == DecisionStalenessCheck::Verdict::kCurrent);
   CHECK(staleness_check.check(now, send_to("a", 1, now)) == DecisionStalenessCheck::Verdict::kOutOfService);
-  // Removal closes too, told or by its absence from a whole list; up again opens.
+  // A server that is removed, or that a complete list leaves out, is out of service too; one that is up is in
+  // service.
   staleness_check.on_endpoint_list(now, update(false, {{"b", Lifecycle::kRemoved}}));
   CHECK(staleness_check.check(now, send_to("b", 3, now)) == DecisionStalenessCheck::Verdict::kOutOfService);
   staleness_check.on_endpoint_list(now, update(true, {{"c", Lifecycle::kUp}}));
@@ -66,7 +68,7 @@
   CHECK(staleness_check.check(now, send_to("c", 4, now)) == DecisionStalenessCheck::Verdict::kCurrent);
 }
 
-TEST_CASE("fence: what was decided long ago, or has no time left, goes back, cancels always pass") {
+TEST_CASE("staleness check: a send decided long ago or past its timeout is too old, a cancel always passes") {
   DecisionStalenessCheck staleness_check;
   staleness_check.on_endpoint_list(Micros(0), update(true, {{"a", Lifecycle::kUp}}));
   Micros made(5000);
@@ -82,7 +84,7 @@
         DecisionStalenessCheck::Verdict::kCurrent);
 }
 
-TEST_CASE("fence: it forgets closings that no decision can be older than, however many servers come and go") {
+TEST_CASE("staleness check: old changes are forgotten, however many servers come and go") {
   DecisionStalenessCheck staleness_check;
   Micros now(0);
   for (int i = 0; i < 5000; ++i) {
@@ -95,7 +97,7 @@
 }
 
 TEST_CASE(
-    "dealing: the fewest clients, in turn where equal, none to a worker that stands still or has ended") {
+    "assignment: to the worker with the fewest clients, in turn if equal, never to a stalled or ended one") {
   std::vector<WorkerSlot> worker_slots(3);
   CHECK(choose_worker_for_client(worker_slots, 0) == 1);
   CHECK(choose_worker_for_client(worker_slots, 2) == 0);
@@ -103,7 +105,7 @@
   worker_slots[1].clients = 3;
   worker_slots[2].clients = 4;
   CHECK(choose_worker_for_client(worker_slots, 0) == 1);
-  worker_slots[1].assigned = kMaxAssignedClients;  // it takes none of those it has
+  worker_slots[1].assigned = kMaxAssignedClients;  // it has adopted none of those assigned to it
   CHECK(choose_worker_for_client(worker_slots, 0) == 2);
   worker_slots[2].running = false;
   CHECK(choose_worker_for_client(worker_slots, 0) == 0);
@@ -114,7 +116,7 @@
   CHECK_FALSE(choose_worker_to_release_descriptor(std::vector<WorkerSlot>(2), 0));
 }
 
-TEST_CASE("channel: nothing is lost or reordered when the ring is full, from one thread to another") {
+TEST_CASE("queue: no item is lost or reordered between two threads when the ring is full") {
   SpscQueue<int> queue(8);
   for (int i = 0; i < 100; ++i) queue.send(i);
   CHECK(queue.backlog() > 0);
@@ -138,16 +140,16 @@
 }
 
 TEST_CASE(
-    "ledger: a name is taken once at a time, from any thread, connections are forgotten with their last") {
+    "shared state: names are reserved once at a time, counters freed with their last user, usage adds up") {
   OpenRequestNames names;
-  std::atomic<int> taken{0};
+  std::atomic<int> reserved{0};
   std::vector<std::thread> threads;
   for (int t = 0; t < 4; ++t)
     threads.emplace_back([&] {
-      for (int i = 0; i < 1000; ++i) taken += names.reserve("id" + std::to_string(i));
+      for (int i = 0; i < 1000; ++i) reserved += names.reserve("id" + std::to_string(i));
     });
   for (auto& t : threads) t.join();
-  CHECK(taken == 1000);
+  CHECK(reserved == 1000);
   CHECK(names.size() == 1000);
   names.release("id7");
   CHECK(names.reserve("id7"));
@@ -166,7 +168,7 @@
   CHECK(usage_table.sum_except(9).statement_bytes == 300);
 }
 
-TEST_CASE("split: workers are routers of their own, told apart, and no two share a seed") {
+TEST_CASE("split: each worker is a router of its own, and no two share an ordinal or a seed") {
   request_router::Settings settings;
   settings.routers = 3;
   settings.ordinal = 2;
@@ -181,7 +183,8 @@
   CHECK(seen.size() == 4);
 }
 
-TEST_CASE("timers: as a sorted list would call them, whatever is set and cancelled, also from within calls") {
+TEST_CASE(
+    "timers: run in the order of a sorted list, with timers set and cancelled at random, also in callbacks") {
   auto seed = std::random_device{}();
   INFO("seed " << seed);
   std::mt19937 random(seed);
@@ -194,7 +197,7 @@
   for (int step = 0; step < 20000; ++step) {
     auto what = random() % 10;
     if (what < 5) {
-      // Mostly soon, some behind the wheel's round, some in the past.
+      // Mostly soon, some beyond one round of the timer wheel, some in the past.
       auto span = std::array<std::int64_t, 4>{2000, 300'000, 30'000'000, -5000}[random() % 4];
       auto when =
           now + Micros(span < 0 ? span : static_cast<std::int64_t>(random() % static_cast<unsigned>(span)));
@@ -203,7 +206,7 @@
     } else if (what < 8 && !expected.empty()) {
       auto it = std::next(expected.begin(), static_cast<long>(random() % expected.size()));
       timers.cancel(it->second);
-      timers.cancel(it->second);  // again does nothing
+      timers.cancel(it->second);  // cancelling again has no effect
       expected.erase(it);
     } else {
       auto first = timers.next();
@@ -221,7 +224,7 @@
     }
     REQUIRE(timers.size() == expected.size());
   }
-  // A call that sets one for now, and one that cancels the next.
+  // A callback that cancels the next timer and sets one that is due at once.
   called.clear();
   net::Timers::Id victim = net::Timers::kNone;
   now += Micros(60'000'000);
--- a/tests/workers/worker_pool_test.cpp
+++ b/tests/workers/worker_pool_test.cpp
@@ -1,4 +1,4 @@
-// Several workers on real sockets: what goes wrong between threads, caused on purpose.
+// Tests of several workers on real sockets, with provoked races and stalls between the threads.
 #include "workers/worker_pool.h"
 
 #include <set>
@@ -20,7 +20,7 @@
   return o;
 }
 
-// A pool in a thread of its own, on what `config` says.
+// A worker pool that runs in a thread of its own, configured by `config`.
 class RunningPool {
  public:
   RunningPool(const app::Config& config, const WorkerPoolOptions& o) {
@@ -45,7 +45,7 @@
       pool->run();
       stale_decisions = pool->stale_decisions();
       counters = pool->counters();
-      stop_requested_.get_future().wait();  // whoever had it stop may still be in that call
+      stop_requested_.get_future().wait();  // the thread that stops the pool may still be in that call
       pool.reset();
     });
     started.get_future().wait();
@@ -62,7 +62,7 @@
     stop_requested_.set_value();
     thread_.join();
   }
-  // Holds one worker, or the decision thread, still for so long.
+  // Blocks one worker, or the decision thread, for `time`.
   void stall(std::size_t worker, std::chrono::milliseconds time) {
     pool->post(worker, [time](proxy::Proxy&) { std::this_thread::sleep_for(time); });
   }
@@ -99,7 +99,7 @@
   int port = 0;
 };
 
-// A client that knows which worker has it, from the number that CancelRequests name.
+// A client that knows which worker serves it, from the process number in its BackendKeyData.
 struct PlacedClient {
   explicit PlacedClient(int port, std::size_t workers) : client(port, false) {
     client.send(pg::startup_message("backend", "store"));
@@ -144,7 +144,7 @@
 
 }  // namespace
 
-TEST_CASE("workers: both ways of deciding and of accepting serve reads and writes on every worker") {
+TEST_CASE("workers: reads and writes are served on every worker in each decision mode and accept mode") {
   for (auto decisions : {DecisionMode::kShared, DecisionMode::kSplit})
     for (auto accept : {workers::AcceptMode::kBalanced, workers::AcceptMode::kReusePort}) {
       auto o = options(3, decisions);
@@ -161,7 +161,8 @@
     }
 }
 
-TEST_CASE("workers: a decision that waited while word of a drain came is not carried out, and made anew") {
+TEST_CASE(
+    "workers: a decision that was queued while a drain became known is not carried out, but made again") {
   PoolRig rig(options(4));
   auto placed = connect_client_to_each_worker(rig.port, 4);
   std::atomic<bool> drain_published{false};
@@ -170,8 +171,8 @@
     sent_after_drain += drain_published.load();
     return Reply{};
   };
-  // The requests reach the decision thread while that stands still; it decides while all workers do; then
-  // comes the word, and only then the workers go on, with decisions in their rings.
+  // The requests reach the decision thread while it is stalled; it decides while all workers are stalled;
+  // then the drain becomes known, and only after that the workers continue, with decisions in their rings.
   rig.running->stall_decisions(80ms);
   for (std::size_t w = 0; w < 4; ++w)
     for (int i = 0; i < 8; ++i)
@@ -181,7 +182,8 @@
   std::this_thread::sleep_for(100ms);
   auto calls = rig.discovery.calls.load();
   rig.discovery.set(rig.list("draining"));
-  REQUIRE(soon([&] { return rig.discovery.calls > calls; }));  // it has the word and asks for the next
+  REQUIRE(
+      soon([&] { return rig.discovery.calls > calls; }));  // the pool has the update and polls for the next
   drain_published = true;
   for (std::size_t w = 0; w < 4; ++w)
     for (int i = 0; i < 8; ++i) CHECK(placed[w]->client.answer().row);
@@ -191,7 +193,7 @@
   check_request_counts(rig.running->counters);
 }
 
-TEST_CASE("workers: one id open at two workers is turned away at the second, in both ways of deciding") {
+TEST_CASE("workers: a request whose id is open in another worker is rejected, in each decision mode") {
   for (auto decisions : {DecisionMode::kShared, DecisionMode::kSplit}) {
     PoolRig rig(options(2, decisions));
     std::atomic<bool> release{false};
@@ -206,7 +208,7 @@
     CHECK(placed[1]->client.query(read_sql("same", 1900)).code == "42710");
     release = true;
     CHECK(placed[0]->client.answer().row);
-    CHECK(placed[1]->client.query(read_sql("same", 1900)).row);  // it is free again
+    CHECK(placed[1]->client.query(read_sql("same", 1900)).row);  // the id can be reserved again
   }
 }
 
@@ -218,8 +220,8 @@
       soon([&] { return release.load(); });
       return Reply{};
     };
-    // Its worker has more clients than the other once these leave, so whoever comes next is dealt to the
-    // other.
+    // Once the others leave, the victim's worker has more clients than the other one, so the next clients are
+    // assigned to the other one.
     std::vector<std::unique_ptr<PlacedClient>> own, others;
     for (int i = 0; i < 12; ++i) {
       auto placed = std::make_unique<PlacedClient>(rig.port, 2);
@@ -237,7 +239,7 @@
     for (auto& request : {wrong, victim.cancel_request()}) {
       auto canceller = Peer::to(rig.port);
       canceller.send(request);
-      CHECK_FALSE(canceller.more());  // it gets no answer, and its connection ends
+      CHECK_FALSE(canceller.more());  // a CancelRequest gets no answer and its connection is closed
       CHECK(rig.running->pool->clients(serving_worker) >= 4);
     }
     CHECK(victim.client.answer().code == "57014");
@@ -247,7 +249,8 @@
   }
 }
 
-TEST_CASE("workers: a client that leaves while its decision is on the way leaves nothing behind") {
+TEST_CASE(
+    "workers: a client that disconnects while its decision is pending causes no attempt, leaves no state") {
   PoolRig rig(options(2));
   auto before = rig.primary.count() + rig.replica.count() + rig.second.count();
   {
@@ -266,7 +269,7 @@
 }
 
 TEST_CASE(
-    "workers: while the decisions stand still each request gets one answer in time, and no queue grows") {
+    "workers: while the decision thread stalls, each request gets one answer in time, and no queue grows") {
   auto o = options(2);
   o.ring_capacity = 8;
   o.max_queued_requests = 8;
@@ -280,28 +283,29 @@
     for (int i = 0; i < 30; ++i)
       placed[p]->client.send(
           pg::simple_query(read_sql("f" + std::to_string(p) + "-" + std::to_string(i), 400)));
-  int refused = 0, failed = 0, served = 0;
+  int rejected = 0, failed = 0, served = 0;
   for (auto& p : placed)
     for (int i = 0; i < 30; ++i) {
       auto answer = p->client.answer();
       REQUIRE(answer.end == 'Z');
       served += answer.row;
-      refused += answer.code == "53300";
+      rejected += answer.code == "53300";
       failed += answer.code == "57014";
       if (answer.code == "53300") CHECK(std::stoi(answer.detail) > 0);
     }
-  CHECK(Clock::now() - began < 800ms);  // the stall was not waited out
+  CHECK(Clock::now() - began < 800ms);  // shorter than the stall
   CHECK(served == 0);
-  CHECK(refused >= 60);  // two rings and two queues of 8 hold 32 of 120, the rest is told at once
+  CHECK(rejected >= 60);  // two rings and two queues of 8 hold 32 of 120; the rest is rejected at once
   CHECK(failed > 0);
-  CHECK(refused + failed == 120);
+  CHECK(rejected + failed == 120);
   std::this_thread::sleep_for(600ms);
   CHECK(placed[0]->client.query(read_sql("after")).row);
   rig.running->shut_down_and_join();
   check_request_counts(rig.running->counters);
 }
 
-TEST_CASE("workers: one that stalls answers late but once, keeps its decisions, and holds nobody else up") {
+TEST_CASE(
+    "workers: a stalled worker answers late but once, keeps its decisions, and does not delay the others") {
   PoolRig rig(options(2));
   auto placed = connect_client_to_each_worker(rig.port, 2);
   std::atomic<bool> release{false};
@@ -326,63 +330,65 @@
 }
 
 TEST_CASE(
-    "workers: silent clients on one worker, and all places taken, do not shut out a client of another") {
+    "workers: idle clients of one worker that hold all descriptors do not shut out a client of another") {
   for (auto accept : {workers::AcceptMode::kBalanced, workers::AcceptMode::kReusePort}) {
     auto o = options(2);
     o.accept = accept;
     PoolRig rig(o, 150);
-    // As many as all clients may hold, and more, all on worker 0: its own oldest give way to its newer ones.
-    std::vector<std::unique_ptr<PlacedClient>> silent;
-    for (int i = 0; i < 600 && silent.size() < 110; ++i) {
+    // More clients than may be connected, all on worker 0: its oldest are closed for its newer ones.
+    std::vector<std::unique_ptr<PlacedClient>> idle;
+    for (int i = 0; i < 600 && idle.size() < 110; ++i) {
       auto placed = std::make_unique<PlacedClient>(rig.port, 2);
-      if (placed->worker == 0) silent.push_back(std::move(placed));  // else it leaves: worker 1 stays empty
-      if (accept == workers::AcceptMode::kBalanced && silent.size() > 40)
-        break;  // dealing evens out: some are enough
+      if (placed->worker == 0)
+        idle.push_back(std::move(placed));  // else it disconnects: worker 1 stays empty
+      if (accept == workers::AcceptMode::kBalanced && idle.size() > 40)
+        break;  // assignment evens out the clients, so some are enough
     }
     CHECK(soon([&] { return rig.running->pool->clients(1) == 0; }));
     int served = 0;
     Clock::duration longest{0};
     for (int i = 0; i < 200 && served < 5; ++i) {
       auto began = Clock::now();
-      PlacedClient usual(rig.port, 2);  // waits for its greeting: worker 1 has to have one of worker 0 closed
+      PlacedClient usual(rig.port, 2);  // waits for its greeting: worker 0 must close a client for worker 1
       if (usual.worker == 1) longest = std::max(longest, Clock::now() - began);
       if (usual.worker == 1) served += usual.client.query(read_sql("u" + std::to_string(i))).row;
     }
     CHECK(served == 5);
-    CHECK(longest < 1500ms);  // it did not have to wait until the silent ones were closed for their silence
+    CHECK(longest < 1500ms);  // less than the time after which idle clients are closed
   }
 }
 
-TEST_CASE("workers: where one has no descriptor left for a server, another gives up a silent client") {
+TEST_CASE(
+    "workers: if a worker has no descriptor left for a server connection, another closes an idle client") {
   auto o = options(2);
-  o.accept = workers::AcceptMode::kReusePort;  // dealing would even out what is to be uneven here
+  o.accept = workers::AcceptMode::kReusePort;  // balanced accepting would even out the clients
   PoolRig rig(o, 60);
   std::atomic<bool> release{false};
   rig.primary.reply = rig.replica.reply = rig.second.reply = [&](const std::string& sql) {
     if (sql.find("id=hold") != std::string::npos) soon([&] { return release.load(); });
     return Reply{};
   };
-  // Worker 1 gets one client that has asked nothing and so has no connection to a server yet; worker 0 gets
-  // 15 whose requests hold one each, and 4 silent ones. That is a little over the limit.
-  std::vector<std::unique_ptr<PlacedClient>> busy, silent;
+  // Worker 1 gets one client that has sent no request and so has no server connection yet; worker 0 gets 15
+  // clients whose requests hold one each, and 4 idle ones. That is slightly above the limit.
+  std::vector<std::unique_ptr<PlacedClient>> busy, idle;
   std::unique_ptr<PlacedClient> last;
-  for (int i = 0; i < 400 && silent.size() < 4; ++i) {
+  for (int i = 0; i < 400 && idle.size() < 4; ++i) {
     auto placed = std::make_unique<PlacedClient>(rig.port, 2);
     if (placed->worker == 1) {
-      if (!last) last = std::move(placed);  // else it leaves
+      if (!last) last = std::move(placed);  // else it disconnects
     } else {
-      (busy.size() < 15 ? busy : silent).push_back(std::move(placed));
+      (busy.size() < 15 ? busy : idle).push_back(std::move(placed));
     }
   }
   REQUIRE(last);
-  REQUIRE(silent.size() == 4);
+  REQUIRE(idle.size() == 4);
   for (std::size_t i = 0; i < busy.size(); ++i)
     busy[i]->client.send(pg::simple_query(read_sql("hold" + std::to_string(i), 4000)));
   auto open = [&] { return rig.primary.open + rig.replica.open + rig.second.open; };
   REQUIRE(soon([&] { return rig.replica.out + rig.second.out + rig.primary.out >= 15; }));
   auto clients = rig.running->pool->clients(0);
   auto connections = open();
-  // Two at once: one of them may find a connection that its worker has kept, the other cannot.
+  // Two requests at once: one may find a connection that its worker has kept, the other cannot.
   last->client.send(pg::simple_query(read_sql("hold-a", 4000)) + pg::simple_query(read_sql("hold-b", 4000)));
   CHECK(soon([&] { return open() > connections; }, 2s));
   CHECK(soon([&] { return rig.running->pool->clients(0) < clients; }, 1s));
@@ -391,7 +397,7 @@
   for (int i = 0; i < 2; ++i) CHECK(last->client.answer().row);
 }
 
-TEST_CASE("workers: connections to one server stay near their cap over all workers") {
+TEST_CASE("workers: connections to one server stay near their limit over all workers") {
   auto o = options(4);
   o.connections_per_server = 6;
   PoolRig rig(o);
@@ -410,10 +416,10 @@
           ",c=book,d=3000,k=" + std::to_string(i * 10 + static_cast<int>(p->worker)) + ",cluster=2 */"));
   for (int i = 0; i < 3; ++i)
     for (auto& p : placed) CHECK(p->client.answer().row);
-  CHECK(soon([&] { return rig.primary.open <= 7; }));  // 6, and the probe's own
+  CHECK(soon([&] { return rig.primary.open <= 7; }));  // the limit of 6, and the connection for probes
 }
 
-TEST_CASE("workers: a whole shutdown answers what was taken on every worker") {
+TEST_CASE("workers: a shutdown answers every request that was accepted, on every worker") {
   PoolRig rig(options(4));
   auto placed = connect_client_to_each_worker(rig.port, 4);
   std::atomic<bool> release{false};
@@ -425,7 +431,7 @@
   REQUIRE(soon([&] { return rig.replica.count() + rig.second.count() + rig.primary.count() >= 4; }));
   std::thread stopping([&] { rig.running->shut_down_and_join(); });
   std::this_thread::sleep_for(100ms);
-  Client late(rig.port);  // new connections keep coming for a while
+  Client late(rig.port);  // new connections are still accepted for a while
   release = true;
   CHECK(late.query(read_sql("late")).row);
   for (auto& p : placed) CHECK(p->client.answer().row);
@@ -433,7 +439,7 @@
   CHECK(rig.running->counters.served == rig.running->counters.accepted);
 }
 
-TEST_CASE("workers: discovery's word of a drain stops new work from every worker at once, under load") {
+TEST_CASE("workers: a drain in discovery's list stops new work from every worker at once, under load") {
   for (auto decisions : {DecisionMode::kShared, DecisionMode::kSplit}) {
     testbench::FakeServersOptions servers;
     servers.replicas = 3;
@@ -460,11 +466,11 @@
     for (auto& b : fake_servers.rules().breaches()) FAIL_CHECK(testbench::name_of(b.rule) << ": " << b.first);
     auto last = fake_servers.rules().drain_last_send_ms();
     REQUIRE(last.count("s1-2"));
-    CHECK(last["s1-2"] < 1000);  // the rule; what is aimed at is measured, not tested
+    CHECK(last["s1-2"] < 1000);  // the rule's limit; the objective itself is measured, not tested
   }
 }
 
-TEST_CASE("workers: split, all workers together spare a cold server, and do not shut it out") {
+TEST_CASE("workers: split, all workers together limit load on a cold server, but do not exclude it") {
   testbench::FakeServersOptions servers;
   servers.replicas = 3;
   servers.seed = 4;
