--- a/src/app/commands.cpp
+++ b/src/app/commands.cpp
@@ -158,9 +158,9 @@
   net::Loop control;
   Operations operations(control, loaded.config, loaded.environment, log);
   operations.prepare(&config.proxy);
-  if (config.proxy.inherited_listener >= 0 && config.options.accept == workers::Accept::kReusePort) {
+  if (config.proxy.inherited_listener >= 0 && config.options.accept == workers::AcceptMode::kReusePort) {
     log(net::Level::kWarning, "the listening socket is inherited: one thread accepts all clients");
-    config.options.accept = workers::Accept::kBalanced;
+    config.options.accept = workers::AcceptMode::kBalanced;
   }
   workers::WorkerPool pool(control, config, [&](const std::string& tag) { return logger.sink(tag); });
   Signals signals(
@@ -173,8 +173,8 @@
   log(net::Level::kInfo, listening_message(loaded.config, pool.port(), config.proxy.descriptors));
   log(net::Level::kInfo,
       fmt::format("{} workers, decisions {}, clients {}", worker_options.count,
-                  worker_options.decisions == workers::Decisions::kShared ? "shared" : "split",
-                  config.options.accept == workers::Accept::kBalanced ? "balanced by the process"
+                  worker_options.decisions == workers::DecisionMode::kShared ? "shared" : "split",
+                  config.options.accept == workers::AcceptMode::kBalanced ? "balanced by the process"
                                                                       : "balanced by the kernel"));
   pool.on_ready = [&] { operations.on_serving(); };
   pool.on_unknown_cancel = [&](auto number, auto secret) { operations.forward_cancel(number, secret); };
--- a/src/workers/shared_request_registry.h
+++ b/src/workers/shared_request_registry.h
@@ -1,4 +1,5 @@
-// What all workers of a process count together. Safe from any thread; locks are held for one look-up at most.
+// State that all workers of a process share: names of open requests, resource usage and connection counts.
+// May be used from any thread; a lock is held for one look-up at most.
 #pragma once
 
 #include <array>
@@ -15,24 +16,25 @@
 
 namespace database_proxy::workers {
 
-// Names of the requests that are open at any worker.
-class RequestNameRegistry {
+// The names of the requests that are open in any worker.
+class OpenRequestNames {
  public:
-  bool take(std::string_view name) {
-    auto& s = shard(name);
-    std::lock_guard lock(s.mutex);
-    return s.names.emplace(name).second;
+  // Returns false if a request of that name is open.
+  bool reserve(std::string_view name) {
+    auto& shard = shard_of(name);
+    std::lock_guard lock(shard.mutex);
+    return shard.names.emplace(name).second;
   }
   void release(std::string_view name) {
-    auto& s = shard(name);
-    std::lock_guard lock(s.mutex);
-    if (auto it = s.names.find(name); it != s.names.end()) s.names.erase(it);
+    auto& shard = shard_of(name);
+    std::lock_guard lock(shard.mutex);
+    if (auto it = shard.names.find(name); it != shard.names.end()) shard.names.erase(it);
   }
   std::size_t size() {
     std::size_t sum = 0;
-    for (auto& s : shards_) {
-      std::lock_guard lock(s.mutex);
-      sum += s.names.size();
+    for (auto& shard : shards_) {
+      std::lock_guard lock(shard.mutex);
+      sum += shard.names.size();
     }
     return sum;
   }
@@ -42,38 +44,40 @@
     using is_transparent = void;
     std::size_t operator()(std::string_view s) const { return std::hash<std::string_view>{}(s); }
   };
-  // So many that two workers hardly ever meet at one: with 4 workers, one try in some hundred.
+  // Enough shards that two workers rarely contend for one: with 4 workers, about one access in a hundred.
   static constexpr std::size_t kShards = 256;
   struct alignas(64) Shard {
     std::mutex mutex;
     std::unordered_set<std::string, Hash, std::equal_to<>> names;
   };
-  Shard& shard(std::string_view name) { return shards_[Hash{}(name) / 64 % kShards]; }
+  Shard& shard_of(std::string_view name) { return shards_[Hash{}(name) / 64 % kShards]; }
   std::array<Shard, kShards> shards_;
 };
 
-// What each worker holds of the descriptors, clients and memory that all share. Each writes its own line.
+// The amounts of the shared descriptors, clients and memory that each worker holds. Each worker writes only
+// its own entry, which has a cache line to itself.
 class ResourceUsageTable {
  public:
-  explicit ResourceUsageTable(std::size_t workers) : channels_(workers) {}
-  void publish(std::size_t worker, const proxy::ResourceUsage& held);
+  explicit ResourceUsageTable(std::size_t workers) : entries_(workers) {}
+  void publish(std::size_t worker, const proxy::ResourceUsage& usage);
   proxy::ResourceUsage of(std::size_t worker) const;
-  proxy::ResourceUsage others(
-      std::size_t worker) const;  // the sum without it; all: any number beyond the last
+  // Returns the sum over all workers except `worker`; with an index beyond the last worker, over all.
+  proxy::ResourceUsage sum_except(std::size_t worker) const;
 
  private:
-  struct alignas(64) DecisionChannel {
-    std::atomic<std::size_t> descriptors{0}, clients{0}, asked{0}, statement_bytes{0};
+  struct alignas(64) Entry {
+    std::atomic<std::size_t> descriptors{0}, clients{0}, used_clients{0}, statement_bytes{0};
   };
-  std::vector<DecisionChannel> channels_;
+  std::vector<Entry> entries_;
 };
 
-// Connections to each data server over all workers.
+// Counts the connections to each data server over all workers.
 class ServerConnections {
  public:
-  using Count = std::shared_ptr<std::atomic<int>>;
-  // The one counter of a server; a worker keeps it at hand. Forgotten when nobody holds it any more.
-  Count counter(const std::string& server);
+  using Counter = std::shared_ptr<std::atomic<int>>;
+  // Returns the counter of a server, which all workers share. A worker keeps the pointer for further use; the
+  // counter is freed when no worker holds it any more.
+  Counter counter(const std::string& server);
   std::size_t servers();
 
  private:
