--- a/src/app/commands.cpp
+++ b/src/app/commands.cpp
@@ -189,7 +189,7 @@
     throw std::runtime_error(
         fmt::format("operator's file {}: network.congestion: the kernel does not offer '{}'",
                     told.operator_path, told.own.congestion));
-  if (!net::set_source(told.own.source))
+  if (!net::set_source_address(told.own.source))
     throw std::runtime_error(
         fmt::format("operator's file {}: network.source: '{}' is no address of this machine",
                     told.operator_path, told.own.source));
--- a/src/app/group_runner.cpp
+++ b/src/app/group_runner.cpp
@@ -157,7 +157,7 @@
   }
   proxy.dispatcher().use_load_reports(
       [this](const std::string& server) { node_->subscribe_to_load(server); });
-  proxy.before_iteration_end = [this] { tasks_.drain(); };
+  proxy.before_iteration_end = [this] { tasks_.run_pending(); };
   group::NodeHost& host = *this;
   node_ = std::make_unique<group::Node>(std::move(options), of.discovery, of.schedule, of.known, host,
                                         std::move(log));
--- a/src/app/signals.cpp
+++ b/src/app/signals.cpp
@@ -51,7 +51,7 @@
       continue;
     }
     if (size < 0 && errno == EINTR) continue;
-    if (size < 0 && errno != EAGAIN) loop_.again(this);
+    if (size < 0 && errno != EAGAIN) loop_.call_again(this);
     return;
   }
 }
--- a/src/discovery/discovery_watch.cpp
+++ b/src/discovery/discovery_watch.cpp
@@ -101,10 +101,10 @@
   if ((events & EPOLLOUT) && !out_.flush(fd_.get())) return on_failure("the connection broke");
   if (!(events & (EPOLLIN | EPOLLRDHUP | EPOLLHUP | EPOLLERR))) return;
   auto end = in_.fill(fd_.get(), kMaxBufferedResponse);
-  if (end == net::IoEnd::kFull) return on_failure("the answer is too long");
-  read_responses(end == net::IoEnd::kClosed);
+  if (end == net::IoResult::kFull) return on_failure("the answer is too long");
+  read_responses(end == net::IoResult::kClosed);
   // A reset is no regular end: a body without a stated length that it cuts off is not complete.
-  if (end == net::IoEnd::kReset && fd_) on_failure("the connection was reset");
+  if (end == net::IoResult::kReset && fd_) on_failure("the connection was reset");
 }
 
 void DiscoveryWatch::read_responses(bool ended) {
--- a/src/group/peer_connections.cpp
+++ b/src/group/peer_connections.cpp
@@ -109,7 +109,7 @@
     auto link = std::make_unique<peers::Link>(context_.loop, owner, std::move(connection));
     if (link->start()) accepted_links_.push_back(std::move(link));
   }
-  context_.loop.again(&on_listener_ready_);
+  context_.loop.call_again(&on_listener_ready_);
 }
 
 // ---- Events of links
--- a/src/net/buffer.cpp
+++ b/src/net/buffer.cpp
@@ -9,10 +9,10 @@
 
 namespace database_proxy::net {
 namespace {
-constexpr std::size_t kChunk = 16 * 1024;  // read by one system call at most
+constexpr std::size_t kMaxReadSize = 16 * 1024;  // read by one system call at most
 // An emptied buffer larger than this gives its memory back: a thousand connections that once had a large
 // value must not hold it for good.
-constexpr std::size_t kRetainedCapacity = 4 * 1024;
+constexpr std::size_t kMaxRetainedCapacity = 4 * 1024;
 }  // namespace
 
 void InBuffer::consume(std::size_t count) {
@@ -20,49 +20,49 @@
   if (start_ < bytes_.size()) return;
   start_ = 0;
   bytes_.clear();
-  if (bytes_.capacity() > kRetainedCapacity) bytes_.shrink_to_fit();
+  if (bytes_.capacity() > kMaxRetainedCapacity) bytes_.shrink_to_fit();
 }
 
-IoEnd InBuffer::read_at_most(int fd, std::size_t wanted) {
-  char chunk[kChunk];
+IoResult InBuffer::read_at_most(int fd, std::size_t max_bytes) {
+  char chunk[kMaxReadSize];
   ssize_t size = 0;
   do {
-    size = recv(fd, chunk, std::min(sizeof chunk, wanted), 0);
+    size = recv(fd, chunk, std::min(sizeof chunk, max_bytes), 0);
   } while (size < 0 && errno == EINTR);
-  if (size < 0) return errno == EAGAIN || errno == EWOULDBLOCK ? IoEnd::kAgain : IoEnd::kReset;
-  if (size == 0) return IoEnd::kClosed;
+  if (size < 0) return errno == EAGAIN || errno == EWOULDBLOCK ? IoResult::kAgain : IoResult::kReset;
+  if (size == 0) return IoResult::kClosed;
   if (start_ > 0) {
     bytes_.erase(0, start_);
     start_ = 0;
   }
   bytes_.append(chunk, static_cast<std::size_t>(size));
-  return IoEnd::kMore;
+  return IoResult::kMore;
 }
 
-IoEnd InBuffer::read_once(int fd, std::size_t cap) {
+IoResult InBuffer::read_once(int fd, std::size_t max_buffered) {
   auto buffered = bytes_.size() - start_;
-  return buffered >= cap ? IoEnd::kFull : read_at_most(fd, cap - buffered);
+  return buffered >= max_buffered ? IoResult::kFull : read_at_most(fd, max_buffered - buffered);
 }
 
-IoEnd InBuffer::fill(int fd, std::size_t cap, std::size_t most) {
+IoResult InBuffer::fill(int fd, std::size_t max_buffered, std::size_t max_bytes) {
   while (true) {
     auto buffered = bytes_.size() - start_;
-    if (buffered >= cap || most == 0) return IoEnd::kFull;
-    auto end = read_at_most(fd, std::min(cap - buffered, most));
-    if (end != IoEnd::kMore) return end;
-    most -= bytes_.size() - start_ - buffered;
+    if (buffered >= max_buffered || max_bytes == 0) return IoResult::kFull;
+    auto result = read_at_most(fd, std::min(max_buffered - buffered, max_bytes));
+    if (result != IoResult::kMore) return result;
+    max_bytes -= bytes_.size() - start_ - buffered;
   }
 }
 
-IoEnd discard(int fd, std::size_t most) {
-  while (most > 0) {
-    ssize_t n = recv(fd, nullptr, most, MSG_TRUNC);  // on TCP this drops the bytes without a copy
+IoResult discard(int fd, std::size_t max_bytes) {
+  while (max_bytes > 0) {
+    ssize_t n = recv(fd, nullptr, max_bytes, MSG_TRUNC);  // on TCP this drops the bytes without a copy
     if (n < 0 && errno == EINTR) continue;
-    if (n < 0) return errno == EAGAIN || errno == EWOULDBLOCK ? IoEnd::kAgain : IoEnd::kReset;
-    if (n == 0) return IoEnd::kClosed;
-    most -= static_cast<std::size_t>(n);
+    if (n < 0) return errno == EAGAIN || errno == EWOULDBLOCK ? IoResult::kAgain : IoResult::kReset;
+    if (n == 0) return IoResult::kClosed;
+    max_bytes -= static_cast<std::size_t>(n);
   }
-  return IoEnd::kFull;
+  return IoResult::kFull;
 }
 
 bool OutBuffer::write(int fd, std::initializer_list<std::string_view> parts, int flags) {
@@ -95,7 +95,7 @@
   return true;
 }
 
-bool OutBuffer::write_and_end(int fd, std::initializer_list<std::string_view> parts) {
+bool OutBuffer::write_and_shut_down(int fd, std::initializer_list<std::string_view> parts) {
   if (!write(fd, parts, MSG_MORE)) return false;
   if (bytes_.empty()) ::shutdown(fd, SHUT_WR);
   return true;
--- a/src/net/event_notifier.h
+++ b/src/net/event_notifier.h
@@ -26,13 +26,13 @@
     if (sleeping_.exchange(false, std::memory_order_acq_rel)) signal();
   }
   // By the loop: false where work waits, so that it must not sleep.
-  bool may_sleep() {
+  bool prepare_to_sleep() {
     sleeping_.exchange(true, std::memory_order_acq_rel);
     if (!has_work_()) return true;
-    awake();
+    mark_awake();
     return false;
   }
-  void awake() { sleeping_.store(false, std::memory_order_relaxed); }
+  void mark_awake() { sleeping_.store(false, std::memory_order_relaxed); }
   void on_ready(std::uint32_t events) override;
 
  private:
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -12,7 +12,7 @@
 
 constexpr std::int64_t kMicrosPerSecond = 1'000'000, kNanosPerMicro = 1000, kMicrosPerMilli = 1000;
 // Without timers the loop still wakes so often: nothing depends on it.
-constexpr std::int64_t kLongestSleepMicros = 1'000'000;
+constexpr std::int64_t kMaxSleepMicros = 1'000'000;
 constexpr std::size_t kEventsPerIteration = 256;
 
 }  // namespace
@@ -45,32 +45,32 @@
   // Events of this iteration that were already fetched must not reach a handler that has gone.
   for (std::size_t i = cursor_; i < filled_; ++i)
     if (batch_[i].data.ptr == handler) batch_[i].data.ptr = nullptr;
-  for (auto* list : {&again_, &due_})
+  for (auto* list : {&pending_calls_, &current_calls_})
     std::replace(list->begin(), list->end(), handler, static_cast<Handler*>(nullptr));
 }
 
 // Until something is ready, another thread wakes it, or the next timer is due.
 int Loop::sleep() {
-  auto most = static_cast<int>(batch_.size());
-  bool must_not_sleep = !again_.empty() || (notifier_ && !notifier_->may_sleep());
-  if (must_not_sleep) return epoll_wait(epoll_.get(), batch_.data(), most, 0);
+  auto max_events = static_cast<int>(batch_.size());
+  bool must_not_sleep = !pending_calls_.empty() || (notifier_ && !notifier_->prepare_to_sleep());
+  if (must_not_sleep) return epoll_wait(epoll_.get(), batch_.data(), max_events, 0);
   auto next = timers_.next();
-  auto left = kLongestSleepMicros;
-  if (next) left = std::clamp<std::int64_t>((*next - now_).count(), 0, kLongestSleepMicros);
-  if (fine_ && left > 0) {
-    timespec time{left / kMicrosPerSecond, left % kMicrosPerSecond * kNanosPerMicro};
-    int fetched = epoll_pwait2(epoll_.get(), batch_.data(), most, &time, nullptr);
+  auto sleep_micros = kMaxSleepMicros;
+  if (next) sleep_micros = std::clamp<std::int64_t>((*next - now_).count(), 0, kMaxSleepMicros);
+  if (precise_sleep_ && sleep_micros > 0) {
+    timespec time{sleep_micros / kMicrosPerSecond, sleep_micros % kMicrosPerSecond * kNanosPerMicro};
+    int fetched = epoll_pwait2(epoll_.get(), batch_.data(), max_events, &time, nullptr);
     if (fetched >= 0 || errno == EINTR) return fetched;
-    fine_ = false;  // this kernel does not know it
+    precise_sleep_ = false;  // this kernel does not know it
   }
-  return epoll_wait(epoll_.get(), batch_.data(), most,
-                    static_cast<int>((left + kMicrosPerMilli - 1) / kMicrosPerMilli));
+  return epoll_wait(epoll_.get(), batch_.data(), max_events,
+                    static_cast<int>((sleep_micros + kMicrosPerMilli - 1) / kMicrosPerMilli));
 }
 
-// `began`: the last iteration; `slept_at`: when it was over.
-Micros Loop::oldest_ready(Micros began, Micros slept_at) const {
-  constexpr Micros kNoRest{1000};  // a shorter sleep may be the mere cost of the system call
-  auto since = now_ - slept_at <= kNoRest ? began : now_;
+// `last_began`: the last iteration; `slept_at`: when it was over.
+Micros Loop::oldest_ready(Micros last_began, Micros slept_at) const {
+  constexpr Micros kMaxNegligibleSleep{1000};  // a shorter sleep may be the mere cost of the system call
+  auto since = now_ - slept_at <= kMaxNegligibleSleep ? last_began : now_;
   return std::min(since, timers_.next().value_or(since));
 }
 
@@ -78,14 +78,14 @@
   now_ = monotonic_now();
   on_iteration_end();
   while (!stopped_) {
-    auto began = now_, slept_at = monotonic_now();
+    auto last_began = now_, slept_at = monotonic_now();
     int fetched = sleep();
-    if (notifier_) notifier_->awake();
+    if (notifier_) notifier_->mark_awake();
     if (fetched < 0 && errno != EINTR) throw std::system_error(errno, std::generic_category(), "epoll_wait");
     now_ = std::max(now_, monotonic_now());
-    ready_since_ = oldest_ready(began, slept_at);
+    ready_since_ = oldest_ready(last_began, slept_at);
     ++iteration_;
-    due_ = std::exchange(again_, {});
+    current_calls_ = std::exchange(pending_calls_, {});
     dispatch(static_cast<std::size_t>(std::max(0, fetched)));
     timers_.run(now_);
     on_iteration_end();
@@ -100,9 +100,9 @@
     if (auto* handler = static_cast<Handler*>(event.data.ptr)) handler->on_ready(event.events);
   }
   cursor_ = filled_ = 0;
-  for (auto& handler : due_)
+  for (auto& handler : current_calls_)
     if (handler) handler->on_ready(EPOLLIN);
-  due_.clear();
+  current_calls_.clear();
 }
 
 }  // namespace database_proxy::net
--- a/src/net/loop.h
+++ b/src/net/loop.h
@@ -20,7 +20,7 @@
 Micros monotonic_now();
 
 // Whether epoll's events report the end of the peer, so that reading must go on until it is met.
-constexpr bool peer_has_ended(std::uint32_t events) {
+constexpr bool reports_disconnect(std::uint32_t events) {
   return (events & (EPOLLRDHUP | EPOLLHUP | EPOLLERR)) != 0;
 }
 
@@ -51,14 +51,14 @@
   void remove(int fd, Handler* handler);
   std::size_t watched() const { return watched_; }
 
-  TimerId at(Micros when, std::function<void()> call) { return timers_.at(when, std::move(call)); }
+  TimerId at(Micros when, std::function<void()> callback) { return timers_.at(when, std::move(callback)); }
   void cancel(TimerId* timer) {
     timers_.cancel(std::exchange(*timer, kNoTimer));
   }  // and forgets it; harmless for one that has fired
 
   // Calls on_ready(EPOLLIN) in the next iteration, which comes at once: for a handler that stopped before it
   // met EAGAIN, to let others go on.
-  void again(Handler* handler) { again_.push_back(handler); }
+  void call_again(Handler* handler) { pending_calls_.push_back(handler); }
   // The number of this iteration.
   std::uint64_t iteration() const { return iteration_; }
 
@@ -67,7 +67,7 @@
 
   // Sleeps end within some ten microseconds of a timer instead of within a millisecond. Costs a second system
   // call where the kernel does not know epoll_pwait2.
-  void set_fine(bool fine) { fine_ = fine; }
+  void set_precise_sleep(bool precise) { precise_sleep_ = precise; }
 
   // `on_iteration_end` runs after the events and timers of each iteration, and once before the first wait.
   // Throws std::system_error where the kernel fails to wait.
@@ -77,18 +77,18 @@
 
  private:
   int sleep();
-  Micros oldest_ready(Micros began, Micros slept_at) const;
+  Micros oldest_ready(Micros last_began, Micros slept_at) const;
   void dispatch(std::size_t fetched);
 
   Fd epoll_;
   EventNotifier* notifier_ = nullptr;
   Micros now_, ready_since_;
-  bool stopped_ = false, fine_ = false;
+  bool stopped_ = false, precise_sleep_ = false;
   std::size_t watched_ = 0;
   Timers timers_;
   std::vector<epoll_event> batch_;
   std::size_t cursor_ = 0, filled_ = 0;
-  std::vector<Handler*> again_, due_;
+  std::vector<Handler*> pending_calls_, current_calls_;
   std::uint64_t iteration_ = 0;
 };
 
--- a/src/net/socket.cpp
+++ b/src/net/socket.cpp
@@ -20,16 +20,16 @@
   return name;
 }
 
-std::optional<Address>& source() {
+std::optional<Address>& source_address() {
   static std::optional<Address> address;
   return address;
 }
 
 constexpr int kEnabled = 1;
 // An accept() on a socket that was made blocking by another process returns after this.
-constexpr suseconds_t kBlockedAcceptMicros = 10'000;
+constexpr suseconds_t kAcceptTimeoutMicros = 10'000;
 
-const sockaddr* generic(const Address& address) {
+const sockaddr* as_sockaddr(const Address& address) {
   return reinterpret_cast<const sockaddr*>(&address.storage);
 }
 
@@ -103,23 +103,24 @@
 }
 
 bool set_congestion_control(const std::string& name) {
-  Fd probe(socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
-  bool good = name.empty() || (probe && setsockopt(probe.get(), IPPROTO_TCP, TCP_CONGESTION, name.data(),
-                                                   static_cast<socklen_t>(name.size())) == 0);
-  if (good) congestion_control() = name;
-  return good;
+  Fd test_socket(socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
+  bool is_available =
+      name.empty() || (test_socket && setsockopt(test_socket.get(), IPPROTO_TCP, TCP_CONGESTION, name.data(),
+                                                 static_cast<socklen_t>(name.size())) == 0);
+  if (is_available) congestion_control() = name;
+  return is_available;
 }
 
-bool set_source(const std::string& text) {
+bool set_source_address(const std::string& text) {
   if (text.empty()) {
-    source().reset();
+    source_address().reset();
     return true;
   }
   auto address = parse_address(text.find(':') == std::string::npos ? text + ":0" : "[" + text + "]:0");
   if (!address) return false;
-  Fd probe(socket(address->storage.ss_family, SOCK_STREAM | SOCK_CLOEXEC, 0));
-  if (!probe || bind(probe.get(), generic(*address), address->length) != 0) return false;
-  source() = address;
+  Fd test_socket(socket(address->storage.ss_family, SOCK_STREAM | SOCK_CLOEXEC, 0));
+  if (!test_socket || bind(test_socket.get(), as_sockaddr(*address), address->length) != 0) return false;
+  source_address() = address;
   return true;
 }
 
@@ -129,7 +130,7 @@
   bool shared = sharing == PortSharing::kShared;
   if (!fd || setsockopt(fd.get(), SOL_SOCKET, SO_REUSEADDR, &kEnabled, sizeof kEnabled) != 0 ||
       (shared && setsockopt(fd.get(), SOL_SOCKET, SO_REUSEPORT, &kEnabled, sizeof kEnabled) != 0) ||
-      bind(fd.get(), generic(address), address.length) != 0 || listen(fd.get(), SOMAXCONN) != 0) {
+      bind(fd.get(), as_sockaddr(address), address.length) != 0 || listen(fd.get(), SOMAXCONN) != 0) {
     *error = errno;
     return Fd();
   }
@@ -152,7 +153,7 @@
   if (!listens_on(listener, address)) fail("listens on another address");
   // Where another holder makes the socket blocking between the check and accept(), a client that someone else
   // has taken must not stop this process.
-  timeval accept_timeout{0, kBlockedAcceptMicros};
+  timeval accept_timeout{0, kAcceptTimeoutMicros};
   setsockopt(listener, SOL_SOCKET, SO_RCVTIMEO, &accept_timeout, sizeof accept_timeout);
   ensure_non_blocking(listener);
   fcntl(listener, F_SETFD, FD_CLOEXEC);
@@ -166,16 +167,16 @@
     return fd;
   }
   configure_stream(fd.get());
-  if (source() && source()->storage.ss_family == address.storage.ss_family) {
+  if (source_address() && source_address()->storage.ss_family == address.storage.ss_family) {
     // The port is chosen with the connection, as without an address of its own.
     setsockopt(fd.get(), IPPROTO_IP, IP_BIND_ADDRESS_NO_PORT, &kEnabled, sizeof kEnabled);
-    if (bind(fd.get(), generic(*source()), source()->length) != 0) {
+    if (bind(fd.get(), as_sockaddr(*source_address()), source_address()->length) != 0) {
       *error = errno;
       fd.reset();
       return fd;
     }
   }
-  if (connect(fd.get(), generic(address), address.length) != 0 && errno != EINPROGRESS) {
+  if (connect(fd.get(), as_sockaddr(address), address.length) != 0 && errno != EINPROGRESS) {
     *error = errno;
     fd.reset();
   }
--- a/src/net/socket.h
+++ b/src/net/socket.h
@@ -27,7 +27,7 @@
 
 // All connections made from now on leave from this address ("10.0.0.4"; no port); empty: as the system
 // chooses. Call it before threads start. False, and nothing changes: it is no address of this machine.
-bool set_source(const std::string& address);
+bool set_source_address(const std::string& address);
 
 // Whether several sockets of this process listen at one address and the kernel shares clients out among them
 // (SO_REUSEPORT).
--- a/src/net/system_errors.h
+++ b/src/net/system_errors.h
@@ -28,7 +28,7 @@
 
 // Whether a call that opens a connection failed at once for want of something on this machine, a route
 // included, which says nothing of the peer.
-constexpr bool is_local_shortage(int error) {
+constexpr bool is_local_error(int error) {
   switch (error) {
     case EADDRNOTAVAIL:
     case EAGAIN:
--- a/src/net/task_queue.h
+++ b/src/net/task_queue.h
@@ -15,11 +15,11 @@
 class TaskQueue {
  public:
   using Task = std::function<void()>;
-  // `has_more`: further work that must keep the loop from sleeping; it runs in the loop's thread.
+  // `has_other_work`: further work that must keep the loop from sleeping; it runs in the loop's thread.
   explicit TaskQueue(
-      Loop& loop, std::function<bool()> has_more = [] { return false; })
-      : notifier_(loop, [this, has_more = std::move(has_more)] {
-          return has_tasks_.load(std::memory_order_acquire) || has_more();
+      Loop& loop, std::function<bool()> has_other_work = [] { return false; })
+      : notifier_(loop, [this, has_other_work = std::move(has_other_work)] {
+          return has_tasks_.load(std::memory_order_acquire) || has_other_work();
         }) {}
 
   // From any thread. Tasks run in the order in which they were posted. Unbounded by itself: whoever posts
@@ -35,7 +35,7 @@
   void notify() { notifier_.notify(); }
 
   // In the loop's thread, once an iteration: runs what waits; false where nothing did. Costs one load then.
-  bool drain() {
+  bool run_pending() {
     if (!has_tasks_.load(std::memory_order_acquire)) return false;
     std::vector<Task> tasks;
     {
--- a/src/net/timers.cpp
+++ b/src/net/timers.cpp
@@ -5,105 +5,107 @@
 
 namespace database_proxy::net {
 
-Timers::Timers() : nodes_(1) { first_.fill(kEnd); }
+Timers::Timers() : nodes_(1) { slot_heads_.fill(kNoNode); }
 
-Timers::Id Timers::at(Micros when, std::function<void()> call) {
-  std::uint32_t place = free_;
-  if (place != kEnd) {
-    free_ = nodes_[place].after;
+Timers::Id Timers::at(Micros when, std::function<void()> callback) {
+  std::uint32_t index = free_head_;
+  if (index != kNoNode) {
+    free_head_ = nodes_[index].next;
   } else {
-    place = static_cast<std::uint32_t>(nodes_.size());
+    index = static_cast<std::uint32_t>(nodes_.size());
     nodes_.emplace_back();
   }
-  auto& node = nodes_[place];
+  auto& node = nodes_[index];
   node.when = std::max(when, Micros(0));
-  node.order = ++orders_;
-  node.call = std::move(call);
-  node.set = true;
+  node.sequence = ++last_sequence_;
+  node.callback = std::move(callback);
+  node.is_set = true;
   // What has passed goes where the next run looks first.
-  auto slot = slot_of(std::max(node.when, ran_));
-  early_ = early_ || node.when <= ran_;
-  node.before = kEnd;
-  node.after = first_[slot];
-  if (node.after != kEnd) nodes_[node.after].before = place;
-  first_[slot] = place;
-  used_[slot / 64] |= std::uint64_t{1} << slot % 64;
+  auto slot = slot_of(std::max(node.when, ran_until_));
+  has_overdue_ = has_overdue_ || node.when <= ran_until_;
+  node.previous = kNoNode;
+  node.next = slot_heads_[slot];
+  if (node.next != kNoNode) nodes_[node.next].previous = index;
+  slot_heads_[slot] = index;
+  occupied_slots_[slot / 64] |= std::uint64_t{1} << slot % 64;
   ++size_;
-  return {place, node.generation};
+  return {index, node.generation};
 }
 
-void Timers::unlink(std::uint32_t at) {
-  auto& node = nodes_[at];
-  if (node.after != kEnd) nodes_[node.after].before = node.before;
-  if (node.before != kEnd) {
-    nodes_[node.before].after = node.after;
+void Timers::unlink(std::uint32_t index) {
+  auto& node = nodes_[index];
+  if (node.next != kNoNode) nodes_[node.next].previous = node.previous;
+  if (node.previous != kNoNode) {
+    nodes_[node.previous].next = node.next;
   } else {
     // The first of its slot: that of its time, or the one that run() stood at when it was set too late.
     auto slot = slot_of(node.when);
-    if (first_[slot] != at)
-      slot = static_cast<std::size_t>(std::find(first_.begin(), first_.end(), at) - first_.begin());
-    first_[slot] = node.after;
-    if (node.after == kEnd) used_[slot / 64] &= ~(std::uint64_t{1} << slot % 64);
+    if (slot_heads_[slot] != index)
+      slot = static_cast<std::size_t>(std::find(slot_heads_.begin(), slot_heads_.end(), index) -
+                                      slot_heads_.begin());
+    slot_heads_[slot] = node.next;
+    if (node.next == kNoNode) occupied_slots_[slot / 64] &= ~(std::uint64_t{1} << slot % 64);
   }
-  node.set = false;
+  node.is_set = false;
   ++node.generation;
-  node.after = free_;
-  free_ = at;
+  node.next = free_head_;
+  free_head_ = index;
   --size_;
 }
 
 void Timers::cancel(Id id) {
   if (id.first >= nodes_.size()) return;
   auto& node = nodes_[id.first];
-  if (!node.set || node.generation != id.second) return;
-  node.call = nullptr;
+  if (!node.is_set || node.generation != id.second) return;
+  node.callback = nullptr;
   unlink(id.first);
 }
 
 void Timers::collect(std::size_t slot, Micros now) {
-  for (auto at = first_[slot]; at != kEnd; at = nodes_[at].after)
-    if (nodes_[at].when <= now) due_.push_back(at);
+  for (auto index = slot_heads_[slot]; index != kNoNode; index = nodes_[index].next)
+    if (nodes_[index].when <= now) due_.push_back(index);
 }
 
 void Timers::run(Micros now) {
-  if (now < ran_) return;
+  if (now < ran_until_) return;
   do {
-    early_ = false;
+    has_overdue_ = false;
     due_.clear();
-    auto from = ran_.count() / kSlotMicros;
+    auto from = ran_until_.count() / kSlotMicros;
     auto to = now.count() / kSlotMicros;
     if (to - from >= static_cast<std::int64_t>(kSlots)) from = to - static_cast<std::int64_t>(kSlots) + 1;
-    for (auto tick = from; tick <= to; ++tick) {
-      auto slot = static_cast<std::size_t>(tick) % kSlots;
-      if (used_[slot / 64] >> slot % 64 & 1) collect(slot, now);
+    for (auto absolute_slot = from; absolute_slot <= to; ++absolute_slot) {
+      auto slot = static_cast<std::size_t>(absolute_slot) % kSlots;
+      if (occupied_slots_[slot / 64] >> slot % 64 & 1) collect(slot, now);
     }
     std::sort(due_.begin(), due_.end(), [&](auto left, auto right) {
-      return std::pair(nodes_[left].when, nodes_[left].order) <
-             std::pair(nodes_[right].when, nodes_[right].order);
+      return std::pair(nodes_[left].when, nodes_[left].sequence) <
+             std::pair(nodes_[right].when, nodes_[right].sequence);
     });
-    ran_ = now;
+    ran_until_ = now;
     std::vector<Id> ids;
     ids.reserve(due_.size());
-    for (auto at : due_) ids.emplace_back(at, nodes_[at].generation);
+    for (auto index : due_) ids.emplace_back(index, nodes_[index].generation);
     for (auto id : ids) {
       auto& node = nodes_[id.first];
-      if (!node.set || node.generation != id.second) continue;  // an earlier call has cancelled it
-      auto call = std::move(node.call);
-      node.call = nullptr;
+      if (!node.is_set || node.generation != id.second) continue;  // an earlier call has cancelled it
+      auto callback = std::move(node.callback);
+      node.callback = nullptr;
       unlink(id.first);
-      call();
+      callback();
     }
-  } while (early_);
+  } while (has_overdue_);
 }
 
 std::optional<Micros> Timers::next() const {
   if (size_ == 0) return std::nullopt;
-  auto start = slot_of(ran_);
-  std::optional<Micros> best;
-  auto round_end = Micros((ran_.count() / kSlotMicros + static_cast<std::int64_t>(kSlots)) * kSlotMicros);
+  auto start = slot_of(ran_until_);
+  std::optional<Micros> earliest;
+  auto round_end =
+      Micros((ran_until_.count() / kSlotMicros + static_cast<std::int64_t>(kSlots)) * kSlotMicros);
   for (std::size_t i = 0; i < kSlots;) {
     auto slot = (start + i) % kSlots;
-    auto word = used_[slot / 64] >> slot % 64;
+    auto word = occupied_slots_[slot / 64] >> slot % 64;
     if (word == 0) {
       i += 64 - slot % 64;
       continue;
@@ -112,14 +114,14 @@
     i += skip;
     if (i >= kSlots) break;
     slot = (start + i) % kSlots;
-    for (auto at = first_[slot]; at != kEnd; at = nodes_[at].after)
-      best = std::min(best.value_or(nodes_[at].when), nodes_[at].when);
+    for (auto index = slot_heads_[slot]; index != kNoNode; index = nodes_[index].next)
+      earliest = std::min(earliest.value_or(nodes_[index].when), nodes_[index].when);
     // Slots further on hold later times, but for those of other rounds; these cannot come before this
     // round's.
-    if (best && *best < round_end) return best;
+    if (earliest && *earliest < round_end) return earliest;
     ++i;
   }
-  return best;
+  return earliest;
 }
 
 }  // namespace database_proxy::net
--- a/src/net/timers.h
+++ b/src/net/timers.h
@@ -17,12 +17,12 @@
 // Used by the thread of its loop only.
 class Timers {
  public:
-  using Id = std::pair<std::uint32_t, std::uint32_t>;  // its place, and how often that was used before
+  using Id = std::pair<std::uint32_t, std::uint32_t>;  // its index, and how often that was used before
   static constexpr Id kNone{0, 0};
 
   Timers();
   // `when` may have passed. The call runs once, from run().
-  Id at(Micros when, std::function<void()> call);
+  Id at(Micros when, std::function<void()> callback);
   // Harmless for one that has fired or was cancelled.
   void cancel(Id id);
   // Calls what is due, in order of time, and of setting where times are equal. Calls may set and cancel
@@ -35,29 +35,29 @@
  private:
   static constexpr std::int64_t kSlotMicros = 1024;
   static constexpr std::size_t kSlots = 4096;  // 4.2 s a round: longer than nearly all timers
-  static constexpr std::uint32_t kEnd = ~0u;
+  static constexpr std::uint32_t kNoNode = ~0u;
   struct Node {
     Micros when{0};
-    std::uint64_t order = 0;
-    std::function<void()> call;
-    std::uint32_t generation = 1, before = kEnd, after = kEnd;
-    bool set = false;
+    std::uint64_t sequence = 0;
+    std::function<void()> callback;
+    std::uint32_t generation = 1, previous = kNoNode, next = kNoNode;
+    bool is_set = false;
   };
   static std::size_t slot_of(Micros when) {
     return static_cast<std::size_t>(when.count() / kSlotMicros) % kSlots;
   }
-  void unlink(std::uint32_t at);
+  void unlink(std::uint32_t index);
   void collect(std::size_t slot, Micros now);
 
   std::vector<Node> nodes_;  // 0 is nobody's, so that kNone names none
-  std::uint32_t free_ = kEnd;
-  std::array<std::uint32_t, kSlots> first_;
-  std::array<std::uint64_t, kSlots / 64> used_{};  // a bit a slot that holds any
+  std::uint32_t free_head_ = kNoNode;
+  std::array<std::uint32_t, kSlots> slot_heads_;
+  std::array<std::uint64_t, kSlots / 64> occupied_slots_{};  // a bit a slot that holds any
   std::vector<std::uint32_t> due_;
-  std::uint64_t orders_ = 0;
+  std::uint64_t last_sequence_ = 0;
   std::size_t size_ = 0;
-  Micros ran_{0};       // all that was due by then has been called
-  bool early_ = false;  // one was set for a time that had passed
+  Micros ran_until_{0};       // all that was due by then has been called
+  bool has_overdue_ = false;  // one was set for a time that had passed
 };
 
 }  // namespace database_proxy::net
--- a/src/operator_endpoint/operator_listener.cpp
+++ b/src/operator_endpoint/operator_listener.cpp
@@ -46,7 +46,7 @@
   bool is_writable = (events & EPOLLOUT) != 0;
   if (is_writable && !output_.flush(socket_.get())) return listener_.close(number_);
   if (is_answered_) return finish();
-  bool is_readable = (events & EPOLLIN) != 0 || net::peer_has_ended(events);
+  bool is_readable = (events & EPOLLIN) != 0 || net::reports_disconnect(events);
   if (is_readable && !has_command_) read_command();
 }
 
@@ -57,8 +57,8 @@
   auto text = input_.view();
   auto line_feed = text.find('\n');
   if (line_feed == std::string_view::npos) {
-    if (net::is_over(end)) return listener_.close(number_);
-    if (end != net::IoEnd::kFull) return;
+    if (net::is_disconnected(end)) return listener_.close(number_);
+    if (end != net::IoResult::kFull) return;
   }
   has_command_ = true;
   auto command = parse_command(text.substr(0, line_feed));
--- a/src/peers/link.cpp
+++ b/src/peers/link.cpp
@@ -96,8 +96,8 @@
   if (!(events & (EPOLLIN | EPOLLRDHUP | EPOLLHUP | EPOLLERR))) return;
   // Bounded in each turn, so that one peer that floods this node does not starve the others.
   auto end = in_.fill(fd_.get(), kLongestFrame + 4, kLongestFrame + 4);
-  read_messages(net::is_over(end));
-  if (!is_closed_ && end == net::IoEnd::kFull) loop_.again(this);
+  read_messages(net::is_disconnected(end));
+  if (!is_closed_ && end == net::IoResult::kFull) loop_.call_again(this);
 }
 
 void Link::read_messages(bool connection_ended) {
--- a/src/proxy/client_session.cpp
+++ b/src/proxy/client_session.cpp
@@ -95,7 +95,7 @@
   if (is_lingering()) return discard_input();
   // The end of the peer is reported only once, and reading does not find it where it stops at a limit before
   // the end of the stream.
-  if (net::peer_has_ended(events)) return on_peer_closed();
+  if (net::reports_disconnect(events)) return on_peer_closed();
   if ((events & EPOLLIN) != 0) fill();
   if (fd_) process();
 }
@@ -169,9 +169,9 @@
 // Reads and discards input after the last answer to the client, up to a limit of time and bytes.
 void ClientSession::discard_input() {
   auto end = net::discard(fd_.get(), kDiscardPerIteration);
-  if (net::is_over(end)) return close();
+  if (net::is_disconnected(end)) return close();
   if (out_.empty()) shutdown(fd_.get(), SHUT_WR);
-  if (end != net::IoEnd::kFull) return;
+  if (end != net::IoResult::kFull) return;
   discarded_ += kDiscardPerIteration;
   if (discarded_ >= kMostDiscarded) return close();
   continue_next_iteration();
@@ -180,16 +180,16 @@
 // Schedules this session for the next loop iteration, after the other sessions have used their shares.
 void ClientSession::continue_next_iteration() {
   auto next = loop_.iteration() + 1;
-  if (std::exchange(continues_in_, next) != next) loop_.again(this);
+  if (std::exchange(continues_in_, next) != next) loop_.call_again(this);
 }
 
 void ClientSession::fill() {
   input_.begin_iteration();
   if (state_ == State::kFinishing) {  // input after the last command is discarded
-    if (net::is_over(net::discard(fd_.get(), kDiscardPerIteration))) close_lost_peer();
+    if (net::is_disconnected(net::discard(fd_.get(), kDiscardPerIteration))) close_lost_peer();
     return;
   }
-  if (net::is_over(input_.read(fd_.get()))) return close_lost_peer();
+  if (net::is_disconnected(input_.read(fd_.get()))) return close_lost_peer();
   auto accounted_before = accounted_;
   bool is_within_limit = account_memory();
   if (!is_within_limit && accounted_ > accounted_before)
@@ -329,7 +329,7 @@
 void ClientSession::write_last(std::initializer_list<std::string_view> parts) {
   auto answers = std::exchange(gathered_, {});
   for (auto part : parts) answers.append(part);
-  if (!out_.write_and_end(fd_.get(), {answers})) return close_lost_peer();
+  if (!out_.write_and_shut_down(fd_.get(), {answers})) return close_lost_peer();
   has_ended_output_ = out_.empty();
 }
 
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -260,7 +260,7 @@
         return accept_after_shortage();
     }
   }
-  loop_.again(&on_listener_);
+  loop_.call_again(&on_listener_);
 }
 
 // Whether one more client may be accepted. Closes another client or an idle connection where that makes it
--- a/src/proxy/server_connection.cpp
+++ b/src/proxy/server_connection.cpp
@@ -52,7 +52,7 @@
   pool_.loop_.cancel(&idle_timer_);
   // Input that arrived while the connection was idle would be taken for this answer, and the peer may have
   // closed the connection.
-  bool has_no_input = in_.fill(fd_.get(), kMaxBufferedInput) == net::IoEnd::kAgain && in_.view().empty();
+  bool has_no_input = in_.fill(fd_.get(), kMaxBufferedInput) == net::IoResult::kAgain && in_.view().empty();
   return has_no_input && write_job();
 }
 
@@ -121,7 +121,7 @@
     if (!out_.flush(fd_.get())) return on_connection_error();
     if (state_ == State::kBusy && out_.empty()) is_written_ = true;
   }
-  bool has_ended = net::peer_has_ended(events);
+  bool has_ended = net::reports_disconnect(events);
   if ((events & EPOLLIN) == 0 && !has_ended) return;
   // Reading stops at a complete answer. Input behind it is detected before the next job.
   while (read_input(has_ended) && awaits_input()) {
@@ -139,16 +139,16 @@
 // peer's end of stream, which is reported only once.
 bool ServerConnection::read_input(bool until_end) {
   auto end = until_end ? in_.fill(fd_.get(), kMaxBufferedInput) : in_.read_once(fd_.get(), kMaxBufferedInput);
-  if (end == net::IoEnd::kFull) {
+  if (end == net::IoResult::kFull) {
     on_malformed_answer();
     return false;
   }
-  if (net::is_over(end)) {
+  if (net::is_disconnected(end)) {
     peer_closed_ = true;
     is_reusable_ = false;
   }
   read_frames();
-  return end == net::IoEnd::kMore;
+  return end == net::IoResult::kMore;
 }
 
 bool ServerConnection::awaits_input() const {
--- a/src/proxy/server_pool.cpp
+++ b/src/proxy/server_pool.cpp
@@ -110,7 +110,7 @@
   auto* connection = created.get();
   int error = 0;
   if (!connection->open(*server.address, &error)) {
-    bool is_local = net::is_local_shortage(error);  // no evidence about the server
+    bool is_local = net::is_local_error(error);  // no evidence about the server
     return end_unsent(name, job, is_local ? AttemptOutcome::kNotSent : AttemptOutcome::kNoConnection);
   }
   connections_[connection] = std::move(created);
--- a/src/proxy/session_input.cpp
+++ b/src/proxy/session_input.cpp
@@ -18,15 +18,15 @@
   bytes_left_ = kBytesPerIteration;
 }
 
-net::IoEnd SessionInput::read(int descriptor) {
+net::IoResult SessionInput::read(int descriptor) {
   begin_iteration();
   auto size_before = view().size();
   auto since = is_caught_up_ ? loop_.ready_since() : unread_since_;
   auto end = buffer_.fill(descriptor, kReadAhead, bytes_left_);
   auto size_read = view().size() - size_before;
   bytes_left_ -= std::min(bytes_left_, size_read);
-  is_paused_ = end == net::IoEnd::kFull;
-  if (net::is_over(end)) return end;
+  is_paused_ = end == net::IoResult::kFull;
+  if (net::is_disconnected(end)) return end;
   if (size_read > 0 && !input_since_) input_since_ = since;
   is_caught_up_ = !is_paused_;
   was_paused_in_command_ = was_paused_in_command_ || is_paused_;
--- a/src/proxy/session_input.h
+++ b/src/proxy/session_input.h
@@ -32,7 +32,7 @@
   // for all other clients after each share.
   void begin_iteration();
   // Reads within the share and the buffer's limit. The end of the stream changes no other state.
-  net::IoEnd read(int descriptor);
+  net::IoResult read(int descriptor);
   // Takes one command from this iteration's share; false: the share is used up.
   bool take_command_share() { return commands_left_-- > 0; }
 
--- a/src/testbench/fake_servers.cpp
+++ b/src/testbench/fake_servers.cpp
@@ -263,7 +263,7 @@
   auto end = in_.fill(fd_.get(), kReadCap);
   if (before == 0 && !in_.view().empty()) begun_ = server_.now();
   if (server_.model.life() != Life::kSilent) take();
-  if (fd_ && net::is_over(end)) close();
+  if (fd_ && net::is_disconnected(end)) close();
 }
 
 void FakeServers::Connection::take() {
@@ -462,7 +462,7 @@
     ~Caller() override { owner_.loop().cancel(&timer_); }
     void on_ready(std::uint32_t events) override {
       if ((events & EPOLLOUT) && !out_.flush(fd_.get())) return end();
-      auto closed = net::is_over(in_.fill(fd_.get(), 64 * 1024));
+      auto closed = net::is_disconnected(in_.fill(fd_.get(), 64 * 1024));
       auto head = in_.view().find("\r\n\r\n");
       if (head != std::string_view::npos) {
         auto line = in_.view().substr(0, in_.view().find("\r\n"));
--- a/src/testbench/load.cpp
+++ b/src/testbench/load.cpp
@@ -93,7 +93,7 @@
 
   void run() {
     if (cpu_ >= 0) pin_to(cpu_);
-    loop.set_fine(true);
+    loop.set_precise_sleep(true);
     for (auto& client : clients_) client->connect();
     auto began = net::monotonic_now();
     measure_from = began + options.warm_up;
@@ -323,7 +323,7 @@
     if (!fd_) return;
   }
   in_.consume(at);
-  if (net::is_over(end)) broke();
+  if (net::is_disconnected(end)) broke();
 }
 
 void Client::answered(const std::string& code, std::string_view value, int come_back_ms) {
--- a/src/testbench/loop_thread.cpp
+++ b/src/testbench/loop_thread.cpp
@@ -21,7 +21,7 @@
 
 LoopThread::LoopThread(int cpu, std::function<void()> end_of_turn)
     : mailbox_(loop_), end_of_turn_(std::move(end_of_turn)), cpu_(cpu) {
-  loop_.set_fine(true);
+  loop_.set_precise_sleep(true);
 }
 
 void LoopThread::start() {
@@ -31,7 +31,7 @@
     id_ = std::this_thread::get_id();
     started.set_value();
     loop_.run([this] {
-      mailbox_.drain();
+      mailbox_.run_pending();
       end_of_turn_();
     });
   });
--- a/src/workers/decision_thread.cpp
+++ b/src/workers/decision_thread.cpp
@@ -86,7 +86,7 @@
 
 void DecisionThread::on_iteration_end() {
   auto now = loop_.now();
-  tasks_.drain();
+  tasks_.run_pending();
   for (auto& probe : std::exchange(probed_, {})) facade_->report(now, probe);
   for (std::size_t i = 0; i < channels_.size(); ++i) take(*channels_[(first_ + i) % channels_.size()]);
   ++first_;
--- a/src/workers/worker_pool.cpp
+++ b/src/workers/worker_pool.cpp
@@ -73,7 +73,7 @@
     options.count = static_cast<std::uint32_t>(c.options.count);
     options.listens = c.options.accept == Accept::kReusePort;
     proxy_ = std::make_unique<proxy::Proxy>(loop_, *decider_, options, log_, *this);
-    proxy_->before_iteration_end = [this] { tasks_.drain(); };
+    proxy_->before_iteration_end = [this] { tasks_.run_pending(); };
     proxy_->on_unknown_cancel = [this](auto number, auto secret) {
       group_.on_cancel_not_found(number, secret);
     };
@@ -239,7 +239,7 @@
       last_ = *to;
       group_.workers_[*to]->assign_worker(std::move(fd));
     }
-    group_.control_.again(this);
+    group_.control_.call_again(this);
   }
 
  private:
@@ -341,7 +341,7 @@
   running_ = workers_.size();
   for (auto& worker : workers_) worker->start();
   discovery_->start();
-  control_.run([this] { tasks_.drain(); });
+  control_.run([this] { tasks_.run_pending(); });
   for (auto& worker : workers_) worker->join();  // one may still be telling of its end
   if (decisions_) decisions_->stop();
   for (auto& worker : workers_) counters_.add(worker->proxy().dispatcher().counters());
--- a/tests/proxy/peers_test.cpp
+++ b/tests/proxy/peers_test.cpp
@@ -153,9 +153,9 @@
   net::InBuffer in;
   std::string value(50'000, 'v');
   REQUIRE(send(a.get(), value.data(), value.size(), 0) == 50'000);
-  CHECK(in.fill(b.get(), 1 << 20, 20'000) == net::IoEnd::kFull);
+  CHECK(in.fill(b.get(), 1 << 20, 20'000) == net::IoResult::kFull);
   CHECK(in.view().size() == 20'000);
-  CHECK(in.fill(b.get(), 1 << 20) == net::IoEnd::kAgain);
+  CHECK(in.fill(b.get(), 1 << 20) == net::IoResult::kAgain);
   CHECK(in.memory() >= 50'000);
   in.consume(50'000);
   CHECK(in.memory() <= 4096);
@@ -167,8 +167,8 @@
     int calls = 0;
     void on_ready(std::uint32_t) override { ++calls; }
   } stays, goes;
-  loop.again(&stays);
-  loop.again(&goes);
+  loop.call_again(&stays);
+  loop.call_again(&goes);
   loop.remove(-1, &goes);
   int turns = 0;
   loop.run([&] {
