--- a/src/app/commands.cpp
+++ b/src/app/commands.cpp
@@ -124,7 +124,7 @@
 
 std::string listens(const Config& config, int port, std::size_t descriptors) {
   return fmt::format("linenwinch {} listens on {}:{}, {} servers known, {} descriptors", kVersion,
-                     config.listen.substr(0, config.listen.rfind(':')), port, config.known.members.size(),
+                     config.listen.substr(0, config.listen.rfind(':')), port, config.known.endpoints.size(),
                      descriptors);
 }
 
@@ -314,7 +314,7 @@
   if (!told.config_path.empty()) {
     told.config = read_config(told.config_path);
     std::cout << fmt::format("{}: good ({} classes, {} servers known)\n", told.config_path,
-                             told.config.settings.classes.size(), told.config.known.members.size());
+                             told.config.settings.classes.size(), told.config.known.endpoints.size());
   }
   if (!told.operator_path.empty()) {
     told.own = read_operator_file(told.operator_path);
--- a/src/app/group_runner.cpp
+++ b/src/app/group_runner.cpp
@@ -79,11 +79,11 @@
     std::map<std::string, placement::EndpointLocation> places;
     auto unix =
         std::chrono::duration_cast<group::Micros>(std::chrono::system_clock::now().time_since_epoch());
-    for (auto& m : whole.members) {
+    for (auto& m : whole.endpoints) {
       if (m.lifecycle != discovery::Lifecycle::kUp) continue;
       group::Micros warm{0};
       if (m.started_at_ms > 0) warm = loop_.now() + group::Micros(m.started_at_ms * 1000) + warm_up_ - unix;
-      places[m.id] = {m.cell, m.zone, warm};
+      places[m.id] = {m.shard_group, m.zone, warm};
     }
     observer_.set_locations(std::move(places));
   }
--- a/src/app/operations.cpp
+++ b/src/app/operations.cpp
@@ -200,9 +200,9 @@
 bool Operations::add_endpoints(const endpoint_list::EndpointListView& view) {
   auto change = overlay_.add_view(view);
   if (!change) return false;
-  if (!change->members.empty())
+  if (!change->endpoints.empty())
     log_(net::Level::kInfo, fmt::format("another process has list version {}: {} servers are out by it",
-                                        view.generation, change->members.size()));
+                                        view.generation, change->endpoints.size()));
   process_.apply_change(std::move(*change));
   return true;
 }
--- a/src/discovery/backoff.h
+++ b/src/discovery/backoff.h
@@ -6,9 +6,9 @@
 
 namespace database_proxy::discovery {
 
-// Returns a random fraction of `span`: from `least` to `most` of it, evenly distributed.
-std::chrono::microseconds random_fraction(std::chrono::microseconds span, double least, double most,
-                                          std::mt19937_64& random);
+// Returns a random fraction of `span`: from `min_fraction` to `max_fraction` of it, evenly distributed.
+std::chrono::microseconds random_fraction(std::chrono::microseconds span, double min_fraction,
+                                          double max_fraction, std::mt19937_64& random);
 
 // Exponential backoff with jitter: each pause is drawn from the upper half of a span that doubles up to a
 // limit. Owned by a PollingSchedule.
@@ -16,15 +16,16 @@
  public:
   using Micros = std::chrono::microseconds;
 
-  Backoff(Micros first, Micros longest) : first_(first), longest_(longest), span_(first) {}
+  Backoff(Micros initial_span, Micros max_span)
+      : initial_span_(initial_span), max_span_(max_span), span_(initial_span) {}
 
   // Returns the pause after one more failure.
-  Micros next_pause(std::mt19937_64& random);
+  Micros next_delay(std::mt19937_64& random);
   // To be called after a success: the next pause is a first one again.
-  void reset() { span_ = first_; }
+  void reset() { span_ = initial_span_; }
 
  private:
-  Micros first_, longest_, span_;
+  Micros initial_span_, max_span_, span_;
 };
 
 }  // namespace database_proxy::discovery
--- a/src/discovery/discovery_watch.cpp
+++ b/src/discovery/discovery_watch.cpp
@@ -35,7 +35,7 @@
 
 constexpr int kHttpOk = 200, kHttpTooManyRequests = 429, kHttpServerErrors = 500;
 
-std::string error_text(int error) { return std::generic_category().message(error); }
+std::string error_message(int error) { return std::generic_category().message(error); }
 
 }  // namespace
 
@@ -68,7 +68,7 @@
   fd_ = net::start_connect(address_, &error);
   if (!fd_ || !loop_.add(fd_.get(), this)) {
     fd_.reset();
-    return on_failure(error_text(error));
+    return on_failure(error_message(error));
   }
   timer_ = loop_.at(loop_.now() + PollingSchedule::kConnectTimeout,
                     [this] { on_failure("no connection in time"); });
@@ -93,7 +93,7 @@
 
 void DiscoveryWatch::on_ready(std::uint32_t events) {
   if (!connected_) {
-    if (int error = net::socket_error(fd_.get())) return on_failure(error_text(error));
+    if (int error = net::socket_error(fd_.get())) return on_failure(error_message(error));
     if (!(events & EPOLLOUT)) return;
     connected_ = true;
     return send_request();
@@ -129,7 +129,7 @@
   bool is_at_limit = status >= kHttpServerErrors || status == kHttpTooManyRequests;
   if (!is_at_limit) needs_full_list_ = true;
   on_failure(fmt::format("it answered with status {}", status),
-             is_at_limit ? Failure::kRefused : Failure::kBroken);
+             is_at_limit ? Failure::kRejected : Failure::kBroken);
 }
 
 // Reports the update. Returns false, after on_failure(), if it is malformed.
@@ -156,8 +156,8 @@
   if (!failing_) log_(net::Level::kWarning, fmt::format("discovery does not answer: {}", reason));
   failing_ = true;
   disconnect();
-  connect_after(failure == Failure::kRefused ? schedule_.after_refused_call()
-                                             : schedule_.after_broken_call());
+  connect_after(failure == Failure::kRejected ? schedule_.delay_after_rejected_call()
+                                              : schedule_.delay_after_broken_call());
 }
 
 }  // namespace database_proxy::discovery
--- a/src/discovery/discovery_watch.h
+++ b/src/discovery/discovery_watch.h
@@ -31,13 +31,13 @@
   DiscoveryWatch& operator=(const DiscoveryWatch&) = delete;
 
   // Connects after the schedule's delay for a first call.
-  void start() { connect_after(schedule_.before_first_call()); }
+  void start() { connect_after(schedule_.first_call_delay()); }
   void start_now() { connect(); }
   void on_ready(std::uint32_t events) override;
 
  private:
-  // kRefused: the service answered that it cannot serve now. kBroken: any other failure.
-  enum class Failure { kBroken, kRefused };
+  // kRejected: the service answered that it cannot serve now. kBroken: any other failure.
+  enum class Failure { kBroken, kRejected };
 
   void connect();
   void connect_after(net::Micros delay);
--- a/src/discovery/endpoint_list_codec.cpp
+++ b/src/discovery/endpoint_list_codec.cpp
@@ -21,7 +21,7 @@
   throw std::invalid_argument("unknown lifecycle '" + text + "'");
 }
 
-const char* text_of(Lifecycle lifecycle) {
+const char* lifecycle_to_text(Lifecycle lifecycle) {
   if (lifecycle == Lifecycle::kUp) return "up";
   return lifecycle == Lifecycle::kDraining ? "draining" : "removed";
 }
@@ -35,7 +35,7 @@
   if (endpoint.id.empty() || (endpoint.address.empty() && needs_address))
     throw std::invalid_argument("an entry without instanceId or hostPort");
   endpoint.zone = json.value("zone", "");
-  endpoint.cell = json.value("cell", std::int64_t{0});
+  endpoint.shard_group = json.value("cell", std::int64_t{0});
   endpoint.weight = json.value("weight", 1.0);
   endpoint.started_at_ms =
       static_cast<std::int64_t>(std::clamp(json.value("startedAtMs", 0.0), 0.0, kMaxStartedAtMs));
@@ -48,7 +48,7 @@
   EndpointListUpdate update;
   update.generation = json.at("generation").get<std::int64_t>();
   update.reset = json.value("reset", false);
-  for (const auto& entry : json.at("instances")) update.members.push_back(endpoint_from_json(entry));
+  for (const auto& entry : json.at("instances")) update.endpoints.push_back(endpoint_from_json(entry));
   return update;
 } catch (const nlohmann::json::exception& e) {
   throw std::invalid_argument(e.what());
@@ -62,12 +62,12 @@
 
 nlohmann::json endpoint_list_to_json(const EndpointListUpdate& update) {
   auto instances = nlohmann::json::array();
-  for (const auto& endpoint : update.members)
+  for (const auto& endpoint : update.endpoints)
     instances.push_back({{"instanceId", endpoint.id},
                          {"hostPort", endpoint.address},
                          {"zone", endpoint.zone},
-                         {"cell", endpoint.cell},
-                         {"lifecycle", text_of(endpoint.lifecycle)},
+                         {"cell", endpoint.shard_group},
+                         {"lifecycle", lifecycle_to_text(endpoint.lifecycle)},
                          {"weight", endpoint.weight},
                          {"startedAtMs", endpoint.started_at_ms}});
   return {{"generation", update.generation}, {"reset", update.reset}, {"instances", std::move(instances)}};
--- a/src/discovery/endpoint_list_codec.h
+++ b/src/discovery/endpoint_list_codec.h
@@ -17,12 +17,12 @@
 // One data server.
 struct Endpoint {
   std::string id, address, zone;
-  std::int64_t cell = 0;  // servers of one cell have the same data
+  std::int64_t shard_group = 0;  // servers of one cell have the same data
   Lifecycle lifecycle = Lifecycle::kUp;
   double weight = 1;               // of its capacity, relative to others
   std::int64_t started_at_ms = 0;  // Unix milliseconds; 0: long ago
   // When operators last put it back, on the machine's monotonic clock; 0: never. Discovery does not tell it.
-  std::chrono::microseconds reinstated_at{0};
+  std::chrono::microseconds uncordoned_at{0};
   // Draining or removed: when a process of this proxy was first notified, on the same clock; empty: with this
   // update. Discovery does not tell it.
   std::optional<std::chrono::microseconds> notified_at = {};
@@ -41,7 +41,7 @@
   bool reset = false;           // the full list, not only what changed
   UpdateSource source = UpdateSource::kConfiguration;
   std::string service;  // the address of the discovery service whose count `generation` is; empty: not known
-  std::vector<Endpoint> members;
+  std::vector<Endpoint> endpoints;
 };
 
 // Throw std::invalid_argument with a text that says what is wrong.
--- a/src/discovery/endpoint_list_subscription.cpp
+++ b/src/discovery/endpoint_list_subscription.cpp
@@ -29,8 +29,8 @@
                                                                      std::optional<std::int64_t> generation) {
   auto parsed = net::parse_address(address);
   if (!parsed) throw std::runtime_error("discovery is no address: '" + address + "'");
-  newest_address_ = address;
-  auto handler = [this, number = ++watches_made_](EndpointListUpdate update) {
+  latest_address_ = address;
+  auto handler = [this, number = ++watch_count_](EndpointListUpdate update) {
     on_update(number, std::move(update));
   };
   return std::make_unique<DiscoveryWatch>(loop_, *parsed, address, generation, schedule_, handler, log_);
@@ -38,15 +38,15 @@
 
 void EndpointListSubscription::on_update(int watch_number, EndpointListUpdate update) {
   // Until its first answer, a new address replaces nothing: it may never answer.
-  if (next_watch_ && watch_number == watches_made_) watch_ = std::move(next_watch_);
-  if (!update.members.empty() || update.reset)
-    log_(net::Level::kInfo, fmt::format("list version {}: {} {}", update.generation, update.members.size(),
+  if (next_watch_ && watch_number == watch_count_) watch_ = std::move(next_watch_);
+  if (!update.endpoints.empty() || update.reset)
+    log_(net::Level::kInfo, fmt::format("list version {}: {} {}", update.generation, update.endpoints.size(),
                                         update.reset ? "servers in all" : "changes"));
   on_update_(std::move(update));
 }
 
-void EndpointListSubscription::move_to(const std::string& address) {
-  if (address == newest_address_) return;
+void EndpointListSubscription::change_address(const std::string& address) {
+  if (address == latest_address_) return;
   next_watch_ = make_watch(address, std::nullopt);
   next_watch_->start_now();
 }
--- a/src/discovery/endpoint_list_subscription.h
+++ b/src/discovery/endpoint_list_subscription.h
@@ -28,7 +28,7 @@
   void start() { watch_->start(); }
   // Changes the address. Updates of the old one are reported until the new one has given its full list, so
   // that no change is missed. Throws std::runtime_error if `address` is none.
-  void move_to(const std::string& address);
+  void change_address(const std::string& address);
 
  private:
   std::unique_ptr<DiscoveryWatch> make_watch(const std::string& address,
@@ -41,8 +41,8 @@
   net::Log log_;
   std::unique_ptr<DiscoveryWatch> watch_;
   std::unique_ptr<DiscoveryWatch> next_watch_;  // of a new address, until it has answered
-  std::string newest_address_;
-  int watches_made_ = 0;  // the newest has this number
+  std::string latest_address_;
+  int watch_count_ = 0;  // the newest has this number
 };
 
 }  // namespace database_proxy::discovery
--- a/src/discovery/polling_schedule.h
+++ b/src/discovery/polling_schedule.h
@@ -25,50 +25,52 @@
   // bounds how long a connection that was lost in silence goes unnoticed.
   static constexpr Micros kWatchWait{2'000'000};
 
-  // `proxies`: how many share the service. `calls_cost`: each call is work there (the list has to be polled),
-  // so that calls wait for their turn, and first calls are spaced out in case all proxies start at once.
-  explicit PollingSchedule(int proxies = 1, bool calls_cost = false, std::uint64_t seed = 0);
+  // `proxies`: how many share the service. `calls_are_costly`: each call is work there (the list has to be
+  // polled), so that calls wait for their turn, and first calls are spaced out in case all proxies start at
+  // once.
+  explicit PollingSchedule(int proxies = 1, bool calls_are_costly = false, std::uint64_t seed = 0);
 
   // From the start to the first call. What is known already serves meanwhile.
-  Micros before_first_call();
+  Micros first_call_delay();
   // How long a call for the full list, which does not wait for changes, may go unanswered.
-  Micros list_timeout() const { return calls_cost_ ? kQueueTimeout : kAnswerTimeout; }
+  Micros list_timeout() const { return calls_are_costly_ ? kQueueTimeout : kAnswerTimeout; }
   // The same of a watch.
   Micros watch_timeout() const { return kWatchWait + kAnswerTimeout; }
 
   // The pause after a call without answer: no connection, or a broken one. It has cost the service nothing.
-  Micros after_broken_call() { return broken_calls_.next_pause(random_); }
+  Micros delay_after_broken_call() { return broken_call_backoff_.next_delay(random_); }
   // The pause after an answer that says that the service cannot serve now.
-  Micros after_refused_call() { return refused_calls_.next_pause(random_); }
+  Micros delay_after_rejected_call() { return rejected_call_backoff_.next_delay(random_); }
   // A call was answered with a list.
   void on_answered();
 
  private:
   // For each proxy of the fleet.
-  static constexpr Micros kFirstCallSpacing{35'000}, kRefusedPause{20'000};
+  static constexpr Micros kFirstCallSpacing{35'000}, kRejectedCallBackoff{20'000};
   static constexpr Micros kMaxFirstCallDelay{2'000'000};
   static constexpr Micros kAnswerTimeout{1'000'000};
   // A service at its limit rejects a call after 2 s.
   static constexpr Micros kQueueTimeout{2'500'000};
-  static constexpr Micros kBrokenPause{20'000}, kMaxBrokenPause{500'000};
+  static constexpr Micros kBrokenCallBackoff{20'000}, kMaxBrokenCallBackoff{500'000};
   // The longest pause after refused calls: for large fleets, and for a single proxy.
-  static constexpr Micros kMaxRefusedPause{2'000'000}, kMaxRefusedPauseOfOne{500'000};
+  static constexpr Micros kMaxRejectedCallBackoff{2'000'000}, kMaxRejectedCallBackoffOfSingleProxy{500'000};
   // The longest pause is so many times the first one, between these limits.
-  static constexpr int kRefusedPauseGrowth = 8;
+  static constexpr int kRejectedCallBackoffGrowth = 8;
 
   // Whatever failed before, one more round of calls has succeeded by the deadline.
-  static_assert(kWatchWait + kAnswerTimeout + kMaxRefusedPause + kConnectTimeout < kNotificationDeadline);
-  static_assert(kQueueTimeout + kMaxRefusedPause + kConnectTimeout < kNotificationDeadline);
-  static_assert(kMaxFirstCallDelay + kQueueTimeout + kMaxBrokenPause < kNotificationDeadline);
+  static_assert(kWatchWait + kAnswerTimeout + kMaxRejectedCallBackoff + kConnectTimeout <
+                kNotificationDeadline);
+  static_assert(kQueueTimeout + kMaxRejectedCallBackoff + kConnectTimeout < kNotificationDeadline);
+  static_assert(kMaxFirstCallDelay + kQueueTimeout + kMaxBrokenCallBackoff < kNotificationDeadline);
   // A first call after a reload that is lost, and a second one.
-  static_assert(2 * kConnectTimeout + kQueueTimeout + kBrokenPause < kNotificationDeadlineAfterReload);
+  static_assert(2 * kConnectTimeout + kQueueTimeout + kBrokenCallBackoff < kNotificationDeadlineAfterReload);
 
-  static Micros max_refused_pause(int proxies);
+  static Micros max_rejected_call_backoff(int proxies);
 
   int proxies_;
-  bool calls_cost_;
+  bool calls_are_costly_;
   std::mt19937_64 random_;
-  Backoff broken_calls_, refused_calls_;
+  Backoff broken_call_backoff_, rejected_call_backoff_;
 };
 
 }  // namespace database_proxy::discovery
--- a/src/endpoint_list/endpoint_overlay.cpp
+++ b/src/endpoint_list/endpoint_overlay.cpp
@@ -54,7 +54,7 @@
   if (cordon->second.is_cordoned)
     mark_draining(cordon->second.changed_at);
   else  // it may have been restarted at any time until it was uncordoned
-    endpoint.reinstated_at = cordon->second.changed_at;
+    endpoint.uncordoned_at = cordon->second.changed_at;
   return endpoint;
 }
 
@@ -97,7 +97,7 @@
   drop_outdated_view(update);
   auto before = update.reset ? std::exchange(listed_, {}) : listed_;
   auto notice = update.source == UpdateSource::kOpenWatch ? now : kUnknownNoticeTime;
-  for (auto& endpoint : update.members) {
+  for (auto& endpoint : update.endpoints) {
     record(endpoint, before, notice);
     endpoint = apply_overlay(endpoint.id, listed_.at(endpoint.id));
     were_unavailable.erase(endpoint.id);
@@ -111,7 +111,7 @@
 void EndpointOverlay::add_change(const std::string& id, EndpointListUpdate* change) const {
   change->generation = generation_;
   if (auto found = listed_.find(id); found != listed_.end())
-    change->members.push_back(apply_overlay(id, found->second));
+    change->endpoints.push_back(apply_overlay(id, found->second));
 }
 
 EndpointOverlay::Result EndpointOverlay::set_cordon(const std::string& id, bool is_cordoned, Micros now,
@@ -170,7 +170,7 @@
   if (found == listed_.end()) return false;
   return std::none_of(listed_.begin(), listed_.end(), [&](auto& entry) {
     auto endpoint = apply_overlay(entry.first, entry.second);
-    return endpoint.id != id && endpoint.cell == found->second.endpoint.cell &&
+    return endpoint.id != id && endpoint.shard_group == found->second.endpoint.shard_group &&
            endpoint.lifecycle == Lifecycle::kUp;
   });
 }
--- a/src/group/endpoint_list_publisher.cpp
+++ b/src/group/endpoint_list_publisher.cpp
@@ -39,7 +39,7 @@
   endpoints_.clear();
   if (is_published) {
     known_generation = known.generation;
-    for (auto& endpoint : known.members) endpoints_[endpoint.id] = endpoint;
+    for (auto& endpoint : known.endpoints) endpoints_[endpoint.id] = endpoint;
   }
   generation_ = known.generation;
   is_complete_ = is_published;
@@ -47,7 +47,7 @@
   is_publishing_ = false;
   // What was published before is as good as an answer: a poll that waits for a change takes up to 5 s.
   last_answer_ = is_published ? now : Micros(0);
-  watch_ = std::make_unique<discovery::Watch>(
+  watch_ = std::make_unique<discovery::DiscoveryWatch>(
       context_.loop, *net::parse_address(context_.discovery_address), context_.discovery_address,
       known_generation, context_.polling_schedule,
       [this](const discovery::EndpointListUpdate& update) { on_update(update); }, context_.log_sink);
@@ -57,7 +57,7 @@
 void EndpointListPublisher::on_update(const discovery::EndpointListUpdate& update) {
   apply_update(&endpoints_, update);
   is_complete_ = is_complete_ || update.reset;
-  bool has_changed = update.reset || !update.members.empty() || update.generation != generation_;
+  bool has_changed = update.reset || !update.endpoints.empty() || update.generation != generation_;
   generation_ = update.generation;
   last_answer_ = net::monotonic_now();
   leases_.record_progress(kEndpointListJob);
--- a/src/group/endpoint_list_publisher.h
+++ b/src/group/endpoint_list_publisher.h
@@ -57,7 +57,7 @@
   EndpointListSubscriber& subscriber_;
   LoadReportGossip& gossip_;
 
-  std::unique_ptr<discovery::Watch> watch_;
+  std::unique_ptr<discovery::DiscoveryWatch> watch_;
   std::map<std::string, discovery::Endpoint> endpoints_;  // as the list service gave them, by id
   std::int64_t generation_ = 0;
   bool is_complete_ = false;  // endpoints_ is no mere difference
--- a/src/group/endpoint_list_subscriber.cpp
+++ b/src/group/endpoint_list_subscriber.cpp
@@ -27,7 +27,7 @@
 
 void apply_update(EndpointsById* endpoints, const discovery::EndpointListUpdate& update) {
   if (update.reset) endpoints->clear();
-  for (auto& endpoint : update.members) {
+  for (auto& endpoint : update.endpoints) {
     if (endpoint.lifecycle == discovery::Lifecycle::kRemoved)
       endpoints->erase(endpoint.id);
     else
@@ -39,7 +39,7 @@
   discovery::EndpointListUpdate list;
   list.generation = generation;
   list.reset = true;
-  for (auto& [id, endpoint] : endpoints) list.members.push_back(endpoint);
+  for (auto& [id, endpoint] : endpoints) list.endpoints.push_back(endpoint);
   return list;
 }
 
@@ -195,10 +195,10 @@
   fallback_endpoints_.clear();
   if (selector_.has_list()) {
     known_generation = effective_list_.generation;
-    for (auto& endpoint : effective_list_.members) fallback_endpoints_[endpoint.id] = endpoint;
+    for (auto& endpoint : effective_list_.endpoints) fallback_endpoints_[endpoint.id] = endpoint;
   }
   if (!known_generation) ++complete_polls_;
-  fallback_watch_ = std::make_unique<discovery::Watch>(
+  fallback_watch_ = std::make_unique<discovery::DiscoveryWatch>(
       context_.loop, *net::parse_address(context_.discovery_address), context_.discovery_address,
       known_generation, context_.polling_schedule,
       [this](const discovery::EndpointListUpdate& update) { on_fallback_update(update); }, context_.log_sink);
--- a/src/group/endpoint_list_subscriber.h
+++ b/src/group/endpoint_list_subscriber.h
@@ -104,7 +104,7 @@
   Micros fallback_delay_{0};  // without contact, until the group counts as unavailable
   bool is_group_unavailable_ = false;
 
-  std::unique_ptr<discovery::Watch> fallback_watch_;
+  std::unique_ptr<discovery::DiscoveryWatch> fallback_watch_;
   EndpointsById fallback_endpoints_;
   Micros last_fallback_answer_{0};  // of the list service; 0: none yet
   std::uint64_t complete_polls_ = 0;
--- a/src/group/health_check_job.cpp
+++ b/src/group/health_check_job.cpp
@@ -45,7 +45,7 @@
 
 std::vector<std::string> HealthCheckJob::job_names() const {
   std::set<std::int64_t> shard_groups;
-  for (auto& endpoint : subscriber_.effective_endpoint_list().members) shard_groups.insert(endpoint.cell);
+  for (auto& endpoint : subscriber_.effective_endpoint_list().endpoints) shard_groups.insert(endpoint.shard_group);
   std::vector<std::string> names;
   names.reserve(shard_groups.size());
   for (auto shard_group : shard_groups) names.push_back(health_check_job_name(shard_group));
@@ -70,8 +70,8 @@
   auto job = health_check_job_name(shard_group);
   std::erase_if(pending_checks_, [&](auto& check) { return now - check.second > kCheckLost; });
   std::vector<std::string> replicas;
-  for (auto& endpoint : subscriber_.effective_endpoint_list().members) {
-    if (endpoint.cell != shard_group || endpoint.lifecycle != discovery::Lifecycle::kUp) continue;
+  for (auto& endpoint : subscriber_.effective_endpoint_list().endpoints) {
+    if (endpoint.shard_group != shard_group || endpoint.lifecycle != discovery::Lifecycle::kUp) continue;
     auto primary = primaries_.find(endpoint.id);
     if (primary == primaries_.end())
       replicas.push_back(endpoint.id);
@@ -104,12 +104,12 @@
 }
 
 void HealthCheckJob::on_result(const HealthCheckResult& result) {
-  auto& endpoints = subscriber_.effective_endpoint_list().members;
+  auto& endpoints = subscriber_.effective_endpoint_list().endpoints;
   auto endpoint = std::find_if(endpoints.begin(), endpoints.end(),
                                [&](auto& candidate) { return candidate.id == result.server; });
   pending_checks_.erase(result.server);
   if (endpoint == endpoints.end() || !result.ok) return;
-  auto& reports = unsent_reports_[endpoint->cell];
+  auto& reports = unsent_reports_[endpoint->shard_group];
   if (reports.size() >= kMostUnsentReports) return;
   if (is_primary(result.load))
     primaries_[result.server] = net::monotonic_now();
--- a/src/group/plan_builder.cpp
+++ b/src/group/plan_builder.cpp
@@ -107,10 +107,10 @@
     bool is_warming_up = false;
   };
   std::map<std::pair<placement::SetId, placement::Zone>, ZoneServers> servers_by_zone;
-  for (auto& endpoint : list.members) {
+  for (auto& endpoint : list.endpoints) {
     if (endpoint.lifecycle != discovery::Lifecycle::kUp) continue;
     double share = warm_share(endpoint, input->now);
-    auto& servers = servers_by_zone[{endpoint.cell, endpoint.zone}];
+    auto& servers = servers_by_zone[{endpoint.shard_group, endpoint.zone}];
     servers.weight += endpoint.weight * share;
     servers.is_warming_up = servers.is_warming_up || share < 1;
     ++servers.count;
--- a/src/proxy/dispatcher.cpp
+++ b/src/proxy/dispatcher.cpp
@@ -319,7 +319,7 @@
     for (auto& [update, cached] : std::exchange(endpoint_updates_, {})) {
       pool_.update(update);
       withdrawn_servers_.update(now, update);
-      if (load_reports_ && update.reset) load_reports_->retain_listed(update.members);
+      if (load_reports_ && update.reset) load_reports_->retain_listed(update.endpoints);
       decider_.update(now, update, cached);
     }
     for (auto& end : std::exchange(attempt_ends_, {})) finish_attempt(end);
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -176,7 +176,7 @@
   options_.discovery = options.discovery;
   dispatcher_.pool().set_limits(options.pool);
   dispatcher_.set_logs_decisions(options.logs_decisions);
-  if (discovery_) discovery_->move_to(options.discovery);
+  if (discovery_) discovery_->change_address(options.discovery);
 }
 
 int Proxy::port() const { return net::local_port(listener_); }
--- a/src/proxy/server_pool.cpp
+++ b/src/proxy/server_pool.cpp
@@ -27,7 +27,7 @@
 void ServerPool::update(const discovery::EndpointListUpdate& list) {
   if (list.reset)
     for (auto& [id, server] : servers_) server.is_listed = false;
-  for (auto& endpoint : list.members) {
+  for (auto& endpoint : list.endpoints) {
     auto& server = servers_[endpoint.id];
     server.is_listed = endpoint.lifecycle != discovery::Lifecycle::kRemoved;
     if (!endpoint.address.empty() && endpoint.address != server.address_text) {
--- a/src/proxy/withdrawn_servers.cpp
+++ b/src/proxy/withdrawn_servers.cpp
@@ -20,7 +20,7 @@
 
 void WithdrawnServers::update(Micros now, const discovery::EndpointListUpdate& update) {
   auto left_out = update.reset ? std::exchange(listed_, {}) : std::set<std::string>{};
-  for (auto& endpoint : update.members) {
+  for (auto& endpoint : update.endpoints) {
     left_out.erase(endpoint.id);
     bool is_listed = endpoint.lifecycle != Lifecycle::kRemoved;
     if (is_listed) listed_.insert(endpoint.id);
--- a/src/routing/decision_facade.cpp
+++ b/src/routing/decision_facade.cpp
@@ -133,7 +133,7 @@
 router::MemberEntry DecisionFacade::to_entry(Micros now, const discovery::Endpoint& endpoint) {
   router::MemberEntry entry;
   entry.member = find_or_add_member(now, endpoint.id);
-  entry.group = endpoint.cell;
+  entry.group = endpoint.shard_group;
   entry.zone = endpoint.zone;
   entry.condition = condition_of(endpoint.lifecycle);
   entry.weight = endpoint.weight;
@@ -141,7 +141,7 @@
   // 0 means long ago, so a known start time is kept above 0 even if this machine booted after it.
   if (endpoint.started_at_ms > 0)
     entry.started_at = std::max(kMinTime, clock_.start(endpoint.started_at_ms, now));
-  entry.started_at = std::max(entry.started_at, endpoint.reinstated_at);
+  entry.started_at = std::max(entry.started_at, endpoint.uncordoned_at);
   return entry;
 }
 
@@ -150,7 +150,7 @@
     for (auto& [id, server] : servers_) server.is_up = server.is_listed = false;
   router::MemberList members;
   members.kind = kind_of(list, cached);
-  for (auto& endpoint : list.members) {
+  for (auto& endpoint : list.endpoints) {
     members.entries.push_back(to_entry(now, endpoint));
     auto& server = servers_[members.entries.back().member];
     server.is_up = endpoint.lifecycle == discovery::Lifecycle::kUp;
--- a/src/workers/decision_staleness_check.cpp
+++ b/src/workers/decision_staleness_check.cpp
@@ -13,7 +13,7 @@
   prune(now);
   std::unordered_map<std::string, bool> before;
   if (update.reset) before.swap(takes_);
-  for (auto& m : update.members) {
+  for (auto& m : update.endpoints) {
     bool takes = m.lifecycle == discovery::Lifecycle::kUp;
     if (takes) {
       takes_[m.id] = true;
--- a/src/workers/worker_pool.cpp
+++ b/src/workers/worker_pool.cpp
@@ -316,7 +316,7 @@
 
 void WorkerPool::note_usable_servers(const discovery::EndpointListUpdate& update) {
   if (update.reset) usable_servers_.clear();
-  for (auto& endpoint : update.members) {
+  for (auto& endpoint : update.endpoints) {
     if (endpoint.lifecycle == discovery::Lifecycle::kUp)
       usable_servers_.insert(endpoint.id);
     else
@@ -395,7 +395,7 @@
   connections_per_server_ = connections_per_server;
   for (auto& worker : workers_) worker->post([options, &p = worker->proxy()] { p.reconfigure(options); });
   if (decisions_) decisions_->set_limits(options.pool);
-  discovery_->move_to(options.discovery);
+  discovery_->change_address(options.discovery);
 }
 
 int WorkerPool::port() const { return acceptor_ ? acceptor_->port() : workers_[0]->proxy().port(); }
--- a/tests/group/parts_test.cpp
+++ b/tests/group/parts_test.cpp
@@ -408,7 +408,7 @@
     discovery::Endpoint endpoint;
     endpoint.id = "s1";
     endpoint.lifecycle = first;
-    update.members = {endpoint};
+    update.endpoints = {endpoint};
     return update;
   };
   EndpointListSelector selector("lab");
@@ -418,7 +418,7 @@
   EXPECT_TRUE(selector.consider(Source::kService, "lab", list(7, discovery::Lifecycle::kDraining), 500));
   // A peer's copy is a week old: the server stays draining.
   EXPECT_FALSE(selector.consider(Source::kPeer, "lab", list(5), 100));
-  EXPECT_EQ(selector.list().members[0].lifecycle, discovery::Lifecycle::kDraining);
+  EXPECT_EQ(selector.list().endpoints[0].lifecycle, discovery::Lifecycle::kDraining);
   EXPECT_EQ(selector.rejected(), 2u);
   EXPECT_FALSE(selector.consider(Source::kGroup, "lab", list(5), 0));  // the group has not caught up yet
   // The same list again: only its publication time and source change.
--- a/tests/proxy/invariants_test.cpp
+++ b/tests/proxy/invariants_test.cpp
@@ -96,7 +96,7 @@
   bench.dispatcher.set_drain_grace(1s);
   auto begin_after = [&](Micros since_notice, discovery::Lifecycle lifecycle) {
     discovery::EndpointListUpdate update;
-    auto& endpoint = update.members.emplace_back();
+    auto& endpoint = update.endpoints.emplace_back();
     endpoint.id = "s";
     endpoint.lifecycle = lifecycle;
     endpoint.notified_at = net::monotonic_now() - since_notice;
--- a/tests/proxy/parsers_test.cpp
+++ b/tests/proxy/parsers_test.cpp
@@ -209,11 +209,11 @@
       {"instanceId":"s-6","lifecycle":"removed"}]})");
   CHECK(update.generation == 41);
   CHECK(update.reset);
-  REQUIRE(update.members.size() == 2);
-  CHECK(update.members[0].cell == 3);
-  CHECK(update.members[0].lifecycle == discovery::Lifecycle::kDraining);
-  CHECK(update.members[0].started_at_ms == 1767225600123);
-  CHECK(update.members[1].lifecycle == discovery::Lifecycle::kRemoved);
+  REQUIRE(update.endpoints.size() == 2);
+  CHECK(update.endpoints[0].shard_group == 3);
+  CHECK(update.endpoints[0].lifecycle == discovery::Lifecycle::kDraining);
+  CHECK(update.endpoints[0].started_at_ms == 1767225600123);
+  CHECK(update.endpoints[1].lifecycle == discovery::Lifecycle::kRemoved);
   for (auto bad :
        {"", "[]", "{}", R"({"generation":"x","instances":[]})", R"({"generation":1})",
         R"({"generation":1,"instances":[{}]})", R"({"generation":1,"instances":[{"instanceId":"a"}]})",
@@ -224,7 +224,7 @@
 TEST_CASE("lists of data servers: a start time beyond all sense stays in range") {
   auto odd = discovery::parse_endpoint_list(
       R"({"generation":1,"instances":[{"instanceId":"a","hostPort":"h:1","startedAtMs":1e300}]})");
-  CHECK(odd.members[0].started_at_ms > 0);
+  CHECK(odd.endpoints[0].started_at_ms > 0);
 }
 
 TEST_CASE("addresses") {
@@ -310,7 +310,7 @@
   std::multimap<PollingSchedule::Micros, int> due;
   for (int r = 0; r < kRouters; ++r) {
     schedules.emplace_back(kRouters, true, static_cast<std::uint64_t>(r + 1));
-    due.emplace(schedules.back().before_first_call(), r);
+    due.emplace(schedules.back().first_call_delay(), r);
   }
   PollingSchedule::Micros busy_until{0}, last{0};
   int calls = 0;
@@ -321,7 +321,7 @@
     busy_until = std::max(busy_until, at);
     if (busy_until - at > kLongestShutdown) {
       busy_until += kEach / 4;  // turning away is work as well
-      due.emplace(at + schedules[static_cast<std::size_t>(r)].after_refused_call(), r);
+      due.emplace(at + schedules[static_cast<std::size_t>(r)].delay_after_rejected_call(), r);
     } else {
       last = busy_until += kEach;
     }
@@ -339,11 +339,11 @@
   auto calls_cost = GENERATE(false, true);
   for (std::uint64_t seed = 1; seed <= 50; ++seed) {
     PollingSchedule schedule(proxies, calls_cost, seed);
-    auto first = schedule.before_first_call();
+    auto first = schedule.first_call_delay();
     Micros longest_pause{0};
     std::mt19937_64 random(seed);
     for (int i = 0; i < 40; ++i) {
-      auto pause = random() % 2 ? schedule.after_broken_call() : schedule.after_refused_call();
+      auto pause = random() % 2 ? schedule.delay_after_broken_call() : schedule.delay_after_rejected_call();
       longest_pause = std::max(longest_pause, pause);
     }
     CAPTURE(proxies, calls_cost, seed);
@@ -354,7 +354,7 @@
     CHECK(first + schedule.list_timeout() < PollingSchedule::kNotificationDeadline);
     PollingSchedule reloaded(proxies, calls_cost, seed);
     auto after_reload = PollingSchedule::kConnectTimeout + schedule.list_timeout() +
-                        reloaded.after_broken_call() + PollingSchedule::kConnectTimeout;
+                        reloaded.delay_after_broken_call() + PollingSchedule::kConnectTimeout;
     CHECK(after_reload < PollingSchedule::kNotificationDeadlineAfterReload);
   }
 }
@@ -362,11 +362,11 @@
 TEST_CASE("One router asks at once, and soon again") {
   using namespace std::chrono_literals;
   database_proxy::discovery::PollingSchedule alone(1, false, 7), three(3, true, 7);
-  CHECK(alone.before_first_call() == 0ms);
-  CHECK(alone.after_broken_call() <= 20ms);
-  CHECK(alone.after_refused_call() <= 30ms);
-  CHECK(three.before_first_call() <= 105ms);
-  for (int i = 0; i < 20; ++i) alone.after_refused_call(), alone.after_broken_call();
-  CHECK(alone.after_refused_call() <= 750ms);
-  CHECK(alone.after_broken_call() <= 500ms);
+  CHECK(alone.first_call_delay() == 0ms);
+  CHECK(alone.delay_after_broken_call() <= 20ms);
+  CHECK(alone.delay_after_rejected_call() <= 30ms);
+  CHECK(three.first_call_delay() <= 105ms);
+  for (int i = 0; i < 20; ++i) alone.delay_after_rejected_call(), alone.delay_after_broken_call();
+  CHECK(alone.delay_after_rejected_call() <= 750ms);
+  CHECK(alone.delay_after_broken_call() <= 500ms);
 }
--- a/tests/proxy/rules_test.cpp
+++ b/tests/proxy/rules_test.cpp
@@ -323,11 +323,11 @@
     discovery::Endpoint m;
     m.id = "s-" + std::to_string(i);
     m.address = rig.primary.address();
-    m.cell = 2;
-    update.members.push_back(m);
+    m.shard_group = 2;
+    update.endpoints.push_back(m);
     m.id = "s-" + std::to_string(i - 10);
     m.lifecycle = discovery::Lifecycle::kRemoved;
-    update.members.push_back(m);
+    update.endpoints.push_back(m);
     facade.update(now, update);
     facade.report(now, routing::ProbeResult{m.id, false, routing::Micros(1000), ""});
   }
@@ -341,10 +341,10 @@
       discovery::Endpoint m;
       m.id = "s-" + std::to_string(i);
       m.address = rig.primary.address();
-      m.cell = 2;
-      update.members.push_back(m);
+      m.shard_group = 2;
+      update.endpoints.push_back(m);
       p.pool().update(update);
-      update.members[0].lifecycle = discovery::Lifecycle::kRemoved;
+      update.endpoints[0].lifecycle = discovery::Lifecycle::kRemoved;
       p.pool().update(update);
       known = p.pool().servers_known();
     });
--- a/tests/workers/worker_parts_test.cpp
+++ b/tests/workers/worker_parts_test.cpp
@@ -24,7 +24,7 @@
     discovery::Endpoint m;
     m.id = id;
     m.lifecycle = lifecycle;
-    u.members.push_back(m);
+    u.endpoints.push_back(m);
   }
   return u;
 }
