--- a/src/net/buffer.cpp
+++ b/src/net/buffer.cpp
@@ -9,9 +9,9 @@
 
 namespace database_proxy::net {
 namespace {
-constexpr std::size_t kMaxReadSize = 16 * 1024;  // read by one system call at most
-// An emptied buffer larger than this gives its memory back: a thousand connections that once had a large
-// value must not hold it for good.
+constexpr std::size_t kMaxReadSize = 16 * 1024;  // bytes per system call
+// An emptied buffer with a larger capacity frees its memory: otherwise a thousand connections that each once
+// held a large value would keep that memory for good.
 constexpr std::size_t kMaxRetainedCapacity = 4 * 1024;
 }  // namespace
 
@@ -78,7 +78,7 @@
     msghdr message{};
     message.msg_iov = &iov[first];
     message.msg_iovlen = count - first;
-    ssize_t n = sendmsg(fd, &message, MSG_NOSIGNAL | flags);  // writev that raises no SIGPIPE
+    ssize_t n = sendmsg(fd, &message, MSG_NOSIGNAL | flags);  // like writev, but without SIGPIPE
     if (n < 0 && errno == EINTR) continue;
     if (n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK)) break;
     if (n < 0) return false;
--- a/src/net/buffer.h
+++ b/src/net/buffer.h
@@ -1,4 +1,4 @@
-// Bytes on their way in, parsed where they lie, and bytes on their way out, written gathered.
+// Input buffers, parsed in place, and output buffers, written with gathered writes.
 #pragma once
 
 #include <cstddef>
@@ -9,26 +9,27 @@
 
 namespace database_proxy::net {
 
-// How reading ended: it would block; the peer has closed; the connection broke; the cap is reached; bytes
-// have come, and more may be there.
+// Result of reading. kAgain: it would block. kClosed: the peer has closed the connection. kReset: the
+// connection broke. kFull: the limit is reached. kMore: bytes were read, and more may be available.
 enum class IoResult { kAgain, kClosed, kReset, kFull, kMore };
 
-// Whether nothing more will come from the peer.
+// Returns whether no more input will arrive from the peer.
 constexpr bool is_disconnected(IoResult result) {
   return result == IoResult::kClosed || result == IoResult::kReset;
 }
 
-// Unread input of one connection.
+// Input of one connection that has not been consumed yet.
 class InBuffer {
  public:
   std::string_view view() const { return std::string_view(bytes_).substr(start_); }
-  // Drops the first bytes, which have been parsed.
+  // Drops the first `count` bytes, which have been parsed.
   void consume(std::size_t count);
-  // Reads until EAGAIN, the end, `max_buffered` unread bytes are buffered, or `max_bytes` bytes have come by
-  // this call. A read that returns fewer bytes than were asked for does not mean that all has been read.
+  // Reads until EAGAIN, the end of the stream, `max_buffered` unread bytes in the buffer, or `max_bytes`
+  // bytes read by this call. A read that returns fewer bytes than requested does not mean that all has been
+  // read.
   IoResult fill(int fd, std::size_t max_buffered, std::size_t max_bytes = SIZE_MAX);
-  // Reads once, until `max_buffered` unread bytes are buffered. For a caller that can tell from what has come
-  // that there will be no more, and else calls again.
+  // Reads once, up to `max_buffered` unread bytes in the buffer. For callers that can tell from the input
+  // whether it is complete, and otherwise call again.
   IoResult read_once(int fd, std::size_t max_buffered);
   std::size_t memory() const { return bytes_.capacity(); }
   void clear() { consume(bytes_.size()); }
@@ -40,19 +41,20 @@
   std::size_t start_ = 0;
 };
 
-// Throws away what has come, `max_bytes` bytes at most. kFull: there may be more.
+// Reads and discards up to `max_bytes` bytes. Returns kFull if there may be more.
 IoResult discard(int fd, std::size_t max_bytes);
 
-// Output of one connection that its socket has not taken yet.
+// Output of one connection that its socket has not accepted yet.
 class OutBuffer {
  public:
   bool empty() const { return bytes_.empty(); }
   std::size_t size() const { return bytes_.size(); }
-  // Writes what is queued and then the parts with one writev, and keeps a copy of what the socket did not
-  // take. False: the connection is broken.
+  // Writes the queued bytes and then the parts with one gathered write, and keeps a copy of what the socket
+  // did not accept. Returns false if the connection is broken.
   bool write(int fd, std::initializer_list<std::string_view> parts) { return write(fd, parts, 0); }
-  // The same, and the end of the stream in the same segment, so that the peer never has the one without the
-  // other. Where the socket did not take all, the end is not sent.
+  // Writes like write() and shuts down the sending side, with the end of the stream in the same segment, so
+  // that the peer never receives one without the other. If the socket did not accept everything, the end is
+  // not sent.
   bool write_and_shut_down(int fd, std::initializer_list<std::string_view> parts);
   bool flush(int fd) { return write(fd, {}); }
 
--- a/src/net/event_notifier.cpp
+++ b/src/net/event_notifier.cpp
@@ -19,12 +19,12 @@
   loop_.remove(event_.get(), this);
 }
 
-// Edge-triggered: each write is a new edge, so the count need not be read back.
+// The descriptor is edge-triggered: each write is a new edge, so the counter need not be read.
 void EventNotifier::on_ready(std::uint32_t) {}
 
 void EventNotifier::signal() {
   std::uint64_t one = 1;
-  // Fails only where 2^64 - 2 of them were not read: then the loop has an event anyway.
+  // Fails only if the counter, which is never read, has reached 2^64 - 2: then the loop has an event anyway.
   [[maybe_unused]] auto written = ::write(event_.get(), &one, sizeof one);
 }
 
--- a/src/net/event_notifier.h
+++ b/src/net/event_notifier.h
@@ -1,5 +1,5 @@
-// How one thread notifies another's loop that work waits for it. A write to the kernel is spent only where
-// the other side sleeps or is about to.
+// Notifies the loop of another thread of pending work. The eventfd is written only if the loop sleeps or is
+// about to.
 #pragma once
 
 #include <atomic>
@@ -10,28 +10,31 @@
 
 namespace database_proxy::net {
 
-// Owned by the thread that sleeps and registered with its loop; notify() may be called from any thread.
+// Owned by the thread of the loop and registered with the loop; notify() may be called from any thread.
 class EventNotifier : public Handler {
  public:
-  // `has_work` returns whether work waits that the loop was not notified of; it runs in the loop's own
-  // thread. Throws std::system_error when the kernel gives no descriptor.
+  // `has_work` returns whether there is pending work of which the loop was not notified; it runs in the
+  // loop's own thread. Throws std::system_error if the eventfd cannot be created or registered.
   EventNotifier(Loop& loop, std::function<bool()> has_work);
   ~EventNotifier() override;
   EventNotifier(const EventNotifier&) = delete;
   EventNotifier& operator=(const EventNotifier&) = delete;
 
-  // After the work has been made visible. Both sides use read-modify-write operations on the same flag:
-  // either the sleeper sees the work, or this call sees that it sleeps.
+  // Wakes the loop if it sleeps; to be called after the work has been published. Both sides use
+  // read-modify-write operations on the same flag: either the loop sees the work, or this call sees that the
+  // loop sleeps.
   void notify() {
     if (sleeping_.exchange(false, std::memory_order_acq_rel)) signal();
   }
-  // By the loop: false where work waits, so that it must not sleep.
+  // Called by the loop before it sleeps: marks it as sleeping, or returns false if there is pending work, so
+  // that it must not sleep.
   bool prepare_to_sleep() {
     sleeping_.exchange(true, std::memory_order_acq_rel);
     if (!has_work_()) return true;
     mark_awake();
     return false;
   }
+  // Called by the loop after a sleep.
   void mark_awake() { sleeping_.store(false, std::memory_order_relaxed); }
   void on_ready(std::uint32_t events) override;
 
--- a/src/net/fd.h
+++ b/src/net/fd.h
@@ -1,4 +1,4 @@
-// Ownership of one file descriptor.
+// RAII owner of a file descriptor.
 #pragma once
 
 #include <unistd.h>
@@ -7,7 +7,7 @@
 
 namespace database_proxy::net {
 
-// A descriptor with one owner, closed when its owner goes. Moving hands it on; an empty one holds -1.
+// Owns one descriptor and closes it on destruction. Moving transfers the ownership; an empty object holds -1.
 class Fd {
  public:
   Fd() = default;
--- a/src/net/log.h
+++ b/src/net/log.h
@@ -1,4 +1,4 @@
-// What the lower layers need of a logger. The logger itself is in src/app/.
+// The logging interface of the lower layers. The logger itself is in src/app/.
 #pragma once
 
 #include <functional>
@@ -6,9 +6,9 @@
 
 namespace database_proxy::net {
 
-// How urgent a line is for an operator.
+// Severity of a log line.
 enum class Level { kDebug, kInfo, kWarning, kError };
-// Receives one line without its end. May be called from the thread that owns it only.
+// Writes one line, given without a line end. May be called only from the thread that owns the logger.
 using Log = std::function<void(Level, const std::string&)>;
 
 }  // namespace database_proxy::net
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 constexpr std::int64_t kMicrosPerSecond = 1'000'000, kNanosPerMicro = 1000, kMicrosPerMilli = 1000;
-// Without timers the loop still wakes so often: nothing depends on it.
+// Upper limit of a sleep, also without timers; nothing depends on its value.
 constexpr std::int64_t kMaxSleepMicros = 1'000'000;
 constexpr std::size_t kEventsPerIteration = 256;
 
@@ -42,14 +42,15 @@
 
 void Loop::remove(int fd, Handler* handler) {
   if (epoll_ctl(epoll_.get(), EPOLL_CTL_DEL, fd, nullptr) == 0) --watched_;
-  // Events of this iteration that were already fetched must not reach a handler that has gone.
+  // Events of this iteration that were already fetched must not reach a handler that may have been destroyed.
   for (std::size_t i = cursor_; i < filled_; ++i)
     if (batch_[i].data.ptr == handler) batch_[i].data.ptr = nullptr;
   for (auto* list : {&pending_calls_, &current_calls_})
     std::replace(list->begin(), list->end(), handler, static_cast<Handler*>(nullptr));
 }
 
-// Until something is ready, another thread wakes it, or the next timer is due.
+// Waits until a descriptor is ready, another thread notifies the loop, or the next timer is due. Returns the
+// number of events, or -1 with errno.
 int Loop::sleep() {
   auto max_events = static_cast<int>(batch_.size());
   bool must_not_sleep = !pending_calls_.empty() || (notifier_ && !notifier_->prepare_to_sleep());
@@ -61,15 +62,15 @@
     timespec time{sleep_micros / kMicrosPerSecond, sleep_micros % kMicrosPerSecond * kNanosPerMicro};
     int fetched = epoll_pwait2(epoll_.get(), batch_.data(), max_events, &time, nullptr);
     if (fetched >= 0 || errno == EINTR) return fetched;
-    precise_sleep_ = false;  // this kernel does not know it
+    precise_sleep_ = false;  // the kernel does not support epoll_pwait2
   }
   return epoll_wait(epoll_.get(), batch_.data(), max_events,
                     static_cast<int>((sleep_micros + kMicrosPerMilli - 1) / kMicrosPerMilli));
 }
 
-// `last_began`: the last iteration; `slept_at`: when it was over.
+// `last_began`: when the previous iteration began; `slept_at`: when it ended.
 Micros Loop::oldest_ready(Micros last_began, Micros slept_at) const {
-  constexpr Micros kMaxNegligibleSleep{1000};  // a shorter sleep may be the mere cost of the system call
+  constexpr Micros kMaxNegligibleSleep{1000};  // may be only the cost of the system call
   auto since = now_ - slept_at <= kMaxNegligibleSleep ? last_began : now_;
   return std::min(since, timers_.next().value_or(since));
 }
@@ -92,7 +93,8 @@
   }
 }
 
-// A handler may remove any other while these run; remove() clears its entries behind the cursor.
+// Calls the handlers of the fetched events. A handler may remove any other meanwhile; remove() clears the
+// entries after the cursor that belong to the removed one.
 void Loop::dispatch(std::size_t fetched) {
   filled_ = fetched;
   for (cursor_ = 0; cursor_ < filled_;) {
--- a/src/net/loop.h
+++ b/src/net/loop.h
@@ -1,5 +1,5 @@
-// The event loop: edge-triggered epoll and timers in one thread. The clock is read once an iteration, and all
-// that happens in the iteration happens at that time. A second reading, before the sleep, only measures how
+// The event loop: edge-triggered epoll and timers in one thread. The clock is read once an iteration, and
+// now() returns that time throughout the iteration. A second reading, before the sleep, only measures how
 // long the iteration took.
 #pragma once
 
@@ -16,15 +16,17 @@
 
 namespace database_proxy::net {
 
-// The monotonic clock, read now. Code that runs in a loop takes Loop::now() instead.
+// Reads the monotonic clock. Code that runs in a loop uses Loop::now() instead.
 Micros monotonic_now();
 
-// Whether epoll's events report the end of the peer, so that reading must go on until it is met.
+// Returns whether the epoll events report that the peer has closed or the connection failed: the handler must
+// then read until it reaches the end of the stream.
 constexpr bool reports_disconnect(std::uint32_t events) {
   return (events & (EPOLLRDHUP | EPOLLHUP | EPOLLERR)) != 0;
 }
 
-// Is called when its descriptor is ready. Edge-triggered: it must read and write until EAGAIN.
+// Receives the events of one descriptor. They are edge-triggered: the handler must read and write until
+// EAGAIN.
 class Handler {
  public:
   virtual ~Handler() = default;
@@ -33,8 +35,8 @@
 
 class EventNotifier;
 
-// Owned and used by one thread; only an EventNotifier may be called from others. Throws std::system_error
-// where the kernel gives no epoll descriptor.
+// An event loop, owned and used by one thread; other threads may only call its EventNotifier. The constructor
+// throws std::system_error if no epoll descriptor can be created.
 class Loop {
  public:
   using TimerId = Timers::Id;
@@ -42,37 +44,39 @@
 
   Loop();
   Micros now() const { return now_; }  // the time of this iteration
-  // What this iteration finds ready may have been so since then: since the last iteration began, where this
-  // one followed it without a rest, or since the time of a timer that is overdue. Otherwise now().
+  // Returns the earliest time since which the events of this iteration may have been ready: the start of the
+  // previous iteration if the loop did not really sleep in between, or the time of an overdue timer, if that
+  // is earlier. Otherwise now().
   Micros ready_since() const { return ready_since_; }
 
-  // False when the kernel will not watch it. A handler may outlive its registration, never the other way.
+  // Registers a descriptor; returns false if epoll rejects it. A handler may outlive its registration, but
+  // must not be destroyed before it is removed.
   bool add(int fd, Handler* handler);
   void remove(int fd, Handler* handler);
   std::size_t watched() const { return watched_; }
 
+  // Sets a timer; `when` may be in the past. `callback` runs once, in the loop's thread.
   TimerId at(Micros when, std::function<void()> callback) { return timers_.at(when, std::move(callback)); }
-  void cancel(TimerId* timer) {
-    timers_.cancel(std::exchange(*timer, kNoTimer));
-  }  // and forgets it; harmless for one that has fired
+  // Cancels the timer and sets `*timer` to kNoTimer; does nothing if it has fired.
+  void cancel(TimerId* timer) { timers_.cancel(std::exchange(*timer, kNoTimer)); }
 
-  // Calls on_ready(EPOLLIN) in the next iteration, which comes at once: for a handler that stopped before it
-  // met EAGAIN, to let others go on.
+  // Calls on_ready(EPOLLIN) in the next iteration, which starts without a sleep. For a handler that stops
+  // before EAGAIN so that other handlers get their turn.
   void call_again(Handler* handler) { pending_calls_.push_back(handler); }
-  // The number of this iteration.
+  // Returns the number of this iteration.
   std::uint64_t iteration() const { return iteration_; }
 
-  // By which another thread ends this loop's sleep; nullptr: none. Not owned.
+  // Sets the notifier by which other threads end this loop's sleep; nullptr: none. Not owned.
   void set_notifier(EventNotifier* notifier) { notifier_ = notifier; }
 
-  // Sleeps end within some ten microseconds of a timer instead of within a millisecond. Costs a second system
-  // call where the kernel does not know epoll_pwait2.
+  // Makes sleeps end within about ten microseconds of a timer instead of within a millisecond. Costs one
+  // extra system call where the kernel does not support epoll_pwait2.
   void set_precise_sleep(bool precise) { precise_sleep_ = precise; }
 
-  // `on_iteration_end` runs after the events and timers of each iteration, and once before the first wait.
-  // Throws std::system_error where the kernel fails to wait.
+  // Runs the loop until stop(). `on_iteration_end` runs after the events and timers of each iteration, and
+  // once before the first wait. Throws std::system_error if waiting for events fails.
   void run(const std::function<void()>& on_iteration_end);
-  // run() returns at the end of this iteration. In the loop's own thread.
+  // Makes run() return at the end of this iteration. To be called in the loop's own thread.
   void stop() { stopped_ = true; }
 
  private:
--- a/src/net/socket.cpp
+++ b/src/net/socket.cpp
@@ -26,14 +26,15 @@
 }
 
 constexpr int kEnabled = 1;
-// An accept() on a socket that was made blocking by another process returns after this.
+// Limits how long accept() blocks on a socket that another process has made blocking.
 constexpr suseconds_t kAcceptTimeoutMicros = 10'000;
 
 const sockaddr* as_sockaddr(const Address& address) {
   return reinterpret_cast<const sockaddr*>(&address.storage);
 }
 
-// Small messages go out at once, by the congestion control that was set.
+// Disables Nagle's algorithm, so that small messages are sent at once, and applies the congestion control
+// that was set.
 void configure_stream(int fd) {
   setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &kEnabled, sizeof kEnabled);
   if (!congestion_control().empty())
@@ -41,14 +42,15 @@
                static_cast<socklen_t>(congestion_control().size()));
 }
 
-// The value of an option of the socket level; -1: the descriptor has none.
+// Returns the value of an option at level SOL_SOCKET, or -1 if the descriptor has no such option.
 int socket_option(int fd, int name) {
   int value = -1;
   socklen_t length = sizeof value;
   return getsockopt(fd, SOL_SOCKET, name, &value, &length) == 0 ? value : -1;
 }
 
-// Whether clients of `wanted` come to an IPv4 socket that is bound to `bound`; port 0 stands for any.
+// Returns whether a socket bound to `bound` receives connections to `wanted`; port 0 in `wanted` matches any
+// port.
 bool covers(const sockaddr_in& bound, const sockaddr_in& wanted) {
   bool is_same_host =
       bound.sin_addr.s_addr == htonl(INADDR_ANY) || bound.sin_addr.s_addr == wanted.sin_addr.s_addr;
@@ -61,7 +63,7 @@
   return is_same_host && (wanted.sin6_port == 0 || bound.sin6_port == wanted.sin6_port);
 }
 
-// Whether the socket is bound to the address, or to all of the machine with its port.
+// Returns whether the socket is bound to the address, or to all addresses of the machine with the same port.
 bool listens_on(int listener, const Address& address) {
   sockaddr_storage bound{};
   socklen_t length = sizeof bound;
@@ -151,8 +153,8 @@
       socket_option(listener, SO_TYPE) == SOCK_STREAM && socket_option(listener, SO_PROTOCOL) == IPPROTO_TCP;
   if (!is_tcp || socket_option(listener, SO_ACCEPTCONN) != 1) fail("is no listening TCP socket");
   if (!listens_on(listener, address)) fail("listens on another address");
-  // Where another holder makes the socket blocking between the check and accept(), a client that someone else
-  // has taken must not stop this process.
+  // If another process makes the socket blocking between the check of the flag and accept(), and a further
+  // one has already accepted the waiting client, accept() must not block this process.
   timeval accept_timeout{0, kAcceptTimeoutMicros};
   setsockopt(listener, SOL_SOCKET, SO_RCVTIMEO, &accept_timeout, sizeof accept_timeout);
   ensure_non_blocking(listener);
@@ -168,7 +170,7 @@
   }
   configure_stream(fd.get());
   if (source_address() && source_address()->storage.ss_family == address.storage.ss_family) {
-    // The port is chosen with the connection, as without an address of its own.
+    // Leaves the choice of the port to connect(), as without a source address.
     setsockopt(fd.get(), IPPROTO_IP, IP_BIND_ADDRESS_NO_PORT, &kEnabled, sizeof kEnabled);
     if (bind(fd.get(), as_sockaddr(*source_address()), source_address()->length) != 0) {
       *error = errno;
--- a/src/net/socket.h
+++ b/src/net/socket.h
@@ -1,4 +1,4 @@
-// TCP sockets: numeric addresses only, everything non-blocking.
+// TCP sockets: numeric addresses only; all sockets are non-blocking.
 #pragma once
 
 #include <sys/socket.h>
@@ -11,45 +11,48 @@
 
 namespace database_proxy::net {
 
-// An IPv4 or IPv6 address with its port, as the system calls take it.
+// An IPv4 or IPv6 address with its port, in the form that system calls take.
 struct Address {
   sockaddr_storage storage{};
   socklen_t length = 0;
 };
 
-// "10.0.0.4:6432" or "[::1]:6432". Names are not resolved: there is no DNS.
+// Parses "10.0.0.4:6432" or "[::1]:6432". Host names are not resolved: DNS is not used.
 std::optional<Address> parse_address(std::string_view text);
 
-// The congestion control of all sockets made from now on, by its name in the kernel; empty: the system's own.
-// Call it before threads start. False, and nothing changes: the kernel has none of this name, or does not
-// allow it.
+// Sets the congestion control of all connections opened or accepted from now on, by its name in the kernel;
+// empty: the system's default. Call it before threads start. Returns false, and changes nothing, if the
+// kernel has no algorithm of this name or does not allow it.
 bool set_congestion_control(const std::string& name);
 
-// All connections made from now on leave from this address ("10.0.0.4"; no port); empty: as the system
-// chooses. Call it before threads start. False, and nothing changes: it is no address of this machine.
+// Sets the local address ("10.0.0.4"; no port) of all connections of its address family that are opened from
+// now on; empty: the system chooses. Call it before threads start. Returns false, and changes nothing, if it
+// is not an address of this machine.
 bool set_source_address(const std::string& address);
 
-// Whether several sockets of this process listen at one address and the kernel shares clients out among them
-// (SO_REUSEPORT).
+// kShared: several sockets of this process listen on one address, and the kernel distributes clients among
+// them (SO_REUSEPORT).
 enum class PortSharing { kExclusive, kShared };
 
-// A listening socket; an empty one and errno in `error` where the system refuses.
+// Returns a listening socket, or an empty Fd with errno in `*error` if a system call fails.
 Fd listen_on(const Address& address, int* error, PortSharing sharing = PortSharing::kExclusive);
-// Checks a listening socket that this process was started with, and makes accept() on it return at once. It
-// stays its owner's: neither closed nor shut down here. Throws std::runtime_error where it is no TCP socket
-// that listens on `address`.
+// Checks a listening socket that this process inherited at its start, and makes accept() on it non-blocking.
+// This process does not own the socket: it is neither closed nor shut down here. Throws std::runtime_error if
+// it is not a TCP socket that listens on `address`.
 void prepare_inherited_listener(int listener, const Address& address);
-// Keeps accept() from waiting: the flag belongs to all processes that share the socket, and any may clear it.
+// Sets O_NONBLOCK again if it was cleared: all processes that share the socket share the flag, and any of
+// them may clear it.
 void ensure_non_blocking(int fd);
-// A connection that is up or on its way (EINPROGRESS); an empty one and errno in `error` where it has failed.
+// Returns a connection that is established or in progress (EINPROGRESS), or an empty Fd with errno in
+// `*error`.
 Fd start_connect(const Address& address, int* error);
-// The next client; an empty one and errno in `error`, EAGAIN where none waits.
+// Accepts the next client; returns an empty Fd with errno in `*error` on failure, EAGAIN if none is waiting.
 Fd accept_from(int listener, int* error);
-// The pending error of a socket (SO_ERROR); 0: none.
+// Returns the pending error of a socket (SO_ERROR); 0: none.
 int socket_error(int fd);
-// Whether the peer has closed, or half-closed, or reset this connection; looks past unread input.
+// Returns whether the peer has closed, half-closed or reset this connection, even if unread input is pending.
 bool peer_has_closed(int fd);
-// The port that a socket is bound to; 0: none.
+// Returns the port that a socket is bound to; 0: none.
 int local_port(int fd);
 
 }  // namespace database_proxy::net
--- a/src/net/system_errors.h
+++ b/src/net/system_errors.h
@@ -1,4 +1,4 @@
-// Which errors of system calls pass by themselves, and how an error is put into a line of the log.
+// Classification of system call errors, and their texts for log lines.
 #pragma once
 
 #include <cerrno>
@@ -7,8 +7,8 @@
 
 namespace database_proxy::net {
 
-// Whether the same call may succeed a moment later: the system is short of something, or an address is still
-// being given back.
+// Returns whether the same call may succeed a moment later: the system lacks a resource, or an address is not
+// released yet.
 constexpr bool is_transient(int error) {
   switch (error) {
     case EADDRINUSE:
@@ -26,13 +26,13 @@
   }
 }
 
-// Whether a call that opens a connection failed at once for want of something on this machine, a route
-// included, which says nothing of the peer.
+// Returns whether opening a connection failed at once for a reason on this machine, such as a missing
+// resource or route, which is no evidence about the peer.
 constexpr bool is_local_error(int error) {
   switch (error) {
     case EADDRNOTAVAIL:
     case EAGAIN:
-    case EHOSTUNREACH:  // of a call that does not wait: no route leads there
+    case EHOSTUNREACH:  // from a non-blocking call: there is no route
     case EMFILE:
     case ENETDOWN:
     case ENETUNREACH:
@@ -45,6 +45,7 @@
   }
 }
 
+// Returns the system's text for an errno value.
 inline std::string message_of(int error) { return std::generic_category().message(error); }
 
 }  // namespace database_proxy::net
--- a/src/net/task_queue.h
+++ b/src/net/task_queue.h
@@ -1,5 +1,5 @@
-// Tasks that other threads hand to a loop's own thread: rare ones, such as endpoint list changes, cancels and
-// steps of a shutdown. What is frequent goes over workers/spsc_queue.h.
+// Tasks that other threads post to a loop's own thread. For infrequent tasks, such as endpoint list changes,
+// cancellations and the steps of a shutdown; frequent messages use workers/spsc_queue.h.
 #pragma once
 
 #include <atomic>
@@ -11,19 +11,22 @@
 
 namespace database_proxy::net {
 
-// Owned by the thread of the loop; post() and notify() may be called from any thread.
+// Queue of tasks that run in the loop's thread, which owns it; post() and notify() may be called from any
+// thread.
 class TaskQueue {
  public:
   using Task = std::function<void()>;
-  // `has_other_work`: further work that must keep the loop from sleeping; it runs in the loop's thread.
+  // `has_other_work` returns true while work outside this queue must keep the loop from sleeping; it runs in
+  // the loop's thread.
   explicit TaskQueue(
       Loop& loop, std::function<bool()> has_other_work = [] { return false; })
       : notifier_(loop, [this, has_other_work = std::move(has_other_work)] {
           return has_tasks_.load(std::memory_order_acquire) || has_other_work();
         }) {}
 
-  // From any thread. Tasks run in the order in which they were posted. Unbounded by itself: whoever posts
-  // must be bounded by what it posts for (a list change, a client, a step).
+  // Adds a task; may be called from any thread. Tasks run in the order in which they were posted. The queue
+  // has no size limit: callers must be limited by what they post for (a list change, a client, a shutdown
+  // step).
   void post(Task task) {
     {
       std::lock_guard lock(mutex_);
@@ -32,9 +35,11 @@
     }
     notifier_.notify();
   }
+  // Wakes the loop without a task; may be called from any thread.
   void notify() { notifier_.notify(); }
 
-  // In the loop's thread, once an iteration: runs what waits; false where nothing did. Costs one load then.
+  // Runs the pending tasks; called in the loop's thread once an iteration. Returns false if there were none,
+  // which costs one atomic load.
   bool run_pending() {
     if (!has_tasks_.load(std::memory_order_acquire)) return false;
     std::vector<Task> tasks;
@@ -48,7 +53,7 @@
   }
 
  private:
-  std::mutex mutex_;  // guards tasks_; held for a push or a swap only
+  std::mutex mutex_;  // guards tasks_; held only for a push or a swap
   std::vector<Task> tasks_;
   std::atomic<bool> has_tasks_{false};
   EventNotifier notifier_;
--- a/src/net/timers.cpp
+++ b/src/net/timers.cpp
@@ -20,7 +20,7 @@
   node.sequence = ++last_sequence_;
   node.callback = std::move(callback);
   node.is_set = true;
-  // What has passed goes where the next run looks first.
+  // A timer whose time has passed goes into the slot that the next run checks first.
   auto slot = slot_of(std::max(node.when, ran_until_));
   has_overdue_ = has_overdue_ || node.when <= ran_until_;
   node.previous = kNoNode;
@@ -38,7 +38,8 @@
   if (node.previous != kNoNode) {
     nodes_[node.previous].next = node.next;
   } else {
-    // The first of its slot: that of its time, or the one that run() stood at when it was set too late.
+    // The node is the head of its slot: the slot of its time, or, if it was set for a time that had passed,
+    // the slot of ran_until_ at that moment.
     auto slot = slot_of(node.when);
     if (slot_heads_[slot] != index)
       slot = static_cast<std::size_t>(std::find(slot_heads_.begin(), slot_heads_.end(), index) -
@@ -88,7 +89,7 @@
     for (auto index : due_) ids.emplace_back(index, nodes_[index].generation);
     for (auto id : ids) {
       auto& node = nodes_[id.first];
-      if (!node.is_set || node.generation != id.second) continue;  // an earlier call has cancelled it
+      if (!node.is_set || node.generation != id.second) continue;  // cancelled by an earlier callback
       auto callback = std::move(node.callback);
       node.callback = nullptr;
       unlink(id.first);
@@ -116,8 +117,8 @@
     slot = (start + i) % kSlots;
     for (auto index = slot_heads_[slot]; index != kNoNode; index = nodes_[index].next)
       earliest = std::min(earliest.value_or(nodes_[index].when), nodes_[index].when);
-    // Slots further on hold later times, but for those of other rounds; these cannot come before this
-    // round's.
+    // Later slots hold later times, except timers of later rounds, which cannot be due before those of this
+    // round.
     if (earliest && *earliest < round_end) return earliest;
     ++i;
   }
--- a/src/net/timers.h
+++ b/src/net/timers.h
@@ -1,5 +1,5 @@
-// Timers of one loop: a hashed wheel (Varghese and Lauck, 1987, scheme 6). Setting and cancelling take
-// constant time, since nearly all timers are cancelled: each request sets some and meets none.
+// Timers of one loop: a hashed timer wheel (Varghese and Lauck, 1987, scheme 6). Setting and cancelling take
+// constant time, because nearly all timers are cancelled: each request sets several, which rarely fire.
 #pragma once
 
 #include <array>
@@ -12,29 +12,29 @@
 
 namespace database_proxy::net {
 
-using Micros = std::chrono::microseconds;  // on the monotonic clock, or a span of it
+using Micros = std::chrono::microseconds;  // a time on the monotonic clock, or a duration
 
-// Used by the thread of its loop only.
+// The timers of a loop; used only by the loop's thread.
 class Timers {
  public:
-  using Id = std::pair<std::uint32_t, std::uint32_t>;  // its index, and how often that was used before
+  using Id = std::pair<std::uint32_t, std::uint32_t>;  // index of the node, and its generation
   static constexpr Id kNone{0, 0};
 
   Timers();
-  // `when` may have passed. The call runs once, from run().
+  // Sets a timer; `when` may be in the past. run() calls `callback` once.
   Id at(Micros when, std::function<void()> callback);
-  // Harmless for one that has fired or was cancelled.
+  // Cancels a timer; does nothing if it has fired or was cancelled.
   void cancel(Id id);
-  // Calls what is due, in order of time, and of setting where times are equal. Calls may set and cancel
-  // timers; one that is set for a time that has passed is called in the same run.
+  // Calls the callbacks that are due, ordered by time, then by the order in which they were set. A callback
+  // may set and cancel timers; a timer set for a time that has passed fires in the same run.
   void run(Micros now);
-  // The earliest time of any timer. Takes as long as the wheel has slots between now and then.
+  // Returns the earliest time of all timers. The cost grows with the number of slots between now and then.
   std::optional<Micros> next() const;
   std::size_t size() const { return size_; }
 
  private:
   static constexpr std::int64_t kSlotMicros = 1024;
-  static constexpr std::size_t kSlots = 4096;  // 4.2 s a round: longer than nearly all timers
+  static constexpr std::size_t kSlots = 4096;  // 4.2 s per round, longer than nearly all timers
   static constexpr std::uint32_t kNoNode = ~0u;
   struct Node {
     Micros when{0};
@@ -49,15 +49,15 @@
   void unlink(std::uint32_t index);
   void collect(std::size_t slot, Micros now);
 
-  std::vector<Node> nodes_;  // 0 is nobody's, so that kNone names none
+  std::vector<Node> nodes_;  // entry 0 is never used, so that kNone refers to no timer
   std::uint32_t free_head_ = kNoNode;
   std::array<std::uint32_t, kSlots> slot_heads_;
-  std::array<std::uint64_t, kSlots / 64> occupied_slots_{};  // a bit a slot that holds any
+  std::array<std::uint64_t, kSlots / 64> occupied_slots_{};  // one bit per slot, set if the slot holds timers
   std::vector<std::uint32_t> due_;
   std::uint64_t last_sequence_ = 0;
   std::size_t size_ = 0;
-  Micros ran_until_{0};       // all that was due by then has been called
-  bool has_overdue_ = false;  // one was set for a time that had passed
+  Micros ran_until_{0};       // all timers due by then have been called
+  bool has_overdue_ = false;  // a timer was set for a time that had passed
 };
 
 }  // namespace database_proxy::net
