--- a/src/discovery/discovery_watch.cpp
+++ b/src/discovery/discovery_watch.cpp
@@ -25,12 +25,12 @@
 
 using namespace std::chrono_literals;
 
-// Bytes of a response that are kept until it is complete: parse_response() rejects heads over 16 KiB and
-// bodies over 1 MiB, to which the framing of chunks adds.
+// Maximum size in bytes of a response that is buffered until it is complete: parse_response() rejects heads
+// over 16 KiB and bodies over 1 MiB, and the chunked encoding adds to that.
 constexpr std::size_t kMaxBufferedResponse = 2 * 1024 * 1024;
 
-// A watch goes on where the next call follows the last answer within this; else changes in between may be
-// old.
+// A watch counts as uninterrupted if the next call follows the last answer within this time; otherwise the
+// changes in the next answer may be old.
 constexpr net::Micros kContinuedWithin = 200ms;
 
 constexpr int kHttpOk = 200, kHttpTooManyRequests = 429, kHttpServerErrors = 500;
@@ -71,7 +71,7 @@
     return on_failure(error_message(error));
   }
   timer_ = loop_.at(loop_.now() + PollingSchedule::kConnectTimeout,
-                    [this] { on_failure("no connection in time"); });
+                    [this] { on_failure("connecting timed out"); });
 }
 
 void DiscoveryWatch::connect_after(net::Micros delay) {
@@ -87,7 +87,7 @@
   is_continued_ = answered_at_ && net::monotonic_now() - *answered_at_ < kContinuedWithin;
   loop_.cancel(&timer_);
   auto timeout = needs_full_list_ ? schedule_.list_timeout() : schedule_.watch_timeout();
-  timer_ = loop_.at(loop_.now() + timeout, [this] { on_failure("no answer in time"); });
+  timer_ = loop_.at(loop_.now() + timeout, [this] { on_failure("the request timed out"); });
   if (!out_.write(fd_.get(), {request})) on_failure("the connection broke");
 }
 
@@ -101,9 +101,9 @@
   if ((events & EPOLLOUT) && !out_.flush(fd_.get())) return on_failure("the connection broke");
   if (!(events & (EPOLLIN | EPOLLRDHUP | EPOLLHUP | EPOLLERR))) return;
   auto end = in_.fill(fd_.get(), kMaxBufferedResponse);
-  if (end == net::IoResult::kFull) return on_failure("the answer is too long");
+  if (end == net::IoResult::kFull) return on_failure("the response is too long");
   read_responses(end == net::IoResult::kClosed);
-  // A reset is no regular end: a body without a stated length that it cuts off is not complete.
+  // A reset is not a regular end: a body without a Content-Length is then incomplete.
   if (end == net::IoResult::kReset && fd_) on_failure("the connection was reset");
 }
 
@@ -112,9 +112,9 @@
     HttpResponse response;
     auto parse = parse_response(in_.view(), ended, &response);
     if (parse == HttpParse::kMore) break;
-    if (parse == HttpParse::kBad) return on_failure("the answer is no HTTP");
+    if (parse == HttpParse::kBad) return on_failure("the response is not valid HTTP");
     in_.consume(response.size);
-    if (response.status < kHttpOk) continue;  // an interim response
+    if (response.status < kHttpOk) continue;  // an interim (1xx) response
     if (response.status != kHttpOk) return on_error_status(response.status);
     if (!apply_update(response.body)) return;
     if (!response.keep_alive) return connect();
@@ -123,16 +123,17 @@
   if (ended && fd_) on_failure("the connection ended");
 }
 
-// A service at its limit knows our generation as before, and the full list is the most expensive request to
-// it. Any other status may mean that it does not know the generation.
+// An overloaded service still knows this watch's generation, and the full list is the most expensive request
+// for it, so the full list is not requested. Any other status may mean that the service does not know the
+// generation.
 void DiscoveryWatch::on_error_status(int status) {
-  bool is_at_limit = status >= kHttpServerErrors || status == kHttpTooManyRequests;
-  if (!is_at_limit) needs_full_list_ = true;
-  on_failure(fmt::format("it answered with status {}", status),
-             is_at_limit ? Failure::kRejected : Failure::kBroken);
+  bool is_overloaded = status >= kHttpServerErrors || status == kHttpTooManyRequests;
+  if (!is_overloaded) needs_full_list_ = true;
+  on_failure(fmt::format("the service answered with HTTP status {}", status),
+             is_overloaded ? Failure::kRejected : Failure::kBroken);
 }
 
-// Reports the update. Returns false, after on_failure(), if it is malformed.
+// Parses and reports the update. If it is malformed, calls on_failure() and returns false.
 bool DiscoveryWatch::apply_update(const std::string& body) try {
   auto update = parse_endpoint_list(body);
   update.reset = update.reset || needs_full_list_;
@@ -148,12 +149,12 @@
   return true;
 } catch (const std::invalid_argument& e) {
   needs_full_list_ = true;
-  on_failure(fmt::format("it sent a list that cannot be read: {}", e.what()));
+  on_failure(fmt::format("the endpoint list in the response cannot be read: {}", e.what()));
   return false;
 }
 
 void DiscoveryWatch::on_failure(const std::string& reason, Failure failure) {
-  if (!failing_) log_(net::Level::kWarning, fmt::format("discovery does not answer: {}", reason));
+  if (!failing_) log_(net::Level::kWarning, fmt::format("request to discovery failed: {}", reason));
   failing_ = true;
   disconnect();
   connect_after(failure == Failure::kRejected ? schedule_.delay_after_rejected_call()
--- a/src/discovery/discovery_watch.h
+++ b/src/discovery/discovery_watch.h
@@ -1,4 +1,4 @@
-// Keeps one long-polling call to the discovery service open, and reports each update of the endpoint list.
+// Long-polls the discovery service over one connection, and reports each update of the endpoint list.
 #pragma once
 
 #include <cstdint>
@@ -15,14 +15,16 @@
 
 namespace database_proxy::discovery {
 
-// One address of the discovery service. After any failure it connects anew, as the schedule says, without
-// end; it logs the first failure and the recovery. All calls, and the handler, are on the loop's thread.
+// The watch of one address of the discovery service. After any failure it waits for the schedule's delay and
+// reconnects, indefinitely; it logs the first failure and the recovery. All member functions and the update
+// handler run in the loop's thread.
 class DiscoveryWatch : public net::Handler {
  public:
   using UpdateHandler = std::function<void(EndpointListUpdate)>;
 
-  // `host` is the value of the Host field. `generation` is the generation that is known already; without one,
-  // the full list is requested first, since the counts of two discovery services are not comparable.
+  // `host` is the value of the HTTP field Host. `generation` is the generation of the list that is already
+  // known; without one, the full list is requested first, because the generations of two discovery services
+  // are not comparable.
   DiscoveryWatch(net::Loop& loop, net::Address address, std::string host,
                  std::optional<std::int64_t> generation, const PollingSchedule& schedule,
                  UpdateHandler on_update, net::Log log);
@@ -30,13 +32,14 @@
   DiscoveryWatch(const DiscoveryWatch&) = delete;
   DiscoveryWatch& operator=(const DiscoveryWatch&) = delete;
 
-  // Connects after the schedule's delay for a first call.
+  // Connects after the schedule's delay for the first call.
   void start() { connect_after(schedule_.first_call_delay()); }
+  // Connects without a delay.
   void start_now() { connect(); }
   void on_ready(std::uint32_t events) override;
 
  private:
-  // kRejected: the service answered that it cannot serve now. kBroken: any other failure.
+  // kRejected: the service answered that it is overloaded or unavailable. kBroken: any other failure.
   enum class Failure { kBroken, kRejected };
 
   void connect();
@@ -57,16 +60,16 @@
   net::Fd fd_;
   net::InBuffer in_;
   net::OutBuffer out_;
-  net::Loop::TimerId timer_ = net::Loop::kNoTimer;  // the timeout of the call, or the next attempt
+  net::Loop::TimerId timer_ = net::Loop::kNoTimer;  // the timeout of the call, or the start of the next one
   PollingSchedule schedule_;
-  bool needs_full_list_;                    // the next call requests it
+  bool needs_full_list_;                    // the next call requests the full list
   bool connected_ = false;                  // the connection is established
-  std::optional<net::Micros> answered_at_;  // the last call
-  bool is_continued_ = false;               // the call that is out followed the last answer at once
-  bool failing_ = false;                    // the last call failed, which was logged
+  std::optional<net::Micros> answered_at_;  // time of the last answer
+  bool is_continued_ = false;               // the current call was sent right after the last answer
+  bool failing_ = false;                    // the last call failed, and the failure was logged
 };
 
-// The class's earlier name: src/group still uses it.
+// Earlier name of DiscoveryWatch; new code uses DiscoveryWatch.
 using Watch = DiscoveryWatch;
 
 }  // namespace database_proxy::discovery
--- a/src/discovery/endpoint_list_codec.cpp
+++ b/src/discovery/endpoint_list_codec.cpp
@@ -11,7 +11,7 @@
 namespace database_proxy::discovery {
 namespace {
 
-// Start times are cut off here, in the year 5138: a double of any size must become an integer.
+// Upper limit of start times, in the year 5138: the conversion from double to integer must not overflow.
 constexpr double kMaxStartedAtMs = 1e14;
 
 Lifecycle lifecycle_from_text(const std::string& text) {
@@ -33,7 +33,7 @@
   endpoint.address = json.value("hostPort", "");
   bool needs_address = endpoint.lifecycle != Lifecycle::kRemoved;
   if (endpoint.id.empty() || (endpoint.address.empty() && needs_address))
-    throw std::invalid_argument("an entry without instanceId or hostPort");
+    throw std::invalid_argument("an entry lacks instanceId or hostPort");
   endpoint.zone = json.value("zone", "");
   endpoint.shard_group = json.value("cell", std::int64_t{0});
   endpoint.weight = json.value("weight", 1.0);
@@ -56,7 +56,7 @@
 
 EndpointListUpdate parse_endpoint_list(std::string_view text) {
   auto json = nlohmann::json::parse(text, nullptr, false);
-  if (json.is_discarded()) throw std::invalid_argument("not JSON");
+  if (json.is_discarded()) throw std::invalid_argument("the text is not valid JSON");
   return endpoint_list_from_json(json);
 }
 
--- a/src/discovery/endpoint_list_subscription.cpp
+++ b/src/discovery/endpoint_list_subscription.cpp
@@ -28,7 +28,7 @@
 std::unique_ptr<DiscoveryWatch> EndpointListSubscription::make_watch(const std::string& address,
                                                                      std::optional<std::int64_t> generation) {
   auto parsed = net::parse_address(address);
-  if (!parsed) throw std::runtime_error("discovery is no address: '" + address + "'");
+  if (!parsed) throw std::runtime_error("discovery is not a valid address: '" + address + "'");
   latest_address_ = address;
   auto handler = [this, number = ++watch_count_](EndpointListUpdate update) {
     on_update(number, std::move(update));
@@ -37,7 +37,7 @@
 }
 
 void EndpointListSubscription::on_update(int watch_number, EndpointListUpdate update) {
-  // Until its first answer, a new address replaces nothing: it may never answer.
+  // A new address replaces the old one only after its first answer: it may never answer.
   if (next_watch_ && watch_number == watch_count_) watch_ = std::move(next_watch_);
   if (!update.endpoints.empty() || update.reset)
     log_(net::Level::kInfo, fmt::format("list version {}: {} {}", update.generation, update.endpoints.size(),
--- a/src/discovery/endpoint_list_subscription.h
+++ b/src/discovery/endpoint_list_subscription.h
@@ -1,4 +1,4 @@
-// Keeps the endpoint list up to date through changes of the discovery service's address.
+// Keeps the endpoint list up to date, also when the address of the discovery service changes.
 #pragma once
 
 #include <cstdint>
@@ -15,19 +15,20 @@
 
 namespace database_proxy::discovery {
 
-// Owned by a worker pool, or by a proxy with one thread. All calls, and the handler, are on the loop's
-// thread.
+// Owned by a worker pool, or by a single-threaded proxy. All member functions and the update handler run in
+// the loop's thread.
 class EndpointListSubscription {
  public:
   using UpdateHandler = std::function<void(EndpointListUpdate)>;
 
-  // `generation`: the generation that is known already. Throws std::runtime_error if `address` is none.
+  // `generation` is the generation of the list that is already known. Throws std::runtime_error if `address`
+  // is not a valid address.
   EndpointListSubscription(net::Loop& loop, const std::string& address, std::int64_t generation,
                            const PollingSchedule& schedule, UpdateHandler on_update, net::Log log);
 
   void start() { watch_->start(); }
-  // Changes the address. Updates of the old one are reported until the new one has given its full list, so
-  // that no change is missed. Throws std::runtime_error if `address` is none.
+  // Changes the address. Updates from the old address are reported until the new one has sent its full list,
+  // so that no change is missed. Throws std::runtime_error if `address` is not a valid address.
   void change_address(const std::string& address);
 
  private:
@@ -40,9 +41,9 @@
   UpdateHandler on_update_;
   net::Log log_;
   std::unique_ptr<DiscoveryWatch> watch_;
-  std::unique_ptr<DiscoveryWatch> next_watch_;  // of a new address, until it has answered
+  std::unique_ptr<DiscoveryWatch> next_watch_;  // watch of a new address that has not answered yet
   std::string latest_address_;
-  int watch_count_ = 0;  // the newest has this number
+  int watch_count_ = 0;  // also the number of the newest watch
 };
 
 }  // namespace database_proxy::discovery
--- a/src/discovery/http.cpp
+++ b/src/discovery/http.cpp
@@ -14,10 +14,10 @@
 constexpr std::string_view kHeadEnd = "\r\n\r\n";
 constexpr std::string_view kVersionPrefix = "HTTP/1.";
 constexpr std::size_t kStatusLineMinor = 7;   // position of the minor version in "HTTP/1.1 200"
-constexpr std::size_t kStatusLineStatus = 9;  // position of the status
+constexpr std::size_t kStatusLineStatus = 9;  // position of the status code
 constexpr std::size_t kStatusLineMinSize = 12;
 
-// Limits in bytes. A body of this size lists some thousand servers.
+// Limits in bytes. A body of the maximum size lists several thousand servers.
 constexpr std::size_t kMaxHeadSize = 16 * 1024, kMaxBodySize = 1024 * 1024, kMaxChunkLineSize = 64;
 
 constexpr std::size_t kNoContent = 204, kNotModified = 304;  // statuses without a body
@@ -44,7 +44,7 @@
   return text;
 }
 
-// Returns the number that `text` is, if it is one up to kMaxBodySize.
+// Parses a number of at most kMaxBodySize; returns nullopt if `text` is not one.
 std::optional<std::size_t> parse_size(std::string_view text, int base) {
   std::size_t value = 0;
   auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value, base);
@@ -95,7 +95,8 @@
   return true;
 }
 
-// Appends the chunk at `*at` to the body and moves `*at` behind it. `*is_last`: it was the empty one.
+// Appends the chunk at `*at` to the body and moves `*at` past it. Sets `*is_last` if it is the empty chunk
+// that ends the body.
 HttpParse parse_chunk(std::string_view input, std::size_t* at, bool* is_last, HttpResponse* response) {
   auto line_end = input.find(kLineEnd, *at);
   if (line_end == std::string_view::npos)
@@ -113,7 +114,7 @@
   return HttpParse::kOk;
 }
 
-// Moves `*at` behind the trailer fields and the empty line that ends them.
+// Moves `*at` past the trailer fields and the empty line that ends them.
 HttpParse skip_trailers(std::string_view input, std::size_t* at) {
   while (true) {
     auto line_end = input.find(kLineEnd, *at);
@@ -144,7 +145,7 @@
   return HttpParse::kOk;
 }
 
-// A body without a stated length is as long as the connection.
+// Parses a body without a Content-Length, which ends with the connection.
 HttpParse parse_body_until_end(std::string_view input, std::size_t at, bool ended, HttpResponse* response) {
   response->keep_alive = false;
   if (input.size() - at > kMaxBodySize) return HttpParse::kBad;
@@ -152,7 +153,7 @@
   return parse_plain_body(input, at, input.size() - at, response);
 }
 
-// The head is not complete: whether it may become one.
+// Returns whether an incomplete head may still become a valid one.
 HttpParse check_partial_head(std::string_view input, bool ended) {
   if (input.size() > kMaxHeadSize || ended) return HttpParse::kBad;
   bool may_be_http = kVersionPrefix.starts_with(input.substr(0, kVersionPrefix.size()));
