--- a/src/net/socket.cpp
+++ b/src/net/socket.cpp
@@ -49,8 +49,8 @@
   return getsockopt(fd, SOL_SOCKET, name, &value, &length) == 0 ? value : -1;
 }
 
-// Returns whether an IPv4 socket bound to `bound` receives connections to `wanted`; port 0 in `wanted` matches
-// any port.
+// Returns whether an IPv4 socket bound to `bound` receives connections to `wanted`; port 0 in `wanted`
+// matches any port.
 bool covers(const sockaddr_in& bound, const sockaddr_in& wanted) {
   bool is_same_host =
       bound.sin_addr.s_addr == htonl(INADDR_ANY) || bound.sin_addr.s_addr == wanted.sin_addr.s_addr;
