--- a/src/app/commands.cpp
+++ b/src/app/commands.cpp
@@ -127,7 +127,7 @@
 
 std::string listening_message(const Config& config, int port, std::size_t descriptors) {
   return fmt::format("linenwinch {} listens on {}:{}, {} servers known, {} descriptors", kVersion,
-                     config.listen.substr(0, config.listen.rfind(':')), port, config.known.members.size(),
+                     config.listen.substr(0, config.listen.rfind(':')), port, config.known.endpoints.size(),
                      descriptors);
 }
 
@@ -192,7 +192,7 @@
     throw std::runtime_error(
         fmt::format("operator's file {}: network.congestion: the kernel does not offer '{}'",
                     loaded.operator_path, loaded.operator_file.congestion));
-  if (!net::set_source(loaded.operator_file.source))
+  if (!net::set_source_address(loaded.operator_file.source))
     throw std::runtime_error(
         fmt::format("operator's file {}: network.source: '{}' is not an address of this machine",
                     loaded.operator_path, loaded.operator_file.source));
@@ -318,7 +318,7 @@
   if (!loaded.config_path.empty()) {
     loaded.config = read_config(loaded.config_path);
     std::cout << fmt::format("{}: valid ({} classes, {} servers known)\n", loaded.config_path,
-                             loaded.config.settings.classes.size(), loaded.config.known.members.size());
+                             loaded.config.settings.classes.size(), loaded.config.known.endpoints.size());
   }
   if (!loaded.operator_path.empty()) {
     loaded.operator_file = read_operator_file(loaded.operator_path);
--- a/src/app/group_runner.cpp
+++ b/src/app/group_runner.cpp
@@ -84,12 +84,12 @@
     std::map<std::string, placement::EndpointLocation> locations;
     auto unix =
         std::chrono::duration_cast<group::Micros>(std::chrono::system_clock::now().time_since_epoch());
-    for (auto& m : list.members) {
+    for (auto& m : list.endpoints) {
       if (m.lifecycle != discovery::Lifecycle::kUp) continue;
       group::Micros warm_at{0};
       if (m.started_at_ms > 0)
         warm_at = loop_.now() + group::Micros(m.started_at_ms * 1000) + warm_up_ - unix;
-      locations[m.id] = {m.cell, m.zone, warm_at};
+      locations[m.id] = {m.shard_group, m.zone, warm_at};
     }
     observer_.set_locations(std::move(locations));
   }
@@ -164,7 +164,7 @@
   }
   proxy.dispatcher().use_load_reports(
       [this](const std::string& server) { node_->subscribe_to_load(server); });
-  proxy.before_iteration_end = [this] { tasks_.drain(); };
+  proxy.before_iteration_end = [this] { tasks_.run_pending(); };
   group::NodeHost& host = *this;
   node_ = std::make_unique<group::Node>(std::move(options), proxy_options.discovery, proxy_options.schedule,
                                         proxy_options.known, host, std::move(log));
--- a/src/group/endpoint_list_publisher.cpp
+++ b/src/group/endpoint_list_publisher.cpp
@@ -39,7 +39,7 @@
   endpoints_.clear();
   if (is_published) {
     known_generation = effective_list.generation;
-    for (auto& endpoint : effective_list.members) endpoints_[endpoint.id] = endpoint;
+    for (auto& endpoint : effective_list.endpoints) endpoints_[endpoint.id] = endpoint;
   }
   generation_ = effective_list.generation;
   is_complete_ = is_published;
@@ -57,7 +57,7 @@
 void EndpointListPublisher::on_update(const discovery::EndpointListUpdate& update) {
   apply_update(&endpoints_, update);
   is_complete_ = is_complete_ || update.reset;
-  bool has_changed = update.reset || !update.members.empty() || update.generation != generation_;
+  bool has_changed = update.reset || !update.endpoints.empty() || update.generation != generation_;
   generation_ = update.generation;
   last_discovery_answer_ = net::monotonic_now();
   leases_.record_progress(kEndpointListJob);
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -176,7 +176,7 @@
   options_.discovery = options.discovery;
   dispatcher_.pool().set_limits(options.pool);
   dispatcher_.set_logs_decisions(options.logs_decisions);
-  if (discovery_) discovery_->move_to(options.discovery);
+  if (discovery_) discovery_->change_address(options.discovery);
 }
 
 int Proxy::port() const { return net::local_port(listener_); }
@@ -260,7 +260,7 @@
         return accept_after_shortage();
     }
   }
-  loop_.again(&on_listener_);
+  loop_.call_again(&on_listener_);
 }
 
 // Whether one more client may be accepted. Closes another client or an idle connection where that makes it
--- a/src/proxy/server_pool.cpp
+++ b/src/proxy/server_pool.cpp
@@ -27,7 +27,7 @@
 void ServerPool::update(const discovery::EndpointListUpdate& list) {
   if (list.reset)
     for (auto& [id, server] : servers_) server.is_listed = false;
-  for (auto& endpoint : list.members) {
+  for (auto& endpoint : list.endpoints) {
     auto& server = servers_[endpoint.id];
     server.is_listed = endpoint.lifecycle != discovery::Lifecycle::kRemoved;
     if (!endpoint.address.empty() && endpoint.address != server.address_text) {
@@ -110,7 +110,7 @@
   auto* connection = created.get();
   int error = 0;
   if (!connection->open(*server.address, &error)) {
-    bool is_local = net::is_local_shortage(error);  // no evidence about the server
+    bool is_local = net::is_local_error(error);  // no evidence about the server
     return end_unsent(name, job, is_local ? AttemptOutcome::kNotSent : AttemptOutcome::kNoConnection);
   }
   connections_[connection] = std::move(created);
--- a/src/workers/decision_staleness_check.cpp
+++ b/src/workers/decision_staleness_check.cpp
@@ -14,7 +14,7 @@
   prune(now);
   std::unordered_map<std::string, bool> previous;
   if (update.reset) previous.swap(in_service_);
-  for (auto& endpoint : update.members) {
+  for (auto& endpoint : update.endpoints) {
     bool is_in_service = endpoint.lifecycle == discovery::Lifecycle::kUp;
     if (is_in_service) {
       in_service_[endpoint.id] = true;
--- a/src/workers/decision_thread.cpp
+++ b/src/workers/decision_thread.cpp
@@ -89,7 +89,7 @@
 
 void DecisionThread::on_iteration_end() {
   auto now = loop_.now();
-  tasks_.drain();
+  tasks_.run_pending();
   for (auto& probe : std::exchange(probe_results_, {})) facade_->report(now, probe);
   for (std::size_t i = 0; i < channels_.size(); ++i)
     receive_events(*channels_[(first_channel_ + i) % channels_.size()]);
--- a/src/workers/worker_pool.cpp
+++ b/src/workers/worker_pool.cpp
@@ -74,7 +74,7 @@
     options.count = static_cast<std::uint32_t>(c.options.count);
     options.listens = c.options.accept == AcceptMode::kReusePort;
     proxy_ = std::make_unique<proxy::Proxy>(loop_, *decider_, options, log_, *this);
-    proxy_->before_iteration_end = [this] { tasks_.drain(); };
+    proxy_->before_iteration_end = [this] { tasks_.run_pending(); };
     proxy_->on_unknown_cancel = [this](auto number, auto secret) {
       pool_.on_cancel_not_found(number, secret);
     };
@@ -243,7 +243,7 @@
       last_assigned_ = *worker;
       pool_.workers_[*worker]->assign_client(std::move(fd));
     }
-    pool_.control_.again(this);
+    pool_.control_.call_again(this);
   }
 
  private:
@@ -320,7 +320,7 @@
 
 void WorkerPool::update_usable_servers(const discovery::EndpointListUpdate& update) {
   if (update.reset) usable_servers_.clear();
-  for (auto& endpoint : update.members) {
+  for (auto& endpoint : update.endpoints) {
     if (endpoint.lifecycle == discovery::Lifecycle::kUp)
       usable_servers_.insert(endpoint.id);
     else
@@ -345,7 +345,7 @@
   running_ = workers_.size();
   for (auto& worker : workers_) worker->start();
   discovery_->start();
-  control_.run([this] { tasks_.drain(); });
+  control_.run([this] { tasks_.run_pending(); });
   for (auto& worker : workers_) worker->join();  // it may still be posting on_worker_stopped()
   if (decision_thread_) decision_thread_->stop();
   for (auto& worker : workers_) counters_.add(worker->proxy().dispatcher().counters());
@@ -400,7 +400,7 @@
   connections_per_server_ = connections_per_server;
   for (auto& worker : workers_) worker->post([options, &p = worker->proxy()] { p.reconfigure(options); });
   if (decision_thread_) decision_thread_->set_limits(options.pool);
-  discovery_->move_to(options.discovery);
+  discovery_->change_address(options.discovery);
 }
 
 int WorkerPool::port() const { return acceptor_ ? acceptor_->port() : workers_[0]->proxy().port(); }
