--- a/tests/request_router/admission_test.cpp
+++ b/tests/request_router/admission_test.cpp
@@ -7,22 +7,22 @@
 namespace request_router::test {
 namespace {
 
-TEST_F(GroupOfThree, AWriteWaitsBeyondHalfItsTimeoutOnlyIfThePrimaryCanServeThoseAhead) {
+TEST_F(GroupOfThree, AWriteWaitsBeyondHalfItsTimeoutOnlyIfThePrimaryCanServeTheWritesAheadOfIt) {
   std::vector<Event> many;
   for (RequestId id = 1; id <= 250; ++id) many.emplace_back(make_request(id, kWrite, 12s));
   auto actions = router.handle(10s + 10ms, many);
   auto sent = actions_of<Send>(actions).size();
   ASSERT_LT(sent, 100U);
-  std::size_t refused = actions_of<Reject>(actions).size();
+  std::size_t rejected = actions_of<Reject>(actions).size();
   for (auto now = 10s + 40ms; now < 10s + 1200ms; now += 25ms)
-    refused +=
+    rejected +=
         actions_of<Reject>(router.handle(now, {TimerFired{1}, make_probe_result(1, now, true)})).size();
-  EXPECT_GT(refused, 50U);         // they would not have their turn
-  EXPECT_LT(refused, 250 - sent);  // the first of them may
+  EXPECT_GT(rejected, 50U);         // they would not have their turn
+  EXPECT_LT(rejected, 250 - sent);  // the first of them may
 }
 
 // In overload the oldest went first, which had waited until it was late as well, and so was the next.
-TEST(Overload, ARequestThatIsSurelyInTimeGoesBeforeAnOlderOneThatMayBeLate) {
+TEST(Overload, ARequestCertainToMeetItsObjectiveGoesBeforeAnOlderOneThatMayMissIt) {
   Settings settings = default_settings();
   settings.routers = 16;  // one attempt at a time at each member
   Router router(settings, 7);
@@ -37,17 +37,17 @@
 }
 
 // A write that no member could take was postponed until its client had no time left to send it again.
-TEST_F(GroupOfThree, ARequestThatNoMemberHasHadIsRejectedBeforeHalfItsTimeout) {
-  Micros at = 10s + 50ms, refused{0};
+TEST_F(GroupOfThree, ARequestThatWasNeverSentIsRejectedBeforeHalfItsTimeout) {
+  Micros at = 10s + 50ms, rejected{0};
   router.handle(at, {make_list(ListKind::kFull, {})});  // all are gone
   router.handle(at, {make_request(1, kWrite, at + 2s)});
-  for (Micros time = at + 5ms; time < at + 2s && refused == 0s; time += 5ms)
-    if (!actions_of<Reject>(router.handle(time, {TimerFired{1}})).empty()) refused = time - at;
-  EXPECT_GT(refused, 500ms);
-  EXPECT_LT(refused, 1s);
+  for (Micros time = at + 5ms; time < at + 2s && rejected == 0s; time += 5ms)
+    if (!actions_of<Reject>(router.handle(time, {TimerFired{1}})).empty()) rejected = time - at;
+  EXPECT_GT(rejected, 500ms);
+  EXPECT_LT(rejected, 1s);
 }
 
-TEST_F(GroupOfThree, ARequestForAGroupThatNoListNamesIsRejectedAtOnce) {
+TEST_F(GroupOfThree, ARequestForAGroupInNoMemberListIsRejectedAtOnce) {
   auto request = make_request(1, kAny, 12s);
   request.group = 77;
   EXPECT_EQ(actions_of<Reject>(router.handle(10s + 50ms, {request})).size(), 1U);
@@ -55,7 +55,7 @@
 
 // After a pause of its own a router sent what clients no longer wanted, and called members slow for its
 // sleep.
-TEST_F(GroupOfThree, AfterItsOwnPauseItRejectsLateRequestsAndSuspectsNoMember) {
+TEST_F(GroupOfThree, AfterItsOwnPauseTheRouterRejectsLateRequestsAndSuspectsNoMember) {
   auto sends = actions_of<Send>(router.handle(10s + 50ms, {make_request(1, kAny, 12s + 50ms)}));
   ASSERT_EQ(sends.size(), 1U);
   auto late = make_outcome(sends[0], 0, Status::kSuccess, Role::kReplica);
@@ -80,7 +80,7 @@
   EXPECT_EQ(actions_of<Reject>(actions).size(), 1U) << "came 1.4 s ago, wanted within 0.4";
 }
 
-TEST_F(GroupOfThree, ARequestForAnUnknownGroupOrPastItsTimeIsAnswered) {
+TEST_F(GroupOfThree, ARequestForAnUnknownGroupOrPastItsDeadlineIsRejected) {
   auto request = make_request(1, kAny, 10s + 300ms);
   request.group = 5;
   std::size_t answers = 0;
@@ -93,7 +93,7 @@
   EXPECT_EQ(actions_of<Reject>(router.handle(11s, {make_request(2, kAny, 10s)})).size(), 1U);
 }
 
-TEST(SettingsValidation, ImpossibleSettingsAreRejectedByName) {
+TEST(SettingsValidation, InvalidSettingsAreRejectedByName) {
   auto rejects = [](auto change, const char* name) {
     Settings settings = default_settings();
     change(settings);
--- a/tests/request_router/concurrency_limit_test.cpp
+++ b/tests/request_router/concurrency_limit_test.cpp
@@ -100,19 +100,19 @@
 }
 
 // Requests of clients that wait less than they take were counted as overload, and others shed for it.
-TEST_F(GroupOfThree, TimeoutsOfImpatientClientsDoNotCountAsOverload) {
+TEST_F(GroupOfThree, TimeoutsOfClientsWithShortDeadlinesDoNotCountAsOverload) {
   Micros now = 11s;
   RequestId id = 0;
   std::size_t sent = 0;
   for (int i = 0; i < 600; ++i, now += 50ms) {
-    bool impatient = i % 3 != 0;
-    auto actions = router.handle(
-        now, {make_probe_result(1, now, true), make_probe_result(2, now, false),
-              make_probe_result(3, now, false), make_request(++id, kBounded, now + (impatient ? 20ms : 2s))});
-    sent += impatient ? 0 : actions_of<Send>(actions).size();
+    bool short_deadline = i % 3 != 0;
+    auto actions = router.handle(now, {make_probe_result(1, now, true), make_probe_result(2, now, false),
+                                       make_probe_result(3, now, false),
+                                       make_request(++id, kBounded, now + (short_deadline ? 20ms : 2s))});
+    sent += short_deadline ? 0 : actions_of<Send>(actions).size();
     for (auto& send : actions_of<Send>(actions)) {
-      auto ended = make_outcome(send, 0, impatient ? Status::kTimedOut : Status::kSuccess);
-      ended.taken = impatient ? 20ms : 60ms;
+      auto ended = make_outcome(send, 0, short_deadline ? Status::kTimedOut : Status::kSuccess);
+      ended.taken = short_deadline ? 20ms : 60ms;
       router.handle(now + ended.taken, {ended});
     }
   }
--- a/tests/request_router/decision_equality_test.cpp
+++ b/tests/request_router/decision_equality_test.cpp
@@ -18,11 +18,12 @@
 
 constexpr std::uint64_t kSeeds = 200;
 constexpr std::uint64_t kShortSeeds = 10;
-constexpr const char* kFile = DATABASE_PROXY_TEST_DATA "/decision_fingerprints.txt";
+constexpr const char* kFingerprintFile = DATABASE_PROXY_TEST_DATA "/decision_fingerprints.txt";
 
-std::string file_line(const DecisionFingerprint& taken) {
+std::string file_line(const DecisionFingerprint& fingerprint) {
   std::ostringstream line;
-  line << taken.seed << ' ' << taken.events << ' ' << taken.actions << ' ' << std::hex << taken.hash;
+  line << fingerprint.seed << ' ' << fingerprint.events << ' ' << fingerprint.actions << ' ' << std::hex
+       << fingerprint.hash;
   return line.str();
 }
 
@@ -36,15 +37,15 @@
 // Seeds 0 to `seeds` - 1, each against its line of the file; adds up what came up on the way.
 DecisionCounts compare(std::uint64_t seeds) {
   DecisionCounts total;
-  std::ifstream file(kFile);
-  EXPECT_TRUE(file.is_open()) << kFile;
+  std::ifstream file(kFingerprintFile);
+  EXPECT_TRUE(file.is_open()) << kFingerprintFile;
   for (std::uint64_t seed = 0; seed < seeds; ++seed) {
     std::string expected;
     std::getline(file, expected);
-    auto taken = decision_fingerprint(seed);
-    EXPECT_GE(taken.events, kLeastEvents) << "seed " << seed;
-    EXPECT_EQ(file_line(taken), expected) << "seed " << seed;
-    total.add(taken.counts);
+    auto fingerprint = decision_fingerprint(seed);
+    EXPECT_GE(fingerprint.events, kMinEvents) << "seed " << seed;
+    EXPECT_EQ(file_line(fingerprint), expected) << "seed " << seed;
+    total.add(fingerprint.counts);
   }
   return total;
 }
@@ -60,13 +61,13 @@
   print("levels (write, fresh, session, bounded, any):", total.levels);
   print("lists (delta, full, cached, failed):", total.lists);
   EXPECT_GE(total.all_events(), 1'000'000u);
-  auto came_up = [](auto& counts) {
+  auto all_occurred = [](auto& counts) {
     return std::all_of(counts.begin(), counts.end(), [](auto n) { return n > 0; });
   };
-  EXPECT_TRUE(came_up(total.events));
-  EXPECT_TRUE(came_up(total.statuses));
-  EXPECT_TRUE(came_up(total.levels));
-  EXPECT_TRUE(came_up(total.lists));
+  EXPECT_TRUE(all_occurred(total.events));
+  EXPECT_TRUE(all_occurred(total.statuses));
+  EXPECT_TRUE(all_occurred(total.levels));
+  EXPECT_TRUE(all_occurred(total.lists));
   for (std::size_t kind = 0; kind < total.actions.size(); ++kind) {
     if (kind == Action(Log{}).index())
       EXPECT_EQ(total.actions[kind], 0u) << "the router logs nothing";
@@ -78,7 +79,7 @@
 TEST(DecisionEqualityShort, SeedsGiveTheCommittedFingerprints) { compare(kShortSeeds); }
 
 int write_fingerprints() {
-  std::ofstream file(kFile);
+  std::ofstream file(kFingerprintFile);
   for (std::uint64_t seed = 0; seed < kSeeds; ++seed) file << file_line(decision_fingerprint(seed)) << '\n';
   return file.flush() ? 0 : 1;
 }
--- a/tests/request_router/decision_fingerprint.cpp
+++ b/tests/request_router/decision_fingerprint.cpp
@@ -16,7 +16,7 @@
 
 using namespace std::chrono_literals;
 
-constexpr std::uint64_t kLongSeedEvery = 100;      // one seed of so many runs long enough to fill every table
+constexpr std::uint64_t kLongSeedInterval = 100;   // one seed of so many runs long enough to fill every table
 constexpr std::uint64_t kLongSeedEvents = 140000;  // of such a seed: over 20,000 writes of different sessions
 constexpr std::uint64_t kSampleEvery = 64;         // batches between two samples of the public queries
 
@@ -63,20 +63,20 @@
 class Simulation : private SimulatedDeployment {
  public:
   Simulation(std::uint64_t seed, std::ostream* text)
-      : SimulatedDeployment(seed * 0x2545f4914f6cdd1d + 1, seed % kLongSeedEvery == 0), hash_(text) {
+      : SimulatedDeployment(seed * 0x2545f4914f6cdd1d + 1, seed % kLongSeedInterval == 0), hash_(text) {
     result_.seed = seed;
     settings_ = draw_settings(random_);
-    if (long_) make_long();
+    if (long_run_) configure_long_run();
     draw_deployment();
   }
 
   DecisionFingerprint run() {
     Router router(settings_, random_.next());
     router_ = &router;
-    plan(now_, Chore::kArrive);
-    plan(now_ + 50ms, Chore::kChangeWorld);
+    schedule(now_, Task::kCreateRequests);
+    schedule(now_ + 50ms, Task::kChangeDeployment);
     if (!settings_.poll_discovery || random_.half()) deliver({full_list(ListKind::kCached)});
-    std::uint64_t most = long_ ? kLongSeedEvents : kLeastEvents;
+    std::uint64_t most = long_run_ ? kLongSeedEvents : kMinEvents;
     while (result_.counts.all_events() < most) step();
     sample();
     result_.events = result_.counts.all_events();
@@ -87,7 +87,7 @@
 
  private:
   // Writes of sessions that each come once, until the router has dropped what it remembers of sessions.
-  void make_long() {
+  void configure_long_run() {
     settings_.client_carries_write_age = false;
     settings_.classes.resize(2);
     settings_.classes[0].level = ReadLevel::kWrite;
@@ -105,17 +105,17 @@
   // All that is due comes in batches of any size, several of them at one moment. A router that stood still
   // gets what piled up at once, its timers late.
   void step() {
-    now_ = std::max(now_, due_.top().at);
+    now_ = std::max(now_, scheduled_.top().at);
     if (random_.permille(2)) now_ += random_.between(20ms, 2500ms);
     if (random_.permille(250)) now_ += random_.between(0ms, 4ms);
     std::vector<Event> batch;
     std::int64_t most = random_.pick({1, 1, 2, 5, 40});
-    while (!due_.empty() && due_.top().at <= now_) {
-      Due next = due_.top();
-      due_.pop();
-      if (next.chore != Chore::kNone)
-        work_off(next.chore, batch);
-      else if (occurs(next.event))
+    while (!scheduled_.empty() && scheduled_.top().at <= now_) {
+      ScheduledItem next = scheduled_.top();
+      scheduled_.pop();
+      if (next.task != Task::kNone)
+        run_task(next.task, batch);
+      else if (prepare_for_delivery(next.event))
         batch.push_back(std::move(next.event));
       if (static_cast<std::int64_t>(batch.size()) >= most) deliver(std::exchange(batch, {}));
     }
@@ -136,7 +136,7 @@
     for (auto& action : router_->handle(now_, batch)) {
       ++result_.counts.actions[action.index()];
       hash_.line(std::visit(ActionText{}, action));
-      std::visit([this](auto& kind) { carry_out(kind); }, action);
+      std::visit([this](auto& kind) { execute(kind); }, action);
     }
     if (++batches_ % kSampleEvery == 0) sample();
   }
@@ -148,16 +148,19 @@
     hash_.line(line);
   }
 
-  void work_off(Chore chore, std::vector<Event>& batch) {
-    if (chore == Chore::kArrive) {
+  void run_task(Task task, std::vector<Event>& batch) {
+    if (task == Task::kCreateRequests) {
       bool burst = random_.permille(8);
       for (auto count = burst ? random_.between(5, 60) : 1; count > 0; --count)
         batch.emplace_back(new_request(false));
-      plan(now_ + Micros(1) + mean_gap_ * load_ * random_.between(0, 2000) / 100000, Chore::kArrive);
-    } else if (chore == Chore::kChangeWorld) {
-      change_world(batch);
-      plan(now_ + Micros(1) + mean_change_ * random_.between(100, 1900) / 1000, Chore::kChangeWorld);
-    } else if (chore == Chore::kSendList) {
+      schedule(now_ + Micros(1) +
+                   mean_request_interval_ * request_interval_percent_ * random_.between(0, 2000) / 100000,
+               Task::kCreateRequests);
+    } else if (task == Task::kChangeDeployment) {
+      change_deployment(batch);
+      schedule(now_ + Micros(1) + mean_change_interval_ * random_.between(100, 1900) / 1000,
+               Task::kChangeDeployment);
+    } else if (task == Task::kSendList) {
       batch.emplace_back(next_list());
     }
   }
@@ -169,11 +172,11 @@
     request.id = ++last_request_;
     request.request_class =
         static_cast<std::size_t>(random_.below(static_cast<std::int64_t>(settings_.classes.size())));
-    if (long_ && random_.permille(800)) request.request_class = 0;
+    if (long_run_ && random_.permille(800)) request.request_class = 0;
     auto& request_class = settings_.classes[request.request_class];
     request.group = random_.permille(5) ? 999 : random_.below(groups_);
-    if (long_) request.key = request.id;
-    if (!long_ && random_.permille(800)) request.key = static_cast<std::uint64_t>(random_.below(40));
+    if (long_run_) request.key = request.id;
+    if (!long_run_ && random_.permille(800)) request.key = static_cast<std::uint64_t>(random_.below(40));
     if (random_.permille(700)) request.write_age = random_.half() ? Micros(0) : random_.between(1ms, 400ms);
     request.expires =
         now_ + request_class.deadline * (random_.permille(800) ? 1000 : random_.between(50, 1000)) / 1000;
@@ -182,13 +185,13 @@
         static_cast<int>(random_.below(static_cast<std::int64_t>(settings_.tenants.size()) + 1)) - 1;
     requests_[request.id] = {request.request_class, request.group, 0, request.expires, false};
     if (random_.permille(25))
-      plan(now_ + random_.between(Micros(0), request_class.deadline), ClientGone{request.id});
+      schedule(now_ + random_.between(Micros(0), request_class.deadline), ClientGone{request.id});
     return request;
   }
 
   // ---- actions -----------------------------------------------------------------------------------------
 
-  void carry_out(const Send& action) {
+  void execute(const Send& action) {
     auto& request = requests_[action.id];
     auto& member = members_[action.member];
     Outcome outcome;
@@ -196,7 +199,7 @@
     outcome.attempt = request.attempts++;
     outcome.member = action.member;
     ++member.in_flight;
-    out_[{outcome.id, outcome.attempt}] = {action.member, now_};
+    attempts_in_flight_[{outcome.id, outcome.attempt}] = {action.member, now_};
     auto [status, after] = answer(member, request, action);
     outcome.status = status;
     // What lasts too long for its client ends at the time-out that the router gave.
@@ -205,78 +208,81 @@
       after = action.timeout;
     }
     if (outcome.status == Status::kSuccess && random_.permille(60))
-      plan(now_ + after / 2, StreamStarted{outcome.id, outcome.attempt});
-    plan(now_ + std::max(after, Micros(1)), outcome);
+      schedule(now_ + after / 2, StreamStarted{outcome.id, outcome.attempt});
+    schedule(now_ + std::max(after, Micros(1)), outcome);
   }
 
   std::pair<Status, Micros> answer(SimulatedMember& member, const SimulatedRequest& request,
                                    const Send& action) {
     auto& request_class = settings_.classes[request.request_class];
-    Micros soon = random_.between(Micros(200), 2ms);
-    if (member.health == Health::kRefusing) return {Status::kUnreachable, soon};
-    if (member.health == Health::kSilent || random_.permille(member.vanishing))
+    Micros short_delay = random_.between(Micros(200), 2ms);
+    if (member.health == Health::kRefusing) return {Status::kUnreachable, short_delay};
+    if (member.health == Health::kUnresponsive || random_.permille(member.lost_permille))
       return {Status::kTimedOut, action.timeout};
-    if (random_.permille(member.voiding))
-      return {Status::kNotStarted, std::clamp(action.start_within, soon, Micros(1000ms))};
-    if (random_.permille(member.breaking)) return {Status::kBroken, soon * 2};
-    if (member.in_flight > member.capacity * 3) return {Status::kOverloaded, soon};
-    if (random_.permille(member.failing)) return {Status::kFailure, soon};
-    bool leads =
-        request_class.level == ReadLevel::kWrite || (request_class.level == ReadLevel::kFresh && checked());
-    if (leads && !member.primary) return {Status::kDeclined, soon};
-    Micros tail = random_.permille(60) ? member.work * random_.between(2, 12) : Micros(0);
-    Micros weight =
-        member.work * (request_class.latency_objective / settings_.classes[0].latency_objective + 1) / 2;
-    Micros takes = weight * random_.between(300, 1700) / 1000 + tail;
-    takes = takes * (member.capacity + member.in_flight) / member.capacity;
-    if (checked() && request_class.level == ReadLevel::kBounded && !member.primary &&
+    if (random_.permille(member.not_started_permille))
+      return {Status::kNotStarted, std::clamp(action.start_within, short_delay, Micros(1000ms))};
+    if (random_.permille(member.broken_permille)) return {Status::kBroken, short_delay * 2};
+    if (member.in_flight > member.capacity * 3) return {Status::kOverloaded, short_delay};
+    if (random_.permille(member.failure_permille)) return {Status::kFailure, short_delay};
+    bool needs_primary = request_class.level == ReadLevel::kWrite ||
+                         (request_class.level == ReadLevel::kFresh && members_check_lag());
+    if (needs_primary && !member.primary) return {Status::kDeclined, short_delay};
+    Micros tail = random_.permille(60) ? member.service_time * random_.between(2, 12) : Micros(0);
+    Micros weight = member.service_time *
+                    (request_class.latency_objective / settings_.classes[0].latency_objective + 1) / 2;
+    Micros duration = weight * random_.between(300, 1700) / 1000 + tail;
+    duration = duration * (member.capacity + member.in_flight) / member.capacity;
+    if (members_check_lag() && request_class.level == ReadLevel::kBounded && !member.primary &&
         member.lag > request_class.bound) {
-      Micros behind = member.lag - request_class.bound;
-      if (behind > settings_.catch_up_timeout) return {Status::kDeclined, settings_.catch_up_timeout + soon};
-      takes += behind;
+      Micros excess_lag = member.lag - request_class.bound;
+      if (excess_lag > settings_.catch_up_timeout)
+        return {Status::kDeclined, settings_.catch_up_timeout + short_delay};
+      duration += excess_lag;
     }
-    return {Status::kSuccess, takes};
+    return {Status::kSuccess, duration};
   }
-  bool checked() const { return settings_.lag_check != LagCheck::kOff; }
+  bool members_check_lag() const { return settings_.lag_check != LagCheck::kOff; }
 
-  void carry_out(const Cancel& action) {
-    auto found = out_.find({action.id, action.attempt});
-    if (found == out_.end() || random_.permille(200)) return;  // too late: it ends as it would have
+  void execute(const Cancel& action) {
+    auto found = attempts_in_flight_.find({action.id, action.attempt});
+    if (found == attempts_in_flight_.end() || random_.permille(200))
+      return;  // too late: it ends as it would have
     Outcome outcome;
     outcome.id = action.id;
     outcome.attempt = action.attempt;
     outcome.member = found->second.member;
     outcome.status = Status::kCancelled;
-    plan(now_ + random_.between(Micros(1), 3ms), outcome);
+    schedule(now_ + random_.between(Micros(1), 3ms), outcome);
   }
-  void carry_out(const Reject& action) { come_back(action.retry_after); }
-  void carry_out(const Fail&) { come_back(0ms); }
-  void come_back(Micros after) {
-    if (random_.permille(200)) plan(now_ + after + random_.between(1ms, 50ms), new_request(true));
+  void execute(const Reject& action) { schedule_client_retry(action.retry_after); }
+  void execute(const Fail&) { schedule_client_retry(0ms); }
+  void schedule_client_retry(Micros after) {
+    if (random_.permille(200)) schedule(now_ + after + random_.between(1ms, 50ms), new_request(true));
   }
-  void carry_out(const Probe& action) {
+  void execute(const Probe& action) {
     ProbeResult result;
     result.member = action.member;
     Health health = members_[action.member].health;
     result.ok = health == Health::kUp && !random_.permille(15);
     result.taken = random_.between(Micros(200), random_.permille(100) ? Micros(60ms) : Micros(4ms));
-    plan(now_ + (health == Health::kSilent ? 500ms : result.taken), result);
+    schedule(now_ + (health == Health::kUnresponsive ? 500ms : result.taken), result);
   }
-  void carry_out(const SetTimer& action) {
+  void execute(const SetTimer& action) {
     Micros late = random_.permille(50) ? random_.between(1ms, 150ms) : Micros(0);
-    plan(now_ + action.after + late, TimerFired{action.key});
+    schedule(now_ + action.after + late, TimerFired{action.key});
   }
-  void carry_out(const Subscribe&) {
-    plan(now_ + random_.between(5ms, 60ms), random_.permille(300) ? Event(MemberList{ListKind::kFailed, {}})
-                                                                  : Event(full_list(ListKind::kFull)));
+  void execute(const Subscribe&) {
+    schedule(now_ + random_.between(5ms, 60ms), random_.permille(300)
+                                                    ? Event(MemberList{ListKind::kFailed, {}})
+                                                    : Event(full_list(ListKind::kFull)));
   }
-  void carry_out(const Log&) {}
+  void execute(const Log&) {}
 
   // ---- what the router is notified of
   // -------------------------------------------------------------------------
 
   // Completes an event by how things are when it is delivered. False: it does not occur any more.
-  bool occurs(Event& event) {
+  bool prepare_for_delivery(Event& event) {
     if (auto* outcome = std::get_if<Outcome>(&event)) return complete(*outcome);
     if (auto* result = std::get_if<ProbeResult>(&event)) {
       if (result->ok && settings_.report_mode == ReportMode::kOnProbe)
@@ -290,12 +296,12 @@
   }
 
   bool complete(Outcome& outcome) {
-    auto found = out_.find({outcome.id, outcome.attempt});
-    if (found == out_.end()) return false;  // it was cancelled and has ended already
+    auto found = attempts_in_flight_.find({outcome.id, outcome.attempt});
+    if (found == attempts_in_flight_.end()) return false;  // it was cancelled and has ended already
     auto& member = members_[outcome.member];
     --member.in_flight;
     if (random_.permille(850)) outcome.taken = now_ - found->second.sent_at;
-    out_.erase(found);
+    attempts_in_flight_.erase(found);
     auto& request = requests_[outcome.id];
     outcome.closed = outcome.status == Status::kSuccess
                          ? random_.permille(950)
@@ -316,7 +322,7 @@
   Router* router_ = nullptr;
   std::uint64_t batches_ = 0;
   std::map<RequestId, SimulatedRequest> requests_;
-  std::map<std::pair<RequestId, int>, SimulatedAttempt> out_;  // attempts in flight
+  std::map<std::pair<RequestId, int>, SimulatedAttempt> attempts_in_flight_;  // attempts in flight
 };
 
 }  // namespace
--- a/tests/request_router/decision_fingerprint.h
+++ b/tests/request_router/decision_fingerprint.h
@@ -38,7 +38,7 @@
 };
 
 // Each seed feeds its router at least this many events.
-inline constexpr std::uint64_t kLeastEvents = 6000;
+inline constexpr std::uint64_t kMinEvents = 6000;
 
 // Runs the simulation of `seed`. Where `text` is given, it gets what is hashed, one line an item: for a batch
 // `@ time events`, and for an action the index of its kind followed by its fields as integers: 0 send,
--- a/tests/request_router/decision_settings.cpp
+++ b/tests/request_router/decision_settings.cpp
@@ -27,7 +27,7 @@
   return drawn;
 }
 
-void draw_family(Generator& random, Settings& drawn) {
+void draw_server_properties(Generator& random, Settings& drawn) {
   drawn.lag_check = random.pick({LagCheck::kOff, LagCheck::kReject, LagCheck::kHold});
   if (drawn.lag_check == LagCheck::kHold) drawn.catch_up_timeout = random.between(5ms, 200ms);
   drawn.answers_carry_position = random.permille(700);
@@ -79,7 +79,7 @@
                                                 random.between(9, 60), random.between(61, 300)}));
   drawn.ordinal = static_cast<int>(random.below(drawn.routers));
   drawn.step = random.between(1ms, 5ms);
-  draw_family(random, drawn);
+  draw_server_properties(random, drawn);
   draw_limits(random, drawn);
   return drawn;
 }
--- a/tests/request_router/failure_detection_test.cpp
+++ b/tests/request_router/failure_detection_test.cpp
@@ -16,13 +16,13 @@
 }
 
 // Hundreds of routers that probed and woke on their own cost members more than the requests did.
-TEST_F(GroupOfThree, WithNothingToDoItNeitherProbesNorWakes) {
+TEST_F(GroupOfThree, AnIdleRouterSendsNoProbesAndSetsNoTimers) {
   router.handle(10s + 25ms, {TimerFired{1}});
   for (Micros at = 10s + 50ms; at < 20s; at += 25ms) EXPECT_TRUE(router.handle(at, {TimerFired{1}}).empty());
 }
 
 // Over a slow way every probe takes long; that is no silence once it has been seen.
-TEST_F(GroupOfThree, ASlowPathIsNotTakenForSilence) {
+TEST_F(GroupOfThree, ASlowNetworkPathIsNotTreatedAsUnresponsiveness) {
   auto slow = [](MemberId member, Micros position) {
     auto result = make_probe_result(member, position, member == 1);
     result.taken = 150ms;
@@ -45,11 +45,12 @@
 TEST_F(GroupOfThree, AReadInFlightAtAnUnresponsiveMemberIsCancelledAndServedElsewhere) {
   auto sends = actions_of<Send>(router.handle(10s + 50ms, {make_request(1, kAny, 12s)}));
   ASSERT_EQ(sends.size(), 1U);
-  std::vector<Cancel> back;
+  std::vector<Cancel> cancelled;
   Micros at = 10s + 75ms;
-  for (; back.empty() && at < 11s; at += 25ms) back = actions_of<Cancel>(router.handle(at, {TimerFired{1}}));
-  ASSERT_EQ(back.size(), 1U);
-  EXPECT_EQ(back[0].id, 1U);
+  for (; cancelled.empty() && at < 11s; at += 25ms)
+    cancelled = actions_of<Cancel>(router.handle(at, {TimerFired{1}}));
+  ASSERT_EQ(cancelled.size(), 1U);
+  EXPECT_EQ(cancelled[0].id, 1U);
   EXPECT_LT(at, 10s + 400ms) << "while it can still be in time";
   auto again = actions_of<Send>(router.handle(at, {make_outcome(sends[0], 0, Status::kCancelled)}));
   ASSERT_EQ(again.size(), 1U);
@@ -59,7 +60,7 @@
 // A read out on a connection that had fallen silent was waited for until its client gave up: its member
 // answers probes all the while.
 TEST_F(GroupOfThree, WhereAttemptsAreLostLateOnesAreCancelledInTime) {
-  auto run = [](bool vanish) {
+  auto run = [](bool lose_attempts) {
     Router fresh_router(default_settings(), 7);
     fresh_router.handle(10s, {make_list(ListKind::kFull, {make_entry(1, true), make_entry(2)})});
     Micros now = 10s + 5ms;
@@ -67,14 +68,14 @@
     for (RequestId id = 1; id <= 400; ++id, now += 50ms) {
       fresh_router.handle(now, {make_probe_result(1, now, true), make_probe_result(2, now, false)});
       for (auto& send : actions_of<Send>(fresh_router.handle(now, {make_request(id, kBounded, now + 1s)}))) {
-        bool lost = vanish && id % 20 == 0;
+        bool lost = lose_attempts && id % 20 == 0;
         auto ended = make_outcome(send, 0, lost ? Status::kTimedOut : Status::kSuccess);
         ended.taken = 20ms;
         for (Micros at = now + 30ms; lost && at < now + 1s; at += 30ms) {
           auto actions = fresh_router.handle(
               at, {TimerFired{1}, make_probe_result(1, at, true), make_probe_result(2, at, false)});
-          auto called = actions_of<Cancel>(actions);
-          if (called.empty()) continue;
+          auto cancel = actions_of<Cancel>(actions);
+          if (cancel.empty()) continue;
           ++cancels;
           EXPECT_LT(at, now + 400ms) << "too late for another";
           auto again = actions_of<Send>(fresh_router.handle(at, {make_outcome(send, 0, Status::kCancelled)}));
@@ -96,16 +97,16 @@
   EXPECT_GT(run(true), 5);
 }
 
-// Plays reads that fail where `bad` says so; returns how many of the later ones are first sent to member 2.
-template <typename Bad>
-int first_sent_to_two(Router& router, Bad bad) {
+// Plays reads that fail where `fails` says so; returns how many of the later ones are first sent to member 2.
+template <typename Fails>
+int count_first_sends_to_two(Router& router, Fails fails) {
   int to_two = 0;
   RequestId id = 1;
   for (Micros at = 10s + 50ms; at < 11s; at += 5ms, ++id) {
     auto sends = actions_of<Send>(router.handle(at, {make_request(id, kAny, at + 2s)}));
     if (!sends.empty() && sends[0].member == 2 && at > 10s + 500ms) ++to_two;
     for (int attempt = 0; !sends.empty(); ++attempt) {
-      bool failed = bad(sends[0].member, id);
+      bool failed = fails(sends[0].member, id);
       sends = actions_of<Send>(router.handle(
           at,
           {make_outcome(sends[0], attempt, failed ? Status::kFailure : Status::kSuccess, Role::kReplica)}));
@@ -115,7 +116,7 @@
 }
 
 TEST_F(GroupOfThree, AReplicaThatFailsMoreThanItsPeersIsEjected) {
-  EXPECT_EQ(first_sent_to_two(router, [](MemberId member, RequestId) { return member == 2; }), 0);
+  EXPECT_EQ(count_first_sends_to_two(router, [](MemberId member, RequestId) { return member == 2; }), 0);
 }
 
 // Errors that came with the request, alike at every member, once made each router eject members in turn.
@@ -126,27 +127,28 @@
     router.handle(10s, {make_list(ListKind::kFull, {make_entry(1, true), make_entry(2), make_entry(3)})});
     router.handle(10s + 5ms, {make_probe_result(1, 10s, true), make_probe_result(2, 9990ms, false),
                               make_probe_result(3, 9990ms, false)});
-    to_two += first_sent_to_two(router, [&](MemberId, RequestId id) { return id % 2 == 0 && ++attempts; });
+    to_two +=
+        count_first_sends_to_two(router, [&](MemberId, RequestId id) { return id % 2 == 0 && ++attempts; });
   }
   EXPECT_GT(to_two, 100) << "half of the routers prefer member 2";
   EXPECT_LE(attempts, 2 * 8 * 95) << "two members are probed_at, no more";
 }
 
 // Members full of connections answered every probe, and were tried again at once by a thousand routers.
-TEST_F(GroupOfThree, AnUnreachableReplicaIsLeftAloneThoughItAnswersProbes) {
+TEST_F(GroupOfThree, AnUnreachableReplicaGetsNoRequestsAlthoughItAnswersProbes) {
   auto sends = actions_of<Send>(router.handle(10s + 50ms, {make_request(1, kAny, 12s)}));
   ASSERT_EQ(sends.size(), 1U);
-  auto shut = sends[0].member;
+  auto unreachable = sends[0].member;
   router.handle(10s + 55ms, {make_outcome(sends[0], 0, Status::kUnreachable)});
-  router.handle(10s + 60ms, {make_probe_result(shut, 10s + 50ms, false)});
+  router.handle(10s + 60ms, {make_probe_result(unreachable, 10s + 50ms, false)});
   for (RequestId id = 2; id < 8; ++id)
     for (auto& send : actions_of<Send>(
              router.handle(10s + 60ms + 5ms * static_cast<int>(id), {make_request(id, kAny, 12s)})))
-      EXPECT_NE(send.member, shut);
+      EXPECT_NE(send.member, unreachable);
 }
 
 // Every choice looked through all members there ever were.
-TEST_F(GroupOfThree, MembersThatAreGoneForLongAreForgotten) {
+TEST_F(GroupOfThree, MembersRemovedLongAgoAreForgotten) {
   Micros now = 11s;
   for (MemberId member = 10; member < 500; ++member, now += 1s) {
     router.handle(now, {make_list(ListKind::kDelta, {make_entry(member)})});
--- a/tests/request_router/many_routers_test.cpp
+++ b/tests/request_router/many_routers_test.cpp
@@ -7,8 +7,9 @@
 namespace {
 
 constexpr std::uint64_t kSeed = 15;  // of every fleet here
-constexpr int kRouters = 100, kGroups = 18, kEach = 3;
-constexpr double kPerSecond = 1500;  // 15 a second at each router: it meets a group less than once a second
+constexpr int kRouters = 100, kGroups = 18, kMembersPerGroup = 3;
+constexpr double kRequestsPerSecond =
+    1500;  // 15 a second at each router: it meets a group less than once a second
 
 Settings fleet_settings() {
   Settings settings = default_settings(LagCheck::kReject);
@@ -26,58 +27,58 @@
 }
 struct HundredRouters : ::testing::Test {
   HundredRouters() { RecordProperty("seed", static_cast<int>(kSeed)); }
-  Fleet fleet{fleet_settings(), kRouters, kGroups, kEach, kSeed};
+  Fleet fleet{fleet_settings(), kRouters, kGroups, kMembersPerGroup, kSeed};
 };
 
 // Each router probed every member of a group whose primary it did not know: 3.7 probes a request.
 TEST_F(HundredRouters, RoutersThatStartTogetherLearnRolesFromAnswersRatherThanProbes) {
-  fleet.load(1s, kPerSecond, 0.2);
+  fleet.run_load(1s, kRequestsPerSecond, 0.2);
   auto first = fleet.total();
   EXPECT_LT(first.probes, fleet.requested / 5);
   for (auto& [id, count] : fleet.counts)
     EXPECT_LT(count.probes, 25) << "on member " << id << " in its first second";
-  fleet.load(4s, kPerSecond, 0.2);
+  fleet.run_load(4s, kRequestsPerSecond, 0.2);
   fleet.run(fleet.now + 2s);
   EXPECT_LT(fleet.total().probes, fleet.requested / 8);
   EXPECT_GT(fleet.served, fleet.requested * 97 / 100);
 }
 
 // A list that is out of date names members that have gone: asking them again brings nothing.
-TEST_F(HundredRouters, MembersThatDoNotAnswerAreNotProbedWithoutEnd) {
-  fleet.load(2s, kPerSecond, 0.2);
+TEST_F(HundredRouters, UnresponsiveMembersAreProbedAtALimitedRate) {
+  fleet.run_load(2s, kRequestsPerSecond, 0.2);
   auto before = fleet.total();
   int requested = fleet.requested;
   for (auto& [id, member] : fleet.members)
     if (member.group % 2 == 0) member.up = false;
-  fleet.load(3s, kPerSecond, 0.2);
+  fleet.run_load(3s, kRequestsPerSecond, 0.2);
   EXPECT_LT(fleet.total().probes - before.probes, (fleet.requested - requested) / 6);
 }
 
 // Where most members are warming up, each router admitted too little, counted what it had rejected as work
 // that is no longer done, and let in less. All of them together must still stay under what pushes a member
 // over.
-TEST_F(HundredRouters, MembersThatAllWarmUpAreUsedAndNotOverloaded) {
-  fleet.load(3s, kPerSecond, 0.2);
+TEST_F(HundredRouters, MembersThatAllWarmUpAtOnceAreUsedAndNotOverloaded) {
+  fleet.run_load(3s, kRequestsPerSecond, 0.2);
   for (auto& [id, member] : fleet.members) member.started_at = fleet.now;
   fleet.notify_all(make_list(ListKind::kFull, fleet.entries()));
   int served = fleet.served, requested = fleet.requested;
-  fleet.load(3s, kPerSecond, 0.2);  // a quarter of their capacity, 0.48 at the end
+  fleet.run_load(3s, kRequestsPerSecond, 0.2);  // a quarter of their capacity, 0.48 at the end
   EXPECT_GT(fleet.served - served, (fleet.requested - requested) * 4 / 10);
   // A third of a group's reads and all its writes are a warm member's most; that is 0.7 of what it can do.
-  double warm = kPerSecond / kGroups * (0.8 / 2 + 0.2), window = 2, share = 0.25 + 0.75 * 0.3;
+  double warm = kRequestsPerSecond / kGroups * (0.8 / 2 + 0.2), window = 2, share = 0.25 + 0.75 * 0.3;
   for (auto& [id, member] : fleet.members) {
     auto& all = fleet.arrivals[id];
     all.erase(all.begin(), std::lower_bound(all.begin(), all.end(), member.started_at));
-    EXPECT_LT(fleet.most_within(id, 2s), warm / 0.7 * window * share * 3) << id;
+    EXPECT_LT(fleet.max_arrivals_within(id, 2s), warm / 0.7 * window * share * 3) << id;
   }
 }
 
 // A write whose group elects a primary had its six tries within a tenth of a second.
 TEST_F(HundredRouters, MostWritesSurviveAnElection) {
-  fleet.load(3s, kPerSecond, 0.2);
+  fleet.run_load(3s, kRequestsPerSecond, 0.2);
   for (auto& [id, member] : fleet.members) member.primary = false;
   int served = fleet.served, requested = fleet.requested;
-  fleet.load(400ms, kPerSecond, 1);
+  fleet.run_load(400ms, kRequestsPerSecond, 1);
   for (GroupId group = 0; group < kGroups; ++group) fleet.elect_primary(group);
   fleet.run(fleet.now + 3s);
   EXPECT_GT(fleet.served - served, (fleet.requested - requested) * 6 / 10);
@@ -86,12 +87,12 @@
 // One set in trouble made every router refuse part of what came for all the others, of which it sees little.
 TEST_F(HundredRouters, SlowGroupsCauseNoRejectionsInOthers) {
   for (auto& [id, member] : fleet.members)
-    member.work = member.group % 3 == 0 ? 400ms : 8ms;  // over the latency objective of 150 ms
-  fleet.load(4s, kPerSecond, 0.2);
-  int rejected = fleet.rejected_of(1), requested = fleet.requested;
-  fleet.only = 1;  // groups 1, 4, 7, ...
-  fleet.load(1s, kPerSecond / 3, 0.2);
-  EXPECT_LT(fleet.rejected_of(1) - rejected, (fleet.requested - requested) / 50);
+    member.service_time = member.group % 3 == 0 ? 400ms : 8ms;  // over the latency objective of 150 ms
+  fleet.run_load(4s, kRequestsPerSecond, 0.2);
+  int rejected = fleet.rejected_in_third(1), requested = fleet.requested;
+  fleet.loaded_third = 1;  // groups 1, 4, 7, ...
+  fleet.run_load(1s, kRequestsPerSecond / 3, 0.2);
+  EXPECT_LT(fleet.rejected_in_third(1) - rejected, (fleet.requested - requested) / 50);
 }
 
 // One Retry-After for all requests that are rejected at once would bring all of them back at once.
--- a/tests/request_router/primary_discovery_test.cpp
+++ b/tests/request_router/primary_discovery_test.cpp
@@ -56,7 +56,7 @@
 
 // Of hundreds of routers each has a small part of the probes, too small to learn any role where nothing is
 // tried.
-TEST(PrimaryDiscovery, WhereMembersCheckNothingTheFirstSearchProbesAllMembers) {
+TEST(PrimaryDiscovery, WhereMembersDoNotCheckLagTheFirstSearchProbesAllMembers) {
   for (auto lag_check : {LagCheck::kOff, LagCheck::kReject}) {
     Settings settings = default_settings(lag_check);
     settings.list_role = ListRole::kOff;
@@ -81,7 +81,7 @@
 
 // Where members check nothing, a replica answers a fresh read from what it has. While no primary was known,
 // such a read was tried at members of any role, as a write is, which replicas turn away.
-TEST(PrimaryDiscovery, AFreshReadIsTriedAtMembersOfUnknownRoleOnlyWhereTheyCheckReads) {
+TEST(PrimaryDiscovery, AFreshReadIsTriedAtMembersOfUnknownRoleOnlyWhereTheyCheckLag) {
   for (auto lag_check : {LagCheck::kOff, LagCheck::kReject, LagCheck::kHold}) {
     Settings settings = default_settings(lag_check);
     settings.list_role = ListRole::kOff;
--- a/tests/request_router/random_events_test.cpp
+++ b/tests/request_router/random_events_test.cpp
@@ -12,7 +12,7 @@
 
 constexpr MemberId kMembers = 4;
 constexpr Micros kStep = 5ms;          // between two batches
-constexpr Micros kEnd = 24s;           // no new requests or changes from here on
+constexpr Micros kQuietFrom = 24s;     // no new requests or changes from here on
 constexpr Micros kClientTimeout = 2s;  // of every request
 
 struct SentAttempt {
@@ -94,7 +94,7 @@
   }
 
   void check_drain(const MemberRecord& member) {
-    if (binds(member.condition)) {
+    if (excludes_member(member.condition)) {
       ASSERT_LE(now_ - member.drain_notified_at, settings_.drain_grace) << "a drain broken";
     }
   }
@@ -145,7 +145,7 @@
   void check(const Subscribe&) {}
   void check(const Log&) {}
 
-  bool binds(Condition condition) const {
+  bool excludes_member(Condition condition) const {
     return condition == Condition::kDraining ||
            (condition == Condition::kGone && !settings_.removal_not_binding);
   }
@@ -165,10 +165,10 @@
     auto condition = static_cast<Condition>(pick(3));
     auto& member = members_[id];
     bool stays_draining = condition == Condition::kGone && member.condition == Condition::kDraining;
-    bool was_bound = binds(member.condition);
-    bool is_bound = binds(condition) || stays_draining;
+    bool was_excluded = excludes_member(member.condition);
+    bool is_excluded = excludes_member(condition) || stays_draining;
     if (stays_draining) condition = Condition::kDraining;
-    if (is_bound && !was_bound) member.drain_notified_at = now_;
+    if (is_excluded && !was_excluded) member.drain_notified_at = now_;
     member.condition = condition;
     Micros started_at = pick(2) ? now_ - 100ms : 0ms;
     events_.emplace_back(make_list(ListKind::kDelta, {make_entry(id, false, condition, started_at)}));
@@ -211,7 +211,7 @@
       if (!record.in_flight.empty()) {
         end_attempt(record);
       } else if (!record.is_final()) {
-        ASSERT_LE(now_, std::max(record.request.expires, stood_until_) + settings_.answer_slack)
+        ASSERT_LE(now_, std::max(record.request.expires, paused_until_) + settings_.answer_slack)
             << "a request was lost";
       }
     }
@@ -249,9 +249,10 @@
   }
 
   void step() {
-    if (now_ < kEnd && pick(500) == 0) stood_until_ = now_ += 100ms * (1 + pick(20));  // it stands still
-    if (now_ < kEnd && pick(3) == 0) add_request();
-    if (now_ < kEnd && pick(100) == 0) change_condition();
+    if (now_ < kQuietFrom && pick(500) == 0)
+      paused_until_ = now_ += 100ms * (1 + pick(20));  // it stands still
+    if (now_ < kQuietFrom && pick(3) == 0) add_request();
+    if (now_ < kQuietFrom && pick(100) == 0) change_condition();
     answer_probes();
     fire_timers();
     end_attempts();
@@ -267,7 +268,7 @@
   Settings settings_;
   Router router_;
   Micros now_ = 10s;
-  Micros stood_until_ = now_;
+  Micros paused_until_ = now_;
   std::map<RequestId, RequestRecord> requests_;
   std::map<MemberId, MemberRecord> members_;
   std::vector<MemberId> probes_;
@@ -278,8 +279,8 @@
   std::size_t final_answers_ = 0;
 };
 
-TEST_P(RandomEvents, LawfulEventSequencesKeepAllRules) {
-  for (; now_ < kEnd + 3s; now_ += kStep) {
+TEST_P(RandomEvents, ValidEventSequencesKeepAllRules) {
+  for (; now_ < kQuietFrom + 3s; now_ += kStep) {
     step();
     if (HasFatalFailure()) return;
   }
--- a/tests/request_router/replica_selection_test.cpp
+++ b/tests/request_router/replica_selection_test.cpp
@@ -12,7 +12,7 @@
   EXPECT_NE(sends[0].member, 1U);
 }
 
-TEST_F(GroupOfThree, BoundedReadIsPostponedWhileReplicasLagAndWakesOnANewPosition) {
+TEST_F(GroupOfThree, BoundedReadIsPostponedWhileReplicasLagAndSentOnANewPosition) {
   auto actions =
       router.handle(11s, {make_request(1, kBounded, 13s)});  // positions are 1 s old, the bound 300 ms
   EXPECT_TRUE(actions_of<Send>(actions).empty());
@@ -54,7 +54,7 @@
 }
 
 // Positions of sessions grew without end; once they are dropped, every session needs the newest of them.
-TEST(SessionReads, SessionsThatWereDroppedNeedTheNewestDroppedPosition) {
+TEST(SessionReads, SessionsWithDroppedPositionsNeedTheNewestDroppedPosition) {
   Settings settings = default_settings();
   settings.client_carries_write_age = false;
   Router router(settings, 1);
@@ -73,13 +73,13 @@
             1U);
 }
 
-TEST_F(GroupOfThreeThatChecksReads, AReplicaSlightlyBehindIsTriedWhereMembersCheckReads) {
+TEST_F(GroupOfThreeWithLagCheck, AReplicaSlightlyBehindIsTriedWhereMembersCheckReads) {
   auto sends = actions_of<Send>(router.handle(10s + 50ms, {make_request(1, kSession, 12s, 20ms)}));
   ASSERT_EQ(sends.size(), 1U);
   EXPECT_NE(sends[0].member, 1U);
 }
 
-TEST_F(GroupOfThreeThatChecksReads, ADeclinedReadIsTriedElsewhere) {
+TEST_F(GroupOfThreeWithLagCheck, ADeclinedReadIsRetriedAtAnotherMember) {
   auto sends = actions_of<Send>(router.handle(10s + 50ms, {make_request(1, kSession, 12s, 20ms)}));
   ASSERT_EQ(sends.size(), 1U);
   auto next = actions_of<Send>(
--- a/tests/request_router/retry_policy_test.cpp
+++ b/tests/request_router/retry_policy_test.cpp
@@ -4,7 +4,7 @@
 namespace request_router::test {
 namespace {
 
-TEST(RetryPolicy, AnUnsafeWriteThatMayHaveRunIsFailedNeitherRejectedNorResent) {
+TEST(RetryPolicy, AnUnsafeWriteThatMayHaveRunIsFailedNeitherRejectedNorRetried) {
   for (auto status : {Status::kFailure, Status::kBroken, Status::kTimedOut, Status::kCancelled}) {
     auto router = router_of_three();
     auto sends = actions_of<Send>(router.handle(10s + 50ms, {make_request(1, kWrite, 12s)}));
@@ -16,7 +16,7 @@
   }
 }
 
-TEST(RetryPolicy, AnUnsafeWriteThatSurelyNeverRanIsSentAgain) {
+TEST(RetryPolicy, AnUnsafeWriteThatCannotHaveRunIsRetried) {
   auto router = router_of_three();
   auto sends = actions_of<Send>(router.handle(10s + 50ms, {make_request(1, kWrite, 12s)}));
   ASSERT_EQ(sends.size(), 1U);
@@ -26,7 +26,7 @@
             1U);
 }
 
-TEST(RetryPolicy, AKeyedWriteIsResentOnlyWithinItsWindow) {
+TEST(RetryPolicy, AKeyedWriteIsRetriedOnlyWithinItsKeyWindow) {
   for (bool late : {false, true}) {
     auto router = router_of_three();
     auto sends = actions_of<Send>(router.handle(10s + 50ms, {make_request(1, kKeyedWrite, 13s)}));
@@ -67,7 +67,7 @@
   EXPECT_LE(attempts, 8);
 }
 
-TEST_F(GroupOfThree, AReadThatFailedIsSentAgainElsewhere) {
+TEST_F(GroupOfThree, AFailedReadIsRetried) {
   auto sends = actions_of<Send>(router.handle(10s + 50ms, {make_request(1, kAny, 12s)}));
   ASSERT_EQ(sends.size(), 1U);
   auto again = actions_of<Send>(
@@ -83,7 +83,7 @@
   EXPECT_EQ(actions_of<Reject>(actions).size() + actions_of<Fail>(actions).size(), 1U);
 }
 
-TEST(RetryPolicy, NothingNewGoesToADrainingOrGoneMemberAfterTheGrace) {
+TEST(RetryPolicy, NothingNewGoesToADrainingOrRemovedMemberAfterTheGracePeriod) {
   for (auto condition : {Condition::kDraining, Condition::kGone}) {
     auto router = router_of_three();
     router.handle(
@@ -96,7 +96,7 @@
   }
 }
 
-TEST(RetryPolicy, AGoneMemberMayStillServeWhereRemovalDoesNotBind) {
+TEST(RetryPolicy, ARemovedMemberMayStillServeWhereRemovalIsNotBinding) {
   Settings settings = default_settings();
   settings.removal_not_binding = true;
   auto router = router_of_three(settings);
--- a/tests/request_router/slow_start_test.cpp
+++ b/tests/request_router/slow_start_test.cpp
@@ -103,13 +103,13 @@
   }
   // The guarantee is 3 times a capacity of at least a quarter, rising to 40% by the end of the window; a warm
   // member's part is 200 of 600 reads, and is taken for what it can do.
-  static constexpr int kMost = 150;
+  static constexpr int kMaxRequests = 150;
 };
 
 TEST_P(ManyRouters, TogetherDoNotOverloadAReplicaThatIsWarmingUp) {
   auto count = run(kAny, {2});
   EXPECT_GT(count[2], 10);
-  EXPECT_LT(count[2], kMost);
+  EXPECT_LT(count[2], kMaxRequests);
   EXPECT_GT(count[3], 150);
 }
 
@@ -117,7 +117,7 @@
   auto count = run(kAny, {1, 2, 3, 4});
   for (MemberId member = 2; member <= 4; ++member) {
     EXPECT_GT(count[member], 20);
-    EXPECT_LT(count[member], kMost);
+    EXPECT_LT(count[member], kMaxRequests);
   }
   EXPECT_LT(run(kWrite, {1, 2, 3, 4})[1], 600 * 3 / 4);
 }
@@ -244,7 +244,7 @@
   }
 
   // The most calls that the platform allows in an overload window that begins then.
-  double most_calls(Micros from) const {
+  double max_calls(Micros from) const {
     double age =
         static_cast<double>((from - kStart).count()) / static_cast<double>(settings_.warm_up.count());
     double initial = settings_.initial_capacity_share;
@@ -259,7 +259,7 @@
     for (std::size_t first = 0, last = 0; first < calls.size(); ++first) {
       if (calls[first] + window > kStart + settings_.warm_up) break;  // it is warm before this window ends
       while (last < calls.size() && calls[last] - calls[first] < window) ++last;
-      ASSERT_LE(static_cast<double>(last - first), most_calls(calls[first]))
+      ASSERT_LE(static_cast<double>(last - first), max_calls(calls[first]))
           << "seed " << seed << ", at " << calls[first].count();
     }
   }
--- a/tests/request_router/support.h
+++ b/tests/request_router/support.h
@@ -20,17 +20,17 @@
 
 // A class with a latency objective of 400 ms and a deadline of 2 s.
 inline RequestClass make_class(const char* name, ReadLevel level, Effect effect) {
-  RequestClass made;
-  made.name = name;
-  made.level = level;
-  made.effect = effect;
-  made.scope = KeyScope::kGroup;
-  made.latency_objective = 400ms;
-  made.deadline = 2s;
-  made.bound = level == ReadLevel::kBounded ? 300ms : 0ms;
-  made.key_window = 1s;
-  made.late_weight_share = level == ReadLevel::kWrite ? 0.5 : 0;
-  return made;
+  RequestClass result;
+  result.name = name;
+  result.level = level;
+  result.effect = effect;
+  result.scope = KeyScope::kGroup;
+  result.latency_objective = 400ms;
+  result.deadline = 2s;
+  result.bound = level == ReadLevel::kBounded ? 300ms : 0ms;
+  result.key_window = 1s;
+  result.late_weight_share = level == ReadLevel::kWrite ? 0.5 : 0;
+  return result;
 }
 
 // One router with probes, cancellation and positions; each class of `Class`.
@@ -64,13 +64,13 @@
 // A member of group 1.
 inline MemberEntry make_entry(MemberId member, bool primary = false, Condition condition = Condition::kReady,
                               Micros started_at = 0ms) {
-  MemberEntry made;
-  made.member = member;
-  made.group = 1;
-  made.primary = primary;
-  made.condition = condition;
-  made.started_at = started_at;
-  return made;
+  MemberEntry result;
+  result.member = member;
+  result.group = 1;
+  result.primary = primary;
+  result.condition = condition;
+  result.started_at = started_at;
+  return result;
 }
 
 inline MemberList make_list(ListKind kind, std::vector<MemberEntry> entries) {
@@ -80,39 +80,39 @@
 // A request of session 9 to group 1.
 inline Request make_request(RequestId id, Class request_class, Micros expires,
                             std::optional<Micros> write_age = std::nullopt) {
-  Request made;
-  made.id = id;
-  made.request_class = request_class;
-  made.group = 1;
-  made.expires = expires;
-  made.write_age = write_age;
-  made.key = 9;
-  return made;
+  Request result;
+  result.id = id;
+  result.request_class = request_class;
+  result.group = 1;
+  result.expires = expires;
+  result.write_age = write_age;
+  result.key = 9;
+  return result;
 }
 
 // How an attempt ended; a success ends its request.
 inline Outcome make_outcome(const Send& sent, int attempt, Status status, Role role = Role::kUnknown,
                             std::optional<Micros> position = std::nullopt) {
-  Outcome made;
-  made.id = sent.id;
-  made.attempt = attempt;
-  made.member = sent.member;
-  made.status = status;
-  made.closed = status == Status::kSuccess;
-  made.role = role;
-  made.position = position;
-  return made;
+  Outcome result;
+  result.id = sent.id;
+  result.attempt = attempt;
+  result.member = sent.member;
+  result.status = status;
+  result.closed = status == Status::kSuccess;
+  result.role = role;
+  result.position = position;
+  return result;
 }
 
 // A probe that was answered within 1 ms, with a report.
 inline ProbeResult make_probe_result(MemberId member, Micros position, bool primary) {
-  ProbeResult made;
-  made.member = member;
-  made.ok = true;
-  made.taken = 1ms;
-  made.report.position = position;
-  made.report.primary = primary;
-  return made;
+  ProbeResult result;
+  result.member = member;
+  result.ok = true;
+  result.taken = 1ms;
+  result.report.position = position;
+  result.report.primary = primary;
+  return result;
 }
 
 // The actions of one kind, in their order.
@@ -146,8 +146,8 @@
 };
 
 // The same where members turn a read away that they are too far behind for.
-struct GroupOfThreeThatChecksReads : GroupOfThree {
-  GroupOfThreeThatChecksReads() : GroupOfThree(default_settings(LagCheck::kReject)) {}
+struct GroupOfThreeWithLagCheck : GroupOfThree {
+  GroupOfThreeWithLagCheck() : GroupOfThree(default_settings(LagCheck::kReject)) {}
 };
 
 }  // namespace request_router::test
--- a/tests/request_router/zone_routing_test.cpp
+++ b/tests/request_router/zone_routing_test.cpp
@@ -27,53 +27,54 @@
     return settings;
   }
   static std::string zone_of(MemberId member) { return member <= 3 ? "a" : member <= 5 ? "b" : "c"; }
-  void plan(std::vector<ZoneShare> shares) { router.handle(now, {Plan{{{1, std::move(shares)}}}}); }
+  void apply_plan(std::vector<ZoneShare> shares) { router.handle(now, {Plan{{{1, std::move(shares)}}}}); }
   void answer_probes(Micros at) {
     for (MemberId member = 1; member <= 7; ++member)
       router.handle(at, {make_probe_result(member, at - 5ms, member == 1)});
   }
   // So many reads, each answered at once; the sends by zone, and under "" the rejections.
-  std::map<std::string, int> reads(int count, Class request_class, const std::set<std::string>& silent = {}) {
-    std::map<std::string, int> went;
+  std::map<std::string, int> send_reads(int count, Class request_class,
+                                        const std::set<std::string>& unreachable_zones = {}) {
+    std::map<std::string, int> sent_by_zone;
     for (int i = 0; i < count; ++i) {
       now += 5ms;
       if (i % 20 == 0) answer_probes(now);
-      auto actions = router.handle(now, {make_request(next++, request_class, now + 2s)});
-      went[""] += static_cast<int>(actions_of<Reject>(actions).size());
+      auto actions = router.handle(now, {make_request(next_id++, request_class, now + 2s)});
+      sent_by_zone[""] += static_cast<int>(actions_of<Reject>(actions).size());
       for (auto& send : actions_of<Send>(actions)) {
-        ++went[zone_of(send.member)];
-        auto status = silent.count(zone_of(send.member)) ? Status::kUnreachable : Status::kSuccess;
+        ++sent_by_zone[zone_of(send.member)];
+        auto status = unreachable_zones.count(zone_of(send.member)) ? Status::kUnreachable : Status::kSuccess;
         for (auto& again : actions_of<Send>(router.handle(now + 1ms, {make_outcome(send, 0, status)}))) {
-          ++went[zone_of(again.member)];
+          ++sent_by_zone[zone_of(again.member)];
           router.handle(now + 2ms, {make_outcome(again, 1, Status::kSuccess)});
         }
       }
     }
-    return went;
+    return sent_by_zone;
   }
   Router router;
   Micros now = 10s + 5ms;
-  RequestId next = 1;
+  RequestId next_id = 1;
 };
 
 TEST_F(ThreeZones, ReadsGoToTheZonesOfThePlanInTheirShares) {
-  plan({{"a", 0.25, 0}, {"b", 0.75, 0}});
-  auto went = reads(800, kBounded);
-  EXPECT_NEAR(went["a"], 200, 60);
-  EXPECT_NEAR(went["b"], 600, 60);
-  EXPECT_EQ(went["c"], 0);  // closed
-  EXPECT_EQ(went[""], 0);
-  plan({{"c", 1, 0}});  // the next one replaces it whole
-  went = reads(100, kBounded);
-  EXPECT_EQ(went["c"], 100);
+  apply_plan({{"a", 0.25, 0}, {"b", 0.75, 0}});
+  auto sent_by_zone = send_reads(800, kBounded);
+  EXPECT_NEAR(sent_by_zone["a"], 200, 60);
+  EXPECT_NEAR(sent_by_zone["b"], 600, 60);
+  EXPECT_EQ(sent_by_zone["c"], 0);  // closed
+  EXPECT_EQ(sent_by_zone[""], 0);
+  apply_plan({{"c", 1, 0}});  // the next one replaces it whole
+  sent_by_zone = send_reads(100, kBounded);
+  EXPECT_EQ(sent_by_zone["c"], 100);
   router.handle(now, {Plan{}});  // on its own again: by its own rule, the near ones first
-  went = reads(100, kBounded);
-  EXPECT_GT(went["a"], 50);
-  EXPECT_EQ(went[""], 0);
+  sent_by_zone = send_reads(100, kBounded);
+  EXPECT_GT(sent_by_zone["a"], 50);
+  EXPECT_EQ(sent_by_zone[""], 0);
 }
 
-TEST_F(ThreeZones, APlanConcernsReadsOnlyAndNeverLeadsToStaleData) {
-  plan({{"c", 1, 0}});
+TEST_F(ThreeZones, APlanAppliesToReadsOnlyAndNeverCausesStaleReads) {
+  apply_plan({{"c", 1, 0}});
   answer_probes(now);
   auto sends = actions_of<Send>(
       router.handle(now + 5ms, {make_request(9001, kWrite, 12s), make_request(9002, kFresh, 12s)}));
@@ -90,30 +91,30 @@
   EXPECT_EQ(late[0].member, 7U);
 }
 
-TEST_F(ThreeZones, ReadsBeyondAllSharesAreRejectedTheLeastValuableFirst) {
-  plan({{"a", 0.4, 0}, {"b", 0.2, 0}});
-  int cheap = 0, dear = 0;
+TEST_F(ThreeZones, ReadsBeyondAllSharesAreRejectedLowestPriorityFirst) {
+  apply_plan({{"a", 0.4, 0}, {"b", 0.2, 0}});
+  int rejected_low_priority = 0, rejected_high_priority = 0;
   for (int i = 0; i < 600; ++i) {
-    (i % 2 ? dear : cheap) += reads(1, i % 2 ? kBounded : kAny)[""];
-    if (i == 199) cheap = dear = 0;  // by then it knows what comes
+    (i % 2 ? rejected_high_priority : rejected_low_priority) += send_reads(1, i % 2 ? kBounded : kAny)[""];
+    if (i == 199) rejected_low_priority = rejected_high_priority = 0;  // by then it knows what comes
   }
-  EXPECT_NEAR(cheap, 160, 30);  // four in ten of all, which is eight in ten of these
-  EXPECT_EQ(dear, 0);
+  EXPECT_NEAR(rejected_low_priority, 160, 30);  // four in ten of all, which is eight in ten of these
+  EXPECT_EQ(rejected_high_priority, 0);
 }
 
-TEST_F(ThreeZones, WhereItsZoneFailsAReadGoesToSurplusCapacityOfAnother) {
-  plan({{"a", 1, 0}, {"b", 0, 0.3}});
-  auto went = reads(600, kBounded, {"a"});
-  EXPECT_NEAR(went["b"], 180, 50);
-  EXPECT_EQ(went["c"], 0);
+TEST_F(ThreeZones, WhenTheirZoneFailsReadsUseSurplusCapacityOfAnotherZone) {
+  apply_plan({{"a", 1, 0}, {"b", 0, 0.3}});
+  auto sent_by_zone = send_reads(600, kBounded, {"a"});
+  EXPECT_NEAR(sent_by_zone["b"], 180, 50);
+  EXPECT_EQ(sent_by_zone["c"], 0);
 }
 
 TEST_F(ThreeZones, SurplusCapacityIsWhatTheLimitLeaves) {
   answer_probes(now);
   auto before = router.surplus_capacity(4);
   EXPECT_GT(before, 0);
-  plan({{"b", 1, 0}});
-  for (int i = 0; i < 4; ++i) router.handle(now, {make_request(next++, kBounded, now + 2s)});
+  apply_plan({{"b", 1, 0}});
+  for (int i = 0; i < 4; ++i) router.handle(now, {make_request(next_id++, kBounded, now + 2s)});
   EXPECT_LT(router.surplus_capacity(4) + router.surplus_capacity(5), 2 * before);
   EXPECT_EQ(router.surplus_capacity(99), 0);
 }
