--- a/tests/request_router/decision_deployment.cpp
+++ b/tests/request_router/decision_deployment.cpp
@@ -17,7 +17,7 @@
       add_member(group, index == 0).permanent = index == 0;
   mean_request_interval_ = random_.pick({Micros(700), Micros(2ms), Micros(5ms), Micros(12ms), Micros(40ms)});
   if (long_run_) mean_request_interval_ = settings_.classes[0].latency_objective;
-  // A calm deployment shows the rules of long quiet times, a stormy one those that answer troubles.
+  // Rare changes exercise the rules for long stable periods, frequent changes the rules that handle failures.
   mean_change_interval_ = random_.pick({Micros(40ms), Micros(150ms), Micros(400ms), Micros(1500ms)});
   if (long_run_) mean_change_interval_ = 1s;
 }
@@ -136,7 +136,7 @@
     member.entry.condition = Condition::kDraining;
   schedule_list_update(member);
   if (member.entry.condition != Condition::kReady && random_.permille(700))
-    for (auto& [id, other] : members_)  // the rest of the group is made whole first
+    for (auto& [id, other] : members_)  // makes all other members of the group healthy and ready
       if (other.entry.group == member.entry.group && id != member.entry.member) restore(other);
 }
 
--- a/tests/request_router/decision_equality_test.cpp
+++ b/tests/request_router/decision_equality_test.cpp
@@ -1,7 +1,8 @@
-// Compares the decisions of this build with the committed fingerprints (tests/data/decision_fingerprints.txt:
-// seed, events, actions, hash in hexadecimal). Besides the options of GoogleTest:
-//   --write-fingerprints   writes the file anew; only for a change that is meant to change decisions
-//   --print-actions SEED   prints the hashed text of one seed, to compare two builds by diff
+// Guards against unintended changes of decisions: compares the decisions of this build with the committed
+// fingerprints (tests/data/decision_fingerprints.txt: seed, events, actions, hash in hexadecimal).
+// Options in addition to those of GoogleTest:
+//   --write-fingerprints   rewrites the file; only for a change that is intended to change decisions
+//   --print-actions SEED   prints the hashed text of one seed, to compare two builds with diff
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -34,7 +35,7 @@
   std::cout << '\n';
 }
 
-// Seeds 0 to `seeds` - 1, each against its line of the file; adds up what came up on the way.
+// Compares seeds 0 to `seeds` - 1, each with its line of the file. Returns the total counts over all seeds.
 DecisionCounts compare(std::uint64_t seeds) {
   DecisionCounts total;
   std::ifstream file(kFingerprintFile);
@@ -55,9 +56,11 @@
   std::cout << "events " << total.all_events() << ", actions " << total.all_actions() << '\n';
   print("events (list, request, outcome, probe result, stream, timer, peer, client gone, plan):",
         total.events);
-  print("actions (send, cancel, refuse, fail, probe, timer, subscribe, log):", total.actions);
-  print("statuses (success, failure, overloaded, timed out, unreachable, broken, withdrawn, void, absent):",
-        total.statuses);
+  print("actions (send, cancel, reject, fail, probe, timer, subscribe, log):", total.actions);
+  print(
+      "statuses (success, failure, overloaded, timed out, unreachable, broken, cancelled, not started, "
+      "declined):",
+      total.statuses);
   print("levels (write, fresh, session, bounded, any):", total.levels);
   print("lists (delta, full, cached, failed):", total.lists);
   EXPECT_GE(total.all_events(), 1'000'000u);
@@ -70,7 +73,7 @@
   EXPECT_TRUE(all_occurred(total.lists));
   for (std::size_t kind = 0; kind < total.actions.size(); ++kind) {
     if (kind == Action(Log{}).index())
-      EXPECT_EQ(total.actions[kind], 0u) << "the router logs nothing";
+      EXPECT_EQ(total.actions[kind], 0u) << "the router returned a Log action";
     else
       EXPECT_GT(total.actions[kind], 0u) << "action kind " << kind;
   }
--- a/tests/request_router/decision_fingerprint.cpp
+++ b/tests/request_router/decision_fingerprint.cpp
@@ -16,8 +16,8 @@
 
 using namespace std::chrono_literals;
 
-constexpr std::uint64_t kLongSeedInterval = 100;   // one seed of so many runs long enough to fill every table
-constexpr std::uint64_t kLongSeedEvents = 140000;  // of such a seed: over 20,000 writes of different sessions
+constexpr std::uint64_t kLongSeedInterval = 100;   // one seed in this many runs until every table is full
+constexpr std::uint64_t kLongSeedEvents = 140000;  // of a long run: over 20,000 writes of different sessions
 constexpr std::uint64_t kSampleEvery = 64;         // batches between two samples of the public queries
 
 class Fnv1a {
@@ -86,7 +86,8 @@
   }
 
  private:
-  // Writes of sessions that each come once, until the router has dropped what it remembers of sessions.
+  // Configures a long run: nearly every request is of a new session, most of them writes, until the router
+  // has dropped its session positions.
   void configure_long_run() {
     settings_.client_carries_write_age = false;
     settings_.classes.resize(2);
@@ -100,10 +101,11 @@
     settings_.list_role = ListRole::kInitial;
   }
 
-  // ---- the clock ---------------------------------------------------------------------------------------
+  // ---- simulated time
+  // ---------------------------------------------------------------------------------------
 
-  // All that is due comes in batches of any size, several of them at one moment. A router that stood still
-  // gets what piled up at once, its timers late.
+  // Delivers all due events in batches of random size, possibly several at the same time. After a simulated
+  // pause of the router, the accumulated events are delivered at once and timers fire late.
   void step() {
     now_ = std::max(now_, scheduled_.top().at);
     if (random_.permille(2)) now_ += random_.between(20ms, 2500ms);
@@ -202,7 +204,7 @@
     attempts_in_flight_[{outcome.id, outcome.attempt}] = {action.member, now_};
     auto [status, after] = answer(member, request, action);
     outcome.status = status;
-    // What lasts too long for its client ends at the time-out that the router gave.
+    // An attempt that exceeds the timeout set by the router ends when that timeout expires.
     if (after >= action.timeout) {
       outcome.status = status == Status::kNotStarted ? status : Status::kTimedOut;
       after = action.timeout;
@@ -246,7 +248,7 @@
   void execute(const Cancel& action) {
     auto found = attempts_in_flight_.find({action.id, action.attempt});
     if (found == attempts_in_flight_.end() || random_.permille(200))
-      return;  // too late: it ends as it would have
+      return;  // too late: the attempt ends as it would have without the cancellation
     Outcome outcome;
     outcome.id = action.id;
     outcome.attempt = action.attempt;
@@ -278,10 +280,10 @@
   }
   void execute(const Log&) {}
 
-  // ---- what the router is notified of
-  // -------------------------------------------------------------------------
+  // ---- delivery of events ------------------------------------------------------------------------------
 
-  // Completes an event by how things are when it is delivered. False: it does not occur any more.
+  // Fills in the event from the state at the time of delivery. Returns false if it must no longer be
+  // delivered.
   bool prepare_for_delivery(Event& event) {
     if (auto* outcome = std::get_if<Outcome>(&event)) return complete(*outcome);
     if (auto* result = std::get_if<ProbeResult>(&event)) {
@@ -297,7 +299,7 @@
 
   bool complete(Outcome& outcome) {
     auto found = attempts_in_flight_.find({outcome.id, outcome.attempt});
-    if (found == attempts_in_flight_.end()) return false;  // it was cancelled and has ended already
+    if (found == attempts_in_flight_.end()) return false;  // the attempt was cancelled and has already ended
     auto& member = members_[outcome.member];
     --member.in_flight;
     if (random_.permille(850)) outcome.taken = now_ - found->second.sent_at;
@@ -322,7 +324,7 @@
   Router* router_ = nullptr;
   std::uint64_t batches_ = 0;
   std::map<RequestId, SimulatedRequest> requests_;
-  std::map<std::pair<RequestId, int>, SimulatedAttempt> attempts_in_flight_;  // attempts in flight
+  std::map<std::pair<RequestId, int>, SimulatedAttempt> attempts_in_flight_;
 };
 
 }  // namespace
--- a/tests/request_router/decision_fingerprint.h
+++ b/tests/request_router/decision_fingerprint.h
@@ -1,10 +1,11 @@
-// Fingerprints of the decision module: a closed-loop simulation drives one router from one seed and folds
-// every action that it returns into a hash. Two builds that decide alike give the same fingerprints, so a
-// refactoring which is meant to change no behaviour can be checked against fingerprints taken before it.
+// Fingerprints of the decision module. A closed-loop simulation drives one router from one seed and hashes
+// every action that the router returns. Two builds that make the same decisions have the same fingerprints,
+// so a refactoring that must not change behaviour can be checked against fingerprints taken before it.
 //
-// All randomness comes from integers of one generator, never from the distributions of the standard library,
-// whose sequences differ between its implementations. The router itself computes in doubles: fingerprints
-// hold for one platform (x86-64, IEEE doubles without contraction, the same std::exp2).
+// All randomness comes from integers of one generator. The distributions of the standard library are not
+// used, because their sequences differ between its implementations. The router itself computes in doubles, so
+// the fingerprints are valid for one platform only (x86-64, IEEE doubles without contraction, the same
+// std::exp2).
 #pragma once
 
 #include <array>
@@ -16,7 +17,7 @@
 
 namespace request_router::test {
 
-// How often each kind came up. A fingerprint says nothing of a kind that never did.
+// Number of occurrences of each kind. A fingerprint does not cover a kind that never occurred.
 struct DecisionCounts {
   std::array<std::uint64_t, std::variant_size_v<Event>> events{};
   std::array<std::uint64_t, std::variant_size_v<Action>> actions{};
@@ -28,7 +29,7 @@
   void add(const DecisionCounts& other);
 };
 
-// What one seed came to.
+// The result of one seed.
 struct DecisionFingerprint {
   std::uint64_t seed = 0;
   std::uint64_t events = 0;
@@ -37,13 +38,13 @@
   DecisionCounts counts;
 };
 
-// Each seed feeds its router at least this many events.
+// The minimum number of events that each seed delivers to its router.
 inline constexpr std::uint64_t kMinEvents = 6000;
 
-// Runs the simulation of `seed`. Where `text` is given, it gets what is hashed, one line an item: for a batch
-// `@ time events`, and for an action the index of its kind followed by its fields as integers: 0 send,
-// 1 cancel, 2 refuse, 3 fail, 4 probe, 5 set timer, 6 subscribe, 7 log. A line `# member_count
-// surplus_capacity...` follows each sample of the public queries.
+// Runs the simulation of `seed`. The hashed text is also written to `text`, if given, one item per line: for
+// a batch `@ time events`; for an action the index of its kind followed by its fields as integers: 0 send, 1
+// cancel, 2 reject, 3 fail, 4 probe, 5 set timer, 6 subscribe, 7 log; for a sample of the public queries
+// `# member_count surplus_capacity...`.
 DecisionFingerprint decision_fingerprint(std::uint64_t seed, std::ostream* text = nullptr);
 
 }  // namespace request_router::test
--- a/tests/request_router/decision_settings.cpp
+++ b/tests/request_router/decision_settings.cpp
@@ -12,7 +12,7 @@
   drawn.name = "class" + std::to_string(index);
   drawn.level = random.pick({ReadLevel::kWrite, ReadLevel::kFresh, ReadLevel::kSession, ReadLevel::kBounded,
                              ReadLevel::kBounded, ReadLevel::kAny});
-  // Most classes are what operators set up; the rest are any mixture that is possible.
+  // Most classes are typical of an operator's configuration; the rest are any valid combination.
   drawn.effect = drawn.level == ReadLevel::kWrite
                      ? random.pick({Effect::kKeyed, Effect::kKeyed, Effect::kUnsafe})
                  : random.permille(850) ? Effect::kPure
--- a/tests/request_router/decision_settings.h
+++ b/tests/request_router/decision_settings.h
@@ -1,5 +1,5 @@
-// Random settings for the fingerprints of the decision module, and the generator that everything random there
-// is drawn from.
+// Random settings for the fingerprints of the decision module, and the random number generator of the whole
+// simulation.
 #pragma once
 
 #include <cstdint>
@@ -10,7 +10,7 @@
 
 namespace request_router::test {
 
-// SplitMix64: the whole sequence is fixed by the seed on every platform.
+// The SplitMix64 generator. The seed determines the whole sequence, on every platform.
 class Generator {
  public:
   explicit Generator(std::uint64_t seed) : state_(seed) {}
@@ -20,13 +20,17 @@
     mixed = (mixed ^ (mixed >> 27)) * 0x94d049bb133111eb;
     return mixed ^ (mixed >> 31);
   }
+  // Returns a number from 0 to `limit` - 1.
   std::int64_t below(std::int64_t limit) {
     return static_cast<std::int64_t>(next() % static_cast<std::uint64_t>(limit));
   }
+  // Returns a number from `least` to `most`, both included.
   std::int64_t between(std::int64_t least, std::int64_t most) { return least + below(most - least + 1); }
   Micros between(Micros least, Micros most) { return Micros(between(least.count(), most.count())); }
+  // Returns true with a probability of `share` in 1000.
   bool permille(std::int64_t share) { return below(1000) < share; }
   bool half() { return permille(500); }
+  // Returns a number from `least` / 1000 to `most` / 1000.
   double thousandths(std::int64_t least, std::int64_t most) {
     return static_cast<double>(between(least, most)) / 1000;
   }
@@ -39,10 +43,10 @@
   std::uint64_t state_;
 };
 
-// The name of a zone by its number; the router is in zone 0.
+// Returns the name of a zone, given its number. The router is in zone 0.
 std::string zone_name(std::int64_t number);
 
-// Settings of any deployment that is possible.
+// Draws the settings of a random valid deployment.
 Settings draw_settings(Generator& random);
 
 }  // namespace request_router::test
--- a/tests/request_router/many_routers.h
+++ b/tests/request_router/many_routers.h
@@ -1,5 +1,6 @@
-// Many routers side by side in simulated time, before one small model of the members: what they do together
-// is counted. No randomness but from the seed. Shared by the tests of large deployments.
+// A simulation of many routers that share a small model of the members, in simulated time. It counts the
+// combined effect of the routers. All randomness comes from the seed. Shared by the tests of large
+// deployments.
 #pragma once
 
 #include <algorithm>
@@ -12,18 +13,19 @@
 
 namespace request_router::test {
 
-// A member as it is, whatever the routers know of it.
+// The actual state of a member, which may differ from what the routers know.
 struct FleetMember {
   GroupId group = 0;
   bool primary = false, up = true;
-  double error_rate = 0;  // share of requests that fail at once
+  double error_rate = 0;  // fraction of the requests that fail at once
   Micros started_at{0};
   Micros lag = 10ms, service_time = 8ms;
 };
 
-// Routers, members and the requests between them.
+// The routers, the members, and the requests between them.
 class Fleet {
  public:
+  // Attempts and probes at one member, and how the attempts ended.
   struct Counts {
     int sends = 0, probes = 0, served = 0, declined = 0, failed = 0, unreachable = 0;
   };
@@ -43,13 +45,14 @@
     for (int router = 0; router < routers; ++router) start_router(router);
   }
 
-  // Forgets all that router `r` knew; it gets the list as it is.
+  // Starts or restarts a router without state and delivers the current member list to it.
   void start_router(int router) {
     settings_.ordinal = router;
     live_routers_[router] = std::make_unique<Router>(settings_, random_());
     ++incarnations_[router];
     deliver(router, make_list(ListKind::kCached, entries()));
   }
+  // Returns the entries of the current member list.
   std::vector<MemberEntry> entries() const {
     std::vector<MemberEntry> all;
     for (auto& [id, member] : members) {
@@ -59,10 +62,12 @@
     }
     return all;
   }
+  // Delivers the list to every router.
   void notify_all(const MemberList& list) {
     for (int router = 0; router < router_count_; ++router) deliver(router, list);
   }
-  void elect_primary(GroupId group) {  // exactly one member of the group is its primary
+  // Makes exactly one running member of the group its primary: the present one if it is up.
+  void elect_primary(GroupId group) {
     bool has_primary = false;
     for (auto& [id, member] : members)
       if (member.group == group)
@@ -73,8 +78,8 @@
       if (member.group == group && member.up && !has_primary) has_primary = member.primary = true;
   }
 
-  // `requests_per_second` requests over all routers and groups, `writes` of them keyed writes, the rest
-  // bounded reads.
+  // Runs for `span` with random requests at the given rate over all routers and groups. The fraction `writes`
+  // of them are keyed writes, the rest bounded reads.
   void run_load(Micros span, double requests_per_second, double writes) {
     auto until = now + span;
     std::exponential_distribution<double> gap(requests_per_second / 1e6);
@@ -90,6 +95,7 @@
     }
     run(until);
   }
+  // Delivers the scheduled events up to the given time.
   void run(Micros until) {
     while (!scheduled_.empty() && scheduled_.top().at <= until) {
       auto next = scheduled_.top();
@@ -102,9 +108,9 @@
 
   std::map<MemberId, FleetMember> members;
   std::map<MemberId, Counts> counts;
-  std::map<MemberId, std::vector<Micros>> arrivals;  // of sends and probes, at each member
-  int max_arrivals_within(MemberId id,
-                          Micros span) {  // the most that came to it in any window of that length
+  std::map<MemberId, std::vector<Micros>> arrivals;  // times of attempts and probes, by member
+  // Returns the largest number of attempts and probes that the member received in any window of this length.
+  int max_arrivals_within(MemberId id, Micros span) {
     auto& all = arrivals[id];
     std::size_t most = 0;
     for (std::size_t from = 0, to = 0; to < all.size(); ++to) {
@@ -114,7 +120,9 @@
     return static_cast<int>(most);
   }
   int requested = 0, rejected = 0, failed = 0, served = 0;
-  int loaded_third = -1;  // where not below 0: load comes for each third group only, from this one on
+  // Unless negative, requests go only to every third group: those whose id modulo 3 is this number.
+  int loaded_third = -1;
+  // Returns the number of rejections in the groups whose id modulo 3 is `third`.
   int rejected_in_third(int third) const { return rejected_by_third_[third]; }
   Micros now = 10s;
   Counts total() const {
@@ -127,6 +135,7 @@
   }
 
  private:
+  // An event for one start of a router. It is dropped if the router has been restarted since.
   struct ScheduledEvent {
     Micros at;
     std::uint64_t sequence;
--- a/tests/request_router/support.h
+++ b/tests/request_router/support.h
@@ -1,5 +1,5 @@
-// Settings, events and fixtures shared by the tests of the decision module. No servers and no load are
-// modelled.
+// Settings, events and fixtures shared by the tests of the decision module. They model neither servers nor
+// load.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -18,7 +18,7 @@
 // Indices of the request classes in `default_settings`.
 enum Class : std::size_t { kAny, kBounded, kSession, kFresh, kWrite, kKeyedWrite };
 
-// A class with a latency objective of 400 ms and a deadline of 2 s.
+// Returns a class with a latency objective of 400 ms and a deadline of 2 s.
 inline RequestClass make_class(const char* name, ReadLevel level, Effect effect) {
   RequestClass result;
   result.name = name;
@@ -33,7 +33,8 @@
   return result;
 }
 
-// One router with probes, cancellation and positions; each class of `Class`.
+// Returns the settings of a single router with probes, cancellation and positions. They contain every class
+// of `Class`.
 inline Settings default_settings(LagCheck lag_check = LagCheck::kOff) {
   Settings settings;
   settings.classes = {make_class("any", ReadLevel::kAny, Effect::kPure),
@@ -61,7 +62,7 @@
   return settings;
 }
 
-// A member of group 1.
+// Returns the list entry of a member of group 1.
 inline MemberEntry make_entry(MemberId member, bool primary = false, Condition condition = Condition::kReady,
                               Micros started_at = 0ms) {
   MemberEntry result;
@@ -77,7 +78,7 @@
   return {kind, std::move(entries)};
 }
 
-// A request of session 9 to group 1.
+// Returns a request of session 9 to group 1.
 inline Request make_request(RequestId id, Class request_class, Micros expires,
                             std::optional<Micros> write_age = std::nullopt) {
   Request result;
@@ -90,7 +91,7 @@
   return result;
 }
 
-// How an attempt ended; a success ends its request.
+// Returns the outcome of an attempt. A success is the final answer to its request.
 inline Outcome make_outcome(const Send& sent, int attempt, Status status, Role role = Role::kUnknown,
                             std::optional<Micros> position = std::nullopt) {
   Outcome result;
@@ -104,7 +105,7 @@
   return result;
 }
 
-// A probe that was answered within 1 ms, with a report.
+// Returns the result of a probe that was answered within 1 ms, with a load report.
 inline ProbeResult make_probe_result(MemberId member, Micros position, bool primary) {
   ProbeResult result;
   result.member = member;
@@ -115,7 +116,7 @@
   return result;
 }
 
-// The actions of one kind, in their order.
+// Returns the actions of one kind, in their original order.
 template <typename Kind>
 std::vector<Kind> actions_of(const std::vector<Action>& actions) {
   std::vector<Kind> found;
@@ -124,20 +125,22 @@
   return found;
 }
 
-// Has the router know a group of a primary (1) and two replicas (2, 3), whose positions came by probes.
+// Notifies the router of a group with a primary (1) and two replicas (2, 3), and of their positions by
+// probes.
 inline void add_group_of_three(Router& router) {
   router.handle(10s, {make_list(ListKind::kFull, {make_entry(1, true), make_entry(2), make_entry(3)})});
   router.handle(10s + 5ms, {make_probe_result(1, 10s, true), make_probe_result(2, 9990ms, false),
                             make_probe_result(3, 9990ms, false)});
 }
 
+// Returns a router that has been notified of the group of `add_group_of_three`.
 inline Router router_of_three(const Settings& settings = default_settings()) {
   Router router(settings, 3);
   add_group_of_three(router);
   return router;
 }
 
-// A router that knows a group of a primary (1) and two replicas (2, 3).
+// Fixture with a router that knows a group of a primary (1) and two replicas (2, 3).
 struct GroupOfThree : ::testing::Test {
   explicit GroupOfThree(const Settings& settings = default_settings()) : router(settings, 7) {
     add_group_of_three(router);
@@ -145,7 +148,7 @@
   Router router;
 };
 
-// The same where members turn a read away that they are too far behind for.
+// As GroupOfThree, with members that reject a read for which their replication lag is too large.
 struct GroupOfThreeWithLagCheck : GroupOfThree {
   GroupOfThreeWithLagCheck() : GroupOfThree(default_settings(LagCheck::kReject)) {}
 };
