--- a/tests/request_router/admission_test.cpp
+++ b/tests/request_router/admission_test.cpp
@@ -1,4 +1,4 @@
-// Which requests are taken on, in which order, and which are given up.
+// Tests of admission: which requests are accepted, in which order, and which are given up.
 #include <stdexcept>
 #include <string>
 
@@ -17,11 +17,12 @@
   for (auto now = 10s + 40ms; now < 10s + 1200ms; now += 25ms)
     rejected +=
         actions_of<Reject>(router.handle(now, {TimerFired{1}, make_probe_result(1, now, true)})).size();
-  EXPECT_GT(rejected, 50U);         // they would not have their turn
-  EXPECT_LT(rejected, 250 - sent);  // the first of them may
+  EXPECT_GT(rejected, 50U);         // the primary would not reach them in time
+  EXPECT_LT(rejected, 250 - sent);  // the first of those waiting may be served
 }
 
-// In overload the oldest went first, which had waited until it was late as well, and so was the next.
+// Guards against all requests being late in overload: when the oldest request goes first, it has waited until
+// it is late as well, and so has each one after it.
 TEST(Overload, ARequestCertainToMeetItsObjectiveGoesBeforeAnOlderOneThatMayMissIt) {
   Settings settings = default_settings();
   settings.routers = 16;  // one attempt at a time at each member
@@ -33,13 +34,14 @@
   router.handle(10s + 455ms, {make_request(3, kBounded, 12455ms)});
   auto sends = actions_of<Send>(router.handle(10s + 600ms, {make_probe_result(2, 10s + 590ms, false)}));
   ASSERT_EQ(sends.size(), 1U);
-  EXPECT_EQ(sends[0].id, 2U) << "the first has 100 ms left, and a read takes 80; of the others, the older";
+  EXPECT_EQ(sends[0].id, 2U)
+      << "request 1 has 100 ms left and a read takes 80 ms; of the other two, the older one goes first";
 }
 
-// A write that no member could take was postponed until its client had no time left to send it again.
+// Guards against a write that no member can serve being postponed until its client has no time left to retry.
 TEST_F(GroupOfThree, ARequestThatWasNeverSentIsRejectedBeforeHalfItsTimeout) {
   Micros at = 10s + 50ms, rejected{0};
-  router.handle(at, {make_list(ListKind::kFull, {})});  // all are gone
+  router.handle(at, {make_list(ListKind::kFull, {})});  // all members are removed
   router.handle(at, {make_request(1, kWrite, at + 2s)});
   for (Micros time = at + 5ms; time < at + 2s && rejected == 0s; time += 5ms)
     if (!actions_of<Reject>(router.handle(time, {TimerFired{1}})).empty()) rejected = time - at;
@@ -53,8 +55,8 @@
   EXPECT_EQ(actions_of<Reject>(router.handle(10s + 50ms, {request})).size(), 1U);
 }
 
-// After a pause of its own a router sent what clients no longer wanted, and called members slow for its
-// sleep.
+// Guards against two effects of a pause of the router's process: sending requests that have lost their value,
+// and attributing the duration of the pause to the latency of the members.
 TEST_F(GroupOfThree, AfterItsOwnPauseTheRouterRejectsLateRequestsAndSuspectsNoMember) {
   auto sends = actions_of<Send>(router.handle(10s + 50ms, {make_request(1, kAny, 12s + 50ms)}));
   ASSERT_EQ(sends.size(), 1U);
@@ -62,14 +64,15 @@
   late.taken = 20ms;
   auto actions = router.handle(11s + 550ms, {TimerFired{1}, make_request(2, kAny, 12s + 150ms),
                                              make_request(3, kAny, 13s + 450ms), late});
-  EXPECT_EQ(actions_of<Reject>(actions).size(), 1U) << "came 1.4 s ago, wanted within 0.4";
+  EXPECT_EQ(actions_of<Reject>(actions).size(), 1U) << "received 1.4 s ago, latency objective 0.4 s";
   sends = actions_of<Send>(actions);
   ASSERT_EQ(sends.size(), 1U);
   EXPECT_EQ(sends[0].id, 3U);
-  EXPECT_TRUE(actions_of<Probe>(actions).empty()) << "nobody was silent";
+  EXPECT_TRUE(actions_of<Probe>(actions).empty()) << "no member was unresponsive";
 }
 
-// A proxy feeds one event a call: only the first call of a turn knew of the pause, and requests come last.
+// Guards against a pause being noticed only by the first batch after it. The proxy delivers one event per
+// call, requests last, so they arrived in calls that took no account of the pause.
 TEST_F(GroupOfThree, APauseCountsForEveryBatchOfTheSameMoment) {
   auto sends = actions_of<Send>(router.handle(10s + 50ms, {make_request(1, kAny, 12s + 50ms)}));
   ASSERT_EQ(sends.size(), 1U);
@@ -77,7 +80,7 @@
   late.taken = 20ms;
   router.handle(11s + 550ms, {late});
   auto actions = router.handle(11s + 550ms, {make_request(3, kAny, 12s + 150ms)});
-  EXPECT_EQ(actions_of<Reject>(actions).size(), 1U) << "came 1.4 s ago, wanted within 0.4";
+  EXPECT_EQ(actions_of<Reject>(actions).size(), 1U) << "received 1.4 s ago, latency objective 0.4 s";
 }
 
 TEST_F(GroupOfThree, ARequestForAnUnknownGroupOrPastItsDeadlineIsRejected) {
--- a/tests/request_router/concurrency_limit_test.cpp
+++ b/tests/request_router/concurrency_limit_test.cpp
@@ -1,4 +1,4 @@
-// How many attempts a member is given at most.
+// Tests of the limit on the attempts that a router has in flight at a member.
 #include "request_router/support.h"
 
 namespace request_router::test {
@@ -15,11 +15,11 @@
   std::size_t sent = 0;
   for (int n = 0; n < 30; ++n)
     sent += actions_of<Send>(router.handle(21s, {make_request(id++, kAny, 23s)})).size();
-  EXPECT_LT(sent, 20U) << "two replicas began with capacity for twelve each";
+  EXPECT_LT(sent, 20U) << "each of the two replicas started with a limit of 12";
 }
 
-// A primary whose writes waited for a lagging replica was left with one write at a time and a pause after it,
-// long after the replica had caught up.
+// Guards against a primary's limit staying at one write at a time with a pause after it: its writes had
+// waited for a lagging replica, and the limit stayed low long after the replica had caught up.
 TEST(ConcurrencyLimit, ThePrimarysLimitKeepsAFloorThatAllRoutersShare) {
   for (int routers : {1, 4, 100}) {
     Settings settings = default_settings();
@@ -29,13 +29,13 @@
     auto now = 10s + 5ms;
     router.handle(now, {make_probe_result(1, now, true), make_probe_result(2, now, false)});
     RequestId id = 0;
-    for (int i = 0; i < 300; ++i, now += 2s)  // each alone, and each as slow as a request can be
+    for (int i = 0; i < 300; ++i, now += 2s)  // one at a time, each with the maximum latency
       for (auto& send : actions_of<Send>(router.handle(now, {make_request(++id, kWrite, now + 5s)}))) {
         auto ended = make_outcome(send, 0, Status::kSuccess, Role::kPrimary, now + 1s);
         ended.taken = 1s;
         router.handle(now + 1s, {ended});
       }
-    now += 3s;  // where the floor is under one attempt, the next waits four times as long as one takes
+    now += 3s;  // with a floor under one attempt, the pause is four times the duration of an attempt
     std::size_t sent = 0;
     for (int i = 0; i < 20; ++i)
       sent += actions_of<Send>(router.handle(now, {make_request(++id, kWrite, now + 5s)})).size();
@@ -44,8 +44,8 @@
   }
 }
 
-// Replicas that were up to date were probed in every batch while reads waited for capacity, which used up
-// whole probe budgets.
+// Guards against exhausting the probe budget: while reads waited for capacity, replicas that were up to date
+// were probed in every batch.
 TEST(ProbeBudget, ReadsThatWaitForCapacitySendNoProbes) {
   Settings settings = default_settings();
   settings.routers = 16;
@@ -62,8 +62,9 @@
   EXPECT_EQ(probes, 0U);
 }
 
-// Hundreds of routers with one attempt each kept a primary's queue full for good: each met it too seldom to
-// learn of it, and all that it worked on had been given up.
+// Guards against a primary's queue staying full permanently. Hundreds of routers with one attempt each sent
+// to it too rarely to learn that it was overloaded, and every request that it executed had been given up
+// already.
 TEST(Overload, AnOverloadedMemberGetsNothingUntilItReportsFewerRequests) {
   for (bool reports_count : {true, false}) {
     Settings settings = default_settings();
@@ -92,14 +93,15 @@
       EXPECT_TRUE(actions_of<Send>(next).empty());
     }
     EXPECT_GE(probes, 2U);
-    EXPECT_LE(probes, 4U) << "some time lies between them";
+    EXPECT_LE(probes, 4U) << "probes are sent at intervals";
     auto answer = make_probe_result(1, at, true);
     answer.report.in_flight = 9;
     EXPECT_EQ(actions_of<Send>(router.handle(at, {answer})).size(), 1U);
   }
 }
 
-// Requests of clients that wait less than they take were counted as overload, and others shed for it.
+// Guards against rejecting requests without need: time-outs of requests whose clients wait for less time than
+// such a request takes were counted as overload.
 TEST_F(GroupOfThree, TimeoutsOfClientsWithShortDeadlinesDoNotCountAsOverload) {
   Micros now = 11s;
   RequestId id = 0;
--- a/tests/request_router/decision_fingerprint.cpp
+++ b/tests/request_router/decision_fingerprint.cpp
@@ -16,7 +16,8 @@
 
 using namespace std::chrono_literals;
 
-constexpr std::uint64_t kLongSeedInterval = 100;   // one seed in this many runs until every table is full
+constexpr std::uint64_t kLongSeedInterval =
+    100;  // one seed in this many runs long enough to fill every table
 constexpr std::uint64_t kLongSeedEvents = 140000;  // of a long run: over 20,000 writes of different sessions
 constexpr std::uint64_t kSampleEvery = 64;         // batches between two samples of the public queries
 
@@ -86,8 +87,8 @@
   }
 
  private:
-  // Configures a long run: nearly every request is of a new session, most of them writes, until the router
-  // has dropped its session positions.
+  // Configures a long run: each request belongs to a session of its own, and most are writes, until the
+  // router has dropped the positions of sessions.
   void configure_long_run() {
     settings_.client_carries_write_age = false;
     settings_.classes.resize(2);
--- a/tests/request_router/failure_detection_test.cpp
+++ b/tests/request_router/failure_detection_test.cpp
@@ -1,4 +1,5 @@
-// Silent members, lost attempts and members that are ejected or forgotten.
+// Tests of failure detection and outlier ejection: unresponsive members, lost attempts, and members that are
+// ejected or forgotten.
 #include "request_router/support.h"
 
 namespace request_router::test {
@@ -8,20 +9,22 @@
   auto sends = actions_of<Send>(router.handle(10s + 50ms, {make_request(1, kWrite, 15s)}));
   ASSERT_EQ(sends.size(), 1U);
   for (Micros at = 10s + 75ms; at < 11s; at += 25ms)
-    router.handle(at, {TimerFired{1}});  // probes stay unanswered
+    router.handle(at, {TimerFired{1}});  // no probe is answered
   EXPECT_TRUE(actions_of<Send>(router.handle(11s, {make_request(2, kWrite, 15s)})).empty());
   sends = actions_of<Send>(router.handle(11s + 5ms, {make_probe_result(3, 11s, true)}));
   ASSERT_EQ(sends.size(), 1U);
   EXPECT_EQ(sends[0].member, 3U);
 }
 
-// Hundreds of routers that probed and woke on their own cost members more than the requests did.
+// Guards against the load of idle routers: periodic probes and timers of hundreds of routers cost the members
+// more than the requests.
 TEST_F(GroupOfThree, AnIdleRouterSendsNoProbesAndSetsNoTimers) {
   router.handle(10s + 25ms, {TimerFired{1}});
   for (Micros at = 10s + 50ms; at < 20s; at += 25ms) EXPECT_TRUE(router.handle(at, {TimerFired{1}}).empty());
 }
 
-// Over a slow way every probe takes long; that is no silence once it has been seen.
+// Over a slow network path every probe takes long. Once the router has measured that, it must not treat the
+// member as unresponsive.
 TEST_F(GroupOfThree, ASlowNetworkPathIsNotTreatedAsUnresponsiveness) {
   auto slow = [](MemberId member, Micros position) {
     auto result = make_probe_result(member, position, member == 1);
@@ -35,13 +38,14 @@
   Micros at = 10s + 275ms;
   for (; probes == 0 && at < 12s; at += 25ms)
     probes = actions_of<Probe>(router.handle(at, {TimerFired{1}})).size();
-  ASSERT_EQ(probes, 1U) << "its answer is overdue";
+  ASSERT_EQ(probes, 1U) << "the answer to the write is overdue";
   Micros probed_at = at - 25ms;
   router.handle(probed_at + 300ms, {TimerFired{1}});
   EXPECT_EQ(actions_of<Send>(router.handle(probed_at + 300ms, {make_request(2, kWrite, 15s)})).size(), 1U);
 }
 
-// A read that was out when its member fell silent waited there until the client gave up.
+// Guards against a read that is in flight when its member becomes unresponsive waiting there until its client
+// times out.
 TEST_F(GroupOfThree, AReadInFlightAtAnUnresponsiveMemberIsCancelledAndServedElsewhere) {
   auto sends = actions_of<Send>(router.handle(10s + 50ms, {make_request(1, kAny, 12s)}));
   ASSERT_EQ(sends.size(), 1U);
@@ -51,14 +55,14 @@
     cancelled = actions_of<Cancel>(router.handle(at, {TimerFired{1}}));
   ASSERT_EQ(cancelled.size(), 1U);
   EXPECT_EQ(cancelled[0].id, 1U);
-  EXPECT_LT(at, 10s + 400ms) << "while it can still be in time";
+  EXPECT_LT(at, 10s + 400ms) << "while another attempt can still complete in time";
   auto again = actions_of<Send>(router.handle(at, {make_outcome(sends[0], 0, Status::kCancelled)}));
   ASSERT_EQ(again.size(), 1U);
   EXPECT_NE(again[0].member, sends[0].member);
 }
 
-// A read out on a connection that had fallen silent was waited for until its client gave up: its member
-// answers probes all the while.
+// Guards against a read lost on a silent connection staying in flight until its client times out: its member
+// still answers probes, so it is not unresponsive.
 TEST_F(GroupOfThree, WhereAttemptsAreLostLateOnesAreCancelledInTime) {
   auto run = [](bool lose_attempts) {
     Router fresh_router(default_settings(), 7);
@@ -77,7 +81,7 @@
           auto cancel = actions_of<Cancel>(actions);
           if (cancel.empty()) continue;
           ++cancels;
-          EXPECT_LT(at, now + 400ms) << "too late for another";
+          EXPECT_LT(at, now + 400ms) << "too late for another attempt";
           auto again = actions_of<Send>(fresh_router.handle(at, {make_outcome(send, 0, Status::kCancelled)}));
           EXPECT_EQ(again.size(), 1U);
           for (auto& second : again) {
@@ -97,7 +101,8 @@
   EXPECT_GT(run(true), 5);
 }
 
-// Plays reads that fail where `fails` says so; returns how many of the later ones are first sent to member 2.
+// Runs reads that fail where `fails` returns true. Returns how many of the reads after the first 450 ms are
+// sent to member 2 first.
 template <typename Fails>
 int count_first_sends_to_two(Router& router, Fails fails) {
   int to_two = 0;
@@ -119,7 +124,8 @@
   EXPECT_EQ(count_first_sends_to_two(router, [](MemberId member, RequestId) { return member == 2; }), 0);
 }
 
-// Errors that came with the request, alike at every member, once made each router eject members in turn.
+// Guards against ejecting healthy members in turn: a request that fails at every member caused an error at
+// each of them.
 TEST(OutlierEjection, ErrorsThatFollowTheRequestEjectNoMemberAndEndItsRetries) {
   int to_two = 0, attempts = 0;
   for (std::uint64_t seed = 1; seed <= 8; ++seed) {
@@ -131,10 +137,11 @@
         count_first_sends_to_two(router, [&](MemberId, RequestId id) { return id % 2 == 0 && ++attempts; });
   }
   EXPECT_GT(to_two, 100) << "half of the routers prefer member 2";
-  EXPECT_LE(attempts, 2 * 8 * 95) << "two members are probed_at, no more";
+  EXPECT_LE(attempts, 2 * 8 * 95) << "each failing request is tried at no more than two members";
 }
 
-// Members full of connections answered every probe, and were tried again at once by a thousand routers.
+// Guards against immediate retries at a member that accepts no more connections: such members answered every
+// probe, so that a thousand routers tried them again at once.
 TEST_F(GroupOfThree, AnUnreachableReplicaGetsNoRequestsAlthoughItAnswersProbes) {
   auto sends = actions_of<Send>(router.handle(10s + 50ms, {make_request(1, kAny, 12s)}));
   ASSERT_EQ(sends.size(), 1U);
@@ -147,7 +154,7 @@
       EXPECT_NE(send.member, unreachable);
 }
 
-// Every choice looked through all members there ever were.
+// Guards against unbounded growth: each decision iterated over all members that had ever been listed.
 TEST_F(GroupOfThree, MembersRemovedLongAgoAreForgotten) {
   Micros now = 11s;
   for (MemberId member = 10; member < 500; ++member, now += 1s) {
@@ -157,7 +164,7 @@
   }
   router.handle(now, {make_probe_result(2, now, false)});
   EXPECT_EQ(actions_of<Send>(router.handle(now, {make_request(1, kBounded, now + 2s)})).size(), 1U);
-  // One that comes back is new.
+  // A member that is listed again is treated as new.
   router.handle(now, {make_list(ListKind::kDelta, {make_entry(10)})});
   router.handle(now + 1s, {make_list(ListKind::kDelta, {make_entry(10, false, Condition::kGone)})});
   EXPECT_LT(router.member_count(), 30U);
--- a/tests/request_router/many_routers.h
+++ b/tests/request_router/many_routers.h
@@ -66,7 +66,7 @@
   void notify_all(const MemberList& list) {
     for (int router = 0; router < router_count_; ++router) deliver(router, list);
   }
-  // Makes exactly one running member of the group its primary: the present one if it is up.
+  // Makes exactly one running member of the group its primary, a present primary if there is one.
   void elect_primary(GroupId group) {
     bool has_primary = false;
     for (auto& [id, member] : members)
--- a/tests/request_router/many_routers_test.cpp
+++ b/tests/request_router/many_routers_test.cpp
@@ -1,4 +1,5 @@
-// What many routers do together that is harmless in one: 100 of them before 60 members, in simulated time.
+// Tests of effects that are harmless in one router but not in many: 100 routers and 54 members in simulated
+// time.
 #include "request_router/many_routers.h"
 
 #include <set>
@@ -6,10 +7,10 @@
 namespace request_router::test {
 namespace {
 
-constexpr std::uint64_t kSeed = 15;  // of every fleet here
+constexpr std::uint64_t kSeed = 15;  // of every simulation in this file
 constexpr int kRouters = 100, kGroups = 18, kMembersPerGroup = 3;
 constexpr double kRequestsPerSecond =
-    1500;  // 15 a second at each router: it meets a group less than once a second
+    1500;  // 15 per second at each router, less than one per second and group
 
 Settings fleet_settings() {
   Settings settings = default_settings(LagCheck::kReject);
@@ -30,7 +31,8 @@
   Fleet fleet{fleet_settings(), kRouters, kGroups, kMembersPerGroup, kSeed};
 };
 
-// Each router probed every member of a group whose primary it did not know: 3.7 probes a request.
+// Guards against a burst of probes at start: each router probed every member of a group whose primary it did
+// not know, which came to 3.7 probes per request.
 TEST_F(HundredRouters, RoutersThatStartTogetherLearnRolesFromAnswersRatherThanProbes) {
   fleet.run_load(1s, kRequestsPerSecond, 0.2);
   auto first = fleet.total();
@@ -43,7 +45,7 @@
   EXPECT_GT(fleet.served, fleet.requested * 97 / 100);
 }
 
-// A list that is out of date names members that have gone: asking them again brings nothing.
+// Guards against useless probes: an outdated list contains removed members, which never answer.
 TEST_F(HundredRouters, UnresponsiveMembersAreProbedAtALimitedRate) {
   fleet.run_load(2s, kRequestsPerSecond, 0.2);
   auto before = fleet.total();
@@ -54,17 +56,17 @@
   EXPECT_LT(fleet.total().probes - before.probes, (fleet.requested - requested) / 6);
 }
 
-// Where most members are warming up, each router admitted too little, counted what it had rejected as work
-// that is no longer done, and let in less. All of them together must still stay under what pushes a member
-// over.
+// Guards against ever lower admission while most members warm up: each router admitted too little, counted
+// the requests that it had rejected as a decrease of its work, and admitted even less. All routers together
+// must still send less than overloads a member.
 TEST_F(HundredRouters, MembersThatAllWarmUpAtOnceAreUsedAndNotOverloaded) {
   fleet.run_load(3s, kRequestsPerSecond, 0.2);
   for (auto& [id, member] : fleet.members) member.started_at = fleet.now;
   fleet.notify_all(make_list(ListKind::kFull, fleet.entries()));
   int served = fleet.served, requested = fleet.requested;
-  fleet.run_load(3s, kRequestsPerSecond, 0.2);  // a quarter of their capacity, 0.48 at the end
+  fleet.run_load(3s, kRequestsPerSecond, 0.2);  // the capacity share rises from 0.25 to 0.48
   EXPECT_GT(fleet.served - served, (fleet.requested - requested) * 4 / 10);
-  // A third of a group's reads and all its writes are a warm member's most; that is 0.7 of what it can do.
+  // A warm member serves at most half of a group's reads and all its writes, which is 0.7 of its capacity.
   double warm = kRequestsPerSecond / kGroups * (0.8 / 2 + 0.2), window = 2, share = 0.25 + 0.75 * 0.3;
   for (auto& [id, member] : fleet.members) {
     auto& all = fleet.arrivals[id];
@@ -73,7 +75,7 @@
   }
 }
 
-// A write whose group elects a primary had its six tries within a tenth of a second.
+// Guards against losing the writes during an election: a write used up all its six attempts within 0.1 s.
 TEST_F(HundredRouters, MostWritesSurviveAnElection) {
   fleet.run_load(3s, kRequestsPerSecond, 0.2);
   for (auto& [id, member] : fleet.members) member.primary = false;
@@ -84,7 +86,8 @@
   EXPECT_GT(fleet.served - served, (fleet.requested - requested) * 6 / 10);
 }
 
-// One set in trouble made every router refuse part of what came for all the others, of which it sees little.
+// Guards against rejections in healthy groups: because of one overloaded group, every router rejected part of
+// the requests for all other groups, about each of which it has little information.
 TEST_F(HundredRouters, SlowGroupsCauseNoRejectionsInOthers) {
   for (auto& [id, member] : fleet.members)
     member.service_time = member.group % 3 == 0 ? 400ms : 8ms;  // over the latency objective of 150 ms
@@ -95,7 +98,8 @@
   EXPECT_LT(fleet.rejected_in_third(1) - rejected, (fleet.requested - requested) / 50);
 }
 
-// One Retry-After for all requests that are rejected at once would bring all of them back at once.
+// Guards against synchronized retries: if requests that are rejected at the same time had the same
+// Retry-After, all of them would be retried at the same time.
 TEST(Rejections, RetryAfterTimesDiffer) {
   auto settings = fleet_settings();
   Router router(settings, kSeed);
@@ -104,7 +108,7 @@
   router.handle(10s, {make_list(ListKind::kFull, {listed})});
   for (RequestId id = 1; id <= 20; ++id) {
     auto request = make_request(id, kBounded, 10s + 700ms);
-    request.group = 99;  // no such group: rejected at once
+    request.group = 99;  // an unknown group, so it is rejected at once
     for (auto& reject : actions_of<Reject>(router.handle(10s, {request}))) times.insert(reject.retry_after);
   }
   EXPECT_GT(times.size(), 15U);
--- a/tests/request_router/primary_discovery_test.cpp
+++ b/tests/request_router/primary_discovery_test.cpp
@@ -1,4 +1,5 @@
-// Which member is taken for the primary, and what is done while none is known.
+// Tests of primary discovery: which member is regarded as the primary, and the treatment of requests while
+// none is known.
 #include "request_router/support.h"
 
 namespace request_router::test {
@@ -19,7 +20,8 @@
   ASSERT_EQ(sends[0].member, 1U);
   auto tried = actions_of<Send>(
       router.handle(10s + 55ms, {make_outcome(sends[0], 0, Status::kDeclined, Role::kReplica)}));
-  ASSERT_EQ(tried.size(), 1U) << "a replica turns a write away untouched, so one may be tried";
+  ASSERT_EQ(tried.size(), 1U)
+      << "a replica declines a write without executing it, so another member may be tried";
   ASSERT_NE(tried[0].member, 1U);
   tried = actions_of<Send>(
       router.handle(10s + 60ms, {make_outcome(tried[0], 1, Status::kDeclined, Role::kReplica)}));
@@ -29,7 +31,7 @@
                   .empty());
   sends = actions_of<Send>(
       router.handle(10s + 100ms, {make_probe_result(1, 10s, true), make_probe_result(3, 10s + 90ms, true)}));
-  ASSERT_EQ(sends.size(), 1U) << "the old claim speaks of a time before the miss";
+  ASSERT_EQ(sends.size(), 1U) << "the claim of member 1 was observed before it declined the write";
   EXPECT_EQ(sends[0].member, 3U);
 }
 
@@ -54,8 +56,8 @@
   EXPECT_EQ(sends[0].member, 2U);
 }
 
-// Of hundreds of routers each has a small part of the probes, too small to learn any role where nothing is
-// tried.
+// Guards against a router among hundreds never learning a role: its share of the probe budget is too small
+// for that where it does not try requests at members of unknown role.
 TEST(PrimaryDiscovery, WhereMembersDoNotCheckLagTheFirstSearchProbesAllMembers) {
   for (auto lag_check : {LagCheck::kOff, LagCheck::kReject}) {
     Settings settings = default_settings(lag_check);
@@ -71,16 +73,17 @@
     if (lag_check == LagCheck::kOff)
       EXPECT_EQ(probes, 4U);
     else
-      EXPECT_LT(probes, 4U) << "elsewhere the budget holds";
+      EXPECT_LT(probes, 4U) << "where members check lag, the budget limits the search";
     feed(10s + 20ms, {make_probe_result(1, 10s, false), make_probe_result(2, 10s, false),
                       make_probe_result(3, 10s, false), make_probe_result(4, 10s, false)});
     for (Micros at = 10s + 45ms; at < 10s + 300ms; at += 25ms) feed(at, {TimerFired{1}, TimerFired{2}});
-    EXPECT_LE(probes, 8U) << "later searches are within it";
+    EXPECT_LE(probes, 8U) << "later searches stay within the budget";
   }
 }
 
-// Where members check nothing, a replica answers a fresh read from what it has. While no primary was known,
-// such a read was tried at members of any role, as a write is, which replicas turn away.
+// Guards against stale answers to fresh reads while no primary is known. Such a read was tried at members of
+// any role, like a write. A replica declines a write, but where members do not check lag it answers the read
+// from its own data.
 TEST(PrimaryDiscovery, AFreshReadIsTriedAtMembersOfUnknownRoleOnlyWhereTheyCheckLag) {
   for (auto lag_check : {LagCheck::kOff, LagCheck::kReject, LagCheck::kHold}) {
     Settings settings = default_settings(lag_check);
@@ -91,7 +94,7 @@
       for (auto& send : actions_of<Send>(router.handle(at, events))) sends.push_back(send);
     };
     feed(10s, {make_list(ListKind::kFull, {make_entry(1), make_entry(2), make_entry(3)})});
-    for (MemberId member = 1; member <= 3; ++member) {  // alive, of a role that nothing tells
+    for (MemberId member = 1; member <= 3; ++member) {  // responsive, with unknown role
       ProbeResult alive;
       alive.member = member;
       alive.ok = true;
@@ -102,7 +105,7 @@
     EXPECT_EQ(sends.empty(), lag_check == LagCheck::kOff) << static_cast<int>(lag_check);
     if (lag_check != LagCheck::kOff) continue;
     feed(10s + 210ms, {make_probe_result(2, 10s + 200ms, true)});
-    ASSERT_EQ(sends.size(), 1U) << "the primary has made itself known";
+    ASSERT_EQ(sends.size(), 1U) << "the primary has reported its role";
     EXPECT_EQ(sends[0].member, 2U);
   }
 }
--- a/tests/request_router/random_events_test.cpp
+++ b/tests/request_router/random_events_test.cpp
@@ -1,5 +1,6 @@
-// The rules under random but lawful sequences of events with fixed seeds. The test keeps its own record of
-// what it sent and of what the router was notified; it models no servers and no load.
+// Checks the rules of the decision module under random but valid sequences of events, with fixed seeds. The
+// test keeps its own record of the router's actions and of the events it delivered. It models neither servers
+// nor load.
 #include <algorithm>
 #include <map>
 #include <random>
@@ -11,16 +12,17 @@
 namespace {
 
 constexpr MemberId kMembers = 4;
-constexpr Micros kStep = 5ms;          // between two batches
+constexpr Micros kStep = 5ms;          // time between two batches
 constexpr Micros kQuietFrom = 24s;     // no new requests or changes from here on
-constexpr Micros kClientTimeout = 2s;  // of every request
+constexpr Micros kClientTimeout = 2s;  // timeout of every request
 
+// An attempt and the time at which it was sent.
 struct SentAttempt {
   Send send;
   Micros at{0};
 };
 
-// A request, and what became of it.
+// A request, its attempts and its result.
 struct RequestRecord {
   Request request;
   std::vector<SentAttempt> sends;
@@ -28,17 +30,17 @@
   bool may_have_run = false;
   Micros first_ran{0};
   bool answered = false;   // rejected or failed by the router
-  bool succeeded = false;  // and the router was notified of it
+  bool succeeded = false;  // an attempt succeeded and the router was notified of it
 
   bool is_final() const { return answered || succeeded; }
 };
 
-// A member, as the router was notified of it.
+// The state of a member according to the events delivered to the router.
 struct MemberRecord {
   Condition condition = Condition::kReady;
   Micros drain_notified_at{0};
-  bool was_primary = false;  // it has claimed the role
-  bool denied = false;       // and was a replica later
+  bool was_primary = false;  // it has claimed to be the primary
+  bool denied = false;       // it claimed to be a replica afterwards
   Micros denied_at{0};
   Micros position{0};
 
@@ -67,14 +69,14 @@
     return settings;
   }
 
-  // ---- the rules, checked on each action -----------------------------------------------------------------
+  // ---- rules, checked for each action --------------------------------------------------------------------
 
   void check(const Send& send) {
     ++sent_;
     ASSERT_TRUE(requests_.count(send.id));
     auto& record = requests_[send.id];
-    ASSERT_FALSE(record.is_final()) << "a send after the final answer";
-    ASSERT_TRUE(record.in_flight.empty()) << "two attempts at once";
+    ASSERT_FALSE(record.is_final()) << "attempt after the final answer";
+    ASSERT_TRUE(record.in_flight.empty()) << "two attempts in flight";
     ASSERT_LT(static_cast<int>(record.sends.size()), settings_.max_attempts);
     ASSERT_LE(now_ + send.timeout, record.request.expires + 1ms);
     check_effect(record);
@@ -87,7 +89,7 @@
   void check_effect(const RequestRecord& record) {
     if (!record.may_have_run) return;
     const auto& request_class = settings_.classes[record.request.request_class];
-    ASSERT_NE(request_class.effect, Effect::kUnsafe) << "an effect twice";
+    ASSERT_NE(request_class.effect, Effect::kUnsafe) << "retry of an unsafe request that may have run";
     if (request_class.effect == Effect::kKeyed) {
       ASSERT_LE(now_ - record.first_ran, request_class.key_window);
     }
@@ -95,7 +97,8 @@
 
   void check_drain(const MemberRecord& member) {
     if (excludes_member(member.condition)) {
-      ASSERT_LE(now_ - member.drain_notified_at, settings_.drain_grace) << "a drain broken";
+      ASSERT_LE(now_ - member.drain_notified_at, settings_.drain_grace)
+          << "attempt at a draining member after the grace period";
     }
   }
 
@@ -103,17 +106,17 @@
     const auto& request_class = settings_.classes[record.request.request_class];
     if (settings_.lag_check != LagCheck::kOff || member.may_be_primary()) return;
     if (request_class.level == ReadLevel::kBounded) {
-      ASSERT_LE(now_ - member.position, request_class.bound) << "a stale read";
+      ASSERT_LE(now_ - member.position, request_class.bound) << "stale bounded read";
     }
     if (request_class.level == ReadLevel::kSession && *record.request.write_age > 0ms) {
       ASSERT_GE(member.position, record.request.expires - kClientTimeout - *record.request.write_age)
-          << "a stale session read";
+          << "stale session read";
     }
   }
 
   void check(const Reject& reject) {
     auto& record = requests_.at(reject.id);
-    ASSERT_FALSE(record.is_final()) << "two final answers";
+    ASSERT_FALSE(record.is_final()) << "second final answer";
     ASSERT_TRUE(settings_.classes[record.request.request_class].effect == Effect::kPure ||
                 (!record.may_have_run && record.in_flight.empty()));
     record.answered = true;
@@ -122,7 +125,7 @@
 
   void check(const Fail& fail) {
     auto& record = requests_.at(fail.id);
-    ASSERT_FALSE(record.is_final()) << "two final answers";
+    ASSERT_FALSE(record.is_final()) << "second final answer";
     record.answered = true;
     ++final_answers_;
   }
@@ -135,23 +138,23 @@
   void check(const SetTimer& timer) { timers_.push_back(now_ + timer.after); }
 
   void check(const Cancel& cancel) {
-    ASSERT_TRUE(requests_.count(cancel.id)) << "a cancel of what never came";
+    ASSERT_TRUE(requests_.count(cancel.id)) << "cancellation of an unknown request";
     const auto& record = requests_[cancel.id];
     ASSERT_LT(cancel.attempt, static_cast<int>(record.sends.size()));
     ASSERT_NE(settings_.classes[record.request.request_class].effect, Effect::kUnsafe)
-        << "it could not be sent again";
+        << "cancellation of a request that must not be retried";
   }
 
   void check(const Subscribe&) {}
   void check(const Log&) {}
 
+  // Returns whether a member in this condition must get no new requests after the grace period.
   bool excludes_member(Condition condition) const {
     return condition == Condition::kDraining ||
            (condition == Condition::kGone && !settings_.removal_not_binding);
   }
 
-  // ---- events
-  // ----------------------------------------------------------------------------------------------
+  // ---- events --------------------------------------------------------------------------------------------
 
   void add_request() {
     Request request = make_request(next_id_++, static_cast<Class>(pick(6)), now_ + kClientTimeout);
@@ -212,7 +215,7 @@
         end_attempt(record);
       } else if (!record.is_final()) {
         ASSERT_LE(now_, std::max(record.request.expires, paused_until_) + settings_.answer_slack)
-            << "a request was lost";
+            << "request without a final answer";
       }
     }
   }
@@ -250,7 +253,7 @@
 
   void step() {
     if (now_ < kQuietFrom && pick(500) == 0)
-      paused_until_ = now_ += 100ms * (1 + pick(20));  // it stands still
+      paused_until_ = now_ += 100ms * (1 + pick(20));  // the router is paused
     if (now_ < kQuietFrom && pick(3) == 0) add_request();
     if (now_ < kQuietFrom && pick(100) == 0) change_condition();
     answer_probes();
--- a/tests/request_router/replica_selection_test.cpp
+++ b/tests/request_router/replica_selection_test.cpp
@@ -1,4 +1,4 @@
-// Which member a read is sent to, and when it is postponed.
+// Tests of replica selection: to which member a read is sent, and when it is postponed.
 #include <set>
 
 #include "request_router/support.h"
@@ -35,7 +35,7 @@
   ASSERT_EQ(sends.size(), 1U);
   EXPECT_EQ(sends[0].id, 2U);
   sends = actions_of<Send>(router.handle(10s + 70ms, {make_request(3, kSession, 12s, 0ms)}));
-  EXPECT_EQ(sends.size(), 1U) << "no write known: it reads like an any read";
+  EXPECT_EQ(sends.size(), 1U) << "without a known write, any data is sufficient";
 }
 
 TEST(SessionReads, AReadWaitsForAReplicaPastTheAnsweredWriteOfItsSession) {
@@ -53,7 +53,8 @@
   EXPECT_EQ(sends[0].member, 2U);
 }
 
-// Positions of sessions grew without end; once they are dropped, every session needs the newest of them.
+// Guards against stale session reads after the positions of sessions have been dropped, which bounds their
+// number. Every session without an entry then needs the newest of the dropped positions.
 TEST(SessionReads, SessionsWithDroppedPositionsNeedTheNewestDroppedPosition) {
   Settings settings = default_settings();
   settings.client_carries_write_age = false;
@@ -68,7 +69,8 @@
   }
   auto read = make_request(30000, kSession, 12s);
   read.key = 1;
-  EXPECT_TRUE(actions_of<Send>(router.handle(10s + 20ms, {read})).empty()) << "its replica stood at 10 s";
+  EXPECT_TRUE(actions_of<Send>(router.handle(10s + 20ms, {read})).empty())
+      << "the replica is at position 10 s";
   EXPECT_EQ(actions_of<Send>(router.handle(10s + 30ms, {make_probe_result(2, 10s + 20ms, false)})).size(),
             1U);
 }
@@ -96,7 +98,8 @@
   EXPECT_EQ(used, (std::set<MemberId>{2, 3}));
 }
 
-// Spread over the replicas, long reads stopped every one of them from applying the log.
+// Guards against long reads stopping replication in a whole group: when they were spread over the replicas,
+// each replica stopped applying the log.
 TEST_F(GroupOfThree, LongReadsOfAnyDataGoToOneReplica) {
   Settings settings = default_settings();
   settings.classes.push_back(settings.classes[kAny]);
@@ -119,7 +122,8 @@
   EXPECT_EQ(used.size(), 1U);
 }
 
-// Rescued reads of many routers, each using half of a limit of one, crowded writes out at primaries.
+// Guards against crowding out writes at a primary that is the only member in service: the reads of many
+// routers, each of which used half of its limit of one for them, left no capacity for writes.
 TEST(SmallLimits, ALonePrimaryIsGivenTwiceOneMembersShareOfReadsWhereLimitsAreSmall) {
   Settings settings = default_settings();
   settings.routers = 400;
@@ -135,10 +139,11 @@
       sent += send.member == 1;
   }
   EXPECT_GT(sent, 120);
-  EXPECT_LT(sent, 260) << "half of 400, twice a member's part";
+  EXPECT_LT(sent, 260) << "half of 400 routers, which is twice one member's share";
 }
 
-// With list order as the tie-break hundreds of routers that knew the same chose the same.
+// Guards against hundreds of routers choosing the same member: with equal knowledge and list order as the
+// tie-break, all of them made the same choice.
 TEST(EqualKnowledge, RoutersWithEqualKnowledgeDistributeReadsOverEqualMembers) {
   Settings settings = default_settings();
   settings.classes.push_back(settings.classes[kAny]);
@@ -166,7 +171,7 @@
 
 TEST_F(GroupOfThree, APostponedBoundedReadGoesToThePrimaryAtTheLastMoment) {
   router.handle(11s, {make_probe_result(2, 10s + 10ms, false),
-                      make_probe_result(3, 10s + 10ms, false)});  // both truly lag
+                      make_probe_result(3, 10s + 10ms, false)});  // both replicas lag
   EXPECT_TRUE(actions_of<Send>(router.handle(11s + 5ms, {make_request(1, kBounded, 13s)})).empty());
   std::vector<Send> sends;
   Micros at = 11s + 10ms;
@@ -174,7 +179,7 @@
     sends = actions_of<Send>(router.handle(at, {TimerFired{2}}));
   ASSERT_EQ(sends.size(), 1U);
   EXPECT_EQ(sends[0].member, 1U);
-  EXPECT_GT(at, 11s + 200ms) << "only once waiting on would make it late";
+  EXPECT_GT(at, 11s + 200ms) << "not before further waiting would make it late";
 }
 
 }  // namespace
--- a/tests/request_router/retry_policy_test.cpp
+++ b/tests/request_router/retry_policy_test.cpp
@@ -1,4 +1,5 @@
-// What may be sent again, what may be rejected, and to which members nothing new is sent.
+// Tests of the retry policy: which requests may be retried or rejected, and which members get no new
+// requests.
 #include "request_router/support.h"
 
 namespace request_router::test {
@@ -35,13 +36,15 @@
                                  {make_outcome(sends[0], 0, Status::kFailure, Role::kPrimary)});
     EXPECT_EQ(actions_of<Send>(actions).size(), late ? 0U : 1U);
     for (auto& again : actions_of<Send>(actions))
-      EXPECT_LE(again.start_within, 1s - 40ms) << "its connection may take a while to come up";
+      EXPECT_LE(again.start_within, 1s - 40ms)
+          << "the time to establish the connection counts against the key window";
     EXPECT_EQ(actions_of<Fail>(actions).size(), late ? 1U : 0U);
-    EXPECT_TRUE(actions_of<Reject>(actions).empty()) << "only its group discards repeats";
+    EXPECT_TRUE(actions_of<Reject>(actions).empty())
+        << "repeats are discarded only within its group, so its client must not retry";
   }
 }
 
-// Settings of another deployment allow more attempts than the platform's rule.
+// Guards against settings that allow more attempts than the fixed maximum of eight.
 TEST(RetryPolicy, NoRequestIsSentMoreThanEightTimesWhateverTheSettingsAllow) {
   Settings settings = default_settings(LagCheck::kReject);
   settings.max_attempts = 20;
--- a/tests/request_router/slow_start_test.cpp
+++ b/tests/request_router/slow_start_test.cpp
@@ -1,4 +1,4 @@
-// What a member is given that is warming up, by one router and by hundreds.
+// Tests of slow start: the requests that a member that is warming up gets from one router and from hundreds.
 #include <algorithm>
 #include <cmath>
 #include <map>
@@ -26,8 +26,8 @@
   EXPECT_LT(count[2], count[3] / 2);
 }
 
-// Reads that warm members declined once raised the budget of a member that was warming up to several times
-// its share.
+// Guards against an excessive slow-start budget: reads that warm members had declined raised the budget of a
+// member that was warming up to several times its share.
 TEST(SlowStartBudget, DeclinedReadsDoNotRaiseTheBudgetOfAMemberThatIsWarmingUp) {
   auto router = router_of_three(default_settings(LagCheck::kReject));
   router.handle(10s + 20ms,
@@ -40,11 +40,13 @@
       ++count[send.member];
       router.handle(at + 5ms, {make_outcome(send, 0, Status::kDeclined, Role::kReplica)});
     }
-  EXPECT_GT(count[3], 5) << "the warm one is tried again now and then";
-  EXPECT_LE(count[2], 90) << "1.1 of a quarter of 200, rising to 0.4; three quarters would push it over";
+  EXPECT_GT(count[3], 5) << "the warm member is tried again from time to time";
+  EXPECT_LE(count[2], 90)
+      << "1.1 times its share of 200, which rises from a quarter to 0.4; three quarters would overload it";
 }
 
-// A class that was hardly answered yet seemed too heavy beside others whose true latency was known.
+// Guards against excluding a class with few answers from a member that is warming up: it was regarded as too
+// expensive in comparison with classes whose latency had been measured.
 TEST(SlowStartBudget, APrimaryThatIsWarmingUpTakesWritesBeforeTheirLatencyIsKnown) {
   auto router = router_of_three();
   RequestId id = 1;
@@ -65,13 +67,13 @@
   EXPECT_GT(serve(14s + 10ms, 16s, kWrite, Role::kPrimary), 10);
 }
 
-// Hundreds of routers, each of which was allowed "one short request at least", overloaded a member that was
-// warming up. What they send in one window is added up; a warm member's part of the same traffic is the
-// measure.
+// Guards against hundreds of routers overloading a member that is warming up: each of them was allowed at
+// least one short request. The test adds up what all routers send in one window and compares it with a warm
+// member's share of the same traffic.
 class ManyRouters : public ::testing::TestWithParam<int> {
  protected:
-  // Requests sent to each member in an overload window, one or a few a router, `warming_up` of the members
-  // just started.
+  // Returns the number of requests sent to each member in an overload window, in which each router sends one
+  // or a few. The members in `warming_up` have just started.
   std::map<MemberId, int> run(Class request_class, const std::set<MemberId>& warming_up) {
     Settings settings = default_settings();
     settings.routers = GetParam();
@@ -84,7 +86,7 @@
       RequestId id = 1;
       auto play = [&](Micros from, Micros to, bool counts) {
         Micros gap =
-            Micros(2s) * settings.routers / 600;  // 600 requests in a window, whatever the number of routers
+            Micros(2s) * settings.routers / 600;  // 600 requests in a window, for any number of routers
         for (Micros at = from + gap * index / settings.routers; at < to; at += gap)
           for (auto& send :
                actions_of<Send>(router.handle(at, {make_request(id++, request_class, at + 2s)}))) {
@@ -101,8 +103,8 @@
     }
     return count;
   }
-  // The guarantee is 3 times a capacity of at least a quarter, rising to 40% by the end of the window; a warm
-  // member's part is 200 of 600 reads, and is taken for what it can do.
+  // The guaranteed maximum is 3 times a capacity share of a quarter, which rises to 40% by the end of the
+  // window. A warm member's share, 200 of 600 reads, is regarded as its full capacity.
   static constexpr int kMaxRequests = 150;
 };
 
@@ -124,9 +126,9 @@
 
 INSTANTIATE_TEST_SUITE_P(Counts, ManyRouters, ::testing::Values(1, 3, 20, 30, 60, 300, 600));
 
-// While a group had no primary, each router tried its postponed writes at a member that had just started: all
-// of them together overloaded it. It may lead by now, so the part of them is tried there that its budget
-// holds.
+// Guards against overloading a member that has just started while its group has no primary: all routers
+// together tried too many postponed writes there. The member may have become the primary, so as many are
+// tried there as its budget allows.
 TEST(SlowStartBudget, WithoutAPrimaryFewWritesAreTriedAtAMemberThatIsWarmingUp) {
   auto router = router_of_three(default_settings(LagCheck::kReject));
   router.handle(10s + 20ms, {make_list(ListKind::kDelta, {make_entry(1, false, Condition::kGone),
@@ -144,12 +146,12 @@
   }
   EXPECT_GT(tried[3], 0);
   EXPECT_LE(tried[3], 52 * 6 / 10)
-      << "of 52 writes a capacity share of a quarter, rising to a half, times 0.9";
+      << "0.9 times the capacity share, which rises from a quarter to a half, of 52 writes";
   EXPECT_GT(tried[2], 0);
 }
 
-// Writes postponed while there was no primary all went to one that was warming up in the batch in which it
-// was found to lead.
+// Guards against a burst at a new primary that is warming up: all writes that had been postponed without a
+// primary were sent in the batch in which its role became known.
 TEST(SlowStartBudget, WritesPostponedForAPrimaryThatIsWarmingUpAreNotSentAtOnce) {
   int at_once = 0, all = 0;
   for (int index = 0; index < 200; ++index) {
@@ -170,19 +172,21 @@
   EXPECT_LT(at_once, all / 5);
 }
 
-// Slow start, as the platform counts it: in no overload window may all routers together send a member that is
-// warming up more than N + 2 x root of N + 2 calls, under 30 calls 3 x root of N + 3, where N is what the
-// settings allow it. The routers know nothing of each other; reads that other members decline are sent again,
-// a burst comes in the middle, and a third of the routers start anew shortly after the member did.
+// The slow-start guarantee as the platform measures it: in no overload window may all routers together send a
+// member that is warming up more than N + 2 * sqrt(N) + 2 calls, or N + 3 * sqrt(N) + 3 calls where N is
+// below
+// 30. N is the number that the settings allow. The routers have no knowledge of each other. Reads that other
+// members decline are retried, a burst occurs during warm-up, and a third of the routers restart shortly
+// after the member.
 struct SlowStartCase {
   int routers;
   double overload_multiple;
-  double calls_per_second;  // of a warm member
+  double calls_per_second;  // at a warm member
 };
 
 class SlowStart : public ::testing::TestWithParam<SlowStartCase> {
  protected:
-  static constexpr Micros kStart = 30s;  // of the member that warms up
+  static constexpr Micros kStart = 30s;  // start of the member that warms up
   static constexpr Micros kEnd = 42s;
   static constexpr MemberId kWarmingUp = 2;
 
@@ -206,8 +210,8 @@
     return router;
   }
 
-  // The calls that the member gets while it warms up, by time. Three replicas work at 0.8 of what they can
-  // do, half as much again for 3 s.
+  // Returns the times of the calls to the member from its start on. The load on the three replicas is 0.8 of
+  // their capacity, and 1.5 times as much for 3 s.
   std::vector<Micros> play(std::uint64_t seed) {
     random_.seed(seed);
     std::vector<Router> fleet;
@@ -238,12 +242,13 @@
       auto role = send.member == 1 ? Role::kPrimary : Role::kReplica;
       bool declined = send.member != 1 && chance() < 0.2;
       auto ended = make_outcome(send, attempt, declined ? Status::kDeclined : Status::kSuccess, role);
-      ended.taken = send.member == kWarmingUp ? 10ms : 40ms;  // it looks the better choice
+      ended.taken =
+          send.member == kWarmingUp ? 10ms : 40ms;  // makes the member appear faster than the others
       sends = actions_of<Send>(router.handle(at + 5ms, {ended}));
     }
   }
 
-  // The most calls that the platform allows in an overload window that begins then.
+  // Returns the maximum number of calls that the platform allows in an overload window that begins at `from`.
   double max_calls(Micros from) const {
     double age =
         static_cast<double>((from - kStart).count()) / static_cast<double>(settings_.warm_up.count());
@@ -257,7 +262,8 @@
   void check_windows(const std::vector<Micros>& calls, std::uint64_t seed) const {
     Micros window = settings_.overload_window;
     for (std::size_t first = 0, last = 0; first < calls.size(); ++first) {
-      if (calls[first] + window > kStart + settings_.warm_up) break;  // it is warm before this window ends
+      if (calls[first] + window > kStart + settings_.warm_up)
+        break;  // the member is warm before this window ends
       while (last < calls.size() && calls[last] - calls[first] < window) ++last;
       ASSERT_LE(static_cast<double>(last - first), max_calls(calls[first]))
           << "seed " << seed << ", at " << calls[first].count();
@@ -276,7 +282,7 @@
     check_windows(sent, seed);
     if (HasFatalFailure()) return;
   }
-  EXPECT_GT(calls, 0U) << "it is used while it warms up";
+  EXPECT_GT(calls, 0U) << "the member gets requests while it warms up";
 }
 
 INSTANTIATE_TEST_SUITE_P(Fleets, SlowStart,
--- a/tests/request_router/zone_routing_test.cpp
+++ b/tests/request_router/zone_routing_test.cpp
@@ -1,4 +1,4 @@
-// Where reads go by the plan of the fleet.
+// Tests of zone routing: to which zones reads are sent according to the placement plan.
 #include <map>
 #include <set>
 #include <string>
@@ -8,7 +8,8 @@
 namespace request_router::test {
 namespace {
 
-// A primary in zone a, and two replicas in each of a, b and c; the router stands in a.
+// A group with its primary in zone a and two replicas in each of the zones a, b and c. The router is in zone
+// a.
 struct ThreeZones : ::testing::Test {
   ThreeZones() : router(zone_settings(), 7) {
     std::vector<MemberEntry> entries;
@@ -32,7 +33,8 @@
     for (MemberId member = 1; member <= 7; ++member)
       router.handle(at, {make_probe_result(member, at - 5ms, member == 1)});
   }
-  // So many reads, each answered at once; the sends by zone, and under "" the rejections.
+  // Sends `count` reads, each of which is answered at once. Returns the number of attempts by zone, and under
+  // "" the number of rejections.
   std::map<std::string, int> send_reads(int count, Class request_class,
                                         const std::set<std::string>& unreachable_zones = {}) {
     std::map<std::string, int> sent_by_zone;
@@ -62,12 +64,12 @@
   auto sent_by_zone = send_reads(800, kBounded);
   EXPECT_NEAR(sent_by_zone["a"], 200, 60);
   EXPECT_NEAR(sent_by_zone["b"], 600, 60);
-  EXPECT_EQ(sent_by_zone["c"], 0);  // closed
+  EXPECT_EQ(sent_by_zone["c"], 0);  // has no share in the plan
   EXPECT_EQ(sent_by_zone[""], 0);
-  apply_plan({{"c", 1, 0}});  // the next one replaces it whole
+  apply_plan({{"c", 1, 0}});  // a new plan replaces the previous one completely
   sent_by_zone = send_reads(100, kBounded);
   EXPECT_EQ(sent_by_zone["c"], 100);
-  router.handle(now, {Plan{}});  // on its own again: by its own rule, the near ones first
+  router.handle(now, {Plan{}});  // without a plan, members in the router's own zone are preferred
   sent_by_zone = send_reads(100, kBounded);
   EXPECT_GT(sent_by_zone["a"], 50);
   EXPECT_EQ(sent_by_zone[""], 0);
@@ -79,9 +81,9 @@
   auto sends = actions_of<Send>(
       router.handle(now + 5ms, {make_request(9001, kWrite, 12s), make_request(9002, kFresh, 12s)}));
   ASSERT_EQ(sends.size(), 2U);
-  EXPECT_EQ(sends[0].member, 1U);  // wherever the primary is
+  EXPECT_EQ(sends[0].member, 1U);  // the primary, in whichever zone it is
   EXPECT_EQ(sends[1].member, 1U);
-  // Those of c lag by 2 s; the reads wait for them, though a and b are fresh.
+  // The replicas in zone c lag by 2 s. The read waits for them although those in zones a and b are fresh.
   auto then = now + 1s;
   for (MemberId member = 1; member <= 7; ++member)
     router.handle(then, {make_probe_result(member, member >= 6 ? then - 2s : then, member == 1)});
@@ -96,9 +98,11 @@
   int rejected_low_priority = 0, rejected_high_priority = 0;
   for (int i = 0; i < 600; ++i) {
     (i % 2 ? rejected_high_priority : rejected_low_priority) += send_reads(1, i % 2 ? kBounded : kAny)[""];
-    if (i == 199) rejected_low_priority = rejected_high_priority = 0;  // by then it knows what comes
+    if (i == 199)
+      rejected_low_priority = rejected_high_priority = 0;  // the router has measured the mix of classes
   }
-  EXPECT_NEAR(rejected_low_priority, 160, 30);  // four in ten of all, which is eight in ten of these
+  EXPECT_NEAR(rejected_low_priority, 160,
+              30);  // the plan leaves out 0.4 of all reads, which is 0.8 of the low-priority ones
   EXPECT_EQ(rejected_high_priority, 0);
 }
 
