--- a/tests/request_router/decision_fingerprint.cpp
+++ b/tests/request_router/decision_fingerprint.cpp
@@ -16,8 +16,8 @@
 
 using namespace std::chrono_literals;
 
-constexpr std::uint64_t kLongSeedInterval =
-    100;  // one seed in this many runs long enough to fill every table
+// One seed in this many runs long enough to fill every table.
+constexpr std::uint64_t kLongSeedInterval = 100;
 constexpr std::uint64_t kLongSeedEvents = 140000;  // of a long run: over 20,000 writes of different sessions
 constexpr std::uint64_t kSampleEvery = 64;         // batches between two samples of the public queries
 
@@ -102,8 +102,7 @@
     settings_.list_role = ListRole::kInitial;
   }
 
-  // ---- simulated time
-  // ---------------------------------------------------------------------------------------
+  // ---- simulated time ----------------------------------------------------------------------------------
 
   // Delivers all due events in batches of random size, possibly several at the same time. After a simulated
   // pause of the router, the accumulated events are delivered at once and timers fire late.
--- a/tests/request_router/many_routers_test.cpp
+++ b/tests/request_router/many_routers_test.cpp
@@ -9,8 +9,8 @@
 
 constexpr std::uint64_t kSeed = 15;  // of every simulation in this file
 constexpr int kRouters = 100, kGroups = 18, kMembersPerGroup = 3;
-constexpr double kRequestsPerSecond =
-    1500;  // 15 per second at each router, less than one per second and group
+// 15 requests per second at each router, which are less than one per second for each group.
+constexpr double kRequestsPerSecond = 1500;
 
 Settings fleet_settings() {
   Settings settings = default_settings(LagCheck::kReject);
--- a/tests/request_router/slow_start_test.cpp
+++ b/tests/request_router/slow_start_test.cpp
@@ -174,10 +174,9 @@
 
 // The slow-start guarantee as the platform measures it: in no overload window may all routers together send a
 // member that is warming up more than N + 2 * sqrt(N) + 2 calls, or N + 3 * sqrt(N) + 3 calls where N is
-// below
-// 30. N is the number that the settings allow. The routers have no knowledge of each other. Reads that other
-// members decline are retried, a burst occurs during warm-up, and a third of the routers restart shortly
-// after the member.
+// below 30. N is the number that the settings allow. The routers have no knowledge of each other. Reads that
+// other members decline are retried, a burst occurs during warm-up, and a third of the routers restart
+// shortly after the member.
 struct SlowStartCase {
   int routers;
   double overload_multiple;
@@ -242,8 +241,7 @@
       auto role = send.member == 1 ? Role::kPrimary : Role::kReplica;
       bool declined = send.member != 1 && chance() < 0.2;
       auto ended = make_outcome(send, attempt, declined ? Status::kDeclined : Status::kSuccess, role);
-      ended.taken =
-          send.member == kWarmingUp ? 10ms : 40ms;  // makes the member appear faster than the others
+      ended.taken = send.member == kWarmingUp ? 10ms : 40ms;  // makes it appear faster than the others
       sends = actions_of<Send>(router.handle(at + 5ms, {ended}));
     }
   }
