--- a/tests/request_router/many_routers_test.cpp
+++ b/tests/request_router/many_routers_test.cpp
@@ -1,4 +1,5 @@
-// What many routers do together that is harmless in one: 100 of them before 60 members, in simulated time.
+// Tests of effects that are harmless in one router but not in many: 100 routers and 54 members in simulated
+// time.
 #include "request_router/many_routers.h"
 
 #include <set>
@@ -6,9 +7,10 @@
 namespace request_router::test {
 namespace {
 
-constexpr std::uint64_t kSeed = 15;  // of every fleet here
-constexpr int kRouters = 100, kGroups = 18, kEach = 3;
-constexpr double kPerSecond = 1500;  // 15 a second at each router: it meets a group less than once a second
+constexpr std::uint64_t kSeed = 15;  // of every simulation in this file
+constexpr int kRouters = 100, kGroups = 18, kMembersPerGroup = 3;
+// 15 requests per second at each router, which are less than one per second for each group.
+constexpr double kRequestsPerSecond = 1500;
 
 Settings fleet_settings() {
   Settings settings = default_settings(LagCheck::kReject);
@@ -26,75 +28,78 @@
 }
 struct HundredRouters : ::testing::Test {
   HundredRouters() { RecordProperty("seed", static_cast<int>(kSeed)); }
-  Fleet fleet{fleet_settings(), kRouters, kGroups, kEach, kSeed};
+  Fleet fleet{fleet_settings(), kRouters, kGroups, kMembersPerGroup, kSeed};
 };
 
-// Each router probed every member of a group whose primary it did not know: 3.7 probes a request.
+// Guards against a burst of probes at start: each router probed every member of a group whose primary it did
+// not know, which came to 3.7 probes per request.
 TEST_F(HundredRouters, RoutersThatStartTogetherLearnRolesFromAnswersRatherThanProbes) {
-  fleet.load(1s, kPerSecond, 0.2);
+  fleet.run_load(1s, kRequestsPerSecond, 0.2);
   auto first = fleet.total();
   EXPECT_LT(first.probes, fleet.requested / 5);
   for (auto& [id, count] : fleet.counts)
     EXPECT_LT(count.probes, 25) << "on member " << id << " in its first second";
-  fleet.load(4s, kPerSecond, 0.2);
+  fleet.run_load(4s, kRequestsPerSecond, 0.2);
   fleet.run(fleet.now + 2s);
   EXPECT_LT(fleet.total().probes, fleet.requested / 8);
   EXPECT_GT(fleet.served, fleet.requested * 97 / 100);
 }
 
-// A list that is out of date names members that have gone: asking them again brings nothing.
-TEST_F(HundredRouters, MembersThatDoNotAnswerAreNotProbedWithoutEnd) {
-  fleet.load(2s, kPerSecond, 0.2);
+// Guards against useless probes: an outdated list contains removed members, which never answer.
+TEST_F(HundredRouters, UnresponsiveMembersAreProbedAtALimitedRate) {
+  fleet.run_load(2s, kRequestsPerSecond, 0.2);
   auto before = fleet.total();
   int requested = fleet.requested;
   for (auto& [id, member] : fleet.members)
     if (member.group % 2 == 0) member.up = false;
-  fleet.load(3s, kPerSecond, 0.2);
+  fleet.run_load(3s, kRequestsPerSecond, 0.2);
   EXPECT_LT(fleet.total().probes - before.probes, (fleet.requested - requested) / 6);
 }
 
-// Where most members are warming up, each router admitted too little, counted what it had rejected as work
-// that is no longer done, and let in less. All of them together must still stay under what pushes a member
-// over.
-TEST_F(HundredRouters, MembersThatAllWarmUpAreUsedAndNotOverloaded) {
-  fleet.load(3s, kPerSecond, 0.2);
+// Guards against ever lower admission while most members warm up: each router admitted too little, counted
+// the requests that it had rejected as a decrease of its work, and admitted even less. All routers together
+// must still send less than overloads a member.
+TEST_F(HundredRouters, MembersThatAllWarmUpAtOnceAreUsedAndNotOverloaded) {
+  fleet.run_load(3s, kRequestsPerSecond, 0.2);
   for (auto& [id, member] : fleet.members) member.started_at = fleet.now;
   fleet.notify_all(make_list(ListKind::kFull, fleet.entries()));
   int served = fleet.served, requested = fleet.requested;
-  fleet.load(3s, kPerSecond, 0.2);  // a quarter of their capacity, 0.48 at the end
+  fleet.run_load(3s, kRequestsPerSecond, 0.2);  // the capacity share rises from 0.25 to 0.48
   EXPECT_GT(fleet.served - served, (fleet.requested - requested) * 4 / 10);
-  // A third of a group's reads and all its writes are a warm member's most; that is 0.7 of what it can do.
-  double warm = kPerSecond / kGroups * (0.8 / 2 + 0.2), window = 2, share = 0.25 + 0.75 * 0.3;
+  // A warm member serves at most half of a group's reads and all its writes, which is 0.7 of its capacity.
+  double warm = kRequestsPerSecond / kGroups * (0.8 / 2 + 0.2), window = 2, share = 0.25 + 0.75 * 0.3;
   for (auto& [id, member] : fleet.members) {
     auto& all = fleet.arrivals[id];
     all.erase(all.begin(), std::lower_bound(all.begin(), all.end(), member.started_at));
-    EXPECT_LT(fleet.most_within(id, 2s), warm / 0.7 * window * share * 3) << id;
+    EXPECT_LT(fleet.max_arrivals_within(id, 2s), warm / 0.7 * window * share * 3) << id;
   }
 }
 
-// A write whose group elects a primary had its six tries within a tenth of a second.
+// Guards against losing the writes during an election: a write used up all its six attempts within 0.1 s.
 TEST_F(HundredRouters, MostWritesSurviveAnElection) {
-  fleet.load(3s, kPerSecond, 0.2);
+  fleet.run_load(3s, kRequestsPerSecond, 0.2);
   for (auto& [id, member] : fleet.members) member.primary = false;
   int served = fleet.served, requested = fleet.requested;
-  fleet.load(400ms, kPerSecond, 1);
+  fleet.run_load(400ms, kRequestsPerSecond, 1);
   for (GroupId group = 0; group < kGroups; ++group) fleet.elect_primary(group);
   fleet.run(fleet.now + 3s);
   EXPECT_GT(fleet.served - served, (fleet.requested - requested) * 6 / 10);
 }
 
-// One set in trouble made every router refuse part of what came for all the others, of which it sees little.
+// Guards against rejections in healthy groups: because of one overloaded group, every router rejected part of
+// the requests for all other groups, about each of which it has little information.
 TEST_F(HundredRouters, SlowGroupsCauseNoRejectionsInOthers) {
   for (auto& [id, member] : fleet.members)
-    member.work = member.group % 3 == 0 ? 400ms : 8ms;  // over the latency objective of 150 ms
-  fleet.load(4s, kPerSecond, 0.2);
-  int rejected = fleet.rejected_of(1), requested = fleet.requested;
-  fleet.only = 1;  // groups 1, 4, 7, ...
-  fleet.load(1s, kPerSecond / 3, 0.2);
-  EXPECT_LT(fleet.rejected_of(1) - rejected, (fleet.requested - requested) / 50);
+    member.service_time = member.group % 3 == 0 ? 400ms : 8ms;  // over the latency objective of 150 ms
+  fleet.run_load(4s, kRequestsPerSecond, 0.2);
+  int rejected = fleet.rejected_in_third(1), requested = fleet.requested;
+  fleet.loaded_third = 1;  // groups 1, 4, 7, ...
+  fleet.run_load(1s, kRequestsPerSecond / 3, 0.2);
+  EXPECT_LT(fleet.rejected_in_third(1) - rejected, (fleet.requested - requested) / 50);
 }
 
-// One Retry-After for all requests that are rejected at once would bring all of them back at once.
+// Guards against synchronized retries: if requests that are rejected at the same time had the same
+// Retry-After, all of them would be retried at the same time.
 TEST(Rejections, RetryAfterTimesDiffer) {
   auto settings = fleet_settings();
   Router router(settings, kSeed);
@@ -103,7 +108,7 @@
   router.handle(10s, {make_list(ListKind::kFull, {listed})});
   for (RequestId id = 1; id <= 20; ++id) {
     auto request = make_request(id, kBounded, 10s + 700ms);
-    request.group = 99;  // no such group: rejected at once
+    request.group = 99;  // an unknown group, so it is rejected at once
     for (auto& reject : actions_of<Reject>(router.handle(10s, {request}))) times.insert(reject.retry_after);
   }
   EXPECT_GT(times.size(), 15U);
--- a/tests/request_router/retry_policy_test.cpp
+++ b/tests/request_router/retry_policy_test.cpp
@@ -1,10 +1,11 @@
-// What may be sent again, what may be rejected, and to which members nothing new is sent.
+// Tests of the retry policy: which requests may be retried or rejected, and which members get no new
+// requests.
 #include "request_router/support.h"
 
 namespace request_router::test {
 namespace {
 
-TEST(RetryPolicy, AnUnsafeWriteThatMayHaveRunIsFailedNeitherRejectedNorResent) {
+TEST(RetryPolicy, AnUnsafeWriteThatMayHaveRunIsFailedNeitherRejectedNorRetried) {
   for (auto status : {Status::kFailure, Status::kBroken, Status::kTimedOut, Status::kCancelled}) {
     auto router = router_of_three();
     auto sends = actions_of<Send>(router.handle(10s + 50ms, {make_request(1, kWrite, 12s)}));
@@ -16,7 +17,7 @@
   }
 }
 
-TEST(RetryPolicy, AnUnsafeWriteThatSurelyNeverRanIsSentAgain) {
+TEST(RetryPolicy, AnUnsafeWriteThatCannotHaveRunIsRetried) {
   auto router = router_of_three();
   auto sends = actions_of<Send>(router.handle(10s + 50ms, {make_request(1, kWrite, 12s)}));
   ASSERT_EQ(sends.size(), 1U);
@@ -26,7 +27,7 @@
             1U);
 }
 
-TEST(RetryPolicy, AKeyedWriteIsResentOnlyWithinItsWindow) {
+TEST(RetryPolicy, AKeyedWriteIsRetriedOnlyWithinItsKeyWindow) {
   for (bool late : {false, true}) {
     auto router = router_of_three();
     auto sends = actions_of<Send>(router.handle(10s + 50ms, {make_request(1, kKeyedWrite, 13s)}));
@@ -35,13 +36,15 @@
                                  {make_outcome(sends[0], 0, Status::kFailure, Role::kPrimary)});
     EXPECT_EQ(actions_of<Send>(actions).size(), late ? 0U : 1U);
     for (auto& again : actions_of<Send>(actions))
-      EXPECT_LE(again.start_within, 1s - 40ms) << "its connection may take a while to come up";
+      EXPECT_LE(again.start_within, 1s - 40ms)
+          << "the time to establish the connection counts against the key window";
     EXPECT_EQ(actions_of<Fail>(actions).size(), late ? 1U : 0U);
-    EXPECT_TRUE(actions_of<Reject>(actions).empty()) << "only its group discards repeats";
+    EXPECT_TRUE(actions_of<Reject>(actions).empty())
+        << "repeats are discarded only within its group, so its client must not retry";
   }
 }
 
-// Settings of another deployment allow more attempts than the platform's rule.
+// Guards against settings that allow more attempts than the fixed maximum of eight.
 TEST(RetryPolicy, NoRequestIsSentMoreThanEightTimesWhateverTheSettingsAllow) {
   Settings settings = default_settings(LagCheck::kReject);
   settings.max_attempts = 20;
@@ -67,7 +70,7 @@
   EXPECT_LE(attempts, 8);
 }
 
-TEST_F(GroupOfThree, AReadThatFailedIsSentAgainElsewhere) {
+TEST_F(GroupOfThree, AFailedReadIsRetried) {
   auto sends = actions_of<Send>(router.handle(10s + 50ms, {make_request(1, kAny, 12s)}));
   ASSERT_EQ(sends.size(), 1U);
   auto again = actions_of<Send>(
@@ -83,7 +86,7 @@
   EXPECT_EQ(actions_of<Reject>(actions).size() + actions_of<Fail>(actions).size(), 1U);
 }
 
-TEST(RetryPolicy, NothingNewGoesToADrainingOrGoneMemberAfterTheGrace) {
+TEST(RetryPolicy, NothingNewGoesToADrainingOrRemovedMemberAfterTheGracePeriod) {
   for (auto condition : {Condition::kDraining, Condition::kGone}) {
     auto router = router_of_three();
     router.handle(
@@ -96,7 +99,7 @@
   }
 }
 
-TEST(RetryPolicy, AGoneMemberMayStillServeWhereRemovalDoesNotBind) {
+TEST(RetryPolicy, ARemovedMemberMayStillServeWhereRemovalIsNotBinding) {
   Settings settings = default_settings();
   settings.removal_not_binding = true;
   auto router = router_of_three(settings);
