--- a/tests/proxy/crossings_test.cpp
+++ b/tests/proxy/crossings_test.cpp
@@ -25,7 +25,7 @@
  public:
   std::function<Reply(const std::string&)> before(Reply reply) {
     return [this, reply](const std::string&) {
-      soon([&] { return open_.load(); });
+      eventually([&] { return open_.load(); });
       return reply;
     };
   }
@@ -37,55 +37,55 @@
 };
 
 // Has so many writes out at once, which leaves as many idle connections to the primary.
-void leave_idle_connections(Rig& rig, int count) {
+void leave_idle_connections(ProxyFixture& fixture, int count) {
   {
-    Client client(rig.port);
+    Client client(fixture.port);
     REQUIRE(client.query(write_sql("v")).row);  // the primary is known from now on
   }
   Gate gate;
-  rig.primary.reply = gate.before(Reply{});
+  fixture.primary.reply = gate.before(Reply{});
   std::vector<std::unique_ptr<Client>> clients;
   for (int i = 0; i < count; ++i) {
-    clients.push_back(std::make_unique<Client>(rig.port));
+    clients.push_back(std::make_unique<Client>(fixture.port));
     clients.back()->send(pg::simple_query(write_sql("w" + std::to_string(i), 30000)));
   }
-  REQUIRE(soon([&] { return rig.primary.out == count; }));
+  REQUIRE(eventually([&] { return fixture.primary.in_flight == count; }));
   gate.open();
   for (auto& client : clients) REQUIRE(client->answer().row);
-  rig.primary.reply = [](const std::string&) { return Reply{}; };
+  fixture.primary.reply = [](const std::string&) { return Reply{}; };
 }
 
 // All that was ready before has had its turn of the proxy's loop.
-void let_it_run(Rig& rig) {
+void let_it_run(ProxyFixture& fixture) {
   for (int i = 0; i < 2; ++i) {
     std::promise<void> turned;
-    rig.with_proxy([&](proxy::Proxy&) { turned.set_value(); });
+    fixture.with_proxy([&](proxy::Proxy&) { turned.set_value(); });
     REQUIRE(turned.get_future().wait_for(8s) == std::future_status::ready);
   }
 }
 
-void wait_long_for_connections(Rig& rig) {
-  rig.with_proxy([](proxy::Proxy& p) {
+void wait_long_for_connections(ProxyFixture& fixture) {
+  fixture.with_proxy([](proxy::Proxy& p) {
     proxy::PoolLimits limits;
     limits.connect_timeout = limits.probe_timeout = 10s;
     p.pool().set_limits(limits);
   });
 }
 
-void move_discovery_to(Rig& rig, const std::string& address) {
-  rig.with_proxy([&rig, address](proxy::Proxy& p) {
-    proxy::ProxyOptions options{rig.config.listen, address,         rig.config.sockets,
-                                rig.config.memory, rig.config.pool, {}};
+void move_discovery_to(ProxyFixture& fixture, const std::string& address) {
+  fixture.with_proxy([&fixture, address](proxy::Proxy& p) {
+    proxy::ProxyOptions options{fixture.config.listen, address, fixture.config.sockets, fixture.config.memory,
+                                fixture.config.pool,   {}};
     p.reconfigure(options);
   });
 }
 
 // Asks until `server` has had a request; how long that took.
-Clock::duration until_used(Rig& rig, Server& server) {
+Clock::duration until_used(ProxyFixture& fixture, Server& server) {
   auto start = Clock::now();
-  Client client(rig.port);
+  Client client(fixture.port);
   int number = 0;
-  bool used = soon(
+  bool used = eventually(
       [&] {
         client.query(read_sql("u" + std::to_string(++number), 300));
         return server.count() > 0;
@@ -96,9 +96,9 @@
 }
 
 // Accepts one connection after the other, and resets each once it has been served.
-class Resetting {
+class ResettingListener {
  public:
-  explicit Resetting(std::function<void(Peer&)> serve) : serve_(std::move(serve)) {
+  explicit ResettingListener(std::function<void(Peer&)> serve) : serve_(std::move(serve)) {
     int error = 0;
     fd_ = net::listen_on(*net::parse_address("127.0.0.1:0"), &error);
     REQUIRE(fd_);
@@ -115,7 +115,7 @@
       }
     });
   }
-  ~Resetting() {
+  ~ResettingListener() {
     stop_ = true;
     thread_.join();
   }
@@ -133,97 +133,101 @@
 // ---- a client's end against what its request waits for ------------------------------------------------
 
 TEST_CASE("crossing: a client leaves as the connection for its request comes up") {
-  Rig rig;
-  wait_long_for_connections(rig);
+  ProxyFixture fixture;
+  wait_long_for_connections(fixture);
   Gate gate;
-  Client first(rig.port);
+  Client first(fixture.port);
   REQUIRE(first.query(write_sql("a0")).row);  // the primary is known from now on
-  rig.primary.reply = gate.before(Reply{});
+  fixture.primary.reply = gate.before(Reply{});
   first.send(pg::simple_query(write_sql("a1", 9000)));
-  REQUIRE(soon([&] { return rig.primary.count() == 2; }));
-  rig.primary.hold_greeting = true;
-  auto open = rig.primary.open.load(), greeted = rig.primary.greeted.load();
+  REQUIRE(eventually([&] { return fixture.primary.count() == 2; }));
+  fixture.primary.hold_greeting = true;
+  auto open = fixture.primary.open_connections.load(), greeted = fixture.primary.greetings_sent.load();
   std::vector<std::unique_ptr<Client>> clients;
   std::size_t sent = 0;
   do {  // a probe may have left a connection behind, which is taken first
-    sent = rig.primary.count();
-    clients.push_back(std::make_unique<Client>(rig.port));
+    sent = fixture.primary.count();
+    clients.push_back(std::make_unique<Client>(fixture.port));
     clients.back()->send(pg::simple_query(write_sql("a" + std::to_string(sent), 9000)));
-    REQUIRE(soon([&] { return rig.primary.count() > sent || rig.primary.open > open; }));
-  } while (rig.primary.count() > sent);
-  REQUIRE(rig.primary.open == open + 1);
+    REQUIRE(eventually(
+        [&] { return fixture.primary.count() > sent || fixture.primary.open_connections > open; }));
+  } while (fixture.primary.count() > sent);
+  REQUIRE(fixture.primary.open_connections == open + 1);
   {
-    Rig::HeldLoop still(rig);
-    rig.primary.hold_greeting = false;
-    REQUIRE(soon([&] { return rig.primary.greeted == greeted + 1; }));
+    ProxyFixture::PausedLoop paused(fixture);
+    fixture.primary.hold_greeting = false;
+    REQUIRE(eventually([&] { return fixture.primary.greetings_sent == greeted + 1; }));
     clients.back()->close();
   }
-  CHECK(soon([&] { return rig.primary.open == open; }));  // the attempt's connection has gone
-  CHECK(rig.primary.count() == sent);                     // and nothing was sent on it
+  CHECK(eventually(
+      [&] { return fixture.primary.open_connections == open; }));  // the attempt's connection has gone
+  CHECK(fixture.primary.count() == sent);                          // and nothing was sent on it
   gate.open();
   CHECK(first.answer().row);
 }
 
 TEST_CASE("crossing: a client leaves as a server turns its read away") {
-  Rig rig;
+  ProxyFixture fixture;
   Gate gate;
-  Client client(rig.port), other(rig.port);
+  Client client(fixture.port), other(fixture.port);
   REQUIRE(client.query(read_sql("b0")).row);
   auto miss = gate.before(Reply{Reply::kError, "72000", 0});
-  rig.primary.reply = rig.replica.reply = miss;
-  auto before = rig.primary.count() + rig.replica.count();
-  auto answered = rig.primary.answered + rig.replica.answered;
+  fixture.primary.reply = fixture.replica.reply = miss;
+  auto before = fixture.primary.count() + fixture.replica.count();
+  auto answered = fixture.primary.answers_sent + fixture.replica.answers_sent;
   client.send(pg::simple_query(read_sql("b1", 9000)));
-  REQUIRE(soon([&] { return rig.primary.count() + rig.replica.count() == before + 1; }));
+  REQUIRE(eventually([&] { return fixture.primary.count() + fixture.replica.count() == before + 1; }));
   {
-    Rig::HeldLoop still(rig);
+    ProxyFixture::PausedLoop paused(fixture);
     gate.open();
-    REQUIRE(soon([&] { return rig.primary.answered + rig.replica.answered == answered + 1; }));
+    REQUIRE(eventually(
+        [&] { return fixture.primary.answers_sent + fixture.replica.answers_sent == answered + 1; }));
     client.close();
   }
-  let_it_run(rig);
-  rig.primary.reply = rig.replica.reply = [](const std::string&) { return Reply{}; };
+  let_it_run(fixture);
+  fixture.primary.reply = fixture.replica.reply = [](const std::string&) { return Reply{}; };
   CHECK(other.query(write_sql("b2", 1900)).row);
-  CHECK(rig.primary.count() + rig.replica.count() == before + 2);  // b2 alone came after b1's first attempt
+  CHECK(fixture.primary.count() + fixture.replica.count() ==
+        before + 2);  // b2 alone came after b1's first attempt
 }
 
 TEST_CASE("crossing: a client sends more than is read in one turn and leaves in the same moment") {
-  Rig rig;
-  Client client(rig.port), other(rig.port);
-  leave_idle_connections(rig, 6);
-  auto before = rig.primary.count() + rig.replica.count();
+  ProxyFixture fixture;
+  Client client(fixture.port), other(fixture.port);
+  leave_idle_connections(fixture, 6);
+  auto before = fixture.primary.count() + fixture.replica.count();
   std::string many;
   for (int i = 1; many.size() < 100'000; ++i)
     many += pg::simple_query(long_write_sql("c" + std::to_string(i), "c" + std::to_string(i), 8, 9000));
   {
-    Rig::HeldLoop still(rig);
+    ProxyFixture::PausedLoop paused(fixture);
     REQUIRE(client.send(many));
     client.close();
   }
-  let_it_run(rig);
+  let_it_run(fixture);
   CHECK(other.query(write_sql("cw", 1900)).row);
-  CHECK(rig.primary.count() + rig.replica.count() == before + 1);
+  CHECK(fixture.primary.count() + fixture.replica.count() == before + 1);
 }
 
 TEST_CASE(
     "crossing: a client leaves when the events of the turn in which its read goes elsewhere are fetched") {
-  Rig rig;
-  Client client(rig.port), other(rig.port);
+  ProxyFixture fixture;
+  Client client(fixture.port), other(fixture.port);
   // Each server has an idle connection, so that nothing has to come up first.
-  REQUIRE(soon([&] {
-    return other.query(read_sql("d" + std::to_string(rig.replica.count()), 900)).row &&
-           rig.replica.count() > 0;
+  REQUIRE(eventually([&] {
+    return other.query(read_sql("d" + std::to_string(fixture.replica.count()), 900)).row &&
+           fixture.replica.count() > 0;
   }));
   REQUIRE(other.query(write_sql("d", 9000)).row);
   Gate gate;
-  rig.primary.reply = rig.replica.reply = gate.before(Reply{Reply::kError, "72000", 0});
-  auto before = rig.primary.count() + rig.replica.count();
-  auto answered = rig.primary.answered + rig.replica.answered;
+  fixture.primary.reply = fixture.replica.reply = gate.before(Reply{Reply::kError, "72000", 0});
+  auto before = fixture.primary.count() + fixture.replica.count();
+  auto answered = fixture.primary.answers_sent + fixture.replica.answers_sent;
   client.send(pg::simple_query(read_sql("dd", 9000)));
-  REQUIRE(soon([&] { return rig.primary.count() + rig.replica.count() == before + 1; }));
+  REQUIRE(eventually([&] { return fixture.primary.count() + fixture.replica.count() == before + 1; }));
   std::promise<void> fetched, on_client_disconnected;
   {
-    Rig::HeldLoop still(rig, [&](proxy::Proxy& p) {
+    ProxyFixture::PausedLoop paused(fixture, [&](proxy::Proxy& p) {
       p.before_iteration_end = [&, turn = 0]() mutable {
         if (++turn != 2) return;  // the first is the turn that stands still
         fetched.set_value();
@@ -231,29 +235,31 @@
       };
     });
     gate.open();
-    REQUIRE(soon([&] { return rig.primary.answered + rig.replica.answered == answered + 1; }));
+    REQUIRE(eventually(
+        [&] { return fixture.primary.answers_sent + fixture.replica.answers_sent == answered + 1; }));
   }
   fetched.get_future().wait();
   client.close();
   on_client_disconnected.set_value();
-  let_it_run(rig);
-  rig.with_proxy([](proxy::Proxy& p) { p.before_iteration_end = [] {}; });
-  let_it_run(rig);
-  rig.primary.reply = rig.replica.reply = [](const std::string&) { return Reply{}; };
+  let_it_run(fixture);
+  fixture.with_proxy([](proxy::Proxy& p) { p.before_iteration_end = [] {}; });
+  let_it_run(fixture);
+  fixture.primary.reply = fixture.replica.reply = [](const std::string&) { return Reply{}; };
   CHECK(other.query(write_sql("d2", 9000)).row);
-  CHECK(rig.primary.count() + rig.replica.count() == before + 2);  // d2 alone came after d1's first attempt
+  CHECK(fixture.primary.count() + fixture.replica.count() ==
+        before + 2);  // d2 alone came after d1's first attempt
 }
 
 TEST_CASE("crossing: whoever asks to cancel closes right behind the CancelRequest") {
-  Rig rig;
-  rig.primary.reply = [](const std::string&) { return Reply{Reply::kSilence, "", 0}; };
-  Client client(rig.port, false);
+  ProxyFixture fixture;
+  fixture.primary.reply = [](const std::string&) { return Reply{Reply::kNoAnswer, "", 0}; };
+  Client client(fixture.port, false);
   auto key = client.start();
   client.send(pg::simple_query(write_sql("e1", 60000)));
-  REQUIRE(soon([&] { return rig.primary.count() == 1; }));
+  REQUIRE(eventually([&] { return fixture.primary.count() == 1; }));
   {
-    Rig::HeldLoop still(rig);
-    Client canceller(rig.port, false);
+    ProxyFixture::PausedLoop paused(fixture);
+    Client canceller(fixture.port, false);
     canceller.send(cancel_request(key));
     canceller.close();
   }
@@ -264,42 +270,43 @@
 
 TEST_CASE("crossing: a repeat's key window ends while its connection comes up") {
   constexpr auto kWindow = 400ms;
-  Rig rig(200, "", false, [&](app::Config& config) {
+  ProxyFixture fixture(200, "", false, [&](app::Config& config) {
     for (auto& c : config.settings.classes) c.key_window = kWindow;
     config.pool.connect_timeout = 10s;
   });
-  Client client(rig.port);
+  Client client(fixture.port);
   REQUIRE(client.query(write_sql("m0")).row);
-  rig.primary.reply = [](const std::string&) { return Reply{Reply::kReset, "", 0}; };
-  auto before = rig.primary.count();
-  auto connections = rig.primary.connections.load();
-  rig.primary.hold_greeting = true;
+  fixture.primary.reply = [](const std::string&) { return Reply{Reply::kReset, "", 0}; };
+  auto before = fixture.primary.count();
+  auto connections = fixture.primary.connections.load();
+  fixture.primary.hold_greeting = true;
   client.send(pg::simple_query(write_sql("m1", 3000)));
-  REQUIRE(soon([&] { return rig.primary.count() == before + 1; }));      // it has run, for all that is known
-  REQUIRE(soon([&] { return rig.primary.connections > connections; }));  // and is on its way again
-  std::this_thread::sleep_for(kWindow + 50ms);                           // the time under test
-  rig.primary.reply = [](const std::string&) { return Reply{}; };
-  rig.primary.hold_greeting = false;
+  REQUIRE(eventually(
+      [&] { return fixture.primary.count() == before + 1; }));  // it has run, for all that is known
+  REQUIRE(eventually([&] { return fixture.primary.connections > connections; }));  // and is on its way again
+  std::this_thread::sleep_for(kWindow + 50ms);                                     // the time under test
+  fixture.primary.reply = [](const std::string&) { return Reply{}; };
+  fixture.primary.hold_greeting = false;
   auto answer = client.answer();
   CHECK_FALSE(answer.row);
   CHECK(answer.code == "57014");
-  CHECK(rig.primary.count() == before + 1);
+  CHECK(fixture.primary.count() == before + 1);
 }
 
 // ---- the proxy's own closing of a connection -----------------------------------------------------------
 
 TEST_CASE("crossing: a request arrives as its connection is to be closed for being idle") {
   constexpr std::size_t kDescriptors = 64, kRetained = kDescriptors / 4;
-  Rig rig(kDescriptors);
+  ProxyFixture fixture(kDescriptors);
   std::vector<std::unique_ptr<Client>> clients;
   std::promise<void> fetched, asked;
   {
-    std::optional<Rig::HeldLoop> still;
+    std::optional<ProxyFixture::PausedLoop> paused;
     for (std::size_t i = 0; i < kRetained + 1; ++i) {  // one more than are kept
-      clients.push_back(std::make_unique<Client>(rig.port));
+      clients.push_back(std::make_unique<Client>(fixture.port));
       REQUIRE(clients.back()->query(read_sql("x" + std::to_string(i))).row);
     }
-    still.emplace(rig, [&](proxy::Proxy& p) {
+    paused.emplace(fixture, [&](proxy::Proxy& p) {
       p.before_iteration_end = [&, turn = 0]() mutable {
         if (++turn != 2) return;  // the first is the turn that stands still
         fetched.set_value();
@@ -314,20 +321,20 @@
     REQUIRE(clients[i]->send(pg::simple_query(read_sql("z" + std::to_string(i)))));
   asked.set_value();
   for (auto& client : clients) CHECK(client->answer().row);
-  rig.with_proxy([](proxy::Proxy& p) { p.before_iteration_end = [] {}; });
-  let_it_run(rig);
+  fixture.with_proxy([](proxy::Proxy& p) { p.before_iteration_end = [] {}; });
+  let_it_run(fixture);
 }
 
 // ---- how long a client still waits --------------------------------------------------------------------
 
 TEST_CASE("crossing: a request that waited to be accepted passes on what its client has left") {
-  Rig rig;
-  Client known(rig.port);
+  ProxyFixture fixture;
+  Client known(fixture.port);
   REQUIRE(known.query(read_sql("f0")).row);
   std::unique_ptr<Client> late;
   {
-    Rig::HeldLoop still(rig);
-    late = std::make_unique<Client>(rig.port, false);
+    ProxyFixture::PausedLoop paused(fixture);
+    late = std::make_unique<Client>(fixture.port, false);
     late->send(pg::startup_message("backend", "store") + pg::simple_query(write_sql("f1", 1500)));
     known.send(pg::simple_query(write_sql("f2", 1500)));
     std::this_thread::sleep_for(500ms);  // the time under test, not a hope: both are left waiting for it
@@ -336,7 +343,7 @@
   CHECK(late->answer().end == 'Z');  // the greeting
   CHECK(late->answer().row);
   std::size_t checked = 0;
-  for (auto& statement : rig.primary.statements()) {
+  for (auto& statement : fixture.primary.statements()) {
     if (!statement.starts_with("INSERT")) continue;
     CHECK(forwarded_timeout(statement) <= 1500 - 500 + 150);
     ++checked;
@@ -345,21 +352,21 @@
 }
 
 TEST_CASE("crossing: a request that waited unread behind a large one passes on what its client has left") {
-  Rig rig;
-  Client client(rig.port);
+  ProxyFixture fixture;
+  Client client(fixture.port);
   REQUIRE(client.query(write_sql("g0")).row);
   Gate gate;
-  rig.primary.reply = gate.before(Reply{});
-  auto before = rig.primary.count();
+  fixture.primary.reply = gate.before(Reply{});
+  auto before = fixture.primary.count();
   auto sent = Clock::now();
   REQUIRE(client.send(pg::simple_query(long_write_sql("g1", "one", 64'000, 3000)) +
                       pg::simple_query(long_write_sql("g2", "two", 64'000, 3000))));
-  REQUIRE(soon([&] { return rig.primary.count() > before; }));
+  REQUIRE(eventually([&] { return fixture.primary.count() > before; }));
   std::this_thread::sleep_for(600ms);  // the time under test
   gate.open();
   CHECK(client.answer().row);
   CHECK(client.answer().row);
-  auto statements = rig.primary.statements();
+  auto statements = fixture.primary.statements();
   REQUIRE(statements.size() == before + 2);
   CHECK(forwarded_timeout(statements.back()) <= 3000 - 600 + 150);
   CHECK(Clock::now() - sent < 3s);
@@ -368,90 +375,90 @@
 // ---- shutdown -----------------------------------------------------------------------------------------
 
 TEST_CASE("crossing: what is read after the end of service is refused at once and not sent on") {
-  Rig rig;
-  Client pipelining(rig.port), half(rig.port);
+  ProxyFixture fixture;
+  Client pipelining(fixture.port), half(fixture.port);
   REQUIRE(half.query(write_sql("h0")).row);
   Gate gate;
-  rig.primary.reply = gate.before(Reply{});
-  auto before = rig.primary.count() + rig.replica.count();
+  fixture.primary.reply = gate.before(Reply{});
+  auto before = fixture.primary.count() + fixture.replica.count();
   pipelining.send(pg::simple_query(write_sql("h1", 9000)));
-  REQUIRE(soon([&] { return rig.primary.count() + rig.replica.count() == before + 1; }));
+  REQUIRE(eventually([&] { return fixture.primary.count() + fixture.replica.count() == before + 1; }));
   auto statement = pg::simple_query(read_sql("h2"));
   REQUIRE(half.send(statement.substr(0, 40)));
   auto told = Clock::now();
-  rig.stop_gently();
+  fixture.shut_down_gracefully();
   std::this_thread::sleep_until(told + 900ms);  // service ends after 0.7 s
   REQUIRE(half.send(statement.substr(40)));
   REQUIRE(pipelining.send(pg::simple_query(read_sql("h3"))));
   CHECK(half.answer().code == "57P03");
-  CHECK_FALSE(half.more());
-  CHECK_FALSE(rig.ended);
+  CHECK_FALSE(half.receive());
+  CHECK_FALSE(fixture.ended);
   gate.open();
   CHECK(pipelining.answer().row);
   CHECK(pipelining.answer().code == "57P03");
-  CHECK_FALSE(pipelining.more());
-  CHECK(rig.primary.count() + rig.replica.count() == before + 1);
-  CHECK(soon([&] { return rig.ended.load(); }));
+  CHECK_FALSE(pipelining.receive());
+  CHECK(fixture.primary.count() + fixture.replica.count() == before + 1);
+  CHECK(eventually([&] { return fixture.ended.load(); }));
 }
 
 // ---- discovery ----------------------------------------------------------------------------------------
 
 TEST_CASE("crossing: a watch that has fallen silent is opened anew before its news counts as told") {
-  Rig rig;
-  Client client(rig.port);
+  ProxyFixture fixture;
+  Client client(fixture.port);
   REQUIRE(client.query(read_sql("i0")).row);
-  REQUIRE(soon([&] { return rig.discovery.calls >= 2; }));
+  REQUIRE(eventually([&] { return fixture.discovery.calls >= 2; }));
   Server fresh(true);
-  rig.discovery.silence_open_connections();
-  rig.discovery.set(entry("s-n", fresh));
-  CHECK(until_used(rig, fresh) < 4500ms);  // it counts as told after 6 s
+  fixture.discovery.stop_answering_open_connections();
+  fixture.discovery.set(endpoint_entry("s-n", fresh));
+  CHECK(until_used(fixture, fresh) < 4500ms);  // it counts as told after 6 s
 }
 
 TEST_CASE("crossing: a watch that trickles byte by byte is opened anew before its news counts as told") {
-  Rig rig;
-  Client client(rig.port);
+  ProxyFixture fixture;
+  Client client(fixture.port);
   REQUIRE(client.query(read_sql("j0")).row);
-  rig.discovery.trickle = true;
-  auto calls = rig.discovery.calls.load();
-  REQUIRE(soon([&] { return rig.discovery.calls > calls; }));
+  fixture.discovery.trickle = true;
+  auto calls = fixture.discovery.calls.load();
+  REQUIRE(eventually([&] { return fixture.discovery.calls > calls; }));
   Server fresh(true);
-  rig.discovery.set(entry("s-n", fresh));
-  rig.discovery.trickle = false;
-  rig.discovery.silence_open_connections();
-  CHECK(until_used(rig, fresh) < 4500ms);
+  fixture.discovery.set(endpoint_entry("s-n", fresh));
+  fixture.discovery.trickle = false;
+  fixture.discovery.stop_answering_open_connections();
+  CHECK(until_used(fixture, fresh) < 4500ms);
 }
 
 TEST_CASE("crossing: after SIGHUP a first call that is lost leaves time for a second") {
-  Rig rig;
-  Client client(rig.port);
+  ProxyFixture fixture;
+  Client client(fixture.port);
   REQUIRE(client.query(read_sql("k0")).row);
   Discovery next;
   Server fresh(true);
-  next.set(entry("s-n", fresh));
-  next.silent = true;
-  move_discovery_to(rig, next.address());
-  REQUIRE(soon([&] { return next.calls == 1; }));
-  next.silence_open_connections();
-  next.silent = false;
-  CHECK(until_used(rig, fresh) < 3s);  // it counts as told after 4 s
+  next.set(endpoint_entry("s-n", fresh));
+  next.unresponsive = true;
+  move_discovery_to(fixture, next.address());
+  REQUIRE(eventually([&] { return next.calls == 1; }));
+  next.stop_answering_open_connections();
+  next.unresponsive = false;
+  CHECK(until_used(fixture, fresh) < 3s);  // it counts as told after 4 s
 }
 
 TEST_CASE("crossing: a list without a length that a reset cuts off is no list") {
-  Rig rig;
-  Client client(rig.port);
+  ProxyFixture fixture;
+  Client client(fixture.port);
   REQUIRE(client.query(read_sql("l0")).row);
   Server wrong(true);
   std::atomic<int> calls{0};
   // The body is a whole list, and the reset comes behind it: nobody can tell what it has cut off.
-  Resetting cut([&](Peer& peer) {
-    while (peer.in.find("\r\n\r\n") == std::string::npos)
-      if (!peer.more()) return;
+  ResettingListener cut([&](Peer& peer) {
+    while (peer.received.find("\r\n\r\n") == std::string::npos)
+      if (!peer.receive()) return;
     peer.send("HTTP/1.1 200 OK\r\n\r\n{\"generation\":9,\"reset\":true,\"instances\":[" +
-              entry("s-w", wrong) + "]}");
+              endpoint_entry("s-w", wrong) + "]}");
     ++calls;
   });
-  move_discovery_to(rig, cut.address());
-  REQUIRE(soon([&] { return calls >= 3; }));
+  move_discovery_to(fixture, cut.address());
+  REQUIRE(eventually([&] { return calls >= 3; }));
   CHECK(client.query(write_sql("l1", 900)).row);
   CHECK(wrong.count() == 0);
 }
--- a/tests/proxy/rig.h
+++ b/tests/proxy/rig.h
@@ -37,19 +37,19 @@
 }
 
 // True once `good` holds; false after a time that only a fault can take.
-inline bool soon(const std::function<bool()>& good, Clock::duration timeout = 8s) {
+inline bool eventually(const std::function<bool()>& condition, Clock::duration timeout = 8s) {
   for (auto end = Clock::now() + timeout; Clock::now() < end; std::this_thread::sleep_for(2ms))
-    if (good()) return true;
-  return good();
+    if (condition()) return true;
+  return condition();
 }
 
 // A blocking socket.
 class Peer {
  public:
   explicit Peer(int fd) : fd_(fd) {
-    setsockopt(fd, SOL_SOCKET, SO_RCVTIMEO, &kCommandTimeout, sizeof kCommandTimeout);
+    setsockopt(fd, SOL_SOCKET, SO_RCVTIMEO, &kReceiveTimeout, sizeof kReceiveTimeout);
   }
-  static Peer to(int port) {
+  static Peer connect_to(int port) {
     auto address = *net::parse_address("127.0.0.1:" + std::to_string(port));
     int fd =
         socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);  // processes that the test starts have none of it
@@ -65,58 +65,58 @@
     }
     return true;
   }
-  bool more() {  // false: ended, broken, or nothing came in time
+  bool receive() {  // false: ended, broken, or nothing came in time
     char chunk[65536];
     auto n = recv(fd_.get(), chunk, sizeof chunk, 0);
     if (n <= 0) return false;
-    in.append(chunk, static_cast<std::size_t>(n));
+    received.append(chunk, static_cast<std::size_t>(n));
     return true;
   }
   // The next message: its letter and body. Letter 0: none came.
-  std::pair<char, std::string> message() {
+  std::pair<char, std::string> next_message() {
     pg::Frame frame;
-    while (pg::parse_frame(in, 1 << 22, &frame) != pg::ParseStatus::kOk)
-      if (!more()) return {};
+    while (pg::parse_frame(received, 1 << 22, &frame) != pg::ParseStatus::kOk)
+      if (!receive()) return {};
     std::pair<char, std::string> result{frame.type, std::string(frame.body)};
-    in.erase(0, frame.size);
+    received.erase(0, frame.size);
     return result;
   }
   void close() { fd_.reset(); }
-  std::string in;
+  std::string received;
 
  private:
-  static constexpr timeval kCommandTimeout{10, 0};
+  static constexpr timeval kReceiveTimeout{10, 0};
   net::Fd fd_;
 };
 
 // Accepts on a port of its own and serves each connection in a thread, until it goes.
-class Listening {
+class TestListener {
  public:
-  explicit Listening(std::function<void(Peer&)> serve) : serve_(std::move(serve)) {
+  explicit TestListener(std::function<void(Peer&)> serve) : serve_(std::move(serve)) {
     int error = 0;
     fd_ = net::listen_on(*net::parse_address("127.0.0.1:0"), &error);
     REQUIRE(fd_);
-    accepting_ = std::thread([this] {
+    accept_thread_ = std::thread([this] {
       while (!stop_) {
         pollfd p{fd_.get(), POLLIN, 0};
         poll(&p, 1, 10);
         net::Fd fd(accept4(fd_.get(), nullptr, nullptr, SOCK_CLOEXEC));
         if (!fd) continue;
         std::lock_guard lock(mutex_);
-        raw_.push_back(fd.get());
-        threads_.emplace_back([this, held = std::move(fd)]() mutable {
-          Peer peer(dup(held.get()));
+        connection_fds_.push_back(fd.get());
+        connection_threads_.emplace_back([this, connection = std::move(fd)]() mutable {
+          Peer peer(dup(connection.get()));
           serve_(peer);
-          shutdown(held.get(), SHUT_RDWR);
+          shutdown(connection.get(), SHUT_RDWR);
         });
       }
     });
   }
-  ~Listening() {
+  ~TestListener() {
     stop_ = true;
-    accepting_.join();
-    for (int fd : raw_) shutdown(fd, SHUT_RDWR);
-    for (auto& t : threads_) t.join();
+    accept_thread_.join();
+    for (int fd : connection_fds_) shutdown(fd, SHUT_RDWR);
+    for (auto& t : connection_threads_) t.join();
   }
   int port() const { return net::local_port(fd_.get()); }
   std::string address() const { return "127.0.0.1:" + std::to_string(port()); }
@@ -126,15 +126,15 @@
   net::Fd fd_;
   std::atomic<bool> stop_{false};
   std::mutex mutex_;
-  std::vector<int> raw_;
-  std::vector<std::thread> threads_;
-  std::thread accepting_;
+  std::vector<int> connection_fds_;
+  std::vector<std::thread> connection_threads_;
+  std::thread accept_thread_;
 };
 
 // What a fake data server answers to one statement.
 struct Reply {
-  // kRaw: `text` as it is, and no more. kBehind: a good row "value", and `text` right behind it.
-  enum What { kRow, kError, kSilence, kReset, kHalf, kRaw, kBehind } what = kRow;
+  // kRaw: `text` as it is, and no more. kTrailingBytes: a good row "value", and `text` right behind it.
+  enum Kind { kRow, kError, kNoAnswer, kReset, kTruncated, kRaw, kTrailingBytes } kind = kRow;
   std::string text = "value";  // the row's value, or the error's code
   std::int64_t position = 0;   // 0: now
 };
@@ -159,15 +159,15 @@
 // A data server: primary or replica, answering by `reply`.
 class Server {
  public:
-  explicit Server(bool primary) : primary_(primary), listening_([this](Peer& peer) { serve(peer); }) {}
+  explicit Server(bool primary) : primary_(primary), listener_([this](Peer& peer) { serve(peer); }) {}
 
   std::function<Reply(const std::string&)> reply = [](const std::string&) { return Reply{}; };
-  std::atomic<int> connections{0}, open{0}, out{0}, most_out{0}, probes{0};
-  std::atomic<int> silent{0};                // requests that get no answer, and whose connections are open
-  std::atomic<bool> hold_greeting{false};    // new connections are accepted and hear nothing
-  std::atomic<int> greeted{0}, answered{0};  // so many greetings and answers have been written
-  std::atomic<bool> full{false};             // its table of connections is: each new one is turned away
-  std::string address() const { return listening_.address(); }
+  std::atomic<int> connections{0}, open_connections{0}, in_flight{0}, max_in_flight{0}, probes{0};
+  std::atomic<int> unanswered{0};          // requests that get no answer, and whose connections are open
+  std::atomic<bool> hold_greeting{false};  // new connections are accepted and hear nothing
+  std::atomic<int> greetings_sent{0}, answers_sent{0};  // so many greetings and answers have been written
+  std::atomic<bool> rejects_connections{false};  // its table of connections is: each new one is turned away
+  std::string address() const { return listener_.address(); }
   std::vector<std::string> statements() {
     std::lock_guard lock(mutex_);
     return statements_;
@@ -177,24 +177,24 @@
  private:
   void serve(Peer& peer) {
     ++connections;
-    ++open;
+    ++open_connections;
     session(peer);
-    --open;
+    --open_connections;
   }
   void session(Peer& peer) {
     pg::FirstMessage first;
-    while (pg::parse_first_message(peer.in, &first) != pg::ParseStatus::kOk)
-      if (!peer.more()) return;
-    peer.in.erase(0, first.size);
-    if (full) {
+    while (pg::parse_first_message(peer.received, &first) != pg::ParseStatus::kOk)
+      if (!peer.receive()) return;
+    peer.received.erase(0, first.size);
+    if (rejects_connections) {
       peer.send(pg::error_response("FATAL", "53300", "too many connections"));
       return;
     }
     while (hold_greeting) std::this_thread::sleep_for(1ms);
     peer.send(pg::greeting(1, 2));
-    ++greeted;
+    ++greetings_sent;
     while (true) {
-      auto [type, body] = peer.message();
+      auto [type, body] = peer.next_message();
       if (type != 'Q') return;
       body.pop_back();
       if (body == "SHOW usage") {
@@ -207,24 +207,24 @@
         std::lock_guard lock(mutex_);
         statements_.push_back(body);
       }
-      most_out = std::max(most_out.load(), ++out);
+      max_in_flight = std::max(max_in_flight.load(), ++in_flight);
       auto r = !primary_ && body.starts_with("INSERT") ? Reply{Reply::kError, "25006", 0} : reply(body);
-      --out;
-      if (r.what == Reply::kSilence) {
-        ++silent;
-        while (peer.more()) {
+      --in_flight;
+      if (r.kind == Reply::kNoAnswer) {
+        ++unanswered;
+        while (peer.receive()) {
         }
-        --silent;
+        --unanswered;
         return;
       }
-      if (r.what == Reply::kReset) return;
-      if (r.what == Reply::kRaw) {
+      if (r.kind == Reply::kReset) return;
+      if (r.kind == Reply::kRaw) {
         peer.send(r.text);
         continue;
       }
-      if (r.what == Reply::kHalf) {  // the value's first half, then the connection ends
-        auto whole = row(r.text);
-        peer.send(whole.substr(0, whole.size() / 2));
+      if (r.kind == Reply::kTruncated) {  // the value's first half, then the connection ends
+        auto complete = row(r.text);
+        peer.send(complete.substr(0, complete.size() / 2));
         return;
       }
       auto parameter = [](const std::string& name, const std::string& value) {
@@ -232,26 +232,26 @@
         framed[0] = 'S';
         return framed;
       };
-      std::string behind = r.what == Reply::kBehind ? std::exchange(r.text, "value") : "";
-      std::string answer = r.what != Reply::kError ? row(r.text) : pg::error_response("ERROR", r.text, "no");
+      std::string trailing = r.kind == Reply::kTrailingBytes ? std::exchange(r.text, "value") : "";
+      std::string answer = r.kind != Reply::kError ? row(r.text) : pg::error_response("ERROR", r.text, "no");
       peer.send(answer + parameter("server_role", primary_ ? "writer" : "reader") +
                 parameter("commit_clock", std::to_string(r.position ? r.position : unix_ms())) +
-                pg::ready_for_query() + behind);
-      ++answered;
+                pg::ready_for_query() + trailing);
+      ++answers_sent;
     }
   }
 
   bool primary_;
   std::mutex mutex_;
   std::vector<std::string> statements_;
-  Listening listening_;
+  TestListener listener_;
 };
 
 // Discovery: gives the list as it stands, or waits for a newer version.
 class Discovery {
  public:
-  Discovery() : listening_([this](Peer& peer) { serve(peer); }) {}
-  std::string address() const { return listening_.address(); }
+  Discovery() : listener_([this](Peer& peer) { serve(peer); }) {}
+  std::string address() const { return listener_.address(); }
   void set(const std::string& instances) {
     std::lock_guard lock(mutex_);
     instances_ = instances;
@@ -262,47 +262,49 @@
     return "{\"generation\":" + std::to_string(generation_) + ",\"reset\":true,\"instances\":[" + instances_ +
            "]}";
   }
-  std::atomic<int> calls{0}, breaks{0};     // breaks: so many calls end with the connection cut
-  std::atomic<int> refusals{0}, wholes{0};  // so many calls are refused with 503; calls for the whole list
-  std::atomic<bool> silent{false};          // calls get no answer
+  std::atomic<int> calls{0}, calls_to_cut{0};  // calls_to_cut: so many calls end with the connection cut
+  std::atomic<int> calls_to_reject{0},
+      full_list_calls{0};                 // so many calls are refused with 503; calls for the whole list
+  std::atomic<bool> unresponsive{false};  // calls get no answer
   // Connections that are open now have fallen silent for good; new ones are served.
-  void silence_open_connections() { ++epoch_; }
+  void stop_answering_open_connections() { ++epoch_; }
   std::atomic<bool> trickle{false};  // an answer never gets further than one byte each 20 ms
 
  private:
   void serve(Peer& peer) {
     auto epoch = epoch_.load();
     while (true) {
-      while (peer.in.find("\r\n\r\n") == std::string::npos)
-        if (!peer.more()) return;
+      while (peer.received.find("\r\n\r\n") == std::string::npos)
+        if (!peer.receive()) return;
       int after = -1;
-      if (auto at = peer.in.find("after="); at != std::string::npos) after = std::atoi(&peer.in[at + 6]);
-      peer.in.clear();
+      if (auto at = peer.received.find("after="); at != std::string::npos)
+        after = std::atoi(&peer.received[at + 6]);
+      peer.received.clear();
       ++calls;
-      wholes += after < 0;
-      while (silent || epoch != epoch_)
-        if (!peer.more()) return;
+      full_list_calls += after < 0;
+      while (unresponsive || epoch != epoch_)
+        if (!peer.receive()) return;
       if (trickle) peer.send("HTTP/1.1 200 OK\r\nX-Padding: ");
       while (trickle) {
         if (!peer.send("a")) return;
         std::this_thread::sleep_for(20ms);
       }
-      if (refusals > 0) {
-        --refusals;
+      if (calls_to_reject > 0) {
+        --calls_to_reject;
         peer.send("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
         continue;
       }
-      if (breaks > 0) {
-        --breaks;
+      if (calls_to_cut > 0) {
+        --calls_to_cut;
         return;
       }
       auto newer = [&] {
         std::lock_guard lock(mutex_);
         return generation_ > after;
       };
-      std::string body = soon(newer, 200ms) ? list()
-                                            : "{\"generation\":" + std::to_string(after) +
-                                                  ",\"reset\":false,\"instances\":[]}";
+      std::string body = eventually(newer, 200ms) ? list()
+                                                  : "{\"generation\":" + std::to_string(after) +
+                                                        ",\"reset\":false,\"instances\":[]}";
       if (epoch != epoch_) continue;
       if (!peer.send("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body))
         return;
@@ -312,10 +314,11 @@
   std::mutex mutex_;
   std::string instances_;
   int generation_ = 1;
-  Listening listening_;
+  TestListener listener_;
 };
 
-inline std::string entry(const std::string& id, const Server& server, const std::string& lifecycle = "up") {
+inline std::string endpoint_entry(const std::string& id, const Server& server,
+                                  const std::string& lifecycle = "up") {
   return "{\"instanceId\":\"" + id + "\",\"hostPort\":\"" + server.address() +
          "\",\"zone\":\"a\",\"cell\":2,\"lifecycle\":\"" + lifecycle + "\",\"startedAtMs\":0}";
 }
@@ -354,8 +357,8 @@
 // A blocking client of the proxy.
 class Client : public Peer {
  public:
-  explicit Client(int port, bool greeted = true) : Peer(Peer::to(port)) {
-    if (!greeted) return;
+  explicit Client(int port, bool start_session = true) : Peer(Peer::connect_to(port)) {
+    if (!start_session) return;
     send(pg::startup_message("backend", "store"));
     REQUIRE(answer().end == 'Z');
   }
@@ -363,7 +366,7 @@
   std::string start() {
     std::string key;
     send(pg::startup_message("backend", "store"));
-    for (auto [type, body] = message(); type != 'Z' && type != 0; std::tie(type, body) = message())
+    for (auto [type, body] = next_message(); type != 'Z' && type != 0; std::tie(type, body) = next_message())
       if (type == 'K') key = body;
     REQUIRE(key.size() == 8);
     return key;
@@ -371,7 +374,7 @@
   Answer answer() {
     Answer a;
     while (true) {
-      auto [type, body] = message();
+      auto [type, body] = next_message();
       if (type == 0) return a;
       if (type == 'Z') {
         a.end = 'Z';
@@ -407,18 +410,18 @@
 }
 
 // A set of one primary and one replica, discovery, and the proxy.
-struct Rig {
-  explicit Rig(
-      std::size_t descriptors = 200, const std::string& extra = "", bool silent = false,
+struct ProxyFixture {
+  explicit ProxyFixture(
+      std::size_t descriptors = 200, const std::string& extra = "", bool unresponsive_discovery = false,
       const std::function<void(app::Config&)>& adjust = [](app::Config&) {}) {
-    discovery.silent = silent;
-    discovery.set(entry("s-p", primary) + "," + entry("s-r", replica));
+    discovery.unresponsive = unresponsive_discovery;
+    discovery.set(endpoint_entry("s-p", primary) + "," + endpoint_entry("s-r", replica));
     config = app::parse_config(config_text(discovery.address(), discovery.list(), extra));
     config.sockets = descriptors;
     adjust(config);
     std::promise<int> started;
-    stop_ = net::Fd(eventfd(0, EFD_NONBLOCK));
-    runs_ = std::thread([this, &started] {
+    wake_up_fd_ = net::Fd(eventfd(0, EFD_NONBLOCK));
+    thread_ = std::thread([this, &started] {
       net::Loop loop;
       routing::DecisionFacade facade(config.settings, config.seed, routing::UnixClock::measured(),
                                      [](const std::string&) {});
@@ -431,89 +434,89 @@
       options.known = config.known;
       routing::LocalDecider decider(facade);
       proxy::Proxy proxy(loop, decider, options, [](net::Level, const std::string&) {});
-      struct StopHandler : net::Handler {
+      struct WakeUpHandler : net::Handler {
         std::function<void()> call;
         void on_ready(std::uint32_t events) override {
           if (events & EPOLLIN) call();
         }
-      } told;
-      told.call = [&] {
+      } handler;
+      handler.call = [&] {
         std::uint64_t count = 0;
-        [[maybe_unused]] auto n = read(stop_.get(), &count, sizeof count);
-        std::function<void(proxy::Proxy&)> change;
+        [[maybe_unused]] auto n = read(wake_up_fd_.get(), &count, sizeof count);
+        std::function<void(proxy::Proxy&)> action;
         {
           std::lock_guard lock(mutex_);
-          change = std::exchange(change_, {});
+          action = std::exchange(pending_action_, {});
         }
-        if (change) return change(proxy);
-        gently ? proxy.shut_down(proxy::ShutdownMode::kLast) : loop.stop();
+        if (action) return action(proxy);
+        is_graceful ? proxy.shut_down(proxy::ShutdownMode::kLast) : loop.stop();
       };
-      loop.add(stop_.get(), &told);
+      loop.add(wake_up_fd_.get(), &handler);
       started.set_value(proxy.port());
       proxy.run();
       ended = true;
-      loop.remove(stop_.get(), &told);
+      loop.remove(wake_up_fd_.get(), &handler);
     });
     port = started.get_future().get();
   }
-  ~Rig() {
-    if (!gently) tell();
-    runs_.join();
+  ~ProxyFixture() {
+    if (!is_graceful) wake_up();
+    thread_.join();
   }
-  void tell() {
+  void wake_up() {
     std::uint64_t one = 1;
-    REQUIRE(write(stop_.get(), &one, sizeof one) == sizeof one);
+    REQUIRE(write(wake_up_fd_.get(), &one, sizeof one) == sizeof one);
   }
   // Runs in the proxy's own thread.
-  void with_proxy(std::function<void(proxy::Proxy&)> change) {
+  void with_proxy(std::function<void(proxy::Proxy&)> action) {
     {
       std::lock_guard lock(mutex_);
-      change_ = std::move(change);
+      pending_action_ = std::move(action);
     }
-    tell();
-    REQUIRE(soon([&] {
+    wake_up();
+    REQUIRE(eventually([&] {
       std::lock_guard lock(mutex_);
-      return !change_;
+      return !pending_action_;
     }));
   }
   // The proxy's loop stands still while this lives: all that happens meanwhile is ready in its next turn.
-  class HeldLoop {
+  class PausedLoop {
    public:
-    // `first` runs in the proxy's own thread before it stands still.
-    explicit HeldLoop(
-        Rig& rig, std::function<void(proxy::Proxy&)> first = [](proxy::Proxy&) {}) {
+    // `first` runs in the proxy's own thread before it stands paused.
+    explicit PausedLoop(
+        ProxyFixture& fixture, std::function<void(proxy::Proxy&)> before_pause = [](proxy::Proxy&) {}) {
       auto state = state_;
-      rig.with_proxy([state, first](proxy::Proxy& proxy) {
-        first(proxy);
-        state->standing.set_value();
+      fixture.with_proxy([state, before_pause](proxy::Proxy& proxy) {
+        before_pause(proxy);
+        state->paused.set_value();
         state->released.get_future().wait();
       });
-      state->standing.get_future().wait();
+      state->paused.get_future().wait();
     }
-    ~HeldLoop() { state_->released.set_value(); }
+    ~PausedLoop() { state_->released.set_value(); }
 
    private:
     struct State {
-      std::promise<void> standing, released;
+      std::promise<void> paused, released;
     };
     std::shared_ptr<State> state_ = std::make_shared<State>();
   };
-  void stop_gently() {
-    gently = true;
-    tell();
+  void shut_down_gracefully() {
+    is_graceful = true;
+    wake_up();
   }
 
   Server primary{true}, replica{false};
   Discovery discovery;
   app::Config config;
   int port = 0;
-  std::atomic<bool> gently{false}, ended{false};
+  std::atomic<bool> is_graceful{false}, ended{false};
 
  private:
-  net::Fd stop_;
+  net::Fd wake_up_fd_;
   std::mutex mutex_;
-  std::function<void(proxy::Proxy&)> change_;
-  std::thread runs_;
+  std::function<void(proxy::Proxy&)> pending_action_;
+  std::thread thread_;
 };
 
 }  // namespace database_proxy::test
--- a/tests/proxy/rules_test.cpp
+++ b/tests/proxy/rules_test.cpp
@@ -11,13 +11,13 @@
 namespace database_proxy::test {
 
 TEST_CASE("clients: a query right behind the startup, SSLRequest first, split into single bytes") {
-  Rig rig;
-  Client client(rig.port, false);
+  ProxyFixture fixture;
+  Client client(fixture.port, false);
   std::string ssl("\0\0\0\x08\x04\xd2\x16\x2f", 8);
   client.send(ssl);
-  REQUIRE(client.more());
-  CHECK(client.in == "N");
-  client.in.clear();
+  REQUIRE(client.receive());
+  CHECK(client.received == "N");
+  client.received.clear();
   auto all = pg::startup_message("backend", "store") + pg::simple_query(read_sql("a1"));
   for (char c : all) client.send(std::string_view(&c, 1));
   CHECK(client.answer().end == 'Z');
@@ -27,11 +27,11 @@
 }
 
 TEST_CASE("clients: pipelined commands are answered in order, each once") {
-  Rig rig;
-  rig.primary.reply = rig.replica.reply = [](const std::string& sql) {
+  ProxyFixture fixture;
+  fixture.primary.reply = fixture.replica.reply = [](const std::string& sql) {
     return Reply{Reply::kRow, sql.substr(sql.find("id="), 5), 0};
   };
-  Client client(rig.port);
+  Client client(fixture.port);
   client.send(pg::simple_query(read_sql("p1")) + pg::simple_query("SET x = 1") + pg::simple_query("") +
               pg::simple_query(read_sql("p2")) + pg::simple_query("DELETE FROM kv"));
   CHECK(client.answer().value == "id=p1");
@@ -42,13 +42,14 @@
 }
 
 TEST_CASE("clients: requests sent behind one another are out at once, and answered in order") {
-  Rig rig;
-  rig.primary.reply = rig.replica.reply = [&](const std::string& sql) {
-    bool together = soon([&] { return rig.primary.most_out + rig.replica.most_out >= 3; }, 1s);
+  ProxyFixture fixture;
+  fixture.primary.reply = fixture.replica.reply = [&](const std::string& sql) {
+    bool together =
+        eventually([&] { return fixture.primary.max_in_flight + fixture.replica.max_in_flight >= 3; }, 1s);
     if (sql.find("id=q1") != std::string::npos) std::this_thread::sleep_for(50ms);
     return Reply{Reply::kRow, together ? sql.substr(sql.find("id="), 5) : "alone", 0};
   };
-  Client client(rig.port);
+  Client client(fixture.port);
   client.send(pg::simple_query(read_sql("q1", 1900)) + pg::simple_query(read_sql("q2", 1900)) +
               pg::simple_query("SET x = 1") + pg::simple_query(read_sql("q3", 1900)) + "\x01noise");
   CHECK(client.answer().value == "id=q1");
@@ -59,26 +60,26 @@
 }
 
 TEST_CASE("clients: a read behind a write of the same key waits for it, hundreds at once are cut off") {
-  Rig rig;
+  ProxyFixture fixture;
   std::atomic<bool> release{false};
-  rig.primary.reply = [&](const std::string&) {
-    soon([&] { return release.load(); });
+  fixture.primary.reply = [&](const std::string&) {
+    eventually([&] { return release.load(); });
     return Reply{};
   };
-  Client client(rig.port);
+  Client client(fixture.port);
   client.send(pg::simple_query(write_sql("o1", 4000)) + pg::simple_query(read_sql("o2", 4000)));
-  REQUIRE(soon([&] { return rig.primary.count() == 1; }));
+  REQUIRE(eventually([&] { return fixture.primary.count() == 1; }));
   std::this_thread::sleep_for(50ms);
   for (auto& statement :
-       rig.replica.statements())  // the write may have been tried there while no primary was known
+       fixture.replica.statements())  // the write may have been tried there while no primary was known
     CHECK_FALSE(statement.starts_with("SELECT"));
   release = true;
   CHECK(client.answer().row);
   CHECK(client.answer().row);
   // None is answered before all have been read.
   release = false;
-  rig.replica.reply = rig.primary.reply = [&](const std::string&) {
-    soon([&] { return release.load(); });
+  fixture.replica.reply = fixture.primary.reply = [&](const std::string&) {
+    eventually([&] { return release.load(); });
     return Reply{};
   };
   std::thread later([&] {
@@ -97,8 +98,8 @@
 
 TEST_CASE(
     "clients: what is malformed gets an SQLSTATE and never reaches a server, bad bytes end one connection") {
-  Rig rig;
-  Client client(rig.port), other(rig.port);
+  ProxyFixture fixture;
+  Client client(fixture.port), other(fixture.port);
   for (std::string sql : {"SELECT 1", "select content from kv", "SELECT content FROM kv WHERE name = 'k1'",
                           "SELECT content FROM kv WHERE name = 'k1' /* id=1,c=browse,d=x,cluster=2 */",
                           "SELECT content FROM kv WHERE name = 'k1' /* id=1,c=other,d=9,cluster=2 */",
@@ -120,15 +121,15 @@
   CHECK(last.code == "08P01");
   CHECK(last.end == 0);
   CHECK(other.query(read_sql("b1")).row);
-  CHECK(rig.primary.count() + rig.replica.count() == 1);
+  CHECK(fixture.primary.count() + fixture.replica.count() == 1);
 }
 
 TEST_CASE("servers: statement, id and k pass on unchanged, d tells our own wait") {
-  Rig rig;
-  Client client(rig.port);
+  ProxyFixture fixture;
+  Client client(fixture.port);
   CHECK(client.query(write_sql("w1", 1500)).row);
-  REQUIRE(rig.primary.count() == 1);
-  auto got = rig.primary.statements()[0], sent = write_sql("w1", 1500);
+  REQUIRE(fixture.primary.count() == 1);
+  auto got = fixture.primary.statements()[0], sent = write_sql("w1", 1500);
   auto at = sent.find("d=1500") + 2;
   CHECK(got.substr(0, at) == sent.substr(0, at));
   auto end = got.find(",k=77");
@@ -139,45 +140,47 @@
 }
 
 TEST_CASE("servers: a client that waits for a short while has nearly all of it") {
-  Rig rig;
-  Client client(rig.port);
+  ProxyFixture fixture;
+  Client client(fixture.port);
   REQUIRE(client.query(write_sql("w0")).row);
   client.query(write_sql("w1", 40));  // served or not: the machine may be slow
-  for (auto& sql : rig.primary.statements())
+  for (auto& sql : fixture.primary.statements())
     if (auto at = sql.find("id=w1,c=book,d="); at != std::string::npos)
       CHECK(std::stoi(sql.substr(at + 15)) >= 36);
 }
 
 TEST_CASE("effects: a write that may have run is never refused, nor sent twice at once, nor over 8 times") {
-  Rig rig;
-  rig.primary.reply = [](const std::string&) { return Reply{Reply::kReset, "", 0}; };
-  rig.replica.reply = [](const std::string&) { return Reply{Reply::kError, "25006", 0}; };
-  Client client(rig.port);
+  ProxyFixture fixture;
+  fixture.primary.reply = [](const std::string&) { return Reply{Reply::kReset, "", 0}; };
+  fixture.replica.reply = [](const std::string&) { return Reply{Reply::kError, "25006", 0}; };
+  Client client(fixture.port);
   auto answer = client.query(write_sql("w2", 800));
   CHECK(answer.end == 'Z');
   CHECK_FALSE(answer.row);
   CHECK_FALSE(answer.code == "53300");
   CHECK_FALSE(answer.code == "57P03");
-  CHECK(rig.primary.most_out <= 1);
-  CHECK(rig.primary.count() >= 1);
-  CHECK(rig.primary.count() + rig.replica.count() <= 8);
+  CHECK(fixture.primary.max_in_flight <= 1);
+  CHECK(fixture.primary.count() >= 1);
+  CHECK(fixture.primary.count() + fixture.replica.count() <= 8);
 }
 
 TEST_CASE("answers: a refusal comes at once and tells in D when to come back") {
-  Rig rig;
-  rig.discovery.set("");  // every server is gone
-  Client client(rig.port);
-  REQUIRE(soon([&] { return rig.discovery.calls >= 2; }));
+  ProxyFixture fixture;
+  fixture.discovery.set("");  // every server is gone
+  Client client(fixture.port);
+  REQUIRE(eventually([&] { return fixture.discovery.calls >= 2; }));
   auto answer = client.query(read_sql("r1", 1900));
   CHECK(answer.code == "53300");
   CHECK(std::stoi(answer.detail) > 0);
-  CHECK(rig.primary.count() + rig.replica.count() == 0);
+  CHECK(fixture.primary.count() + fixture.replica.count() == 0);
 }
 
 TEST_CASE("answers: with servers that stay silent, the answer still comes before the client gives up") {
-  Rig rig;
-  rig.primary.reply = rig.replica.reply = [](const std::string&) { return Reply{Reply::kSilence, "", 0}; };
-  Client client(rig.port);
+  ProxyFixture fixture;
+  fixture.primary.reply = fixture.replica.reply = [](const std::string&) {
+    return Reply{Reply::kNoAnswer, "", 0};
+  };
+  Client client(fixture.port);
   auto before = Clock::now();
   auto answer = client.query(read_sql("s1", 1500));
   CHECK(Clock::now() - before < 1500ms);
@@ -186,68 +189,73 @@
 }
 
 TEST_CASE("clients: one that leaves takes its attempt with it") {
-  Rig rig;
-  rig.primary.reply = rig.replica.reply = [](const std::string&) { return Reply{Reply::kSilence, "", 0}; };
-  Client client(rig.port);
+  ProxyFixture fixture;
+  fixture.primary.reply = fixture.replica.reply = [](const std::string&) {
+    return Reply{Reply::kNoAnswer, "", 0};
+  };
+  Client client(fixture.port);
   client.send(pg::simple_query(write_sql("g1", 60000)));
-  REQUIRE(soon([&] { return rig.primary.silent == 1; }));
+  REQUIRE(eventually([&] { return fixture.primary.unanswered == 1; }));
   client.close();
-  CHECK(soon([&] { return rig.primary.silent == 0; }));
-  CHECK(rig.primary.count() == 1);
+  CHECK(eventually([&] { return fixture.primary.unanswered == 0; }));
+  CHECK(fixture.primary.count() == 1);
 }
 
 TEST_CASE("clients: a CancelRequest ends just the request it names, with its one answer") {
-  Rig rig;
-  rig.primary.reply = [](const std::string&) { return Reply{Reply::kSilence, "", 0}; };
-  Client client(rig.port, false);
+  ProxyFixture fixture;
+  fixture.primary.reply = [](const std::string&) { return Reply{Reply::kNoAnswer, "", 0}; };
+  Client client(fixture.port, false);
   auto key = client.start();
   client.send(pg::simple_query(write_sql("x1", 60000)));
-  REQUIRE(soon([&] { return rig.primary.count() == 1; }));
+  REQUIRE(eventually([&] { return fixture.primary.count() == 1; }));
   auto wrong = key;
   wrong.back() = static_cast<char>(wrong.back() + 1);
   for (auto& named : {wrong, key}) {
-    Client canceller(rig.port, false);
+    Client canceller(fixture.port, false);
     canceller.send(cancel_request(named));
-    CHECK_FALSE(canceller.more());
-    CHECK(rig.primary.open >= (named == key ? 0 : 1));
+    CHECK_FALSE(canceller.receive());
+    CHECK(fixture.primary.open_connections >= (named == key ? 0 : 1));
   }
   CHECK(client.answer().code == "57014");
-  CHECK(soon([&] { return rig.primary.out == 0; }));
+  CHECK(eventually([&] { return fixture.primary.in_flight == 0; }));
   CHECK(client.query("SET a = 1").tag == "SET");
 }
 
 TEST_CASE("reads: one turned away as too far behind goes on to another server") {
-  Rig rig;
-  rig.replica.reply = [](const std::string&) { return Reply{Reply::kError, "72000", unix_ms() - 5000}; };
-  Client client(rig.port);
+  ProxyFixture fixture;
+  fixture.replica.reply = [](const std::string&) { return Reply{Reply::kError, "72000", unix_ms() - 5000}; };
+  Client client(fixture.port);
   auto answer = client.query(read_sql("f1", 1900));
   CHECK(answer.row);
-  CHECK(rig.primary.count() == 1);
+  CHECK(fixture.primary.count() == 1);
 }
 
 TEST_CASE("draining: no new work later than 1 s after word of it") {
-  Rig rig;
-  Client client(rig.port);
+  ProxyFixture fixture;
+  Client client(fixture.port);
   REQUIRE(client.query(read_sql("d0")).row);
-  rig.discovery.set(entry("s-p", rig.primary) + "," + entry("s-r", rig.replica, "draining"));
-  auto told = rig.discovery.calls.load();
-  REQUIRE(soon([&] { return rig.discovery.calls >= told + 2; }));
+  fixture.discovery.set(endpoint_entry("s-p", fixture.primary) + "," +
+                        endpoint_entry("s-r", fixture.replica, "draining"));
+  auto told = fixture.discovery.calls.load();
+  REQUIRE(eventually([&] { return fixture.discovery.calls >= told + 2; }));
   std::this_thread::sleep_for(1s);
-  auto before = rig.replica.count();
+  auto before = fixture.replica.count();
   for (int i = 1; i <= 5; ++i) CHECK(client.query(read_sql("d" + std::to_string(i), 1900)).row);
-  CHECK(rig.replica.count() == before);
+  CHECK(fixture.replica.count() == before);
 }
 
 TEST_CASE("values: 64 KiB pass whole, also to a client that reads late") {
-  Rig rig;
+  ProxyFixture fixture;
   std::string value(65536, '\0');
   for (std::size_t i = 0; i < value.size(); ++i) value[i] = static_cast<char>(i * 7);
-  rig.primary.reply = rig.replica.reply = [&](const std::string&) { return Reply{Reply::kRow, value, 0}; };
-  Client client(rig.port);
+  fixture.primary.reply = fixture.replica.reply = [&](const std::string&) {
+    return Reply{Reply::kRow, value, 0};
+  };
+  Client client(fixture.port);
   std::string all;
   for (int i = 0; i < 30; ++i) all += pg::simple_query(read_sql("v" + std::to_string(i), 8000));
   client.send(all);
-  CHECK(soon([&] { return rig.primary.count() + rig.replica.count() >= 10; }));
+  CHECK(eventually([&] { return fixture.primary.count() + fixture.replica.count() >= 10; }));
   for (int i = 0; i < 30; ++i) {
     auto answer = client.answer();
     REQUIRE(answer.row);
@@ -259,26 +267,26 @@
 }
 
 TEST_CASE("values: one that breaks off halfway never reaches the client, a read goes on to another server") {
-  Rig rig;
+  ProxyFixture fixture;
   std::string value(40000, 'h');
-  rig.replica.reply = [&](const std::string&) { return Reply{Reply::kHalf, value, 0}; };
-  rig.primary.reply = [&](const std::string&) { return Reply{Reply::kRow, value, 0}; };
-  Client client(rig.port);
+  fixture.replica.reply = [&](const std::string&) { return Reply{Reply::kTruncated, value, 0}; };
+  fixture.primary.reply = [&](const std::string&) { return Reply{Reply::kRow, value, 0}; };
+  Client client(fixture.port);
   for (int i = 0; i < 3; ++i) {
     auto answer = client.query(read_sql("h" + std::to_string(i), 1900));
     CHECK(answer.end == 'Z');
     CHECK((answer.row ? answer.value == value : !answer.code.empty()));
   }
-  CHECK(rig.primary.count() + rig.replica.count() > 0);
+  CHECK(fixture.primary.count() + fixture.replica.count() > 0);
 }
 
 TEST_CASE("facade: a send that was decided, but whose client left first, does not stay in flight for ever") {
-  Rig rig;
+  ProxyFixture fixture;
   net::Loop loop;
   auto now = loop.now();
-  routing::DecisionFacade facade(rig.config.settings, 1, routing::UnixClock::measured(),
+  routing::DecisionFacade facade(fixture.config.settings, 1, routing::UnixClock::measured(),
                                  [](const std::string&) {});
-  facade.update(now, rig.config.known);
+  facade.update(now, fixture.config.known);
   for (auto name : {"s-p", "s-r"})
     facade.report(
         now, routing::ProbeResult{name, true, routing::Micros(1000),
@@ -311,18 +319,18 @@
 }
 
 TEST_CASE("long days: servers that come and go leave nothing behind") {
-  Rig rig;
-  Client client(rig.port);
+  ProxyFixture fixture;
+  Client client(fixture.port);
   REQUIRE(client.query(write_sql("l0")).row);
   net::Loop loop;
-  routing::DecisionFacade facade(rig.config.settings, 1, routing::UnixClock::measured(),
+  routing::DecisionFacade facade(fixture.config.settings, 1, routing::UnixClock::measured(),
                                  [](const std::string&) {});
   auto now = loop.now();
   for (int i = 0; i < 2000; ++i, now += routing::Micros(1'000'000)) {
     discovery::EndpointListUpdate update;
     discovery::Endpoint m;
     m.id = "s-" + std::to_string(i);
-    m.address = rig.primary.address();
+    m.address = fixture.primary.address();
     m.cell = 2;
     update.members.push_back(m);
     m.id = "s-" + std::to_string(i - 10);
@@ -336,11 +344,11 @@
   CHECK(facade.members_known() < 200);
   std::size_t known = 0;
   for (int i = 0; i < 50; ++i) {
-    rig.with_proxy([&](proxy::Proxy& p) {
+    fixture.with_proxy([&](proxy::Proxy& p) {
       discovery::EndpointListUpdate update;
       discovery::Endpoint m;
       m.id = "s-" + std::to_string(i);
-      m.address = rig.primary.address();
+      m.address = fixture.primary.address();
       m.cell = 2;
       update.members.push_back(m);
       p.pool().update(update);
@@ -353,110 +361,111 @@
 }
 
 TEST_CASE("connections: reused between requests, and closed before the server's idle limit") {
-  Rig rig(200, R"(,"Extra":{"New":1})");
-  Client client(rig.port);
+  ProxyFixture fixture(200, R"(,"Extra":{"New":1})");
+  Client client(fixture.port);
   for (int i = 0; i < 6; ++i) REQUIRE(client.query(write_sql("c" + std::to_string(i))).row);
-  CHECK(rig.primary.connections <= 2);  // a probe may have needed the second
-  CHECK(rig.config.pool.idle < 30s);
+  CHECK(fixture.primary.connections <= 2);  // a probe may have needed the second
+  CHECK(fixture.config.pool.idle < 30s);
 }
 
 TEST_CASE("discovery: cut connections are made again, and a whole list replaces the old one") {
-  Rig rig;
-  rig.discovery.breaks = 3;
-  REQUIRE(soon([&] { return rig.discovery.breaks == 0; }));
+  ProxyFixture fixture;
+  fixture.discovery.calls_to_cut = 3;
+  REQUIRE(eventually([&] { return fixture.discovery.calls_to_cut == 0; }));
   Server fresh(true);
-  rig.discovery.set(entry("s-n", fresh));
-  Client client(rig.port);
-  CHECK(soon([&] { return client.query(read_sql("n1", 400)).row && fresh.count() > 0; }));
+  fixture.discovery.set(endpoint_entry("s-n", fresh));
+  Client client(fixture.port);
+  CHECK(eventually([&] { return client.query(read_sql("n1", 400)).row && fresh.count() > 0; }));
 }
 
 TEST_CASE("discovery: a new address takes over once it has told its list, whatever version it counts from") {
-  Rig rig;
-  Client client(rig.port);
-  for (int i = 0; i < 9; ++i) rig.discovery.set(entry("s-p", rig.primary));
+  ProxyFixture fixture;
+  Client client(fixture.port);
+  for (int i = 0; i < 9; ++i) fixture.discovery.set(endpoint_entry("s-p", fixture.primary));
   Discovery next, mute;
   Server fresh(true);
-  next.set(entry("s-n", fresh));  // its version is far lower than the old one's
-  mute.breaks = 1 << 20;
+  next.set(endpoint_entry("s-n", fresh));  // its version is far lower than the old one's
+  mute.calls_to_cut = 1 << 20;
   auto move_to = [&](const std::string& address) {
-    rig.with_proxy([&](proxy::Proxy& p) {
-      proxy::ProxyOptions options{rig.config.listen, address,         rig.config.sockets,
-                                  rig.config.memory, rig.config.pool, {}};
+    fixture.with_proxy([&](proxy::Proxy& p) {
+      proxy::ProxyOptions options{fixture.config.listen,  address,
+                                  fixture.config.sockets, fixture.config.memory,
+                                  fixture.config.pool,    {}};
       p.reconfigure(options);
     });
   };
   move_to(mute.address());  // it tells nothing: the old one stays in force
-  REQUIRE(soon([&] { return mute.calls >= 2; }));
+  REQUIRE(eventually([&] { return mute.calls >= 2; }));
   Server later(true);
-  rig.discovery.set(entry("s-l", later));
-  CHECK(soon([&] { return client.query(read_sql("o1", 400)).row && later.count() > 0; }));
+  fixture.discovery.set(endpoint_entry("s-l", later));
+  CHECK(eventually([&] { return client.query(read_sql("o1", 400)).row && later.count() > 0; }));
   move_to(next.address());
-  CHECK(soon([&] { return client.query(read_sql("o2", 400)).row && fresh.count() > 0; }));
-  auto old_calls = rig.discovery.calls.load();
+  CHECK(eventually([&] { return client.query(read_sql("o2", 400)).row && fresh.count() > 0; }));
+  auto old_calls = fixture.discovery.calls.load();
   move_to(next.address());  // nothing new: the watch goes on
   Server last(true);
-  next.set(entry("s-q", last));  // as a change of the same watch
-  CHECK(soon([&] { return client.query(read_sql("o3", 400)).row && last.count() > 0; }));
-  CHECK(rig.discovery.calls == old_calls);
-  move_to(rig.discovery.address());  // and back again
-  CHECK(soon([&] { return rig.discovery.calls > old_calls; }));
+  next.set(endpoint_entry("s-q", last));  // as a change of the same watch
+  CHECK(eventually([&] { return client.query(read_sql("o3", 400)).row && last.count() > 0; }));
+  CHECK(fixture.discovery.calls == old_calls);
+  move_to(fixture.discovery.address());  // and back again
+  CHECK(eventually([&] { return fixture.discovery.calls > old_calls; }));
 }
 
 TEST_CASE("descriptors: idle clients make room for new ones") {
-  Rig rig(40);
+  ProxyFixture fixture(40);
   std::vector<std::unique_ptr<Client>> idle;
-  for (int i = 0; i < 40; ++i) idle.push_back(std::make_unique<Client>(rig.port));
+  for (int i = 0; i < 40; ++i) idle.push_back(std::make_unique<Client>(fixture.port));
   CHECK(idle.back()->query(read_sql("e1", 1900)).row);
 }
 
 TEST_CASE("descriptors: clients that asked once and stay give way long before the limit, oldest first") {
-  Rig rig(200);
+  ProxyFixture fixture(200);
   std::vector<std::unique_ptr<Client>> asked;
   for (int i = 0; i < 60; ++i) {
-    asked.push_back(std::make_unique<Client>(rig.port));
+    asked.push_back(std::make_unique<Client>(fixture.port));
     REQUIRE(asked.back()->query(read_sql("k" + std::to_string(i), 1900)).row);
   }
   std::this_thread::sleep_for(100ms);
-  Client last(rig.port);
+  Client last(fixture.port);
   REQUIRE(last.query(read_sql("k60", 1900)).row);
   auto ended = [](Client& client) {
     pollfd p{client.fd(), POLLIN, 0};
     return poll(&p, 1, 0) == 1;
   };
-  CHECK(soon([&] { return ended(*asked[0]) && ended(*asked[5]); }));
+  CHECK(eventually([&] { return ended(*asked[0]) && ended(*asked[5]); }));
   CHECK_FALSE(ended(*asked[59]));
   CHECK(last.query(read_sql("k61", 1900)).row);
 }
 
 TEST_CASE("stopping: what was taken is answered, new connections too, then it ends by itself") {
-  Rig rig;
+  ProxyFixture fixture;
   std::atomic<bool> release{false};
-  rig.primary.reply = [&](const std::string&) {
-    soon([&] { return release.load(); });
+  fixture.primary.reply = [&](const std::string&) {
+    eventually([&] { return release.load(); });
     return Reply{};
   };
-  Client client(rig.port), idle(rig.port);
+  Client client(fixture.port), idle(fixture.port);
   client.send(pg::simple_query(write_sql("t1", 9000)));
-  REQUIRE(soon([&] { return rig.primary.count() == 1; }));
-  rig.stop_gently();
-  Client late(rig.port);
+  REQUIRE(eventually([&] { return fixture.primary.count() == 1; }));
+  fixture.shut_down_gracefully();
+  Client late(fixture.port);
   CHECK(late.query(read_sql("t2")).row);
-  CHECK_FALSE(idle.more());  // closed between requests
-  CHECK_FALSE(rig.ended);
+  CHECK_FALSE(idle.receive());  // closed between requests
+  CHECK_FALSE(fixture.ended);
   release = true;
   CHECK(client.answer().row);
-  CHECK(soon([&] { return rig.ended.load(); }));
+  CHECK(eventually([&] { return fixture.ended.load(); }));
 }
 
 TEST_CASE("readiness: the empty query waits until a server is known") {
-  Rig rig;
-  auto text = config_text(rig.discovery.address(), R"({"generation":0,"reset":true,"instances":[]})");
+  ProxyFixture fixture;
+  auto text = config_text(fixture.discovery.address(), R"({"generation":0,"reset":true,"instances":[]})");
   auto config = app::parse_config(text);
   net::Loop loop;
   routing::DecisionFacade facade(config.settings, 1, routing::UnixClock::measured(),
                                  [](const std::string&) {});
   CHECK_FALSE(facade.ready());
-  facade.update(loop.now(), discovery::parse_endpoint_list(rig.discovery.list()));
+  facade.update(loop.now(), discovery::parse_endpoint_list(fixture.discovery.list()));
   CHECK(facade.ready());
 }
 
--- a/tests/testbench/lab_test.cpp
+++ b/tests/testbench/lab_test.cpp
@@ -178,11 +178,11 @@
   o.handover_gap = ms(1);
   FakeServers stand_in(o);
   auto address = stand_in.steering();
-  test::Peer steering = test::Peer::to(std::stoi(address.substr(address.rfind(':') + 1)));
+  test::Peer steering = test::Peer::connect_to(std::stoi(address.substr(address.rfind(':') + 1)));
   auto steer = [&](const std::string& line) {
     steering.send(line + "\n");
-    while (steering.in.find('\n') == std::string::npos) REQUIRE(steering.more());
-    auto answer = nlohmann::json::parse(std::exchange(steering.in, {}));
+    while (steering.received.find('\n') == std::string::npos) REQUIRE(steering.receive());
+    auto answer = nlohmann::json::parse(std::exchange(steering.received, {}));
     return answer;
   };
   CHECK(steer(R"({"do":"handover","server":"s1-2"})").at("ok") == true);
@@ -192,10 +192,10 @@
     return std::stoi(a.substr(a.rfind(':') + 1));
   };
   test::Client old(port(0)), next(port(1));
-  CHECK(test::soon([&] { return next.query(test::write_sql("h" + std::to_string(rand()))).row; }));
+  CHECK(test::eventually([&] { return next.query(test::write_sql("h" + std::to_string(rand()))).row; }));
   CHECK(old.query(test::write_sql("x")).code == "25006");
   CHECK(steer(R"({"do":"kill","server":"s1-1"})").at("ok") == true);
-  CHECK_FALSE(old.more());
+  CHECK_FALSE(old.receive());
   CHECK(steer(R"({"do":"start","server":"s1-1"})").at("ok") == true);
   CHECK(test::Client(port(0)).query("").tag == "empty");
   CHECK(stand_in.members().at("instances").at(0).at("startedAtMs") > 0);
@@ -208,7 +208,7 @@
   o.replicas = 1;
   FakeServers stand_in(o);
   auto config = app::parse_config(test::config_text(stand_in.discovery(), stand_in.members().dump()));
-  test::Rig rig;  // its proxy serves set 2 only; this load asks a data server directly
+  test::ProxyFixture rig;  // its proxy serves set 2 only; this load asks a data server directly
   auto at = stand_in.members().at("instances").at(0).at("hostPort").get<std::string>();
   LoadOptions load;
   load.target = *net::parse_address(at);
@@ -255,7 +255,7 @@
 
 TEST_CASE("load: a value of another request is a breach, percentiles and medians are right") {
   RuleChecker rules;
-  test::Rig rig;
+  test::ProxyFixture rig;
   rig.primary.reply =
       rig.replica.reply = [](const std::string&) { return test::Reply{}; };  // "value", never the id
   LoadOptions load;
--- a/tests/testbench/process_test.cpp
+++ b/tests/testbench/process_test.cpp
@@ -95,7 +95,7 @@
   ProcessUnderTest daemon(d);
   CHECK(daemon.log().find("4 busy threads (3 workers and the decisions) share 1 cores") != std::string::npos);
   // The first worker may say that it is ready before the last has its name.
-  CHECK(test::soon([&] { return daemon.usage().threads.count("worker-2") > 0; }));
+  CHECK(test::eventually([&] { return daemon.usage().threads.count("worker-2") > 0; }));
   auto usage = daemon.usage();
   CHECK(usage.threads.count("decisions"));
   CHECK(usage.rss_mb > 1);
--- a/tests/testbench/run_line_test.cpp
+++ b/tests/testbench/run_line_test.cpp
@@ -86,7 +86,7 @@
     if (chdir(DATABASE_PROXY_ROOT) == 0) execl("/bin/sh", "sh", "-c", run.c_str(), nullptr);
     _exit(127);
   }
-  REQUIRE(test::soon([&] { return whole(log).find("ready to serve") != std::string::npos; }));
+  REQUIRE(test::eventually([&] { return whole(log).find("ready to serve") != std::string::npos; }));
   auto process = fs::path("/proc") / std::to_string(started.pid);
   INFO(run << "\n" << whole(log));
   CHECK(whole(process / "comm") == "database-proxy\n");
--- a/tests/upgrade/call_faults_test.cpp
+++ b/tests/upgrade/call_faults_test.cpp
@@ -69,9 +69,9 @@
   REQUIRE(address_holder);
   REQUIRE(operator_address_holder);
   auto process = node.start(options);
-  REQUIRE(soon([&] { return process->log().find("trying again") != std::string::npos; }));
+  REQUIRE(eventually([&] { return process->log().find("trying again") != std::string::npos; }));
   address_holder.reset();
-  REQUIRE(soon([&] { return process->log().find("ready to serve") != std::string::npos; }));
+  REQUIRE(eventually([&] { return process->log().find("ready to serve") != std::string::npos; }));
   Client client(options.port);
   CHECK(client.query(read_statement("waited")).row);
   operator_address_holder.reset();
@@ -85,7 +85,7 @@
   auto options = node.options();
   options.listening_socket = -1;  // the node's own socket holds the address permanently
   auto process = node.start(options);
-  REQUIRE(soon([&] { return process->log().find("trying again") != std::string::npos; }));
+  REQUIRE(eventually([&] { return process->log().find("trying again") != std::string::npos; }));
   process->signal(SIGTERM);
   CHECK(process->wait() == 0);
 }
@@ -97,11 +97,11 @@
   auto process = node.start_faulty();
   REQUIRE(becomes_healthy(*process));
   node.faults.control().rate(CallFault::kAccept) = 1;
-  auto waiting = Peer::to(node.port());
+  auto waiting = Peer::connect_to(node.port());
   waiting.send(pg::startup_message("backend", "store"));
-  REQUIRE(soon([&] { return process->log().find("cannot accept clients for now") != std::string::npos; }));
+  REQUIRE(eventually([&] { return process->log().find("cannot accept clients for now") != std::string::npos; }));
   node.faults.clear();
-  CHECK(waiting.message().first == 'R');
+  CHECK(waiting.next_message().first == 'R');
 }
 
 namespace {
--- a/tests/upgrade/cordon_test.cpp
+++ b/tests/upgrade/cordon_test.cpp
@@ -97,7 +97,7 @@
   auto known = node.options().known;
   auto first = start_healthy(node);
   node.servers.steer({{"do", action}, {"server", kPrimary}});
-  REQUIRE(soon([&] { return first->log().find("list version") != std::string::npos; }));
+  REQUIRE(eventually([&] { return first->log().find("list version") != std::string::npos; }));
   std::this_thread::sleep_for(kGracePeriod);
   auto options = node.options();
   options.known = known;
@@ -178,7 +178,7 @@
     auto lists_received = [&] { return lines_with(second->log(), "list version"); };
     auto before = lists_received();
     node.servers.steer({{"do", action}, {"server", server}});
-    REQUIRE(soon([&] { return lists_received() > before; }));
+    REQUIRE(eventually([&] { return lists_received() > before; }));
   };
   steer_and_await_list("remove", kReplica);
   REQUIRE(second->operator_call("uncordon " + kReplica, kCallTimeout).starts_with("YES"));
--- a/tests/upgrade/node.h
+++ b/tests/upgrade/node.h
@@ -97,7 +97,7 @@
 }
 
 inline bool becomes_healthy(ProcessUnderTest& process) {
-  return soon([&] { return is_healthy(process) || !process.running(); }, kHealthTimeout) &&
+  return eventually([&] { return is_healthy(process) || !process.running(); }, kHealthTimeout) &&
          is_healthy(process);
 }
 
--- a/tests/upgrade/upgrade_test.cpp
+++ b/tests/upgrade/upgrade_test.cpp
@@ -165,7 +165,7 @@
   options.known = nlohmann::json::parse(R"({"generation":1,"reset":true,"instances":[]})");
   options.discovery = "127.0.0.1:1";
   auto unready = node.start(options);
-  REQUIRE(soon([&] { return unready->operator_call("health", kCallTimeout).starts_with("NO "); }));
+  REQUIRE(eventually([&] { return unready->operator_call("health", kCallTimeout).starts_with("NO "); }));
   for (int i = 0; i < 20; ++i) {
     Client client(node.port());
     CHECK(client.query(read_statement("r" + std::to_string(i))).row);
@@ -217,7 +217,7 @@
     REQUIRE(becomes_healthy(*second));
     // While both processes run, a cordon made at one takes effect at the other.
     CHECK(second->operator_call("cordon " + other, kCallTimeout).starts_with("YES"));
-    REQUIRE(soon([&] {
+    REQUIRE(eventually([&] {
       return first->operator_call("cordon " + other, kCallTimeout).find("already") != std::string::npos;
     }));
     first->signal(SIGTERM);
@@ -231,10 +231,10 @@
     CHECK(second->operator_call("uncordon " + victim, kCallTimeout) == "YES\n");
     second->signal(SIGTERM);
     CHECK(second->wait() == 0);
-    REQUIRE(soon([&] {
+    REQUIRE(eventually([&] {
       return third->operator_call("uncordon " + victim, kCallTimeout) == "YES it was not cordoned\n";
     }));
-    CHECK(soon([&] { return requests_during(node, victim, [&] { send_reads(node, 50); }) > 0; }));
+    CHECK(eventually([&] { return requests_during(node, victim, [&] { send_reads(node, 50); }) > 0; }));
     CHECK(node.servers.rules().breaches_in_words() == "");
   }
 }
@@ -292,10 +292,10 @@
   auto second = node.start();
   REQUIRE(becomes_healthy(*second));
   std::filesystem::create_directory(folder);
-  REQUIRE(soon([&] { return first->log().find("is written again") != std::string::npos; }));
+  REQUIRE(eventually([&] { return first->log().find("is written again") != std::string::npos; }));
   first->signal(SIGTERM);
   CHECK(first->wait() == 0);
-  CHECK(soon([&] { return requests_during(node, victim, [&] { send_reads(node, 50); }) == 0; }));
+  CHECK(eventually([&] { return requests_during(node, victim, [&] { send_reads(node, 50); }) == 0; }));
   CHECK(requests_during(node, victim, [&] { send_reads(node); }) == 0);
 }
 
@@ -312,8 +312,8 @@
   client.send(pg::simple_query(read_statement("slow", 1900)));
   auto asked_at = Clock::now();
   first->signal(SIGTERM);  // from now on the successor accepts new connections
-  REQUIRE(soon([&] { return first->operator_call("health", kCallTimeout).starts_with("NO "); }));
-  Peer::to(node.port()).send(cancel_request(key));
+  REQUIRE(eventually([&] { return first->operator_call("health", kCallTimeout).starts_with("NO "); }));
+  Peer::connect_to(node.port()).send(cancel_request(key));
   CHECK(client.answer().code == "57014");
   CHECK(Clock::now() - asked_at < 1s);
   CHECK(first->wait() == 0);
@@ -336,7 +336,7 @@
   REQUIRE(becomes_healthy(*second));
   std::vector<Peer> more;
   for (int i = 0; i < 100; ++i) {
-    more.push_back(Peer::to(node.port()));
+    more.push_back(Peer::connect_to(node.port()));
     auto held = first->usage().descriptors + second->usage().descriptors;
     CHECK(held <= static_cast<int>(kLimit));
   }
@@ -352,7 +352,7 @@
   REQUIRE(fcntl(node.listening_socket.get(), F_GETOWN) == first->pid());
   first->signal(SIGSTOP);  // the second waits for it, and it cannot claim the socket again
   auto second = node.start();
-  REQUIRE(soon([&] { return second->log().find("operators are served") != std::string::npos; }));
+  REQUIRE(eventually([&] { return second->log().find("operators are served") != std::string::npos; }));
   second->signal(SIGTERM);
   CHECK(second->wait() == 0);
   CHECK(fcntl(node.listening_socket.get(), F_GETOWN) == first->pid());
@@ -386,10 +386,10 @@
       Client busy(node.port());
       remaining->signal(SIGCONT);
       busy.send(pg::simple_query(write_statement(1)));
-      REQUIRE(soon([&] { return node.servers.figures().at("s1-1").requests == 1; }));
+      REQUIRE(eventually([&] { return node.servers.figures().at("s1-1").requests == 1; }));
       shutting_down->signal(SIGTERM);
       auto serves_line = fmt::format("process {} serves on the listening socket", remaining->pid());
-      CHECK(soon([&] { return shutting_down->log().find(serves_line) != std::string::npos; }));
+      CHECK(eventually([&] { return shutting_down->log().find(serves_line) != std::string::npos; }));
       CHECK(owner() == remaining->pid());
       CHECK(shutting_down->running());  // the write is in flight
       std::vector<std::unique_ptr<Client>> clients(16);
--- a/tests/workers/worker_pool_test.cpp
+++ b/tests/workers/worker_pool_test.cpp
@@ -87,10 +87,10 @@
     config.sockets = descriptors;
     running.emplace(config, o);
     port = running->port;
-    REQUIRE(soon([&] { return Client(port).query(read_sql("first")).row; }));
+    REQUIRE(eventually([&] { return Client(port).query(read_sql("first")).row; }));
   }
   std::string list(const std::string& of_second) {
-    return entry("s-p", primary) + "," + entry("s-r", replica) + "," + entry("s-q", second, of_second);
+    return endpoint_entry("s-p", primary) + "," + endpoint_entry("s-r", replica) + "," + endpoint_entry("s-q", second, of_second);
   }
   Server primary{true}, replica{false}, second{false};
   Discovery discovery;
@@ -104,7 +104,7 @@
   explicit Placed(int port, std::size_t workers) : client(port, false) {
     client.send(pg::startup_message("backend", "store"));
     while (true) {
-      auto [type, body] = client.message();
+      auto [type, body] = client.next_message();
       REQUIRE(type != 0);
       if (type == 'K') {
         for (int i = 0; i < 4; ++i)
@@ -181,7 +181,7 @@
   std::this_thread::sleep_for(100ms);
   auto calls = rig.discovery.calls.load();
   rig.discovery.set(rig.list("draining"));
-  REQUIRE(soon([&] { return rig.discovery.calls > calls; }));  // it has the word and asks for the next
+  REQUIRE(eventually([&] { return rig.discovery.calls > calls; }));  // it has the word and asks for the next
   told = true;
   for (std::size_t w = 0; w < 4; ++w)
     for (int i = 0; i < 8; ++i) CHECK(placed[w]->client.answer().row);
@@ -196,13 +196,13 @@
     GroupRig rig(options(2, decisions));
     std::atomic<bool> release{false};
     rig.primary.reply = rig.replica.reply = rig.second.reply = [&](const std::string&) {
-      soon([&] { return release.load(); });
+      eventually([&] { return release.load(); });
       return Reply{};
     };
     auto placed = one_on_each(rig.port, 2);
     auto before = rig.primary.count() + rig.replica.count() + rig.second.count();
     placed[0]->client.send(pg::simple_query(read_sql("same", 1900)));
-    REQUIRE(soon([&] { return rig.primary.count() + rig.replica.count() + rig.second.count() > before; }));
+    REQUIRE(eventually([&] { return rig.primary.count() + rig.replica.count() + rig.second.count() > before; }));
     CHECK(placed[1]->client.query(read_sql("same", 1900)).code == "42710");
     release = true;
     CHECK(placed[0]->client.answer().row);
@@ -215,7 +215,7 @@
     GroupRig rig(options(2));
     std::atomic<bool> release{false};
     rig.primary.reply = [&](const std::string&) {
-      soon([&] { return release.load(); });
+      eventually([&] { return release.load(); });
       return Reply{};
     };
     // Its worker has more clients than the other once these leave, so whoever comes next is dealt to the
@@ -230,14 +230,14 @@
     auto& victim = *own.front();
     auto before = rig.primary.count();
     victim.client.send(pg::simple_query(write_sql("c", 4000)));
-    REQUIRE(soon([&] { return rig.primary.count() > before; }));
-    CHECK(soon([&] { return rig.running->group->clients(1 - owner) == 0; }));
+    REQUIRE(eventually([&] { return rig.primary.count() > before; }));
+    CHECK(eventually([&] { return rig.running->group->clients(1 - owner) == 0; }));
     auto wrong = victim.cancel_request();
     wrong.back() = static_cast<char>(wrong.back() ^ 1);
     for (auto& request : {wrong, victim.cancel_request()}) {
-      auto canceller = Peer::to(rig.port);
+      auto canceller = Peer::connect_to(rig.port);
       canceller.send(request);
-      CHECK_FALSE(canceller.more());  // it gets no answer, and its connection ends
+      CHECK_FALSE(canceller.receive());  // it gets no answer, and its connection ends
       CHECK(rig.running->group->clients(owner) >= 4);
     }
     CHECK(victim.client.answer().code == "57014");
@@ -306,12 +306,12 @@
   auto placed = one_on_each(rig.port, 2);
   std::atomic<bool> release{false};
   rig.replica.reply = rig.second.reply = [&](const std::string&) {
-    soon([&] { return release.load(); });
+    eventually([&] { return release.load(); });
     return Reply{};
   };
   for (int i = 0; i < 6; ++i)
     placed[0]->client.send(pg::simple_query(read_sql("s" + std::to_string(i), 1800)));
-  REQUIRE(soon([&] { return rig.replica.count() + rig.second.count() >= 2; }));
+  REQUIRE(eventually([&] { return rig.replica.count() + rig.second.count() >= 2; }));
   rig.running->stall(0, 300ms);
   std::this_thread::sleep_for(20ms);
   release = true;
@@ -320,7 +320,7 @@
   CHECK(Clock::now() - began < 250ms);
   for (int i = 0; i < 6; ++i) CHECK(placed[0]->client.answer().row);
   CHECK(placed[0]->client.query(read_sql("again")).row);
-  CHECK(rig.replica.most_out <= 6);
+  CHECK(rig.replica.max_in_flight <= 6);
   rig.running->stop_gently();
   balances(rig.running->counters);
 }
@@ -339,7 +339,7 @@
       if (accept == workers::Accept::kBalanced && silent.size() > 40)
         break;  // dealing evens out: some are enough
     }
-    CHECK(soon([&] { return rig.running->group->clients(1) == 0; }));
+    CHECK(eventually([&] { return rig.running->group->clients(1) == 0; }));
     int served = 0;
     Clock::duration longest{0};
     for (int i = 0; i < 200 && served < 5; ++i) {
@@ -359,7 +359,7 @@
   GroupRig rig(o, 60);
   std::atomic<bool> release{false};
   rig.primary.reply = rig.replica.reply = rig.second.reply = [&](const std::string& sql) {
-    if (sql.find("id=hold") != std::string::npos) soon([&] { return release.load(); });
+    if (sql.find("id=hold") != std::string::npos) eventually([&] { return release.load(); });
     return Reply{};
   };
   // Worker 1 gets one client that has asked nothing and so has no connection to a server yet; worker 0 gets
@@ -378,14 +378,14 @@
   REQUIRE(silent.size() == 4);
   for (std::size_t i = 0; i < busy.size(); ++i)
     busy[i]->client.send(pg::simple_query(read_sql("hold" + std::to_string(i), 4000)));
-  auto open = [&] { return rig.primary.open + rig.replica.open + rig.second.open; };
-  REQUIRE(soon([&] { return rig.replica.out + rig.second.out + rig.primary.out >= 15; }));
+  auto open = [&] { return rig.primary.open_connections + rig.replica.open_connections + rig.second.open_connections; };
+  REQUIRE(eventually([&] { return rig.replica.in_flight + rig.second.in_flight + rig.primary.in_flight >= 15; }));
   auto clients = rig.running->group->clients(0);
   auto connections = open();
   // Two at once: one of them may find a connection that its worker has kept, the other cannot.
   last->client.send(pg::simple_query(read_sql("hold-a", 4000)) + pg::simple_query(read_sql("hold-b", 4000)));
-  CHECK(soon([&] { return open() > connections; }, 2s));
-  CHECK(soon([&] { return rig.running->group->clients(0) < clients; }, 1s));
+  CHECK(eventually([&] { return open() > connections; }, 2s));
+  CHECK(eventually([&] { return rig.running->group->clients(0) < clients; }, 1s));
   release = true;
   for (auto& b : busy) CHECK(b->client.answer().row);
   for (int i = 0; i < 2; ++i) CHECK(last->client.answer().row);
@@ -398,7 +398,7 @@
   std::atomic<int> out{0};
   rig.primary.reply = [&](const std::string&) {
     ++out;
-    soon([&] { return out >= 12; }, 300ms);  // many at once, so that each worker opens some
+    eventually([&] { return out >= 12; }, 300ms);  // many at once, so that each worker opens some
     return Reply{};
   };
   auto placed = one_on_each(rig.port, 4);
@@ -410,7 +410,7 @@
           ",c=book,d=3000,k=" + std::to_string(i * 10 + static_cast<int>(p->worker)) + ",cluster=2 */"));
   for (int i = 0; i < 3; ++i)
     for (auto& p : placed) CHECK(p->client.answer().row);
-  CHECK(soon([&] { return rig.primary.open <= 7; }));  // 6, and the probe's own
+  CHECK(eventually([&] { return rig.primary.open_connections <= 7; }));  // 6, and the probe's own
 }
 
 TEST_CASE("workers: a whole shutdown answers what was taken on every worker") {
@@ -418,11 +418,11 @@
   auto placed = one_on_each(rig.port, 4);
   std::atomic<bool> release{false};
   rig.replica.reply = rig.second.reply = rig.primary.reply = [&](const std::string&) {
-    soon([&] { return release.load(); });
+    eventually([&] { return release.load(); });
     return Reply{};
   };
   for (auto& p : placed) p->client.send(pg::simple_query(read_sql("e" + std::to_string(p->worker), 1900)));
-  REQUIRE(soon([&] { return rig.replica.count() + rig.second.count() + rig.primary.count() >= 4; }));
+  REQUIRE(eventually([&] { return rig.replica.count() + rig.second.count() + rig.primary.count() >= 4; }));
   std::thread stopping([&] { rig.running->stop_gently(); });
   std::this_thread::sleep_for(100ms);
   Client late(rig.port);  // new connections keep coming for a while
