--- a/tests/proxy/crossings_test.cpp
+++ b/tests/proxy/crossings_test.cpp
@@ -23,7 +23,7 @@
 // Has a server hold its answers until they are let go.
 class Gate {
  public:
-  std::function<Reply(const std::string&)> before(Reply reply) {
+  std::function<Reply(const std::string&)> hold(Reply reply) {
     return [this, reply](const std::string&) {
       eventually([&] { return open_.load(); });
       return reply;
@@ -37,13 +37,13 @@
 };
 
 // Has so many writes out at once, which leaves as many idle connections to the primary.
-void leave_idle_connections(ProxyFixture& fixture, int count) {
+void open_idle_connections(ProxyFixture& fixture, int count) {
   {
     Client client(fixture.port);
     REQUIRE(client.query(write_sql("v")).row);  // the primary is known from now on
   }
   Gate gate;
-  fixture.primary.reply = gate.before(Reply{});
+  fixture.primary.reply = gate.hold(Reply{});
   std::vector<std::unique_ptr<Client>> clients;
   for (int i = 0; i < count; ++i) {
     clients.push_back(std::make_unique<Client>(fixture.port));
@@ -56,15 +56,15 @@
 }
 
 // All that was ready before has had its turn of the proxy's loop.
-void let_it_run(ProxyFixture& fixture) {
+void run_pending_events(ProxyFixture& fixture) {
   for (int i = 0; i < 2; ++i) {
-    std::promise<void> turned;
-    fixture.with_proxy([&](proxy::Proxy&) { turned.set_value(); });
-    REQUIRE(turned.get_future().wait_for(8s) == std::future_status::ready);
+    std::promise<void> iteration_began;
+    fixture.with_proxy([&](proxy::Proxy&) { iteration_began.set_value(); });
+    REQUIRE(iteration_began.get_future().wait_for(8s) == std::future_status::ready);
   }
 }
 
-void wait_long_for_connections(ProxyFixture& fixture) {
+void set_long_connect_timeout(ProxyFixture& fixture) {
   fixture.with_proxy([](proxy::Proxy& p) {
     proxy::PoolLimits limits;
     limits.connect_timeout = limits.probe_timeout = 10s;
@@ -72,7 +72,7 @@
   });
 }
 
-void move_discovery_to(ProxyFixture& fixture, const std::string& address) {
+void set_discovery_address(ProxyFixture& fixture, const std::string& address) {
   fixture.with_proxy([&fixture, address](proxy::Proxy& p) {
     proxy::ProxyOptions options{fixture.config.listen, address, fixture.config.sockets, fixture.config.memory,
                                 fixture.config.pool,   {}};
@@ -81,7 +81,7 @@
 }
 
 // Asks until `server` has had a request; how long that took.
-Clock::duration until_used(ProxyFixture& fixture, Server& server) {
+Clock::duration time_until_used(ProxyFixture& fixture, Server& server) {
   auto start = Clock::now();
   Client client(fixture.port);
   int number = 0;
@@ -134,15 +134,16 @@
 
 TEST_CASE("crossing: a client leaves as the connection for its request comes up") {
   ProxyFixture fixture;
-  wait_long_for_connections(fixture);
+  set_long_connect_timeout(fixture);
   Gate gate;
   Client first(fixture.port);
   REQUIRE(first.query(write_sql("a0")).row);  // the primary is known from now on
-  fixture.primary.reply = gate.before(Reply{});
+  fixture.primary.reply = gate.hold(Reply{});
   first.send(pg::simple_query(write_sql("a1", 9000)));
   REQUIRE(eventually([&] { return fixture.primary.count() == 2; }));
   fixture.primary.hold_greeting = true;
-  auto open = fixture.primary.open_connections.load(), greeted = fixture.primary.greetings_sent.load();
+  auto open_before = fixture.primary.open_connections.load(),
+       greeted_before = fixture.primary.greetings_sent.load();
   std::vector<std::unique_ptr<Client>> clients;
   std::size_t sent = 0;
   do {  // a probe may have left a connection behind, which is taken first
@@ -150,18 +151,18 @@
     clients.push_back(std::make_unique<Client>(fixture.port));
     clients.back()->send(pg::simple_query(write_sql("a" + std::to_string(sent), 9000)));
     REQUIRE(eventually(
-        [&] { return fixture.primary.count() > sent || fixture.primary.open_connections > open; }));
+        [&] { return fixture.primary.count() > sent || fixture.primary.open_connections > open_before; }));
   } while (fixture.primary.count() > sent);
-  REQUIRE(fixture.primary.open_connections == open + 1);
+  REQUIRE(fixture.primary.open_connections == open_before + 1);
   {
     ProxyFixture::PausedLoop paused(fixture);
     fixture.primary.hold_greeting = false;
-    REQUIRE(eventually([&] { return fixture.primary.greetings_sent == greeted + 1; }));
+    REQUIRE(eventually([&] { return fixture.primary.greetings_sent == greeted_before + 1; }));
     clients.back()->close();
   }
   CHECK(eventually(
-      [&] { return fixture.primary.open_connections == open; }));  // the attempt's connection has gone
-  CHECK(fixture.primary.count() == sent);                          // and nothing was sent on it
+      [&] { return fixture.primary.open_connections == open_before; }));  // the attempt's connection has gone
+  CHECK(fixture.primary.count() == sent);                                 // and nothing was sent on it
   gate.open();
   CHECK(first.answer().row);
 }
@@ -171,20 +172,20 @@
   Gate gate;
   Client client(fixture.port), other(fixture.port);
   REQUIRE(client.query(read_sql("b0")).row);
-  auto miss = gate.before(Reply{Reply::kError, "72000", 0});
-  fixture.primary.reply = fixture.replica.reply = miss;
+  auto decline = gate.hold(Reply{Reply::kError, "72000", 0});
+  fixture.primary.reply = fixture.replica.reply = decline;
   auto before = fixture.primary.count() + fixture.replica.count();
-  auto answered = fixture.primary.answers_sent + fixture.replica.answers_sent;
+  auto answered_before = fixture.primary.answers_sent + fixture.replica.answers_sent;
   client.send(pg::simple_query(read_sql("b1", 9000)));
   REQUIRE(eventually([&] { return fixture.primary.count() + fixture.replica.count() == before + 1; }));
   {
     ProxyFixture::PausedLoop paused(fixture);
     gate.open();
     REQUIRE(eventually(
-        [&] { return fixture.primary.answers_sent + fixture.replica.answers_sent == answered + 1; }));
+        [&] { return fixture.primary.answers_sent + fixture.replica.answers_sent == answered_before + 1; }));
     client.close();
   }
-  let_it_run(fixture);
+  run_pending_events(fixture);
   fixture.primary.reply = fixture.replica.reply = [](const std::string&) { return Reply{}; };
   CHECK(other.query(write_sql("b2", 1900)).row);
   CHECK(fixture.primary.count() + fixture.replica.count() ==
@@ -194,17 +195,17 @@
 TEST_CASE("crossing: a client sends more than is read in one turn and leaves in the same moment") {
   ProxyFixture fixture;
   Client client(fixture.port), other(fixture.port);
-  leave_idle_connections(fixture, 6);
+  open_idle_connections(fixture, 6);
   auto before = fixture.primary.count() + fixture.replica.count();
-  std::string many;
-  for (int i = 1; many.size() < 100'000; ++i)
-    many += pg::simple_query(long_write_sql("c" + std::to_string(i), "c" + std::to_string(i), 8, 9000));
+  std::string statements;
+  for (int i = 1; statements.size() < 100'000; ++i)
+    statements += pg::simple_query(long_write_sql("c" + std::to_string(i), "c" + std::to_string(i), 8, 9000));
   {
     ProxyFixture::PausedLoop paused(fixture);
-    REQUIRE(client.send(many));
+    REQUIRE(client.send(statements));
     client.close();
   }
-  let_it_run(fixture);
+  run_pending_events(fixture);
   CHECK(other.query(write_sql("cw", 1900)).row);
   CHECK(fixture.primary.count() + fixture.replica.count() == before + 1);
 }
@@ -220,30 +221,30 @@
   }));
   REQUIRE(other.query(write_sql("d", 9000)).row);
   Gate gate;
-  fixture.primary.reply = fixture.replica.reply = gate.before(Reply{Reply::kError, "72000", 0});
+  fixture.primary.reply = fixture.replica.reply = gate.hold(Reply{Reply::kError, "72000", 0});
   auto before = fixture.primary.count() + fixture.replica.count();
-  auto answered = fixture.primary.answers_sent + fixture.replica.answers_sent;
+  auto answered_before = fixture.primary.answers_sent + fixture.replica.answers_sent;
   client.send(pg::simple_query(read_sql("dd", 9000)));
   REQUIRE(eventually([&] { return fixture.primary.count() + fixture.replica.count() == before + 1; }));
-  std::promise<void> fetched, on_client_disconnected;
+  std::promise<void> fetched, client_closed;
   {
     ProxyFixture::PausedLoop paused(fixture, [&](proxy::Proxy& p) {
-      p.before_iteration_end = [&, turn = 0]() mutable {
-        if (++turn != 2) return;  // the first is the turn that stands still
+      p.before_iteration_end = [&, iteration = 0]() mutable {
+        if (++iteration != 2) return;  // the first is the turn that stands still
         fetched.set_value();
-        on_client_disconnected.get_future().wait();
+        client_closed.get_future().wait();
       };
     });
     gate.open();
     REQUIRE(eventually(
-        [&] { return fixture.primary.answers_sent + fixture.replica.answers_sent == answered + 1; }));
+        [&] { return fixture.primary.answers_sent + fixture.replica.answers_sent == answered_before + 1; }));
   }
   fetched.get_future().wait();
   client.close();
-  on_client_disconnected.set_value();
-  let_it_run(fixture);
+  client_closed.set_value();
+  run_pending_events(fixture);
   fixture.with_proxy([](proxy::Proxy& p) { p.before_iteration_end = [] {}; });
-  let_it_run(fixture);
+  run_pending_events(fixture);
   fixture.primary.reply = fixture.replica.reply = [](const std::string&) { return Reply{}; };
   CHECK(other.query(write_sql("d2", 9000)).row);
   CHECK(fixture.primary.count() + fixture.replica.count() ==
@@ -299,7 +300,7 @@
   constexpr std::size_t kDescriptors = 64, kRetained = kDescriptors / 4;
   ProxyFixture fixture(kDescriptors);
   std::vector<std::unique_ptr<Client>> clients;
-  std::promise<void> fetched, asked;
+  std::promise<void> fetched, requests_sent;
   {
     std::optional<ProxyFixture::PausedLoop> paused;
     for (std::size_t i = 0; i < kRetained + 1; ++i) {  // one more than are kept
@@ -307,10 +308,10 @@
       REQUIRE(clients.back()->query(read_sql("x" + std::to_string(i))).row);
     }
     paused.emplace(fixture, [&](proxy::Proxy& p) {
-      p.before_iteration_end = [&, turn = 0]() mutable {
-        if (++turn != 2) return;  // the first is the turn that stands still
+      p.before_iteration_end = [&, iteration = 0]() mutable {
+        if (++iteration != 2) return;  // the first is the turn that stands still
         fetched.set_value();
-        asked.get_future().wait();
+        requests_sent.get_future().wait();
       };
     });
     std::this_thread::sleep_for(60ms);  // those that asked in the last 50 ms are not closed
@@ -319,29 +320,30 @@
   fetched.get_future().wait();
   for (std::size_t i = 0; i < clients.size(); ++i)
     REQUIRE(clients[i]->send(pg::simple_query(read_sql("z" + std::to_string(i)))));
-  asked.set_value();
+  requests_sent.set_value();
   for (auto& client : clients) CHECK(client->answer().row);
   fixture.with_proxy([](proxy::Proxy& p) { p.before_iteration_end = [] {}; });
-  let_it_run(fixture);
+  run_pending_events(fixture);
 }
 
 // ---- how long a client still waits --------------------------------------------------------------------
 
 TEST_CASE("crossing: a request that waited to be accepted passes on what its client has left") {
   ProxyFixture fixture;
-  Client known(fixture.port);
-  REQUIRE(known.query(read_sql("f0")).row);
-  std::unique_ptr<Client> late;
+  Client accepted(fixture.port);
+  REQUIRE(accepted.query(read_sql("f0")).row);
+  std::unique_ptr<Client> waiting_to_be_accepted;
   {
     ProxyFixture::PausedLoop paused(fixture);
-    late = std::make_unique<Client>(fixture.port, false);
-    late->send(pg::startup_message("backend", "store") + pg::simple_query(write_sql("f1", 1500)));
-    known.send(pg::simple_query(write_sql("f2", 1500)));
+    waiting_to_be_accepted = std::make_unique<Client>(fixture.port, false);
+    waiting_to_be_accepted->send(pg::startup_message("backend", "store") +
+                                 pg::simple_query(write_sql("f1", 1500)));
+    accepted.send(pg::simple_query(write_sql("f2", 1500)));
     std::this_thread::sleep_for(500ms);  // the time under test, not a hope: both are left waiting for it
   }
-  CHECK(known.answer().row);
-  CHECK(late->answer().end == 'Z');  // the greeting
-  CHECK(late->answer().row);
+  CHECK(accepted.answer().row);
+  CHECK(waiting_to_be_accepted->answer().end == 'Z');  // the greeting
+  CHECK(waiting_to_be_accepted->answer().row);
   std::size_t checked = 0;
   for (auto& statement : fixture.primary.statements()) {
     if (!statement.starts_with("INSERT")) continue;
@@ -356,7 +358,7 @@
   Client client(fixture.port);
   REQUIRE(client.query(write_sql("g0")).row);
   Gate gate;
-  fixture.primary.reply = gate.before(Reply{});
+  fixture.primary.reply = gate.hold(Reply{});
   auto before = fixture.primary.count();
   auto sent = Clock::now();
   REQUIRE(client.send(pg::simple_query(long_write_sql("g1", "one", 64'000, 3000)) +
@@ -376,22 +378,22 @@
 
 TEST_CASE("crossing: what is read after the end of service is refused at once and not sent on") {
   ProxyFixture fixture;
-  Client pipelining(fixture.port), half(fixture.port);
-  REQUIRE(half.query(write_sql("h0")).row);
+  Client pipelining(fixture.port), partial(fixture.port);
+  REQUIRE(partial.query(write_sql("h0")).row);
   Gate gate;
-  fixture.primary.reply = gate.before(Reply{});
+  fixture.primary.reply = gate.hold(Reply{});
   auto before = fixture.primary.count() + fixture.replica.count();
   pipelining.send(pg::simple_query(write_sql("h1", 9000)));
   REQUIRE(eventually([&] { return fixture.primary.count() + fixture.replica.count() == before + 1; }));
   auto statement = pg::simple_query(read_sql("h2"));
-  REQUIRE(half.send(statement.substr(0, 40)));
-  auto told = Clock::now();
+  REQUIRE(partial.send(statement.substr(0, 40)));
+  auto shutdown_began = Clock::now();
   fixture.shut_down_gracefully();
-  std::this_thread::sleep_until(told + 900ms);  // service ends after 0.7 s
-  REQUIRE(half.send(statement.substr(40)));
+  std::this_thread::sleep_until(shutdown_began + 900ms);  // service ends after 0.7 s
+  REQUIRE(partial.send(statement.substr(40)));
   REQUIRE(pipelining.send(pg::simple_query(read_sql("h3"))));
-  CHECK(half.answer().code == "57P03");
-  CHECK_FALSE(half.receive());
+  CHECK(partial.answer().code == "57P03");
+  CHECK_FALSE(partial.receive());
   CHECK_FALSE(fixture.ended);
   gate.open();
   CHECK(pipelining.answer().row);
@@ -408,10 +410,10 @@
   Client client(fixture.port);
   REQUIRE(client.query(read_sql("i0")).row);
   REQUIRE(eventually([&] { return fixture.discovery.calls >= 2; }));
-  Server fresh(true);
+  Server new_server(true);
   fixture.discovery.stop_answering_open_connections();
-  fixture.discovery.set(endpoint_entry("s-n", fresh));
-  CHECK(until_used(fixture, fresh) < 4500ms);  // it counts as told after 6 s
+  fixture.discovery.set(endpoint_entry("s-n", new_server));
+  CHECK(time_until_used(fixture, new_server) < 4500ms);  // it counts as told after 6 s
 }
 
 TEST_CASE("crossing: a watch that trickles byte by byte is opened anew before its news counts as told") {
@@ -421,46 +423,46 @@
   fixture.discovery.trickle = true;
   auto calls = fixture.discovery.calls.load();
   REQUIRE(eventually([&] { return fixture.discovery.calls > calls; }));
-  Server fresh(true);
-  fixture.discovery.set(endpoint_entry("s-n", fresh));
+  Server new_server(true);
+  fixture.discovery.set(endpoint_entry("s-n", new_server));
   fixture.discovery.trickle = false;
   fixture.discovery.stop_answering_open_connections();
-  CHECK(until_used(fixture, fresh) < 4500ms);
+  CHECK(time_until_used(fixture, new_server) < 4500ms);
 }
 
 TEST_CASE("crossing: after SIGHUP a first call that is lost leaves time for a second") {
   ProxyFixture fixture;
   Client client(fixture.port);
   REQUIRE(client.query(read_sql("k0")).row);
-  Discovery next;
-  Server fresh(true);
-  next.set(endpoint_entry("s-n", fresh));
-  next.unresponsive = true;
-  move_discovery_to(fixture, next.address());
-  REQUIRE(eventually([&] { return next.calls == 1; }));
-  next.stop_answering_open_connections();
-  next.unresponsive = false;
-  CHECK(until_used(fixture, fresh) < 3s);  // it counts as told after 4 s
+  Discovery new_discovery;
+  Server new_server(true);
+  new_discovery.set(endpoint_entry("s-n", new_server));
+  new_discovery.unresponsive = true;
+  set_discovery_address(fixture, new_discovery.address());
+  REQUIRE(eventually([&] { return new_discovery.calls == 1; }));
+  new_discovery.stop_answering_open_connections();
+  new_discovery.unresponsive = false;
+  CHECK(time_until_used(fixture, new_server) < 3s);  // it counts as told after 4 s
 }
 
 TEST_CASE("crossing: a list without a length that a reset cuts off is no list") {
   ProxyFixture fixture;
   Client client(fixture.port);
   REQUIRE(client.query(read_sql("l0")).row);
-  Server wrong(true);
+  Server unlisted(true);
   std::atomic<int> calls{0};
   // The body is a whole list, and the reset comes behind it: nobody can tell what it has cut off.
-  ResettingListener cut([&](Peer& peer) {
+  ResettingListener truncating_discovery([&](Peer& peer) {
     while (peer.received.find("\r\n\r\n") == std::string::npos)
       if (!peer.receive()) return;
     peer.send("HTTP/1.1 200 OK\r\n\r\n{\"generation\":9,\"reset\":true,\"instances\":[" +
-              endpoint_entry("s-w", wrong) + "]}");
+              endpoint_entry("s-w", unlisted) + "]}");
     ++calls;
   });
-  move_discovery_to(fixture, cut.address());
+  set_discovery_address(fixture, truncating_discovery.address());
   REQUIRE(eventually([&] { return calls >= 3; }));
   CHECK(client.query(write_sql("l1", 900)).row);
-  CHECK(wrong.count() == 0);
+  CHECK(unlisted.count() == 0);
 }
 
 }  // namespace database_proxy::test
--- a/tests/proxy/invariants_test.cpp
+++ b/tests/proxy/invariants_test.cpp
@@ -31,14 +31,14 @@
   void share_sessions(Micros, bool) override {}
   void plan(Micros, request_router::Plan) override {}
   double spare_capacity(const std::string&) const override { return 0; }
-  routing::TickResult collect(Micros) override { return {std::exchange(next, {}), std::nullopt}; }
+  routing::TickResult collect(Micros) override { return {std::exchange(next_decisions, {}), std::nullopt}; }
 
   routing::RequestClassInfo request_class;
   bool is_ready = true;
-  std::vector<routing::Decision> next;
+  std::vector<routing::Decision> next_decisions;
 };
 
-class SilentClient : public ClientPort {
+class NullClientPort : public ClientPort {
  public:
   Query query(Micros) override { return {}; }
   bool still_connected() override { return true; }
@@ -48,8 +48,8 @@
 };
 
 // A dispatcher whose only server never comes up, with one open request.
-struct Bench {
-  explicit Bench(bool is_repeatable = true) {
+struct DispatcherFixture {
+  explicit DispatcherFixture(bool is_repeatable = true) {
     routing::Request request;
     request.expires = loop.now() + 1s;
     request.is_repeatable = is_repeatable;
@@ -62,7 +62,7 @@
     decision.attempt = attempt;
     decision.server = "s";
     decision.timeout = timeout;
-    decider.next.push_back(decision);
+    decider.next_decisions.push_back(decision);
   }
   void end_attempt(int attempt, routing::AttemptOutcome outcome) {
     AttemptEnd end;
@@ -76,12 +76,12 @@
 
   net::Loop loop;
   ScriptedDecider decider;
-  SilentClient client;
+  NullClientPort client;
   Dispatcher dispatcher{loop, decider, {}, [](net::Level, const std::string&) {}};
   RequestId id = 0;
 };
 
-class NoOwner : public SessionOwner {
+class NullSessionOwner : public SessionOwner {
  public:
   void on_session_closed(ClientSession*) override {}
   void on_cancel_request(std::uint32_t, std::uint32_t) override {}
@@ -92,18 +92,18 @@
 }  // namespace
 
 TEST_CASE("invariants: an attempt at a server that was taken out, later than its grace") {
-  Bench bench;
-  bench.dispatcher.set_drain_grace(1s);
+  DispatcherFixture fixture;
+  fixture.dispatcher.set_drain_grace(1s);
   auto begin_after = [&](Micros since_notice, discovery::Lifecycle lifecycle) {
     discovery::EndpointListUpdate update;
     auto& endpoint = update.members.emplace_back();
     endpoint.id = "s";
     endpoint.lifecycle = lifecycle;
     endpoint.notified_at = net::monotonic_now() - since_notice;
-    bench.dispatcher.update_endpoints(update);
-    bench.dispatcher.on_iteration_end();
-    bench.dispatcher.attempt_begins(bench.id, "s");
-    return bench.count(Invariant::kSentToWithdrawn);
+    fixture.dispatcher.update_endpoints(update);
+    fixture.dispatcher.on_iteration_end();
+    fixture.dispatcher.attempt_begins(fixture.id, "s");
+    return fixture.count(Invariant::kSentToWithdrawn);
   };
   CHECK(begin_after(900ms, discovery::Lifecycle::kDraining) == 0);
   CHECK(begin_after(1100ms, discovery::Lifecycle::kDraining) == 1);
@@ -112,65 +112,65 @@
 }
 
 TEST_CASE("invariants: right decisions break none, and the last line of the log tells the count") {
-  Bench bench;
-  bench.decide(Kind::kSend, 0);
-  bench.dispatcher.on_iteration_end();
-  CHECK(bench.dispatcher.invariants().violations() == 0);
-  CHECK_THAT(bench.dispatcher.counters().summary(), Catch::EndsWith("broken invariants 0"));
+  DispatcherFixture fixture;
+  fixture.decide(Kind::kSend, 0);
+  fixture.dispatcher.on_iteration_end();
+  CHECK(fixture.dispatcher.invariants().violations() == 0);
+  CHECK_THAT(fixture.dispatcher.counters().summary(), Catch::EndsWith("broken invariants 0"));
 }
 
 TEST_CASE("invariants: a second attempt while one is in flight counts") {
-  Bench bench;
-  bench.decide(Kind::kSend, 0);
-  bench.decide(Kind::kSend, 1);
-  bench.dispatcher.on_iteration_end();
-  CHECK(bench.count(Invariant::kSecondAttemptInFlight) == 1);
-  CHECK_THAT(bench.dispatcher.counters().summary(), Catch::EndsWith("broken invariants 1"));
+  DispatcherFixture fixture;
+  fixture.decide(Kind::kSend, 0);
+  fixture.decide(Kind::kSend, 1);
+  fixture.dispatcher.on_iteration_end();
+  CHECK(fixture.count(Invariant::kSecondAttemptInFlight) == 1);
+  CHECK_THAT(fixture.dispatcher.counters().summary(), Catch::EndsWith("broken invariants 1"));
 }
 
 TEST_CASE("invariants: a ninth attempt counts") {
-  Bench bench;
+  DispatcherFixture fixture;
   for (int attempt = 0; attempt < 9; ++attempt) {
-    CHECK(bench.count(Invariant::kTooManyAttempts) == 0);
-    bench.decide(Kind::kSend, attempt);
-    bench.end_attempt(attempt - 1, routing::AttemptOutcome::kRejected);
+    CHECK(fixture.count(Invariant::kTooManyAttempts) == 0);
+    fixture.decide(Kind::kSend, attempt);
+    fixture.end_attempt(attempt - 1, routing::AttemptOutcome::kRejected);
   }
-  CHECK(bench.count(Invariant::kTooManyAttempts) == 1);
+  CHECK(fixture.count(Invariant::kTooManyAttempts) == 1);
 }
 
 TEST_CASE("invariants: a repeat of what must not run twice and may have run counts") {
   for (auto outcome : {routing::AttemptOutcome::kReset, routing::AttemptOutcome::kRejected}) {
-    Bench bench(false);
-    bench.decide(Kind::kSend, 0);
-    bench.dispatcher.on_iteration_end();
-    bench.decide(Kind::kSend, 1);
-    bench.end_attempt(0, outcome);
+    DispatcherFixture fixture(false);
+    fixture.decide(Kind::kSend, 0);
+    fixture.dispatcher.on_iteration_end();
+    fixture.decide(Kind::kSend, 1);
+    fixture.end_attempt(0, outcome);
     bool may_have_run = outcome == routing::AttemptOutcome::kReset;
-    CHECK(bench.count(Invariant::kUnsafeRepeat) == (may_have_run ? 1 : 0));
+    CHECK(fixture.count(Invariant::kUnsafeRepeat) == (may_have_run ? 1 : 0));
   }
 }
 
 TEST_CASE("invariants: a timeout beyond what the client waits, and its slack, counts") {
-  Bench bench;
-  bench.decide(Kind::kSend, 0, 1200ms);
-  bench.dispatcher.on_iteration_end();
-  CHECK(bench.count(Invariant::kTimeoutTooLong) == 1);
+  DispatcherFixture fixture;
+  fixture.decide(Kind::kSend, 0, 1200ms);
+  fixture.dispatcher.on_iteration_end();
+  CHECK(fixture.count(Invariant::kTimeoutTooLong) == 1);
 }
 
 TEST_CASE("invariants: a statement that goes out for a request with its answer counts") {
-  Bench bench;
-  bench.dispatcher.attempt_begins(bench.id, "s");
-  CHECK(bench.count(Invariant::kSendWithoutClient) == 0);
-  bench.dispatcher.fail_open_requests("");
-  bench.dispatcher.attempt_begins(bench.id, "s");
-  CHECK(bench.count(Invariant::kSendWithoutClient) == 1);
+  DispatcherFixture fixture;
+  fixture.dispatcher.attempt_begins(fixture.id, "s");
+  CHECK(fixture.count(Invariant::kSendWithoutClient) == 0);
+  fixture.dispatcher.fail_open_requests("");
+  fixture.dispatcher.attempt_begins(fixture.id, "s");
+  CHECK(fixture.count(Invariant::kSendWithoutClient) == 1);
 }
 
 namespace {
 
 // A session with requests that it has read.
-struct OpenSession {
-  explicit OpenSession(int requests) {
+struct SessionFixture {
+  explicit SessionFixture(int requests) {
     int ends[2];
     REQUIRE(socketpair(AF_UNIX, SOCK_STREAM | SOCK_NONBLOCK, 0, ends) == 0);
     client = net::Fd(ends[1]);
@@ -188,7 +188,7 @@
   net::Loop loop;
   ScriptedDecider decider;
   Dispatcher dispatcher{loop, decider, {}, [](net::Level, const std::string&) {}};
-  NoOwner owner;
+  NullSessionOwner owner;
   net::Fd client;
   std::optional<ClientSession> session;
 };
@@ -196,25 +196,26 @@
 }  // namespace
 
 TEST_CASE("invariants: a second answer to one request counts") {
-  OpenSession open(2);
-  auto* second = open.dispatcher.client_of(2);  // its answer waits for the first one's
+  SessionFixture fixture(2);
+  auto* second = fixture.dispatcher.client_of(2);  // its answer waits for the first one's
   REQUIRE(second);
   second->fail("once");
-  CHECK(open.dispatcher.invariants().violations() == 0);
+  CHECK(fixture.dispatcher.invariants().violations() == 0);
   second->fail("twice");
-  CHECK(open.dispatcher.invariants().violations(Invariant::kSecondAnswer) == 1);
+  CHECK(fixture.dispatcher.invariants().violations(Invariant::kSecondAnswer) == 1);
 }
 
 TEST_CASE(
     "invariants: a connection that is closed over a request that was read counts, one that the client left "
     "does not") {
-  for (bool leaves : {false, true}) {
-    OpenSession open(1);
-    if (leaves)
-      open.session->on_ready(EPOLLRDHUP);
+  for (bool client_disconnects : {false, true}) {
+    SessionFixture fixture(1);
+    if (client_disconnects)
+      fixture.session->on_ready(EPOLLRDHUP);
     else
-      open.session->close();
-    CHECK(open.dispatcher.invariants().violations(Invariant::kClosedUnanswered) == (leaves ? 0 : 1));
+      fixture.session->close();
+    CHECK(fixture.dispatcher.invariants().violations(Invariant::kClosedUnanswered) ==
+          (client_disconnects ? 0 : 1));
   }
 }
 
--- a/tests/proxy/parsers_test.cpp
+++ b/tests/proxy/parsers_test.cpp
@@ -164,7 +164,7 @@
     bool ended;
     HttpParse parse;
     std::string body;
-    bool keep;
+    bool keep_alive;
   };
   auto c = GENERATE(values<Case>({
       {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", false, HttpParse::kOk, "ok", true},
@@ -197,7 +197,7 @@
   CHECK(discovery::parse_response(c.in, c.ended, &response) == c.parse);
   if (c.parse == HttpParse::kOk) {
     CHECK(response.body == c.body);
-    CHECK(response.keep_alive == c.keep);
+    CHECK(response.keep_alive == c.keep_alive);
     CHECK(response.size == c.in.size());
   }
 }
@@ -222,9 +222,9 @@
 }
 
 TEST_CASE("lists of data servers: a start time beyond all sense stays in range") {
-  auto odd = discovery::parse_endpoint_list(
+  auto update = discovery::parse_endpoint_list(
       R"({"generation":1,"instances":[{"instanceId":"a","hostPort":"h:1","startedAtMs":1e300}]})");
-  CHECK(odd.members[0].started_at_ms > 0);
+  CHECK(update.members[0].started_at_ms > 0);
 }
 
 TEST_CASE("addresses") {
@@ -236,7 +236,7 @@
 
 TEST_CASE("configurations that are bad are named in one line") {
   struct Case {
-    const char *text, *named;
+    const char *text, *expected_text;
   };
   auto c = GENERATE(values<Case>({
       {"", "parse error"},
@@ -267,7 +267,7 @@
   } catch (const app::ConfigError& e) {
     std::string what = e.what();
     CAPTURE(what);
-    CHECK(what.find(c.named) != std::string::npos);
+    CHECK(what.find(c.expected_text) != std::string::npos);
     CHECK(what.find('\n') == std::string::npos);
   }
 }
@@ -304,7 +304,7 @@
 TEST_CASE("Routers that start together all come through to a discovery at its limit") {
   using namespace std::chrono_literals;
   using database_proxy::discovery::PollingSchedule;
-  constexpr PollingSchedule::Micros kEach = 50ms, kLongestShutdown = 2s;
+  constexpr PollingSchedule::Micros kServiceTime = 50ms, kMaxQueueWait = 2s;
   constexpr int kRouters = 100;
   std::vector<PollingSchedule> schedules;
   std::multimap<PollingSchedule::Micros, int> due;
@@ -319,11 +319,11 @@
     due.erase(due.begin());
     ++calls;
     busy_until = std::max(busy_until, at);
-    if (busy_until - at > kLongestShutdown) {
-      busy_until += kEach / 4;  // turning away is work as well
+    if (busy_until - at > kMaxQueueWait) {
+      busy_until += kServiceTime / 4;  // turning away is work as well
       due.emplace(at + schedules[static_cast<std::size_t>(r)].after_refused_call(), r);
     } else {
-      last = busy_until += kEach;
+      last = busy_until += kServiceTime;
     }
   }
   CHECK(calls < 2 * kRouters);
@@ -336,9 +336,9 @@
   using database_proxy::discovery::PollingSchedule;
   using Micros = PollingSchedule::Micros;
   auto proxies = GENERATE(1, 3, 20, 30, 300, 10000);
-  auto calls_cost = GENERATE(false, true);
+  auto calls_are_costly = GENERATE(false, true);
   for (std::uint64_t seed = 1; seed <= 50; ++seed) {
-    PollingSchedule schedule(proxies, calls_cost, seed);
+    PollingSchedule schedule(proxies, calls_are_costly, seed);
     auto first = schedule.before_first_call();
     Micros longest_pause{0};
     std::mt19937_64 random(seed);
@@ -346,13 +346,13 @@
       auto pause = random() % 2 ? schedule.after_broken_call() : schedule.after_refused_call();
       longest_pause = std::max(longest_pause, pause);
     }
-    CAPTURE(proxies, calls_cost, seed);
+    CAPTURE(proxies, calls_are_costly, seed);
     auto lost_watch = schedule.watch_timeout() + longest_pause + PollingSchedule::kConnectTimeout;
     auto lost_list = schedule.list_timeout() + longest_pause + PollingSchedule::kConnectTimeout;
     CHECK(lost_watch < PollingSchedule::kNotificationDeadline);
     CHECK(lost_list < PollingSchedule::kNotificationDeadline);
     CHECK(first + schedule.list_timeout() < PollingSchedule::kNotificationDeadline);
-    PollingSchedule reloaded(proxies, calls_cost, seed);
+    PollingSchedule reloaded(proxies, calls_are_costly, seed);
     auto after_reload = PollingSchedule::kConnectTimeout + schedule.list_timeout() +
                         reloaded.after_broken_call() + PollingSchedule::kConnectTimeout;
     CHECK(after_reload < PollingSchedule::kNotificationDeadlineAfterReload);
@@ -361,12 +361,12 @@
 
 TEST_CASE("One router asks at once, and soon again") {
   using namespace std::chrono_literals;
-  database_proxy::discovery::PollingSchedule alone(1, false, 7), three(3, true, 7);
-  CHECK(alone.before_first_call() == 0ms);
-  CHECK(alone.after_broken_call() <= 20ms);
-  CHECK(alone.after_refused_call() <= 30ms);
-  CHECK(three.before_first_call() <= 105ms);
-  for (int i = 0; i < 20; ++i) alone.after_refused_call(), alone.after_broken_call();
-  CHECK(alone.after_refused_call() <= 750ms);
-  CHECK(alone.after_broken_call() <= 500ms);
+  database_proxy::discovery::PollingSchedule single_proxy(1, false, 7), fleet_of_three(3, true, 7);
+  CHECK(single_proxy.before_first_call() == 0ms);
+  CHECK(single_proxy.after_broken_call() <= 20ms);
+  CHECK(single_proxy.after_refused_call() <= 30ms);
+  CHECK(fleet_of_three.before_first_call() <= 105ms);
+  for (int i = 0; i < 20; ++i) single_proxy.after_refused_call(), single_proxy.after_broken_call();
+  CHECK(single_proxy.after_refused_call() <= 750ms);
+  CHECK(single_proxy.after_broken_call() <= 500ms);
 }
--- a/tests/proxy/peers_test.cpp
+++ b/tests/proxy/peers_test.cpp
@@ -15,13 +15,13 @@
 }  // namespace
 
 TEST_CASE("bad servers: a spoilt answer is a failed attempt, over at once, and a read goes on elsewhere") {
-  auto good = row("value") + pg::ready_for_query();
+  auto valid = row("value") + pg::ready_for_query();
   auto text = GENERATE_COPY(
       as<std::string>{}, "\x01\x02 noise", std::string(5000, 'z'),
       frame('D', 0xC0000000u, std::string(4000, 'x')), frame('T', 3, ""),
-      good.substr(0, good.size() / 2),                // stops short
-      frame('T', 150000, good),                       // a length that swallows all that follows
-      good.substr(0, good.size() - 6) + "\x05noise",  // noise in place of the end: the row is whole
+      valid.substr(0, valid.size() / 2),                // stops short
+      frame('T', 150000, valid),                        // a length that swallows all that follows
+      valid.substr(0, valid.size() - 6) + "\x05noise",  // noise in place of the end: the row is whole
       error_53300() + "\x01noise", pg::ready_for_query());
   CAPTURE(text.size());
   ProxyFixture fixture;
@@ -54,9 +54,9 @@
 
 TEST_CASE("bad servers: what stands behind a good answer reaches nobody, that connection is not used again") {
   ProxyFixture fixture;
-  auto behind = GENERATE(as<std::string>{}, "\x01noise", row("wrong") + pg::ready_for_query());
+  auto trailing = GENERATE(as<std::string>{}, "\x01noise", row("wrong") + pg::ready_for_query());
   fixture.primary.reply = fixture.replica.reply = [&](const std::string&) {
-    return Reply{Reply::kTrailingBytes, behind, 0};
+    return Reply{Reply::kTrailingBytes, trailing, 0};
   };
   Client client(fixture.port);
   for (int i = 0; i < 8; ++i) CHECK(client.query(write_sql("x" + std::to_string(i))).value == "value");
@@ -77,29 +77,29 @@
 TEST_CASE("bad clients: silence and half a command are ended, whatever was sent before") {
   ProxyFixture fixture;
   auto startup = pg::startup_message("backend", "store");
-  auto half = pg::simple_query(read_sql("h1")).substr(0, 40);
+  auto partial = pg::simple_query(read_sql("h1")).substr(0, 40);
   std::vector<std::unique_ptr<Client>> clients;
-  for (auto& sent : {std::string(), startup.substr(0, 9), startup, startup + half,
-                     startup + pg::simple_query("SET a = 1") + half}) {
+  for (auto& sent : {std::string(), startup.substr(0, 9), startup, startup + partial,
+                     startup + pg::simple_query("SET a = 1") + partial}) {
     clients.push_back(std::make_unique<Client>(fixture.port, false));
     clients.back()->send(sent);
   }
-  Client usual(fixture.port);
-  CHECK(usual.query(read_sql("h2")).row);
+  Client well_behaved(fixture.port);
+  CHECK(well_behaved.query(read_sql("h2")).row);
   auto before = Clock::now();
   for (auto& client : clients)
     while (client->receive()) {
     }
   CHECK(Clock::now() - before < 5s);
-  CHECK(usual.query(read_sql("h3")).row);  // idle between requests is no fault
+  CHECK(well_behaved.query(read_sql("h3")).row);  // idle between requests is no fault
 }
 
 TEST_CASE("bad clients: an error arrives although the client goes on sending what is not read") {
   ProxyFixture fixture;
-  auto begun = GENERATE(as<std::string>{}, frame('Q', 60'000'000, "INSERT"), frame('Q', 3, ""),
-                        frame('Q', 130'000, "DELETE FROM kv"), "\x01noise");
+  auto first_bytes = GENERATE(as<std::string>{}, frame('Q', 60'000'000, "INSERT"), frame('Q', 3, ""),
+                              frame('Q', 130'000, "DELETE FROM kv"), "\x01noise");
   Client client(fixture.port);
-  CHECK(client.send(begun + std::string(8'000'000, 'x')));
+  CHECK(client.send(first_bytes + std::string(8'000'000, 'x')));
   auto answer = client.answer();
   CHECK((answer.code == "08P01" || answer.code == "42601"));
   CHECK(answer.end == 0);
@@ -137,15 +137,17 @@
 
 TEST_CASE("bad clients: hundreds that say nothing cost no connection to a data server and no usual client") {
   ProxyFixture fixture(64);
-  auto usual = [&](int i) { return Client(fixture.port).query(write_sql("n" + std::to_string(i))); };
-  REQUIRE(usual(0).row);
+  auto query_of_new_client = [&](int i) {
+    return Client(fixture.port).query(write_sql("n" + std::to_string(i)));
+  };
+  REQUIRE(query_of_new_client(0).row);
   auto before = fixture.primary.connections.load();
-  std::vector<std::unique_ptr<Client>> silent;
+  std::vector<std::unique_ptr<Client>> silent_clients;
   for (int i = 0; i < 150; ++i) {
-    silent.push_back(std::make_unique<Client>(fixture.port, false));
-    if (i % 30 == 0) REQUIRE(usual(i + 1).row);
+    silent_clients.push_back(std::make_unique<Client>(fixture.port, false));
+    if (i % 30 == 0) REQUIRE(query_of_new_client(i + 1).row);
   }
-  CHECK(usual(200).row);
+  CHECK(query_of_new_client(200).row);
   CAPTURE(fixture.primary.probes.load(), fixture.primary.count(), before);
   CHECK(fixture.primary.connections <= before + 1);  // a probe may have needed one
 }
@@ -167,20 +169,20 @@
 
 TEST_CASE("loop: what asked to go on is called in the next turn, unless it has gone") {
   net::Loop loop;
-  struct Counts : net::Handler {
+  struct CountingHandler : net::Handler {
     int calls = 0;
     void on_ready(std::uint32_t) override { ++calls; }
-  } stays, goes;
-  loop.again(&stays);
-  loop.again(&goes);
-  loop.remove(-1, &goes);
-  int turns = 0;
+  } registered, removed;
+  loop.again(&registered);
+  loop.again(&removed);
+  loop.remove(-1, &removed);
+  int iterations = 0;
   loop.run([&] {
-    if (++turns == 3) loop.stop();
-    if (turns < 3) loop.at(loop.now(), [] {});
+    if (++iterations == 3) loop.stop();
+    if (iterations < 3) loop.at(loop.now(), [] {});
   });
-  CHECK(stays.calls == 1);
-  CHECK(goes.calls == 0);
+  CHECK(registered.calls == 1);
+  CHECK(removed.calls == 0);
 }
 
 // ---- what a large fleet does to one proxy --------------------------------------------------------------
@@ -189,14 +191,14 @@
   ProxyFixture fixture;
   Client client(fixture.port);
   CHECK(client.query(read_sql("d0", 900)).row);
-  auto wholes = fixture.discovery.full_list_calls.load();
+  auto full_list_calls = fixture.discovery.full_list_calls.load();
   fixture.discovery.calls_to_reject = 4;
   REQUIRE(eventually([&] { return fixture.discovery.calls_to_reject == 0; }));
   CHECK(client.query(read_sql("d1", 900)).row);
-  Server fresh(true);
-  fixture.discovery.set(endpoint_entry("s-n", fresh));
-  CHECK(eventually([&] { return client.query(read_sql("d2", 400)).row && fresh.count() > 0; }));
-  CHECK(fixture.discovery.full_list_calls == wholes);
+  Server new_server(true);
+  fixture.discovery.set(endpoint_entry("s-n", new_server));
+  CHECK(eventually([&] { return client.query(read_sql("d2", 400)).row && new_server.count() > 0; }));
+  CHECK(fixture.discovery.full_list_calls == full_list_calls);
 }
 
 TEST_CASE("fleet: with a discovery that is silent from the start, the known list serves") {
@@ -224,20 +226,20 @@
   Client client(fixture.port);
   CHECK(client.query(write_sql("w0", 900)).row);
   Server primary(true), one(false), two(false);
-  std::string on_client_disconnected;
+  std::string unreachable_entry;
   {
-    Server dead(false);
-    on_client_disconnected = endpoint_entry("s-x", dead);  // nobody listens there any more
+    Server stopped(false);
+    unreachable_entry = endpoint_entry("s-x", stopped);  // nobody listens there any more
   }
-  fixture.discovery.set(on_client_disconnected + "," + endpoint_entry("s-1", one) + "," +
+  fixture.discovery.set(unreachable_entry + "," + endpoint_entry("s-1", one) + "," +
                         endpoint_entry("s-2", two) + "," + endpoint_entry("s-0", primary));
   REQUIRE(eventually([&] { return client.query(write_sql("w", 900)).row && primary.count() > 0; }));
-  auto old = fixture.primary.count() + fixture.replica.count();
+  auto requests_before = fixture.primary.count() + fixture.replica.count();
   for (int i = 0; i < 10; ++i) {
     CHECK(client.query(write_sql("w" + std::to_string(i + 1), 1500)).row);
     CHECK(client.query(read_sql("r" + std::to_string(i), 1500)).row);
   }
-  CHECK(fixture.primary.count() + fixture.replica.count() == old);
+  CHECK(fixture.primary.count() + fixture.replica.count() == requests_before);
 }
 
 }  // namespace database_proxy::test
--- a/tests/proxy/rules_test.cpp
+++ b/tests/proxy/rules_test.cpp
@@ -44,10 +44,10 @@
 TEST_CASE("clients: requests sent behind one another are out at once, and answered in order") {
   ProxyFixture fixture;
   fixture.primary.reply = fixture.replica.reply = [&](const std::string& sql) {
-    bool together =
+    bool are_concurrent =
         eventually([&] { return fixture.primary.max_in_flight + fixture.replica.max_in_flight >= 3; }, 1s);
     if (sql.find("id=q1") != std::string::npos) std::this_thread::sleep_for(50ms);
-    return Reply{Reply::kRow, together ? sql.substr(sql.find("id="), 5) : "alone", 0};
+    return Reply{Reply::kRow, are_concurrent ? sql.substr(sql.find("id="), 5) : "alone", 0};
   };
   Client client(fixture.port);
   client.send(pg::simple_query(read_sql("q1", 1900)) + pg::simple_query(read_sql("q2", 1900)) +
@@ -82,18 +82,18 @@
     eventually([&] { return release.load(); });
     return Reply{};
   };
-  std::thread later([&] {
+  std::thread release_later([&] {
     std::this_thread::sleep_for(1s);
     release = true;
   });
-  std::string all;
-  for (int i = 0; i < 300; ++i) all += pg::simple_query(read_sql("m" + std::to_string(i), 4000));
-  client.send(all);
-  int refused = 0;
-  for (int i = 0; i < 300; ++i) refused += client.answer().code == "53300";
-  later.join();
-  CHECK(refused > 0);
-  CHECK(refused < 300);
+  std::string statements;
+  for (int i = 0; i < 300; ++i) statements += pg::simple_query(read_sql("m" + std::to_string(i), 4000));
+  client.send(statements);
+  int rejected = 0;
+  for (int i = 0; i < 300; ++i) rejected += client.answer().code == "53300";
+  release_later.join();
+  CHECK(rejected > 0);
+  CHECK(rejected < 300);
 }
 
 TEST_CASE(
@@ -129,14 +129,14 @@
   Client client(fixture.port);
   CHECK(client.query(write_sql("w1", 1500)).row);
   REQUIRE(fixture.primary.count() == 1);
-  auto got = fixture.primary.statements()[0], sent = write_sql("w1", 1500);
-  auto at = sent.find("d=1500") + 2;
-  CHECK(got.substr(0, at) == sent.substr(0, at));
-  auto end = got.find(",k=77");
-  CHECK(got.substr(end) == sent.substr(at + 4));
-  int wait = std::stoi(got.substr(at, end - at));
-  CHECK(wait > 0);
-  CHECK(wait < 1500);
+  auto received = fixture.primary.statements()[0], sent = write_sql("w1", 1500);
+  auto timeout_begin = sent.find("d=1500") + 2;
+  CHECK(received.substr(0, timeout_begin) == sent.substr(0, timeout_begin));
+  auto timeout_end = received.find(",k=77");
+  CHECK(received.substr(timeout_end) == sent.substr(timeout_begin + 4));
+  int timeout = std::stoi(received.substr(timeout_begin, timeout_end - timeout_begin));
+  CHECK(timeout > 0);
+  CHECK(timeout < 1500);
 }
 
 TEST_CASE("servers: a client that waits for a short while has nearly all of it") {
@@ -208,13 +208,13 @@
   auto key = client.start();
   client.send(pg::simple_query(write_sql("x1", 60000)));
   REQUIRE(eventually([&] { return fixture.primary.count() == 1; }));
-  auto wrong = key;
-  wrong.back() = static_cast<char>(wrong.back() + 1);
-  for (auto& named : {wrong, key}) {
+  auto wrong_key = key;
+  wrong_key.back() = static_cast<char>(wrong_key.back() + 1);
+  for (auto& requested_key : {wrong_key, key}) {
     Client canceller(fixture.port, false);
-    canceller.send(cancel_request(named));
+    canceller.send(cancel_request(requested_key));
     CHECK_FALSE(canceller.receive());
-    CHECK(fixture.primary.open_connections >= (named == key ? 0 : 1));
+    CHECK(fixture.primary.open_connections >= (requested_key == key ? 0 : 1));
   }
   CHECK(client.answer().code == "57014");
   CHECK(eventually([&] { return fixture.primary.in_flight == 0; }));
@@ -236,8 +236,8 @@
   REQUIRE(client.query(read_sql("d0")).row);
   fixture.discovery.set(endpoint_entry("s-p", fixture.primary) + "," +
                         endpoint_entry("s-r", fixture.replica, "draining"));
-  auto told = fixture.discovery.calls.load();
-  REQUIRE(eventually([&] { return fixture.discovery.calls >= told + 2; }));
+  auto calls_before = fixture.discovery.calls.load();
+  REQUIRE(eventually([&] { return fixture.discovery.calls >= calls_before + 2; }));
   std::this_thread::sleep_for(1s);
   auto before = fixture.replica.count();
   for (int i = 1; i <= 5; ++i) CHECK(client.query(read_sql("d" + std::to_string(i), 1900)).row);
@@ -293,7 +293,7 @@
                                   fmt::format("x0={},x1={}", double(unix_ms()) / 1000, *(name + 2) == 'p')});
   // Writes to a primary that turns each away: the module sends again, and the client leaves before that is
   // fetched.
-  int sends = 0;
+  int attempts = 0;
   for (routing::RequestId id = 1; id <= 400; ++id) {
     auto at = now + routing::Micros(id * 40000);
     routing::Request request;
@@ -303,19 +303,19 @@
     request.expires = at + routing::Micros(3'000'000);
     auto decision = facade.pick(at, request);
     if (decision.kind == routing::Decision::Kind::kSend) {
-      ++sends;
-      routing::AttemptResult end;
-      end.request = id;
-      end.server = decision.server;
-      end.outcome = routing::AttemptOutcome::kReset;
-      end.duration = routing::Micros(100);
-      end.role = routing::ServerRole::kPrimary;
-      facade.report(at, end);
+      ++attempts;
+      routing::AttemptResult result;
+      result.request = id;
+      result.server = decision.server;
+      result.outcome = routing::AttemptOutcome::kReset;
+      result.duration = routing::Micros(100);
+      result.role = routing::ServerRole::kPrimary;
+      facade.report(at, result);
     }
     facade.on_client_disconnected(at, id);
     facade.tick(at);
   }
-  CHECK(sends > 200);
+  CHECK(attempts > 200);
 }
 
 TEST_CASE("long days: servers that come and go leave nothing behind") {
@@ -328,16 +328,16 @@
   auto now = loop.now();
   for (int i = 0; i < 2000; ++i, now += routing::Micros(1'000'000)) {
     discovery::EndpointListUpdate update;
-    discovery::Endpoint m;
-    m.id = "s-" + std::to_string(i);
-    m.address = fixture.primary.address();
-    m.cell = 2;
-    update.members.push_back(m);
-    m.id = "s-" + std::to_string(i - 10);
-    m.lifecycle = discovery::Lifecycle::kRemoved;
-    update.members.push_back(m);
+    discovery::Endpoint endpoint;
+    endpoint.id = "s-" + std::to_string(i);
+    endpoint.address = fixture.primary.address();
+    endpoint.cell = 2;
+    update.members.push_back(endpoint);
+    endpoint.id = "s-" + std::to_string(i - 10);
+    endpoint.lifecycle = discovery::Lifecycle::kRemoved;
+    update.members.push_back(endpoint);
     facade.update(now, update);
-    facade.report(now, routing::ProbeResult{m.id, false, routing::Micros(1000), ""});
+    facade.report(now, routing::ProbeResult{endpoint.id, false, routing::Micros(1000), ""});
   }
   CHECK(facade.ready());
   CHECK(facade.servers_known() < 200);
@@ -346,11 +346,11 @@
   for (int i = 0; i < 50; ++i) {
     fixture.with_proxy([&](proxy::Proxy& p) {
       discovery::EndpointListUpdate update;
-      discovery::Endpoint m;
-      m.id = "s-" + std::to_string(i);
-      m.address = fixture.primary.address();
-      m.cell = 2;
-      update.members.push_back(m);
+      discovery::Endpoint endpoint;
+      endpoint.id = "s-" + std::to_string(i);
+      endpoint.address = fixture.primary.address();
+      endpoint.cell = 2;
+      update.members.push_back(endpoint);
       p.pool().update(update);
       update.members[0].lifecycle = discovery::Lifecycle::kRemoved;
       p.pool().update(update);
@@ -372,21 +372,21 @@
   ProxyFixture fixture;
   fixture.discovery.calls_to_cut = 3;
   REQUIRE(eventually([&] { return fixture.discovery.calls_to_cut == 0; }));
-  Server fresh(true);
-  fixture.discovery.set(endpoint_entry("s-n", fresh));
+  Server new_server(true);
+  fixture.discovery.set(endpoint_entry("s-n", new_server));
   Client client(fixture.port);
-  CHECK(eventually([&] { return client.query(read_sql("n1", 400)).row && fresh.count() > 0; }));
+  CHECK(eventually([&] { return client.query(read_sql("n1", 400)).row && new_server.count() > 0; }));
 }
 
 TEST_CASE("discovery: a new address takes over once it has told its list, whatever version it counts from") {
   ProxyFixture fixture;
   Client client(fixture.port);
   for (int i = 0; i < 9; ++i) fixture.discovery.set(endpoint_entry("s-p", fixture.primary));
-  Discovery next, mute;
-  Server fresh(true);
-  next.set(endpoint_entry("s-n", fresh));  // its version is far lower than the old one's
-  mute.calls_to_cut = 1 << 20;
-  auto move_to = [&](const std::string& address) {
+  Discovery new_discovery, failing_discovery;
+  Server new_server(true);
+  new_discovery.set(endpoint_entry("s-n", new_server));  // its version is far lower than the old one's
+  failing_discovery.calls_to_cut = 1 << 20;
+  auto set_discovery_address = [&](const std::string& address) {
     fixture.with_proxy([&](proxy::Proxy& p) {
       proxy::ProxyOptions options{fixture.config.listen,  address,
                                   fixture.config.sockets, fixture.config.memory,
@@ -394,20 +394,20 @@
       p.reconfigure(options);
     });
   };
-  move_to(mute.address());  // it tells nothing: the old one stays in force
-  REQUIRE(eventually([&] { return mute.calls >= 2; }));
-  Server later(true);
-  fixture.discovery.set(endpoint_entry("s-l", later));
-  CHECK(eventually([&] { return client.query(read_sql("o1", 400)).row && later.count() > 0; }));
-  move_to(next.address());
-  CHECK(eventually([&] { return client.query(read_sql("o2", 400)).row && fresh.count() > 0; }));
+  set_discovery_address(failing_discovery.address());  // it tells nothing: the old one stays in force
+  REQUIRE(eventually([&] { return failing_discovery.calls >= 2; }));
+  Server old_address_server(true);
+  fixture.discovery.set(endpoint_entry("s-l", old_address_server));
+  CHECK(eventually([&] { return client.query(read_sql("o1", 400)).row && old_address_server.count() > 0; }));
+  set_discovery_address(new_discovery.address());
+  CHECK(eventually([&] { return client.query(read_sql("o2", 400)).row && new_server.count() > 0; }));
   auto old_calls = fixture.discovery.calls.load();
-  move_to(next.address());  // nothing new: the watch goes on
-  Server last(true);
-  next.set(endpoint_entry("s-q", last));  // as a change of the same watch
-  CHECK(eventually([&] { return client.query(read_sql("o3", 400)).row && last.count() > 0; }));
+  set_discovery_address(new_discovery.address());  // nothing new: the watch goes on
+  Server changed_server(true);
+  new_discovery.set(endpoint_entry("s-q", changed_server));  // as a change of the same watch
+  CHECK(eventually([&] { return client.query(read_sql("o3", 400)).row && changed_server.count() > 0; }));
   CHECK(fixture.discovery.calls == old_calls);
-  move_to(fixture.discovery.address());  // and back again
+  set_discovery_address(fixture.discovery.address());  // and back again
   CHECK(eventually([&] { return fixture.discovery.calls > old_calls; }));
 }
 
@@ -420,20 +420,20 @@
 
 TEST_CASE("descriptors: clients that asked once and stay give way long before the limit, oldest first") {
   ProxyFixture fixture(200);
-  std::vector<std::unique_ptr<Client>> asked;
+  std::vector<std::unique_ptr<Client>> clients;
   for (int i = 0; i < 60; ++i) {
-    asked.push_back(std::make_unique<Client>(fixture.port));
-    REQUIRE(asked.back()->query(read_sql("k" + std::to_string(i), 1900)).row);
+    clients.push_back(std::make_unique<Client>(fixture.port));
+    REQUIRE(clients.back()->query(read_sql("k" + std::to_string(i), 1900)).row);
   }
   std::this_thread::sleep_for(100ms);
   Client last(fixture.port);
   REQUIRE(last.query(read_sql("k60", 1900)).row);
-  auto ended = [](Client& client) {
+  auto has_ended = [](Client& client) {
     pollfd p{client.fd(), POLLIN, 0};
     return poll(&p, 1, 0) == 1;
   };
-  CHECK(eventually([&] { return ended(*asked[0]) && ended(*asked[5]); }));
-  CHECK_FALSE(ended(*asked[59]));
+  CHECK(eventually([&] { return has_ended(*clients[0]) && has_ended(*clients[5]); }));
+  CHECK_FALSE(has_ended(*clients[59]));
   CHECK(last.query(read_sql("k61", 1900)).row);
 }
 
@@ -448,8 +448,8 @@
   client.send(pg::simple_query(write_sql("t1", 9000)));
   REQUIRE(eventually([&] { return fixture.primary.count() == 1; }));
   fixture.shut_down_gracefully();
-  Client late(fixture.port);
-  CHECK(late.query(read_sql("t2")).row);
+  Client new_client(fixture.port);
+  CHECK(new_client.query(read_sql("t2")).row);
   CHECK_FALSE(idle.receive());  // closed between requests
   CHECK_FALSE(fixture.ended);
   release = true;
@@ -477,10 +477,10 @@
   app::Logger logger("t", {}, in.get());
   for (int i = 0; i < 1000; ++i) logger.write(net::Level::kInfo, std::string(300, 'x') + "\nsecond line");
   logger.flush();
-  char got[65536];
-  auto n = read(out.get(), got, sizeof got);
+  char output[65536];
+  auto n = read(out.get(), output, sizeof output);
   REQUIRE(n > 0);
-  std::istringstream text(std::string(got, static_cast<std::size_t>(n)));
+  std::istringstream text(std::string(output, static_cast<std::size_t>(n)));
   int lines = 0;
   for (std::string line; std::getline(text, line); ++lines) {
     // Where the writing thread came to run late, the oldest lines have given way, and the next one says so.
--- a/tests/proxy/server_clock_test.cpp
+++ b/tests/proxy/server_clock_test.cpp
@@ -16,12 +16,12 @@
 struct Machine {
   explicit Machine(Micros error) : clock(live(error)) {}
   static UnixClock live(Micros error) { return UnixClock::live(kTrueDistance + error); }
-  void primary_answers(Micros at) {
+  void on_primary_answer(Micros at) {
     clock.on_primary_position(kTrueDistance + at - 1ms, at - 2ms, at);
     primary = clock.position(kTrueDistance + at - 1ms, at, true);
   }
   // What is known of a replica that lags so much.
-  std::optional<Micros> replica_answers(Micros at, Micros lag) {
+  std::optional<Micros> position_of_replica(Micros at, Micros lag) {
     return clock.position(kTrueDistance + at - lag, at, false);
   }
   ServerClock clock;
@@ -32,9 +32,9 @@
 
 TEST_CASE("clock: with a right wall clock a replica's position is known once a primary has answered") {
   Machine machine(0us);
-  CHECK(!machine.replica_answers(1s, 200ms));
-  machine.primary_answers(1s + 5ms);
-  CHECK(machine.replica_answers(1s + 10ms, 200ms) == 1s + 10ms - 200ms);
+  CHECK(!machine.position_of_replica(1s, 200ms));
+  machine.on_primary_answer(1s + 5ms);
+  CHECK(machine.position_of_replica(1s + 10ms, 200ms) == 1s + 10ms - 200ms);
 }
 
 TEST_CASE("clock: whatever the wall clock is off by, no position is taken for younger than it is") {
@@ -42,11 +42,11 @@
     Machine machine(error);
     INFO(error.count());
     for (Micros at = 1s; at < 8s; at += 10ms) {
-      auto known = machine.replica_answers(at, 2s);
+      auto known = machine.position_of_replica(at, 2s);
       if (known) CHECK(*known <= at - 2s + 2ms);
-      machine.primary_answers(at + 5ms);
+      machine.on_primary_answer(at + 5ms);
     }
-    auto known = machine.replica_answers(8s, 200ms);
+    auto known = machine.position_of_replica(8s, 200ms);
     REQUIRE(known);  // and it has learned
     CHECK(*known >= 8s - 200ms - 5ms);
   }
@@ -58,7 +58,7 @@
   for (Micros step : std::initializer_list<Micros>{-kHour, -3s, 3s, kHour}) {
     for (bool are_servers_stepped : {false, true}) {
       Machine machine(0us);
-      for (Micros at = 1s; at < 2s; at += 10ms) machine.primary_answers(at);
+      for (Micros at = 1s; at < 2s; at += 10ms) machine.on_primary_answer(at);
       machine.clock.on_local_distance(2s, kTrueDistance + step);
       Micros shift = are_servers_stepped ? step : 0us;
       INFO(step.count() << " " << are_servers_stepped);
@@ -80,9 +80,9 @@
     "clock: a former primary's old word does not make replicas look younger while others speak against it") {
   Machine machine(0us);
   for (Micros at = 1s; at < 3s; at += 10ms) {
-    machine.primary_answers(at);
+    machine.on_primary_answer(at);
     machine.clock.on_primary_position(kTrueDistance + at - 30s, at, at + 2ms);
-    auto known = machine.replica_answers(at + 3ms, 2s);
+    auto known = machine.position_of_replica(at + 3ms, 2s);
     REQUIRE(known);
     CHECK(*known <= at + 3ms - 2s + 2ms);
   }
@@ -92,7 +92,7 @@
   Machine machine(-kHour);
   auto commit_ms = (kTrueDistance + 1s) / 1ms;
   auto before = machine.clock.required(commit_ms);
-  for (Micros at = 1s; at < 2s; at += 10ms) machine.primary_answers(at);
+  for (Micros at = 1s; at < 2s; at += 10ms) machine.on_primary_answer(at);
   CHECK(machine.clock.required(commit_ms) >= 1s);
   CHECK(before >= 1s);
 }
