--- a/tests/proxy/crossings_test.cpp
+++ b/tests/proxy/crossings_test.cpp
@@ -1,18 +1,19 @@
-// Events that cross: both are made ready before the loop looks, so that the order under test happens every
-// time. docs/design/lifecycles.md names the pair that each test forces.
+// Pairs of events that arrive at the same time. Each test makes both ready before the event loop fetches
+// events, so that the order under test occurs in every run. docs/design/lifecycles.md names the pair of each
+// test.
 #include "rig.h"
 
 namespace database_proxy::test {
 namespace {
 
-// What a data server was told to wait at most, in milliseconds.
+// Returns the timeout that a data server received with a statement, in milliseconds.
 int forwarded_timeout(const std::string& statement) {
   auto at = statement.find(",d=");
   REQUIRE(at != std::string::npos);
   return std::stoi(statement.substr(at + 3));
 }
 
-// A write of a value of so many bytes.
+// Returns a write of a value of `bytes` bytes.
 std::string long_write_sql(const std::string& id, const std::string& name, std::size_t bytes, int d) {
   std::string digits;
   for (std::size_t i = 0; i < bytes; ++i) digits += "ab";
@@ -20,7 +21,7 @@
          "') RETURNING content /* id=" + id + ",c=book,d=" + std::to_string(d) + ",k=" + id + ",cluster=2 */";
 }
 
-// Has a server hold its answers until they are let go.
+// Holds back a server's answers until open() is called.
 class Gate {
  public:
   std::function<Reply(const std::string&)> hold(Reply reply) {
@@ -36,7 +37,7 @@
   std::atomic<bool> open_{false};
 };
 
-// Has so many writes out at once, which leaves as many idle connections to the primary.
+// Opens `count` idle connections to the primary, by having that many writes in flight at once.
 void open_idle_connections(ProxyFixture& fixture, int count) {
   {
     Client client(fixture.port);
@@ -55,7 +56,7 @@
   fixture.primary.reply = [](const std::string&) { return Reply{}; };
 }
 
-// All that was ready before has had its turn of the proxy's loop.
+// Runs the proxy's loop until it has handled all events that were ready before the call.
 void run_pending_events(ProxyFixture& fixture) {
   for (int i = 0; i < 2; ++i) {
     std::promise<void> iteration_began;
@@ -80,7 +81,7 @@
   });
 }
 
-// Asks until `server` has had a request; how long that took.
+// Sends reads until `server` has received a request; returns the time that this took.
 Clock::duration time_until_used(ProxyFixture& fixture, Server& server) {
   auto start = Clock::now();
   Client client(fixture.port);
@@ -95,7 +96,7 @@
   return Clock::now() - start;
 }
 
-// Accepts one connection after the other, and resets each once it has been served.
+// Accepts one connection after another and resets each after it has been served.
 class ResettingListener {
  public:
   explicit ResettingListener(std::function<void(Peer&)> serve) : serve_(std::move(serve)) {
@@ -130,9 +131,9 @@
 
 }  // namespace
 
-// ---- a client's end against what its request waits for ------------------------------------------------
+// ---- a client disconnects while its request waits ------------------------------------------------------
 
-TEST_CASE("crossing: a client leaves as the connection for its request comes up") {
+TEST_CASE("crossing: a client disconnects as the connection for its request is established") {
   ProxyFixture fixture;
   set_long_connect_timeout(fixture);
   Gate gate;
@@ -146,7 +147,7 @@
        greeted_before = fixture.primary.greetings_sent.load();
   std::vector<std::unique_ptr<Client>> clients;
   std::size_t sent = 0;
-  do {  // a probe may have left a connection behind, which is taken first
+  do {  // a probe may have left an idle connection, which is used first
     sent = fixture.primary.count();
     clients.push_back(std::make_unique<Client>(fixture.port));
     clients.back()->send(pg::simple_query(write_sql("a" + std::to_string(sent), 9000)));
@@ -160,14 +161,14 @@
     REQUIRE(eventually([&] { return fixture.primary.greetings_sent == greeted_before + 1; }));
     clients.back()->close();
   }
-  CHECK(eventually(
-      [&] { return fixture.primary.open_connections == open_before; }));  // the attempt's connection has gone
-  CHECK(fixture.primary.count() == sent);                                 // and nothing was sent on it
+  // The attempt's connection is closed, and nothing was sent on it.
+  CHECK(eventually([&] { return fixture.primary.open_connections == open_before; }));
+  CHECK(fixture.primary.count() == sent);
   gate.open();
   CHECK(first.answer().row);
 }
 
-TEST_CASE("crossing: a client leaves as a server turns its read away") {
+TEST_CASE("crossing: a client disconnects as a server declines its read") {
   ProxyFixture fixture;
   Gate gate;
   Client client(fixture.port), other(fixture.port);
@@ -189,10 +190,10 @@
   fixture.primary.reply = fixture.replica.reply = [](const std::string&) { return Reply{}; };
   CHECK(other.query(write_sql("b2", 1900)).row);
   CHECK(fixture.primary.count() + fixture.replica.count() ==
-        before + 2);  // b2 alone came after b1's first attempt
+        before + 2);  // only b2 followed b1's first attempt
 }
 
-TEST_CASE("crossing: a client sends more than is read in one turn and leaves in the same moment") {
+TEST_CASE("crossing: a client sends more than one iteration reads and disconnects at once") {
   ProxyFixture fixture;
   Client client(fixture.port), other(fixture.port);
   open_idle_connections(fixture, 6);
@@ -210,11 +211,10 @@
   CHECK(fixture.primary.count() + fixture.replica.count() == before + 1);
 }
 
-TEST_CASE(
-    "crossing: a client leaves when the events of the turn in which its read goes elsewhere are fetched") {
+TEST_CASE("crossing: a client disconnects after the iteration that retries its read has fetched events") {
   ProxyFixture fixture;
   Client client(fixture.port), other(fixture.port);
-  // Each server has an idle connection, so that nothing has to come up first.
+  // Each server gets an idle connection, so that no connection has to be established later.
   REQUIRE(eventually([&] {
     return other.query(read_sql("d" + std::to_string(fixture.replica.count()), 900)).row &&
            fixture.replica.count() > 0;
@@ -230,7 +230,7 @@
   {
     ProxyFixture::PausedLoop paused(fixture, [&](proxy::Proxy& p) {
       p.before_iteration_end = [&, iteration = 0]() mutable {
-        if (++iteration != 2) return;  // the first is the turn that stands still
+        if (++iteration != 2) return;  // the first iteration is the paused one
         fetched.set_value();
         client_closed.get_future().wait();
       };
@@ -248,10 +248,10 @@
   fixture.primary.reply = fixture.replica.reply = [](const std::string&) { return Reply{}; };
   CHECK(other.query(write_sql("d2", 9000)).row);
   CHECK(fixture.primary.count() + fixture.replica.count() ==
-        before + 2);  // d2 alone came after d1's first attempt
+        before + 2);  // only d2 followed the first attempt of dd
 }
 
-TEST_CASE("crossing: whoever asks to cancel closes right behind the CancelRequest") {
+TEST_CASE("crossing: a canceller closes its connection right after the CancelRequest") {
   ProxyFixture fixture;
   fixture.primary.reply = [](const std::string&) { return Reply{Reply::kNoAnswer, "", 0}; };
   Client client(fixture.port, false);
@@ -282,9 +282,8 @@
   auto connections = fixture.primary.connections.load();
   fixture.primary.hold_greeting = true;
   client.send(pg::simple_query(write_sql("m1", 3000)));
-  REQUIRE(eventually(
-      [&] { return fixture.primary.count() == before + 1; }));  // it has run, for all that is known
-  REQUIRE(eventually([&] { return fixture.primary.connections > connections; }));  // and is on its way again
+  REQUIRE(eventually([&] { return fixture.primary.count() == before + 1; }));      // it may have run
+  REQUIRE(eventually([&] { return fixture.primary.connections > connections; }));  // and is being retried
   std::this_thread::sleep_for(kWindow + 50ms);                                     // the time under test
   fixture.primary.reply = [](const std::string&) { return Reply{}; };
   fixture.primary.hold_greeting = false;
@@ -294,7 +293,7 @@
   CHECK(fixture.primary.count() == before + 1);
 }
 
-// ---- the proxy's own closing of a connection -----------------------------------------------------------
+// ---- the proxy closes a connection ---------------------------------------------------------------------
 
 TEST_CASE("crossing: a request arrives as its connection is to be closed for being idle") {
   constexpr std::size_t kDescriptors = 64, kRetained = kDescriptors / 4;
@@ -303,20 +302,20 @@
   std::promise<void> fetched, requests_sent;
   {
     std::optional<ProxyFixture::PausedLoop> paused;
-    for (std::size_t i = 0; i < kRetained + 1; ++i) {  // one more than are kept
+    for (std::size_t i = 0; i < kRetained + 1; ++i) {  // one more than the proxy retains
       clients.push_back(std::make_unique<Client>(fixture.port));
       REQUIRE(clients.back()->query(read_sql("x" + std::to_string(i))).row);
     }
     paused.emplace(fixture, [&](proxy::Proxy& p) {
       p.before_iteration_end = [&, iteration = 0]() mutable {
-        if (++iteration != 2) return;  // the first is the turn that stands still
+        if (++iteration != 2) return;  // the first iteration is the paused one
         fetched.set_value();
         requests_sent.get_future().wait();
       };
     });
-    std::this_thread::sleep_for(60ms);  // those that asked in the last 50 ms are not closed
+    std::this_thread::sleep_for(60ms);  // clients with a request in the last 50 ms are not closed
   }
-  // The events of the turn that closes the oldest are fetched; now it asks.
+  // The events of the iteration that closes the oldest client are fetched; now all clients send a request.
   fetched.get_future().wait();
   for (std::size_t i = 0; i < clients.size(); ++i)
     REQUIRE(clients[i]->send(pg::simple_query(read_sql("z" + std::to_string(i)))));
@@ -326,9 +325,9 @@
   run_pending_events(fixture);
 }
 
-// ---- how long a client still waits --------------------------------------------------------------------
+// ---- the time for which a client still waits -----------------------------------------------------------
 
-TEST_CASE("crossing: a request that waited to be accepted passes on what its client has left") {
+TEST_CASE("crossing: a request that waited to be accepted forwards the remaining timeout") {
   ProxyFixture fixture;
   Client accepted(fixture.port);
   REQUIRE(accepted.query(read_sql("f0")).row);
@@ -339,7 +338,7 @@
     waiting_to_be_accepted->send(pg::startup_message("backend", "store") +
                                  pg::simple_query(write_sql("f1", 1500)));
     accepted.send(pg::simple_query(write_sql("f2", 1500)));
-    std::this_thread::sleep_for(500ms);  // the time under test, not a hope: both are left waiting for it
+    std::this_thread::sleep_for(500ms);  // the time under test: both requests wait this long
   }
   CHECK(accepted.answer().row);
   CHECK(waiting_to_be_accepted->answer().end == 'Z');  // the greeting
@@ -353,7 +352,7 @@
   CHECK(checked == 2);
 }
 
-TEST_CASE("crossing: a request that waited unread behind a large one passes on what its client has left") {
+TEST_CASE("crossing: a request that waited unread behind a large one forwards the remaining timeout") {
   ProxyFixture fixture;
   Client client(fixture.port);
   REQUIRE(client.query(write_sql("g0")).row);
@@ -376,7 +375,7 @@
 
 // ---- shutdown -----------------------------------------------------------------------------------------
 
-TEST_CASE("crossing: what is read after the end of service is refused at once and not sent on") {
+TEST_CASE("crossing: a request read after the end of service is rejected at once and not forwarded") {
   ProxyFixture fixture;
   Client pipelining(fixture.port), partial(fixture.port);
   REQUIRE(partial.query(write_sql("h0")).row);
@@ -405,7 +404,7 @@
 
 // ---- discovery ----------------------------------------------------------------------------------------
 
-TEST_CASE("crossing: a watch that has fallen silent is opened anew before its news counts as told") {
+TEST_CASE("crossing: an unresponsive watch is reopened before the notification deadline") {
   ProxyFixture fixture;
   Client client(fixture.port);
   REQUIRE(client.query(read_sql("i0")).row);
@@ -413,10 +412,10 @@
   Server new_server(true);
   fixture.discovery.stop_answering_open_connections();
   fixture.discovery.set(endpoint_entry("s-n", new_server));
-  CHECK(time_until_used(fixture, new_server) < 4500ms);  // it counts as told after 6 s
+  CHECK(time_until_used(fixture, new_server) < 4500ms);  // the deadline of a notification is 6 s
 }
 
-TEST_CASE("crossing: a watch that trickles byte by byte is opened anew before its news counts as told") {
+TEST_CASE("crossing: a watch that receives single bytes is reopened before the notification deadline") {
   ProxyFixture fixture;
   Client client(fixture.port);
   REQUIRE(client.query(read_sql("j0")).row);
@@ -430,7 +429,7 @@
   CHECK(time_until_used(fixture, new_server) < 4500ms);
 }
 
-TEST_CASE("crossing: after SIGHUP a first call that is lost leaves time for a second") {
+TEST_CASE("crossing: after SIGHUP, a lost first call leaves time for a second one") {
   ProxyFixture fixture;
   Client client(fixture.port);
   REQUIRE(client.query(read_sql("k0")).row);
@@ -442,16 +441,17 @@
   REQUIRE(eventually([&] { return new_discovery.calls == 1; }));
   new_discovery.stop_answering_open_connections();
   new_discovery.unresponsive = false;
-  CHECK(time_until_used(fixture, new_server) < 3s);  // it counts as told after 4 s
+  CHECK(time_until_used(fixture, new_server) < 3s);  // the deadline after SIGHUP is 4 s
 }
 
-TEST_CASE("crossing: a list without a length that a reset cuts off is no list") {
+TEST_CASE("crossing: a list without a length that ends with a reset is not applied") {
   ProxyFixture fixture;
   Client client(fixture.port);
   REQUIRE(client.query(read_sql("l0")).row);
   Server unlisted(true);
   std::atomic<int> calls{0};
-  // The body is a whole list, and the reset comes behind it: nobody can tell what it has cut off.
+  // The body is a complete list, followed by a reset. Without a length, the proxy cannot know whether the
+  // reset has truncated the body.
   ResettingListener truncating_discovery([&](Peer& peer) {
     while (peer.received.find("\r\n\r\n") == std::string::npos)
       if (!peer.receive()) return;
--- a/tests/proxy/invariants_test.cpp
+++ b/tests/proxy/invariants_test.cpp
@@ -1,4 +1,5 @@
-// The program's own guards: each is made to fail once by a part that misbehaves, and counts.
+// The invariants that the proxy checks at run time: each is violated by a misbehaving component, and the
+// violation must be counted.
 #include "proxy/invariants.h"
 
 #include <sys/socket.h>
@@ -18,7 +19,7 @@
 using namespace std::chrono_literals;
 using Kind = routing::Decision::Kind;
 
-// Decides what it is told to, whatever has happened.
+// Returns the decisions that the test has set, whatever has happened.
 class ScriptedDecider : public routing::Decider {
  public:
   const routing::RequestClassInfo* find_class(std::string_view) const override { return &request_class; }
@@ -47,7 +48,7 @@
   void fail(std::string_view) override {}
 };
 
-// A dispatcher whose only server never comes up, with one open request.
+// A dispatcher with one open request, whose only server is never reachable.
 struct DispatcherFixture {
   explicit DispatcherFixture(bool is_repeatable = true) {
     routing::Request request;
@@ -91,7 +92,7 @@
 
 }  // namespace
 
-TEST_CASE("invariants: an attempt at a server that was taken out, later than its grace") {
+TEST_CASE("invariants: an attempt on a withdrawn server after the grace period counts") {
   DispatcherFixture fixture;
   fixture.dispatcher.set_drain_grace(1s);
   auto begin_after = [&](Micros since_notice, discovery::Lifecycle lifecycle) {
@@ -111,7 +112,7 @@
   CHECK(begin_after(1100ms, discovery::Lifecycle::kRemoved) == 2);
 }
 
-TEST_CASE("invariants: right decisions break none, and the last line of the log tells the count") {
+TEST_CASE("invariants: correct decisions violate none, and the last log line has the count") {
   DispatcherFixture fixture;
   fixture.decide(Kind::kSend, 0);
   fixture.dispatcher.on_iteration_end();
@@ -138,7 +139,7 @@
   CHECK(fixture.count(Invariant::kTooManyAttempts) == 1);
 }
 
-TEST_CASE("invariants: a repeat of what must not run twice and may have run counts") {
+TEST_CASE("invariants: a retry of a request that must not run twice and may have run counts") {
   for (auto outcome : {routing::AttemptOutcome::kReset, routing::AttemptOutcome::kRejected}) {
     DispatcherFixture fixture(false);
     fixture.decide(Kind::kSend, 0);
@@ -150,14 +151,14 @@
   }
 }
 
-TEST_CASE("invariants: a timeout beyond what the client waits, and its slack, counts") {
+TEST_CASE("invariants: a timeout longer than the client's remaining time plus slack counts") {
   DispatcherFixture fixture;
   fixture.decide(Kind::kSend, 0, 1200ms);
   fixture.dispatcher.on_iteration_end();
   CHECK(fixture.count(Invariant::kTimeoutTooLong) == 1);
 }
 
-TEST_CASE("invariants: a statement that goes out for a request with its answer counts") {
+TEST_CASE("invariants: an attempt that begins for an answered request counts") {
   DispatcherFixture fixture;
   fixture.dispatcher.attempt_begins(fixture.id, "s");
   CHECK(fixture.count(Invariant::kSendWithoutClient) == 0);
@@ -168,7 +169,7 @@
 
 namespace {
 
-// A session with requests that it has read.
+// A client session that has read `requests` requests and answered none.
 struct SessionFixture {
   explicit SessionFixture(int requests) {
     int ends[2];
@@ -197,7 +198,7 @@
 
 TEST_CASE("invariants: a second answer to one request counts") {
   SessionFixture fixture(2);
-  auto* second = fixture.dispatcher.client_of(2);  // its answer waits for the first one's
+  auto* second = fixture.dispatcher.client_of(2);  // its answer waits for that of the first request
   REQUIRE(second);
   second->fail("once");
   CHECK(fixture.dispatcher.invariants().violations() == 0);
@@ -206,8 +207,7 @@
 }
 
 TEST_CASE(
-    "invariants: a connection that is closed over a request that was read counts, one that the client left "
-    "does not") {
+    "invariants: closing a connection with an unanswered request counts, unless the client disconnected") {
   for (bool client_disconnects : {false, true}) {
     SessionFixture fixture(1);
     if (client_disconnects)
@@ -219,7 +219,7 @@
   }
 }
 
-TEST_CASE("invariants: a client of an inherited socket that is taken before the process can serve counts") {
+TEST_CASE("invariants: a client of an inherited socket accepted before the process can serve counts") {
   int error = 0;
   auto listener = net::listen_on(*net::parse_address("127.0.0.1:0"), &error);
   net::Loop loop;
--- a/tests/proxy/parsers_test.cpp
+++ b/tests/proxy/parsers_test.cpp
@@ -1,4 +1,4 @@
-// Tables of cases, good and bad, for everything that reads a peer's bytes.
+// Tables of valid and invalid input for each parser of a peer's bytes.
 #include <catch2/catch.hpp>
 #include <map>
 #include <random>
@@ -88,7 +88,7 @@
   for (auto bad : {""s, "\0"s, "Mtext\0\0"s, "C53300"s}) CHECK_FALSE(pg::parse_error(bad));
 }
 
-TEST_CASE("statements: good ones") {
+TEST_CASE("statements: valid ones") {
   std::string text =
       "SELECT content FROM kv WHERE name = '7f3a' /* "
       "id=9b,c=basket,d=480,cluster=2,after=1767225600123,r=1,new=x */";
@@ -113,13 +113,13 @@
   CHECK_FALSE(w.after_unix_ms);
 }
 
-TEST_CASE("statements: empty ones, SET and its like") {
+TEST_CASE("statements: empty ones, and session commands such as SET") {
   for (auto text : {"", " ", ";", " ;\n"}) CHECK(pg::parse_statement(text).kind == pg::StatementKind::kEmpty);
   for (auto text : {"SET a = 1", "set a to b;", "RESET ALL", "discard all"})
     CHECK(pg::parse_statement(text).kind == pg::StatementKind::kSession);
 }
 
-TEST_CASE("statements: bad ones") {
+TEST_CASE("statements: invalid ones") {
   std::string select = "SELECT content FROM kv WHERE name = ", comment = " /* id=1,c=o,d=5,cluster=2 */";
   auto text = GENERATE_COPY(values<std::string>(
       {"SELECT 1",
@@ -157,7 +157,7 @@
   CHECK_FALSE(pg::parse_statement(text).problem.empty());
 }
 
-TEST_CASE("responses of HTTP") {
+TEST_CASE("HTTP responses") {
   using discovery::HttpParse;
   struct Case {
     std::string in;
@@ -202,7 +202,7 @@
   }
 }
 
-TEST_CASE("lists of data servers") {
+TEST_CASE("endpoint lists") {
   auto update = discovery::parse_endpoint_list(
       R"({"generation":41,"reset":true,"instances":[{"instanceId":"s-5b","hostPort":"10.1.0.18:6432","zone":"a",
       "machineType":"m2","cell":3,"lifecycle":"draining","weight":1.5,"startedAtMs":1767225600123},
@@ -221,7 +221,7 @@
     CHECK_THROWS_AS(discovery::parse_endpoint_list(bad), std::invalid_argument);
 }
 
-TEST_CASE("lists of data servers: a start time beyond all sense stays in range") {
+TEST_CASE("endpoint lists: an absurd start time is kept in range") {
   auto update = discovery::parse_endpoint_list(
       R"({"generation":1,"instances":[{"instanceId":"a","hostPort":"h:1","startedAtMs":1e300}]})");
   CHECK(update.members[0].started_at_ms > 0);
@@ -234,7 +234,7 @@
     CHECK_FALSE(net::parse_address(bad));
 }
 
-TEST_CASE("configurations that are bad are named in one line") {
+TEST_CASE("configurations: an error is described in one line") {
   struct Case {
     const char *text, *expected_text;
   };
@@ -286,7 +286,7 @@
   CHECK(proxy::outcome_of_cancel(true) == AttemptOutcome::kCancelled);
 }
 
-TEST_CASE("positions: a known one never later, a required one never earlier") {
+TEST_CASE("positions: a known one is never rounded up, a required one never down") {
   routing::UnixClock clock(routing::Micros(1'767'225'600'000'000));
   CHECK(clock.known(1767225600123) <= routing::Micros(123000));
   CHECK(clock.known_seconds(1767225600.1234567) <= routing::Micros(123457));
@@ -297,11 +297,12 @@
 
 }  // namespace database_proxy
 
-// ---- when discovery is asked ---------------------------------------------------------------------------
+// ---- the schedule of discovery calls -------------------------------------------------------------------
 
-// A service that answers a call every `kEach` and turns away whom it would keep waiting for longer than 2 s.
-// With one schedule for all, hundreds asked for the whole list twice a second for ever, and none had it.
-TEST_CASE("Routers that start together all come through to a discovery at its limit") {
+// The service answers one call per `kServiceTime` and rejects a call that would wait for longer than 2 s.
+// With the same schedule for all, hundreds of proxies requested the full list twice a second for ever, and
+// none received it.
+TEST_CASE("Proxies that start together all get the list of a discovery service at its limit") {
   using namespace std::chrono_literals;
   using database_proxy::discovery::PollingSchedule;
   constexpr PollingSchedule::Micros kServiceTime = 50ms, kMaxQueueWait = 2s;
@@ -320,7 +321,7 @@
     ++calls;
     busy_until = std::max(busy_until, at);
     if (busy_until - at > kMaxQueueWait) {
-      busy_until += kServiceTime / 4;  // turning away is work as well
+      busy_until += kServiceTime / 4;  // a rejection is work as well
       due.emplace(at + schedules[static_cast<std::size_t>(r)].after_refused_call(), r);
     } else {
       last = busy_until += kServiceTime;
@@ -330,9 +331,9 @@
   CHECK(last < 12s);
 }
 
-// The platform counts what discovery has to tell as told 6 s after it could be reached, and 4 s after SIGHUP.
-// Before that, any history of failures may have gone by; from then on one call goes through.
-TEST_CASE("Whatever calls have failed before, the next round comes through in time") {
+// The platform requires that a proxy knows a change at most 6 s after discovery had it and could be reached,
+// and at most 4 s after SIGHUP. Any series of failed calls may precede that; one call succeeds by then.
+TEST_CASE("After any series of failed calls, the next round succeeds in time") {
   using database_proxy::discovery::PollingSchedule;
   using Micros = PollingSchedule::Micros;
   auto proxies = GENERATE(1, 3, 20, 30, 300, 10000);
@@ -359,7 +360,7 @@
   }
 }
 
-TEST_CASE("One router asks at once, and soon again") {
+TEST_CASE("A single proxy calls at once, and retries soon") {
   using namespace std::chrono_literals;
   database_proxy::discovery::PollingSchedule single_proxy(1, false, 7), fleet_of_three(3, true, 7);
   CHECK(single_proxy.before_first_call() == 0ms);
--- a/tests/proxy/peers_test.cpp
+++ b/tests/proxy/peers_test.cpp
@@ -1,4 +1,5 @@
-// Peers that break the protocol, each on real sockets: what they are owed, and that nobody else is harmed.
+// Peers that violate the protocol, on real sockets: each gets the answer that the protocol requires, and no
+// other client or server is affected.
 #include "rig.h"
 
 namespace database_proxy::test {
@@ -14,14 +15,14 @@
 
 }  // namespace
 
-TEST_CASE("bad servers: a spoilt answer is a failed attempt, over at once, and a read goes on elsewhere") {
+TEST_CASE("bad servers: an invalid answer fails the attempt at once, and a read is retried elsewhere") {
   auto valid = row("value") + pg::ready_for_query();
   auto text = GENERATE_COPY(
       as<std::string>{}, "\x01\x02 noise", std::string(5000, 'z'),
       frame('D', 0xC0000000u, std::string(4000, 'x')), frame('T', 3, ""),
-      valid.substr(0, valid.size() / 2),                // stops short
-      frame('T', 150000, valid),                        // a length that swallows all that follows
-      valid.substr(0, valid.size() - 6) + "\x05noise",  // noise in place of the end: the row is whole
+      valid.substr(0, valid.size() / 2),                // truncated
+      frame('T', 150000, valid),                        // a length that includes all that follows
+      valid.substr(0, valid.size() - 6) + "\x05noise",  // noise in place of the end: the row is complete
       error_53300() + "\x01noise", pg::ready_for_query());
   CAPTURE(text.size());
   ProxyFixture fixture;
@@ -37,7 +38,7 @@
   CHECK(eventually([&] { return fixture.replica.open_connections <= 1; }));  // one may be kept for a probe
 }
 
-TEST_CASE("bad servers: an error code with noise behind it proves nothing, so a write is not refused by it") {
+TEST_CASE("bad servers: an error code followed by noise proves nothing, so a write is not rejected for it") {
   ProxyFixture fixture;
   fixture.primary.reply = [&](const std::string&) {
     return Reply{Reply::kRaw, error_53300() + "\x01noise", 0};
@@ -52,7 +53,7 @@
   CHECK(fixture.primary.max_in_flight <= 1);
 }
 
-TEST_CASE("bad servers: what stands behind a good answer reaches nobody, that connection is not used again") {
+TEST_CASE("bad servers: bytes after a valid answer reach no client, and the connection is not reused") {
   ProxyFixture fixture;
   auto trailing = GENERATE(as<std::string>{}, "\x01noise", row("wrong") + pg::ready_for_query());
   fixture.primary.reply = fixture.replica.reply = [&](const std::string&) {
@@ -63,7 +64,7 @@
   CHECK(fixture.primary.connections >= 8);
 }
 
-TEST_CASE("bad servers: a report that cannot be read spoils only the report") {
+TEST_CASE("bad servers: an unreadable load report does not invalidate the answer") {
   ProxyFixture fixture;
   auto text = row("value") + frame('S', 9, "usage") + pg::ready_for_query();
   fixture.primary.reply = fixture.replica.reply = [&](const std::string&) {
@@ -74,7 +75,7 @@
   CHECK(fixture.primary.count() == 1);
 }
 
-TEST_CASE("bad clients: silence and half a command are ended, whatever was sent before") {
+TEST_CASE("bad clients: silence and an incomplete command end the connection, whatever was sent before") {
   ProxyFixture fixture;
   auto startup = pg::startup_message("backend", "store");
   auto partial = pg::simple_query(read_sql("h1")).substr(0, 40);
@@ -91,10 +92,10 @@
     while (client->receive()) {
     }
   CHECK(Clock::now() - before < 5s);
-  CHECK(well_behaved.query(read_sql("h3")).row);  // idle between requests is no fault
+  CHECK(well_behaved.query(read_sql("h3")).row);  // being idle between requests is allowed
 }
 
-TEST_CASE("bad clients: an error arrives although the client goes on sending what is not read") {
+TEST_CASE("bad clients: an error arrives although the client keeps sending bytes that are not read") {
   ProxyFixture fixture;
   auto first_bytes = GENERATE(as<std::string>{}, frame('Q', 60'000'000, "INSERT"), frame('Q', 3, ""),
                               frame('Q', 130'000, "DELETE FROM kv"), "\x01noise");
@@ -106,7 +107,7 @@
   CHECK(fixture.primary.count() + fixture.replica.count() == 0);
 }
 
-TEST_CASE("bad clients: one that asks for encryption again and again is turned away") {
+TEST_CASE("bad clients: one that requests encryption again and again is rejected") {
   ProxyFixture fixture;
   Client client(fixture.port, false);
   std::string ssl("\0\0\0\x08\x04\xd2\x16\x2f", 8), all;
@@ -118,7 +119,7 @@
   CHECK(client.received.find("08P01") != std::string::npos);
 }
 
-TEST_CASE("bad clients: the id of an open request is turned away, and that request goes on") {
+TEST_CASE("bad clients: a request with the id of an open one is rejected, and the open one continues") {
   ProxyFixture fixture;
   std::atomic<bool> release{false};
   fixture.primary.reply = [&](const std::string&) {
@@ -132,10 +133,10 @@
   CHECK(fixture.primary.count() == 1);
   release = true;
   CHECK(client.answer().row);
-  CHECK(other.query(write_sql("same", 9000)).row);  // over: the name is free again
+  CHECK(other.query(write_sql("same", 9000)).row);  // the first request has ended: its id is free again
 }
 
-TEST_CASE("bad clients: hundreds that say nothing cost no connection to a data server and no usual client") {
+TEST_CASE("bad clients: hundreds of silent ones cost no server connection and no well-behaved client") {
   ProxyFixture fixture(64);
   auto query_of_new_client = [&](int i) {
     return Client(fixture.port).query(write_sql("n" + std::to_string(i)));
@@ -152,7 +153,7 @@
   CHECK(fixture.primary.connections <= before + 1);  // a probe may have needed one
 }
 
-TEST_CASE("buffers give their memory back after a large value") {
+TEST_CASE("buffers release their memory after a large value") {
   int ends[2];
   REQUIRE(socketpair(AF_UNIX, SOCK_STREAM | SOCK_NONBLOCK, 0, ends) == 0);
   net::Fd a(ends[0]), b(ends[1]);
@@ -167,7 +168,7 @@
   CHECK(in.memory() <= 4096);
 }
 
-TEST_CASE("loop: what asked to go on is called in the next turn, unless it has gone") {
+TEST_CASE("loop: a handler passed to again is called in the next iteration, unless it was removed") {
   net::Loop loop;
   struct CountingHandler : net::Handler {
     int calls = 0;
@@ -185,9 +186,10 @@
   CHECK(removed.calls == 0);
 }
 
-// ---- what a large fleet does to one proxy --------------------------------------------------------------
+// ---- effects of a large fleet on one proxy -------------------------------------------------------------
 
-TEST_CASE("fleet: a discovery that refuses is not asked for the whole list, and the last list serves on") {
+TEST_CASE(
+    "fleet: a discovery that rejects calls gets none for the full list, and the last list stays in use") {
   ProxyFixture fixture;
   Client client(fixture.port);
   CHECK(client.query(read_sql("d0", 900)).row);
@@ -201,7 +203,7 @@
   CHECK(fixture.discovery.full_list_calls == full_list_calls);
 }
 
-TEST_CASE("fleet: with a discovery that is silent from the start, the known list serves") {
+TEST_CASE("fleet: with a discovery that is unresponsive from the start, the known list is used") {
   ProxyFixture fixture(200, "", true);
   Client client(fixture.port);
   CHECK(client.query(read_sql("q1", 900)).row);
@@ -209,19 +211,18 @@
   fixture.discovery.unresponsive = false;
 }
 
-TEST_CASE(
-    "fleet: a server whose table of connections is full costs one attempt, and a read goes on elsewhere") {
+TEST_CASE("fleet: a server at its connection limit costs one attempt, and a read is retried elsewhere") {
   ProxyFixture fixture;
   fixture.replica.rejects_connections = true;
   Client client(fixture.port);
   for (int i = 0; i < 6; ++i) CHECK(client.query(read_sql("f" + std::to_string(i), 1500)).row);
   CHECK(fixture.replica.count() == 0);
-  CHECK(fixture.replica.connections <= 12);  // it is not stormed: one attempt a request, and probes
+  CHECK(fixture.replica.connections <= 12);  // no connection storm: one attempt per request, and probes
   fixture.replica.rejects_connections = false;
   CHECK(eventually([&] { return client.query(read_sql("g", 900)).row && fixture.replica.count() > 0; }));
 }
 
-TEST_CASE("fleet: a whole list in which most servers are new, with one that refuses, moves all work") {
+TEST_CASE("fleet: a full list of mostly new servers, one of them unreachable, moves all requests") {
   ProxyFixture fixture;
   Client client(fixture.port);
   CHECK(client.query(write_sql("w0", 900)).row);
@@ -229,7 +230,7 @@
   std::string unreachable_entry;
   {
     Server stopped(false);
-    unreachable_entry = endpoint_entry("s-x", stopped);  // nobody listens there any more
+    unreachable_entry = endpoint_entry("s-x", stopped);  // no longer listening
   }
   fixture.discovery.set(unreachable_entry + "," + endpoint_entry("s-1", one) + "," +
                         endpoint_entry("s-2", two) + "," + endpoint_entry("s-0", primary));
--- a/tests/proxy/rig.h
+++ b/tests/proxy/rig.h
@@ -1,5 +1,6 @@
-// The one helper of the network tests: a proxy in a thread of its own, and what it talks to, on 127.0.0.1 and
-// ports the system picks. Servers answer by a function that each test gives them; no load is made.
+// Test fixture of the network tests: a proxy in its own thread, with the data servers, the discovery service
+// and the clients that it talks to, on 127.0.0.1 and ports that the system assigns. Each test sets the
+// function that determines a server's answers. The fixture generates no load.
 #pragma once
 
 #include <poll.h>
@@ -36,14 +37,14 @@
       .count();
 }
 
-// True once `good` holds; false after a time that only a fault can take.
+// Waits until `condition` holds and returns true; returns false after a timeout that only a fault can exceed.
 inline bool eventually(const std::function<bool()>& condition, Clock::duration timeout = 8s) {
   for (auto end = Clock::now() + timeout; Clock::now() < end; std::this_thread::sleep_for(2ms))
     if (condition()) return true;
   return condition();
 }
 
-// A blocking socket.
+// A blocking socket, with a buffer of bytes that were received and not yet parsed.
 class Peer {
  public:
   explicit Peer(int fd) : fd_(fd) {
@@ -52,7 +53,7 @@
   static Peer connect_to(int port) {
     auto address = *net::parse_address("127.0.0.1:" + std::to_string(port));
     int fd =
-        socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);  // processes that the test starts have none of it
+        socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);  // not inherited by processes that the test starts
     REQUIRE(connect(fd, reinterpret_cast<sockaddr*>(&address.storage), address.length) == 0);
     return Peer(fd);
   }
@@ -65,14 +66,14 @@
     }
     return true;
   }
-  bool receive() {  // false: ended, broken, or nothing came in time
+  bool receive() {  // returns false at the end of the connection, on an error or on a timeout
     char chunk[65536];
     auto n = recv(fd_.get(), chunk, sizeof chunk, 0);
     if (n <= 0) return false;
     received.append(chunk, static_cast<std::size_t>(n));
     return true;
   }
-  // The next message: its letter and body. Letter 0: none came.
+  // Receives the next message and returns its type and body; type 0 if there is none.
   std::pair<char, std::string> next_message() {
     pg::Frame frame;
     while (pg::parse_frame(received, 1 << 22, &frame) != pg::ParseStatus::kOk)
@@ -89,7 +90,7 @@
   net::Fd fd_;
 };
 
-// Accepts on a port of its own and serves each connection in a thread, until it goes.
+// Accepts connections on its own port and serves each in a thread. The destructor shuts all of them down.
 class TestListener {
  public:
   explicit TestListener(std::function<void(Peer&)> serve) : serve_(std::move(serve)) {
@@ -131,12 +132,13 @@
   std::thread accept_thread_;
 };
 
-// What a fake data server answers to one statement.
+// Answer of a fake data server to one statement.
 struct Reply {
-  // kRaw: `text` as it is, and no more. kTrailingBytes: a good row "value", and `text` right behind it.
+  // kRaw: `text` unchanged and nothing else. kTrailingBytes: a valid row "value", directly followed by
+  // `text`.
   enum Kind { kRow, kError, kNoAnswer, kReset, kTruncated, kRaw, kTrailingBytes } kind = kRow;
-  std::string text = "value";  // the row's value, or the error's code
-  std::int64_t position = 0;   // 0: now
+  std::string text = "value";  // value of the row, or code of the error
+  std::int64_t position = 0;   // commit position as Unix time in ms; 0: the current time
 };
 
 inline std::string row(const std::string& value) {
@@ -145,7 +147,7 @@
     body.push_back(static_cast<char>(value.size() >> shift & 0xff));
   body += value;
   auto message = [](char type, const std::string& inner) {
-    auto framed = pg::simple_query(inner);  // same frame, with an end mark too many
+    auto framed = pg::simple_query(inner);  // same framing, but with a terminating NUL, which is removed
     framed.pop_back();
     framed[0] = type;
     auto length = inner.size() + 4;
@@ -156,17 +158,17 @@
   return message('T', column) + message('D', body) + pg::command_complete("SELECT 1");
 }
 
-// A data server: primary or replica, answering by `reply`.
+// A fake data server, primary or replica; `reply` determines its answers.
 class Server {
  public:
   explicit Server(bool primary) : primary_(primary), listener_([this](Peer& peer) { serve(peer); }) {}
 
   std::function<Reply(const std::string&)> reply = [](const std::string&) { return Reply{}; };
   std::atomic<int> connections{0}, open_connections{0}, in_flight{0}, max_in_flight{0}, probes{0};
-  std::atomic<int> unanswered{0};          // requests that get no answer, and whose connections are open
-  std::atomic<bool> hold_greeting{false};  // new connections are accepted and hear nothing
-  std::atomic<int> greetings_sent{0}, answers_sent{0};  // so many greetings and answers have been written
-  std::atomic<bool> rejects_connections{false};  // its table of connections is: each new one is turned away
+  std::atomic<int> unanswered{0};          // requests left without an answer whose connections are still open
+  std::atomic<bool> hold_greeting{false};  // while true, new connections are accepted but get no greeting
+  std::atomic<int> greetings_sent{0}, answers_sent{0};  // numbers of greetings and answers written
+  std::atomic<bool> rejects_connections{false};         // at its connection limit: rejects each new one
   std::string address() const { return listener_.address(); }
   std::vector<std::string> statements() {
     std::lock_guard lock(mutex_);
@@ -222,7 +224,7 @@
         peer.send(r.text);
         continue;
       }
-      if (r.kind == Reply::kTruncated) {  // the value's first half, then the connection ends
+      if (r.kind == Reply::kTruncated) {  // the first half of the row, then the connection ends
         auto complete = row(r.text);
         peer.send(complete.substr(0, complete.size() / 2));
         return;
@@ -247,7 +249,8 @@
   TestListener listener_;
 };
 
-// Discovery: gives the list as it stands, or waits for a newer version.
+// A fake discovery service: returns the endpoint list if it is newer than the caller's version, and otherwise
+// waits a short time for a newer one.
 class Discovery {
  public:
   Discovery() : listener_([this](Peer& peer) { serve(peer); }) {}
@@ -262,13 +265,14 @@
     return "{\"generation\":" + std::to_string(generation_) + ",\"reset\":true,\"instances\":[" + instances_ +
            "]}";
   }
-  std::atomic<int> calls{0}, calls_to_cut{0};  // calls_to_cut: so many calls end with the connection cut
-  std::atomic<int> calls_to_reject{0},
-      full_list_calls{0};                 // so many calls are refused with 503; calls for the whole list
+  // calls_to_cut, calls_to_reject: number of next calls that end with the connection closed, or with a 503.
+  // full_list_calls: number of calls for the full list.
+  std::atomic<int> calls{0}, calls_to_cut{0};
+  std::atomic<int> calls_to_reject{0}, full_list_calls{0};
   std::atomic<bool> unresponsive{false};  // calls get no answer
-  // Connections that are open now have fallen silent for good; new ones are served.
+  // Stops answering on the connections that are open now, for good; new connections are served.
   void stop_answering_open_connections() { ++epoch_; }
-  std::atomic<bool> trickle{false};  // an answer never gets further than one byte each 20 ms
+  std::atomic<bool> trickle{false};  // answers are sent at one byte each 20 ms and never end
 
  private:
   void serve(Peer& peer) {
@@ -342,14 +346,14 @@
          extra + "}}";
 }
 
-// What a client got for one statement.
+// Answer that a client received for one statement.
 struct Answer {
-  char end = 0;  // Z, or 0 when the connection ended first
+  char end = 0;  // 'Z' (ReadyForQuery), or 0 if the connection ended first
   bool row = false;
   std::string value, code, detail, tag;
 };
 
-// `key`: what the session to cancel was given at its start.
+// Returns a CancelRequest; `key` is the key data that the session to cancel received at its start.
 inline std::string cancel_request(const std::string& key) {
   return std::string("\0\0\0\x10\x04\xd2\x16\x2e", 8) + key;
 }
@@ -362,7 +366,7 @@
     send(pg::startup_message("backend", "store"));
     REQUIRE(answer().end == 'Z');
   }
-  // Starts the session of a client that is not greeted yet; what a CancelRequest names it by.
+  // Starts the session of a client that was constructed without one; returns its key for a CancelRequest.
   std::string start() {
     std::string key;
     send(pg::startup_message("backend", "store"));
@@ -409,7 +413,7 @@
          ",c=book,d=" + std::to_string(d) + ",k=77,cluster=2 */";
 }
 
-// A set of one primary and one replica, discovery, and the proxy.
+// A shard group of one primary and one replica, a discovery service, and a proxy in its own thread.
 struct ProxyFixture {
   explicit ProxyFixture(
       std::size_t descriptors = 200, const std::string& extra = "", bool unresponsive_discovery = false,
@@ -467,7 +471,7 @@
     std::uint64_t one = 1;
     REQUIRE(write(wake_up_fd_.get(), &one, sizeof one) == sizeof one);
   }
-  // Runs in the proxy's own thread.
+  // Runs `action` in the proxy's thread. Returns when that thread has taken it over, possibly before it ends.
   void with_proxy(std::function<void(proxy::Proxy&)> action) {
     {
       std::lock_guard lock(mutex_);
@@ -479,10 +483,11 @@
       return !pending_action_;
     }));
   }
-  // The proxy's loop stands still while this lives: all that happens meanwhile is ready in its next turn.
+  // Pauses the proxy's event loop during its lifetime: all events of that time are ready in the next
+  // iteration.
   class PausedLoop {
    public:
-    // `first` runs in the proxy's own thread before it stands paused.
+    // `before_pause` runs in the proxy's thread before the pause.
     explicit PausedLoop(
         ProxyFixture& fixture, std::function<void(proxy::Proxy&)> before_pause = [](proxy::Proxy&) {}) {
       auto state = state_;
--- a/tests/proxy/rules_test.cpp
+++ b/tests/proxy/rules_test.cpp
@@ -1,4 +1,4 @@
-// One test a rule, with real sockets.
+// One test for each rule that the proxy follows, with real sockets.
 #include <fcntl.h>
 #include <fmt/format.h>
 #include <unistd.h>
@@ -10,7 +10,8 @@
 
 namespace database_proxy::test {
 
-TEST_CASE("clients: a query right behind the startup, SSLRequest first, split into single bytes") {
+TEST_CASE(
+    "clients: after an SSLRequest, the startup message and a query right after it arrive in single bytes") {
   ProxyFixture fixture;
   Client client(fixture.port, false);
   std::string ssl("\0\0\0\x08\x04\xd2\x16\x2f", 8);
@@ -41,7 +42,7 @@
   CHECK(client.answer().code == "42601");
 }
 
-TEST_CASE("clients: requests sent behind one another are out at once, and answered in order") {
+TEST_CASE("clients: pipelined requests are in flight at the same time, and answered in order") {
   ProxyFixture fixture;
   fixture.primary.reply = fixture.replica.reply = [&](const std::string& sql) {
     bool are_concurrent =
@@ -56,10 +57,11 @@
   CHECK(client.answer().value == "id=q2");
   CHECK(client.answer().tag == "SET");
   CHECK(client.answer().value == "id=q3");
-  CHECK(client.answer().code == "08P01");  // behind what was taken before it
+  CHECK(client.answer().code == "08P01");  // after the answers to the commands before it
 }
 
-TEST_CASE("clients: a read behind a write of the same key waits for it, hundreds at once are cut off") {
+TEST_CASE(
+    "clients: a read after a write of the same key waits for it, some of hundreds at once are rejected") {
   ProxyFixture fixture;
   std::atomic<bool> release{false};
   fixture.primary.reply = [&](const std::string&) {
@@ -71,12 +73,12 @@
   REQUIRE(eventually([&] { return fixture.primary.count() == 1; }));
   std::this_thread::sleep_for(50ms);
   for (auto& statement :
-       fixture.replica.statements())  // the write may have been tried there while no primary was known
+       fixture.replica.statements())  // the write may have been attempted there while no primary was known
     CHECK_FALSE(statement.starts_with("SELECT"));
   release = true;
   CHECK(client.answer().row);
   CHECK(client.answer().row);
-  // None is answered before all have been read.
+  // No read is answered before the proxy has read all of them.
   release = false;
   fixture.replica.reply = fixture.primary.reply = [&](const std::string&) {
     eventually([&] { return release.load(); });
@@ -97,7 +99,7 @@
 }
 
 TEST_CASE(
-    "clients: what is malformed gets an SQLSTATE and never reaches a server, bad bytes end one connection") {
+    "clients: malformed statements get an SQLSTATE and reach no server, invalid bytes end one connection") {
   ProxyFixture fixture;
   Client client(fixture.port), other(fixture.port);
   for (std::string sql : {"SELECT 1", "select content from kv", "SELECT content FROM kv WHERE name = 'k1'",
@@ -124,7 +126,7 @@
   CHECK(fixture.primary.count() + fixture.replica.count() == 1);
 }
 
-TEST_CASE("servers: statement, id and k pass on unchanged, d tells our own wait") {
+TEST_CASE("servers: statement, id and k are forwarded unchanged, d is the proxy's own timeout") {
   ProxyFixture fixture;
   Client client(fixture.port);
   CHECK(client.query(write_sql("w1", 1500)).row);
@@ -139,17 +141,18 @@
   CHECK(timeout < 1500);
 }
 
-TEST_CASE("servers: a client that waits for a short while has nearly all of it") {
+TEST_CASE("servers: a client's short timeout is forwarded nearly in full") {
   ProxyFixture fixture;
   Client client(fixture.port);
   REQUIRE(client.query(write_sql("w0")).row);
-  client.query(write_sql("w1", 40));  // served or not: the machine may be slow
+  client.query(write_sql("w1", 40));  // may fail, as the machine may be slow
   for (auto& sql : fixture.primary.statements())
     if (auto at = sql.find("id=w1,c=book,d="); at != std::string::npos)
       CHECK(std::stoi(sql.substr(at + 15)) >= 36);
 }
 
-TEST_CASE("effects: a write that may have run is never refused, nor sent twice at once, nor over 8 times") {
+TEST_CASE(
+    "effects: a write that may have run is never rejected, has one attempt at a time and at most 8 in all") {
   ProxyFixture fixture;
   fixture.primary.reply = [](const std::string&) { return Reply{Reply::kReset, "", 0}; };
   fixture.replica.reply = [](const std::string&) { return Reply{Reply::kError, "25006", 0}; };
@@ -164,9 +167,9 @@
   CHECK(fixture.primary.count() + fixture.replica.count() <= 8);
 }
 
-TEST_CASE("answers: a refusal comes at once and tells in D when to come back") {
+TEST_CASE("answers: a rejection is sent at once, with Retry-After in field D") {
   ProxyFixture fixture;
-  fixture.discovery.set("");  // every server is gone
+  fixture.discovery.set("");  // the list has no servers
   Client client(fixture.port);
   REQUIRE(eventually([&] { return fixture.discovery.calls >= 2; }));
   auto answer = client.query(read_sql("r1", 1900));
@@ -175,7 +178,7 @@
   CHECK(fixture.primary.count() + fixture.replica.count() == 0);
 }
 
-TEST_CASE("answers: with servers that stay silent, the answer still comes before the client gives up") {
+TEST_CASE("answers: with unresponsive servers, the answer still arrives before the client's timeout") {
   ProxyFixture fixture;
   fixture.primary.reply = fixture.replica.reply = [](const std::string&) {
     return Reply{Reply::kNoAnswer, "", 0};
@@ -188,7 +191,7 @@
   CHECK_FALSE(answer.code.empty());
 }
 
-TEST_CASE("clients: one that leaves takes its attempt with it") {
+TEST_CASE("clients: a disconnect cancels the attempt in flight") {
   ProxyFixture fixture;
   fixture.primary.reply = fixture.replica.reply = [](const std::string&) {
     return Reply{Reply::kNoAnswer, "", 0};
@@ -201,7 +204,7 @@
   CHECK(fixture.primary.count() == 1);
 }
 
-TEST_CASE("clients: a CancelRequest ends just the request it names, with its one answer") {
+TEST_CASE("clients: a CancelRequest ends only the request that its key identifies, with one answer") {
   ProxyFixture fixture;
   fixture.primary.reply = [](const std::string&) { return Reply{Reply::kNoAnswer, "", 0}; };
   Client client(fixture.port, false);
@@ -221,7 +224,7 @@
   CHECK(client.query("SET a = 1").tag == "SET");
 }
 
-TEST_CASE("reads: one turned away as too far behind goes on to another server") {
+TEST_CASE("reads: one that a replica declines because it lags too far is retried on another server") {
   ProxyFixture fixture;
   fixture.replica.reply = [](const std::string&) { return Reply{Reply::kError, "72000", unix_ms() - 5000}; };
   Client client(fixture.port);
@@ -230,7 +233,7 @@
   CHECK(fixture.primary.count() == 1);
 }
 
-TEST_CASE("draining: no new work later than 1 s after word of it") {
+TEST_CASE("draining: no new requests later than 1 s after the notification") {
   ProxyFixture fixture;
   Client client(fixture.port);
   REQUIRE(client.query(read_sql("d0")).row);
@@ -244,7 +247,7 @@
   CHECK(fixture.replica.count() == before);
 }
 
-TEST_CASE("values: 64 KiB pass whole, also to a client that reads late") {
+TEST_CASE("values: 64 KiB are forwarded in full, also to a client that reads late") {
   ProxyFixture fixture;
   std::string value(65536, '\0');
   for (std::size_t i = 0; i < value.size(); ++i) value[i] = static_cast<char>(i * 7);
@@ -266,7 +269,7 @@
   CHECK(client.query(big).value == value);
 }
 
-TEST_CASE("values: one that breaks off halfway never reaches the client, a read goes on to another server") {
+TEST_CASE("values: a truncated one never reaches the client, and the read is retried on another server") {
   ProxyFixture fixture;
   std::string value(40000, 'h');
   fixture.replica.reply = [&](const std::string&) { return Reply{Reply::kTruncated, value, 0}; };
@@ -280,7 +283,8 @@
   CHECK(fixture.primary.count() + fixture.replica.count() > 0);
 }
 
-TEST_CASE("facade: a send that was decided, but whose client left first, does not stay in flight for ever") {
+TEST_CASE(
+    "facade: an attempt whose client disconnects before it is fetched does not stay in flight for ever") {
   ProxyFixture fixture;
   net::Loop loop;
   auto now = loop.now();
@@ -291,8 +295,8 @@
     facade.report(
         now, routing::ProbeResult{name, true, routing::Micros(1000),
                                   fmt::format("x0={},x1={}", double(unix_ms()) / 1000, *(name + 2) == 'p')});
-  // Writes to a primary that turns each away: the module sends again, and the client leaves before that is
-  // fetched.
+  // Each write is reset by the primary; the module decides on a retry, and the client disconnects before that
+  // decision is fetched.
   int attempts = 0;
   for (routing::RequestId id = 1; id <= 400; ++id) {
     auto at = now + routing::Micros(id * 40000);
@@ -318,7 +322,7 @@
   CHECK(attempts > 200);
 }
 
-TEST_CASE("long days: servers that come and go leave nothing behind") {
+TEST_CASE("endpoints: servers that are added and removed over a long time leave no state behind") {
   ProxyFixture fixture;
   Client client(fixture.port);
   REQUIRE(client.query(write_sql("l0")).row);
@@ -368,7 +372,7 @@
   CHECK(fixture.config.pool.idle < 30s);
 }
 
-TEST_CASE("discovery: cut connections are made again, and a whole list replaces the old one") {
+TEST_CASE("discovery: closed connections are reopened, and a full list replaces the old one") {
   ProxyFixture fixture;
   fixture.discovery.calls_to_cut = 3;
   REQUIRE(eventually([&] { return fixture.discovery.calls_to_cut == 0; }));
@@ -378,7 +382,7 @@
   CHECK(eventually([&] { return client.query(read_sql("n1", 400)).row && new_server.count() > 0; }));
 }
 
-TEST_CASE("discovery: a new address takes over once it has told its list, whatever version it counts from") {
+TEST_CASE("discovery: a new address takes effect once it has sent its list, whatever the list's version") {
   ProxyFixture fixture;
   Client client(fixture.port);
   for (int i = 0; i < 9; ++i) fixture.discovery.set(endpoint_entry("s-p", fixture.primary));
@@ -394,7 +398,7 @@
       p.reconfigure(options);
     });
   };
-  set_discovery_address(failing_discovery.address());  // it tells nothing: the old one stays in force
+  set_discovery_address(failing_discovery.address());  // it sends no list: the old address stays in effect
   REQUIRE(eventually([&] { return failing_discovery.calls >= 2; }));
   Server old_address_server(true);
   fixture.discovery.set(endpoint_entry("s-l", old_address_server));
@@ -402,23 +406,23 @@
   set_discovery_address(new_discovery.address());
   CHECK(eventually([&] { return client.query(read_sql("o2", 400)).row && new_server.count() > 0; }));
   auto old_calls = fixture.discovery.calls.load();
-  set_discovery_address(new_discovery.address());  // nothing new: the watch goes on
+  set_discovery_address(new_discovery.address());  // unchanged address: the watch continues
   Server changed_server(true);
-  new_discovery.set(endpoint_entry("s-q", changed_server));  // as a change of the same watch
+  new_discovery.set(endpoint_entry("s-q", changed_server));  // sent as a change on the same watch
   CHECK(eventually([&] { return client.query(read_sql("o3", 400)).row && changed_server.count() > 0; }));
   CHECK(fixture.discovery.calls == old_calls);
-  set_discovery_address(fixture.discovery.address());  // and back again
+  set_discovery_address(fixture.discovery.address());  // back to the first address
   CHECK(eventually([&] { return fixture.discovery.calls > old_calls; }));
 }
 
-TEST_CASE("descriptors: idle clients make room for new ones") {
+TEST_CASE("descriptors: idle clients are closed in favour of new ones") {
   ProxyFixture fixture(40);
   std::vector<std::unique_ptr<Client>> idle;
   for (int i = 0; i < 40; ++i) idle.push_back(std::make_unique<Client>(fixture.port));
   CHECK(idle.back()->query(read_sql("e1", 1900)).row);
 }
 
-TEST_CASE("descriptors: clients that asked once and stay give way long before the limit, oldest first") {
+TEST_CASE("descriptors: clients that stay after one request are closed long before the limit, oldest first") {
   ProxyFixture fixture(200);
   std::vector<std::unique_ptr<Client>> clients;
   for (int i = 0; i < 60; ++i) {
@@ -437,7 +441,7 @@
   CHECK(last.query(read_sql("k61", 1900)).row);
 }
 
-TEST_CASE("stopping: what was taken is answered, new connections too, then it ends by itself") {
+TEST_CASE("shutdown: accepted requests and new connections are answered, then the proxy ends by itself") {
   ProxyFixture fixture;
   std::atomic<bool> release{false};
   fixture.primary.reply = [&](const std::string&) {
@@ -469,7 +473,7 @@
   CHECK(facade.ready());
 }
 
-TEST_CASE("logging: a pipe that nobody reads blocks nothing, and a flood is cut") {
+TEST_CASE("logging: an unread pipe blocks nothing, and a flood of lines is cut off") {
   int ends[2];
   REQUIRE(pipe2(ends, O_CLOEXEC) == 0);
   net::Fd out(ends[0]), in(ends[1]);
@@ -483,7 +487,7 @@
   std::istringstream text(std::string(output, static_cast<std::size_t>(n)));
   int lines = 0;
   for (std::string line; std::getline(text, line); ++lines) {
-    // Where the writing thread came to run late, the oldest lines have given way, and the next one says so.
+    // If the writing thread ran late, the oldest lines were dropped, and the next line reports that.
     if (auto note = line.find(" ("); note != std::string::npos) {
       CHECK(line.ends_with(" lines dropped before this one)"));
       line.resize(note);
--- a/tests/proxy/server_clock_test.cpp
+++ b/tests/proxy/server_clock_test.cpp
@@ -1,5 +1,5 @@
-// The distance between the servers' clock and this machine's monotonic one, learned without trusting one
-// reading.
+// The distance between the servers' clock and this machine's monotonic clock, determined without relying on
+// any single reading.
 #include "routing/server_clock.h"
 
 #include <catch2/catch.hpp>
@@ -12,7 +12,7 @@
 constexpr Micros kHour = 1h;
 constexpr Micros kTrueDistance = 400'000h;
 
-// Servers whose clock is right, and a machine whose wall clock is off by `error`.
+// A machine whose wall clock is off by `error`, and servers whose clock is correct.
 struct Machine {
   explicit Machine(Micros error) : clock(live(error)) {}
   static UnixClock live(Micros error) { return UnixClock::live(kTrueDistance + error); }
@@ -20,7 +20,7 @@
     clock.on_primary_position(kTrueDistance + at - 1ms, at - 2ms, at);
     primary = clock.position(kTrueDistance + at - 1ms, at, true);
   }
-  // What is known of a replica that lags so much.
+  // Returns the position of a replica that lags by `lag`; nullopt: not usable yet.
   std::optional<Micros> position_of_replica(Micros at, Micros lag) {
     return clock.position(kTrueDistance + at - lag, at, false);
   }
@@ -30,14 +30,14 @@
 
 }  // namespace
 
-TEST_CASE("clock: with a right wall clock a replica's position is known once a primary has answered") {
+TEST_CASE("clock: with a correct wall clock, a replica's position is usable once a primary has answered") {
   Machine machine(0us);
   CHECK(!machine.position_of_replica(1s, 200ms));
   machine.on_primary_answer(1s + 5ms);
   CHECK(machine.position_of_replica(1s + 10ms, 200ms) == 1s + 10ms - 200ms);
 }
 
-TEST_CASE("clock: whatever the wall clock is off by, no position is taken for younger than it is") {
+TEST_CASE("clock: whatever the error of the wall clock, no position is taken for newer than it is") {
   for (Micros error : std::initializer_list<Micros>{-kHour, -3s, -1s, 1s, 3s, kHour}) {
     Machine machine(error);
     INFO(error.count());
@@ -47,14 +47,14 @@
       machine.on_primary_answer(at + 5ms);
     }
     auto known = machine.position_of_replica(8s, 200ms);
-    REQUIRE(known);  // and it has learned
+    REQUIRE(known);  // the distance has been determined
     CHECK(*known >= 8s - 200ms - 5ms);
   }
 }
 
 TEST_CASE(
-    "clock: a wall clock that is stepped under way, with the servers' or alone, lets no stale position "
-    "through") {
+    "clock: a step of the wall clock, alone or with the servers' clocks, lets no stale position pass as "
+    "fresh") {
   for (Micros step : std::initializer_list<Micros>{-kHour, -3s, 3s, kHour}) {
     for (bool are_servers_stepped : {false, true}) {
       Machine machine(0us);
@@ -77,7 +77,8 @@
 }
 
 TEST_CASE(
-    "clock: a former primary's old word does not make replicas look younger while others speak against it") {
+    "clock: a former primary's outdated position does not make replicas look newer while others contradict "
+    "it") {
   Machine machine(0us);
   for (Micros at = 1s; at < 3s; at += 10ms) {
     machine.on_primary_answer(at);
@@ -88,7 +89,7 @@
   }
 }
 
-TEST_CASE("clock: a position that a read must see is never rounded down by a change of the distance") {
+TEST_CASE("clock: a position that a read must include is never rounded down by a change of the distance") {
   Machine machine(-kHour);
   auto commit_ms = (kTrueDistance + 1s) / 1ms;
   auto before = machine.clock.required(commit_ms);
