--- a/tests/proxy/rig.h
+++ b/tests/proxy/rig.h
@@ -141,6 +141,7 @@
   std::int64_t position = 0;   // commit position as Unix time in ms; 0: the current time
 };
 
+// Returns the messages of a result with one row of one column.
 inline std::string row(const std::string& value) {
   std::string body("\0\1", 2);
   for (int shift = 24; shift >= 0; shift -= 8)
@@ -321,12 +322,14 @@
   TestListener listener_;
 };
 
+// Returns an entry of the endpoint list as JSON, for shard group 2.
 inline std::string endpoint_entry(const std::string& id, const Server& server,
                                   const std::string& lifecycle = "up") {
   return "{\"instanceId\":\"" + id + "\",\"hostPort\":\"" + server.address() +
          "\",\"zone\":\"a\",\"cell\":2,\"lifecycle\":\"" + lifecycle + "\",\"startedAtMs\":0}";
 }
 
+// Returns the proxy's configuration as JSON; `extra` is appended to the members of "settings".
 inline std::string config_text(const std::string& discovery, const std::string& known,
                                const std::string& extra = "") {
   return R"({"name":"t","listen":"127.0.0.1:0","discovery":")" + discovery +
@@ -404,6 +407,7 @@
   }
 };
 
+// Return a read and a write of shard group 2; `d` is the client's timeout in milliseconds.
 inline std::string read_sql(const std::string& id, int d = 1500, const std::string& rest = "") {
   return "SELECT content FROM kv WHERE name = 'k1' /* id=" + id + ",c=browse,d=" + std::to_string(d) +
          ",cluster=2" + rest + " */";
