--- a/tests/proxy/crossings_test.cpp
+++ b/tests/proxy/crossings_test.cpp
@@ -1,18 +1,19 @@
-// Events that cross: both are made ready before the loop looks, so that the order under test happens every
-// time. docs/design/lifecycles.md names the pair that each test forces.
+// Pairs of events that arrive at the same time. Each test makes both ready before the event loop fetches
+// events, so that the order under test occurs in every run. docs/design/lifecycles.md names the pair of each
+// test.
 #include "rig.h"
 
 namespace database_proxy::test {
 namespace {
 
-// What a data server was told to wait at most, in milliseconds.
+// Returns the timeout that a data server received with a statement, in milliseconds.
 int forwarded_timeout(const std::string& statement) {
   auto at = statement.find(",d=");
   REQUIRE(at != std::string::npos);
   return std::stoi(statement.substr(at + 3));
 }
 
-// A write of a value of so many bytes.
+// Returns a write of a value of `bytes` bytes.
 std::string long_write_sql(const std::string& id, const std::string& name, std::size_t bytes, int d) {
   std::string digits;
   for (std::size_t i = 0; i < bytes; ++i) digits += "ab";
@@ -20,12 +21,12 @@
          "') RETURNING content /* id=" + id + ",c=book,d=" + std::to_string(d) + ",k=" + id + ",cluster=2 */";
 }
 
-// Has a server hold its answers until they are let go.
+// Holds back a server's answers until open() is called.
 class Gate {
  public:
-  std::function<Reply(const std::string&)> before(Reply reply) {
+  std::function<Reply(const std::string&)> hold(Reply reply) {
     return [this, reply](const std::string&) {
-      soon([&] { return open_.load(); });
+      eventually([&] { return open_.load(); });
       return reply;
     };
   }
@@ -36,56 +37,56 @@
   std::atomic<bool> open_{false};
 };
 
-// Has so many writes out at once, which leaves as many idle connections to the primary.
-void leave_idle_connections(Rig& rig, int count) {
+// Opens `count` idle connections to the primary, by having that many writes in flight at once.
+void open_idle_connections(ProxyFixture& fixture, int count) {
   {
-    Client client(rig.port);
+    Client client(fixture.port);
     REQUIRE(client.query(write_sql("v")).row);  // the primary is known from now on
   }
   Gate gate;
-  rig.primary.reply = gate.before(Reply{});
+  fixture.primary.reply = gate.hold(Reply{});
   std::vector<std::unique_ptr<Client>> clients;
   for (int i = 0; i < count; ++i) {
-    clients.push_back(std::make_unique<Client>(rig.port));
+    clients.push_back(std::make_unique<Client>(fixture.port));
     clients.back()->send(pg::simple_query(write_sql("w" + std::to_string(i), 30000)));
   }
-  REQUIRE(soon([&] { return rig.primary.out == count; }));
+  REQUIRE(eventually([&] { return fixture.primary.in_flight == count; }));
   gate.open();
   for (auto& client : clients) REQUIRE(client->answer().row);
-  rig.primary.reply = [](const std::string&) { return Reply{}; };
+  fixture.primary.reply = [](const std::string&) { return Reply{}; };
 }
 
-// All that was ready before has had its turn of the proxy's loop.
-void let_it_run(Rig& rig) {
+// Runs the proxy's loop until it has handled all events that were ready before the call.
+void run_pending_events(ProxyFixture& fixture) {
   for (int i = 0; i < 2; ++i) {
-    std::promise<void> turned;
-    rig.with_proxy([&](proxy::Proxy&) { turned.set_value(); });
-    REQUIRE(turned.get_future().wait_for(8s) == std::future_status::ready);
+    std::promise<void> iteration_began;
+    fixture.with_proxy([&](proxy::Proxy&) { iteration_began.set_value(); });
+    REQUIRE(iteration_began.get_future().wait_for(8s) == std::future_status::ready);
   }
 }
 
-void wait_long_for_connections(Rig& rig) {
-  rig.with_proxy([](proxy::Proxy& p) {
+void set_long_connect_timeout(ProxyFixture& fixture) {
+  fixture.with_proxy([](proxy::Proxy& p) {
     proxy::PoolLimits limits;
     limits.connect_timeout = limits.probe_timeout = 10s;
     p.pool().set_limits(limits);
   });
 }
 
-void move_discovery_to(Rig& rig, const std::string& address) {
-  rig.with_proxy([&rig, address](proxy::Proxy& p) {
-    proxy::ProxyOptions options{rig.config.listen, address,         rig.config.sockets,
-                                rig.config.memory, rig.config.pool, {}};
+void set_discovery_address(ProxyFixture& fixture, const std::string& address) {
+  fixture.with_proxy([&fixture, address](proxy::Proxy& p) {
+    proxy::ProxyOptions options{fixture.config.listen, address, fixture.config.sockets, fixture.config.memory,
+                                fixture.config.pool,   {}};
     p.reconfigure(options);
   });
 }
 
-// Asks until `server` has had a request; how long that took.
-Clock::duration until_used(Rig& rig, Server& server) {
+// Sends reads until `server` has received a request; returns the time that this took.
+Clock::duration time_until_used(ProxyFixture& fixture, Server& server) {
   auto start = Clock::now();
-  Client client(rig.port);
+  Client client(fixture.port);
   int number = 0;
-  bool used = soon(
+  bool used = eventually(
       [&] {
         client.query(read_sql("u" + std::to_string(++number), 300));
         return server.count() > 0;
@@ -95,10 +96,10 @@
   return Clock::now() - start;
 }
 
-// Accepts one connection after the other, and resets each once it has been served.
-class Resetting {
+// Accepts one connection after another and resets each after it has been served.
+class ResettingListener {
  public:
-  explicit Resetting(std::function<void(Peer&)> serve) : serve_(std::move(serve)) {
+  explicit ResettingListener(std::function<void(Peer&)> serve) : serve_(std::move(serve)) {
     int error = 0;
     fd_ = net::listen_on(*net::parse_address("127.0.0.1:0"), &error);
     REQUIRE(fd_);
@@ -115,7 +116,7 @@
       }
     });
   }
-  ~Resetting() {
+  ~ResettingListener() {
     stop_ = true;
     thread_.join();
   }
@@ -130,130 +131,136 @@
 
 }  // namespace
 
-// ---- a client's end against what its request waits for ------------------------------------------------
+// ---- a client disconnects while its request waits ------------------------------------------------------
 
-TEST_CASE("crossing: a client leaves as the connection for its request comes up") {
-  Rig rig;
-  wait_long_for_connections(rig);
+TEST_CASE("crossing: a client disconnects as the connection for its request is established") {
+  ProxyFixture fixture;
+  set_long_connect_timeout(fixture);
   Gate gate;
-  Client first(rig.port);
+  Client first(fixture.port);
   REQUIRE(first.query(write_sql("a0")).row);  // the primary is known from now on
-  rig.primary.reply = gate.before(Reply{});
+  fixture.primary.reply = gate.hold(Reply{});
   first.send(pg::simple_query(write_sql("a1", 9000)));
-  REQUIRE(soon([&] { return rig.primary.count() == 2; }));
-  rig.primary.hold_greeting = true;
-  auto open = rig.primary.open.load(), greeted = rig.primary.greeted.load();
+  REQUIRE(eventually([&] { return fixture.primary.count() == 2; }));
+  fixture.primary.hold_greeting = true;
+  auto open_before = fixture.primary.open_connections.load(),
+       greeted_before = fixture.primary.greetings_sent.load();
   std::vector<std::unique_ptr<Client>> clients;
   std::size_t sent = 0;
-  do {  // a probe may have left a connection behind, which is taken first
-    sent = rig.primary.count();
-    clients.push_back(std::make_unique<Client>(rig.port));
+  do {  // a probe may have left an idle connection, which is used first
+    sent = fixture.primary.count();
+    clients.push_back(std::make_unique<Client>(fixture.port));
     clients.back()->send(pg::simple_query(write_sql("a" + std::to_string(sent), 9000)));
-    REQUIRE(soon([&] { return rig.primary.count() > sent || rig.primary.open > open; }));
-  } while (rig.primary.count() > sent);
-  REQUIRE(rig.primary.open == open + 1);
+    REQUIRE(eventually(
+        [&] { return fixture.primary.count() > sent || fixture.primary.open_connections > open_before; }));
+  } while (fixture.primary.count() > sent);
+  REQUIRE(fixture.primary.open_connections == open_before + 1);
   {
-    Rig::HeldLoop still(rig);
-    rig.primary.hold_greeting = false;
-    REQUIRE(soon([&] { return rig.primary.greeted == greeted + 1; }));
+    ProxyFixture::PausedLoop paused(fixture);
+    fixture.primary.hold_greeting = false;
+    REQUIRE(eventually([&] { return fixture.primary.greetings_sent == greeted_before + 1; }));
     clients.back()->close();
   }
-  CHECK(soon([&] { return rig.primary.open == open; }));  // the attempt's connection has gone
-  CHECK(rig.primary.count() == sent);                     // and nothing was sent on it
+  // The attempt's connection is closed, and nothing was sent on it.
+  CHECK(eventually([&] { return fixture.primary.open_connections == open_before; }));
+  CHECK(fixture.primary.count() == sent);
   gate.open();
   CHECK(first.answer().row);
 }
 
-TEST_CASE("crossing: a client leaves as a server turns its read away") {
-  Rig rig;
+TEST_CASE("crossing: a client disconnects as a server declines its read") {
+  ProxyFixture fixture;
   Gate gate;
-  Client client(rig.port), other(rig.port);
+  Client client(fixture.port), other(fixture.port);
   REQUIRE(client.query(read_sql("b0")).row);
-  auto miss = gate.before(Reply{Reply::kError, "72000", 0});
-  rig.primary.reply = rig.replica.reply = miss;
-  auto before = rig.primary.count() + rig.replica.count();
-  auto answered = rig.primary.answered + rig.replica.answered;
+  auto decline = gate.hold(Reply{Reply::kError, "72000", 0});
+  fixture.primary.reply = fixture.replica.reply = decline;
+  auto before = fixture.primary.count() + fixture.replica.count();
+  auto answered_before = fixture.primary.answers_sent + fixture.replica.answers_sent;
   client.send(pg::simple_query(read_sql("b1", 9000)));
-  REQUIRE(soon([&] { return rig.primary.count() + rig.replica.count() == before + 1; }));
+  REQUIRE(eventually([&] { return fixture.primary.count() + fixture.replica.count() == before + 1; }));
   {
-    Rig::HeldLoop still(rig);
+    ProxyFixture::PausedLoop paused(fixture);
     gate.open();
-    REQUIRE(soon([&] { return rig.primary.answered + rig.replica.answered == answered + 1; }));
+    REQUIRE(eventually(
+        [&] { return fixture.primary.answers_sent + fixture.replica.answers_sent == answered_before + 1; }));
     client.close();
   }
-  let_it_run(rig);
-  rig.primary.reply = rig.replica.reply = [](const std::string&) { return Reply{}; };
+  run_pending_events(fixture);
+  fixture.primary.reply = fixture.replica.reply = [](const std::string&) { return Reply{}; };
   CHECK(other.query(write_sql("b2", 1900)).row);
-  CHECK(rig.primary.count() + rig.replica.count() == before + 2);  // b2 alone came after b1's first attempt
+  CHECK(fixture.primary.count() + fixture.replica.count() ==
+        before + 2);  // only b2 followed b1's first attempt
 }
 
-TEST_CASE("crossing: a client sends more than is read in one turn and leaves in the same moment") {
-  Rig rig;
-  Client client(rig.port), other(rig.port);
-  leave_idle_connections(rig, 6);
-  auto before = rig.primary.count() + rig.replica.count();
-  std::string many;
-  for (int i = 1; many.size() < 100'000; ++i)
-    many += pg::simple_query(long_write_sql("c" + std::to_string(i), "c" + std::to_string(i), 8, 9000));
+TEST_CASE("crossing: a client sends more than one iteration reads and disconnects at once") {
+  ProxyFixture fixture;
+  Client client(fixture.port), other(fixture.port);
+  open_idle_connections(fixture, 6);
+  auto before = fixture.primary.count() + fixture.replica.count();
+  std::string statements;
+  for (int i = 1; statements.size() < 100'000; ++i)
+    statements += pg::simple_query(long_write_sql("c" + std::to_string(i), "c" + std::to_string(i), 8, 9000));
   {
-    Rig::HeldLoop still(rig);
-    REQUIRE(client.send(many));
+    ProxyFixture::PausedLoop paused(fixture);
+    REQUIRE(client.send(statements));
     client.close();
   }
-  let_it_run(rig);
+  run_pending_events(fixture);
   CHECK(other.query(write_sql("cw", 1900)).row);
-  CHECK(rig.primary.count() + rig.replica.count() == before + 1);
+  CHECK(fixture.primary.count() + fixture.replica.count() == before + 1);
 }
 
-TEST_CASE(
-    "crossing: a client leaves when the events of the turn in which its read goes elsewhere are fetched") {
-  Rig rig;
-  Client client(rig.port), other(rig.port);
-  // Each server has an idle connection, so that nothing has to come up first.
-  REQUIRE(soon([&] {
-    return other.query(read_sql("d" + std::to_string(rig.replica.count()), 900)).row &&
-           rig.replica.count() > 0;
+TEST_CASE("crossing: a client disconnects after the iteration that retries its read has fetched events") {
+  ProxyFixture fixture;
+  Client client(fixture.port), other(fixture.port);
+  // Each server gets an idle connection, so that no connection has to be established later.
+  REQUIRE(eventually([&] {
+    return other.query(read_sql("d" + std::to_string(fixture.replica.count()), 900)).row &&
+           fixture.replica.count() > 0;
   }));
   REQUIRE(other.query(write_sql("d", 9000)).row);
   Gate gate;
-  rig.primary.reply = rig.replica.reply = gate.before(Reply{Reply::kError, "72000", 0});
-  auto before = rig.primary.count() + rig.replica.count();
-  auto answered = rig.primary.answered + rig.replica.answered;
+  fixture.primary.reply = fixture.replica.reply = gate.hold(Reply{Reply::kError, "72000", 0});
+  auto before = fixture.primary.count() + fixture.replica.count();
+  auto answered_before = fixture.primary.answers_sent + fixture.replica.answers_sent;
   client.send(pg::simple_query(read_sql("dd", 9000)));
-  REQUIRE(soon([&] { return rig.primary.count() + rig.replica.count() == before + 1; }));
-  std::promise<void> fetched, on_client_disconnected;
+  REQUIRE(eventually([&] { return fixture.primary.count() + fixture.replica.count() == before + 1; }));
+  std::promise<void> fetched, client_closed;
   {
-    Rig::HeldLoop still(rig, [&](proxy::Proxy& p) {
-      p.before_iteration_end = [&, turn = 0]() mutable {
-        if (++turn != 2) return;  // the first is the turn that stands still
+    ProxyFixture::PausedLoop paused(fixture, [&](proxy::Proxy& p) {
+      p.before_iteration_end = [&, iteration = 0]() mutable {
+        if (++iteration != 2) return;  // the first iteration is the paused one
         fetched.set_value();
-        on_client_disconnected.get_future().wait();
+        client_closed.get_future().wait();
       };
     });
     gate.open();
-    REQUIRE(soon([&] { return rig.primary.answered + rig.replica.answered == answered + 1; }));
+    REQUIRE(eventually(
+        [&] { return fixture.primary.answers_sent + fixture.replica.answers_sent == answered_before + 1; }));
   }
   fetched.get_future().wait();
   client.close();
-  on_client_disconnected.set_value();
-  let_it_run(rig);
-  rig.with_proxy([](proxy::Proxy& p) { p.before_iteration_end = [] {}; });
-  let_it_run(rig);
-  rig.primary.reply = rig.replica.reply = [](const std::string&) { return Reply{}; };
+  client_closed.set_value();
+  run_pending_events(fixture);
+  fixture.with_proxy([](proxy::Proxy& p) { p.before_iteration_end = [] {}; });
+  run_pending_events(fixture);
+  fixture.primary.reply = fixture.replica.reply = [](const std::string&) { return Reply{}; };
   CHECK(other.query(write_sql("d2", 9000)).row);
-  CHECK(rig.primary.count() + rig.replica.count() == before + 2);  // d2 alone came after d1's first attempt
+  CHECK(fixture.primary.count() + fixture.replica.count() ==
+        before + 2);  // only d2 followed the first attempt of dd
 }
 
-TEST_CASE("crossing: whoever asks to cancel closes right behind the CancelRequest") {
-  Rig rig;
-  rig.primary.reply = [](const std::string&) { return Reply{Reply::kSilence, "", 0}; };
-  Client client(rig.port, false);
+TEST_CASE("crossing: a canceller closes its connection right after the CancelRequest") {
+  ProxyFixture fixture;
+  fixture.primary.reply = [](const std::string&) { return Reply{Reply::kNoAnswer, "", 0}; };
+  Client client(fixture.port, false);
   auto key = client.start();
   client.send(pg::simple_query(write_sql("e1", 60000)));
-  REQUIRE(soon([&] { return rig.primary.count() == 1; }));
+  REQUIRE(eventually([&] { return fixture.primary.count() == 1; }));
   {
-    Rig::HeldLoop still(rig);
-    Client canceller(rig.port, false);
+    ProxyFixture::PausedLoop paused(fixture);
+    Client canceller(fixture.port, false);
     canceller.send(cancel_request(key));
     canceller.close();
   }
@@ -264,79 +271,80 @@
 
 TEST_CASE("crossing: a repeat's key window ends while its connection comes up") {
   constexpr auto kWindow = 400ms;
-  Rig rig(200, "", false, [&](app::Config& config) {
+  ProxyFixture fixture(200, "", false, [&](app::Config& config) {
     for (auto& c : config.settings.classes) c.key_window = kWindow;
     config.pool.connect_timeout = 10s;
   });
-  Client client(rig.port);
+  Client client(fixture.port);
   REQUIRE(client.query(write_sql("m0")).row);
-  rig.primary.reply = [](const std::string&) { return Reply{Reply::kReset, "", 0}; };
-  auto before = rig.primary.count();
-  auto connections = rig.primary.connections.load();
-  rig.primary.hold_greeting = true;
+  fixture.primary.reply = [](const std::string&) { return Reply{Reply::kReset, "", 0}; };
+  auto before = fixture.primary.count();
+  auto connections = fixture.primary.connections.load();
+  fixture.primary.hold_greeting = true;
   client.send(pg::simple_query(write_sql("m1", 3000)));
-  REQUIRE(soon([&] { return rig.primary.count() == before + 1; }));      // it has run, for all that is known
-  REQUIRE(soon([&] { return rig.primary.connections > connections; }));  // and is on its way again
-  std::this_thread::sleep_for(kWindow + 50ms);                           // the time under test
-  rig.primary.reply = [](const std::string&) { return Reply{}; };
-  rig.primary.hold_greeting = false;
+  REQUIRE(eventually([&] { return fixture.primary.count() == before + 1; }));      // it may have run
+  REQUIRE(eventually([&] { return fixture.primary.connections > connections; }));  // and is being retried
+  std::this_thread::sleep_for(kWindow + 50ms);                                     // the time under test
+  fixture.primary.reply = [](const std::string&) { return Reply{}; };
+  fixture.primary.hold_greeting = false;
   auto answer = client.answer();
   CHECK_FALSE(answer.row);
   CHECK(answer.code == "57014");
-  CHECK(rig.primary.count() == before + 1);
+  CHECK(fixture.primary.count() == before + 1);
 }
 
-// ---- the proxy's own closing of a connection -----------------------------------------------------------
+// ---- the proxy closes a connection ---------------------------------------------------------------------
 
 TEST_CASE("crossing: a request arrives as its connection is to be closed for being idle") {
   constexpr std::size_t kDescriptors = 64, kRetained = kDescriptors / 4;
-  Rig rig(kDescriptors);
+  ProxyFixture fixture(kDescriptors);
   std::vector<std::unique_ptr<Client>> clients;
-  std::promise<void> fetched, asked;
+  std::promise<void> fetched, requests_sent;
   {
-    std::optional<Rig::HeldLoop> still;
-    for (std::size_t i = 0; i < kRetained + 1; ++i) {  // one more than are kept
-      clients.push_back(std::make_unique<Client>(rig.port));
+    std::optional<ProxyFixture::PausedLoop> paused;
+    for (std::size_t i = 0; i < kRetained + 1; ++i) {  // one more than the proxy retains
+      clients.push_back(std::make_unique<Client>(fixture.port));
       REQUIRE(clients.back()->query(read_sql("x" + std::to_string(i))).row);
     }
-    still.emplace(rig, [&](proxy::Proxy& p) {
-      p.before_iteration_end = [&, turn = 0]() mutable {
-        if (++turn != 2) return;  // the first is the turn that stands still
+    paused.emplace(fixture, [&](proxy::Proxy& p) {
+      p.before_iteration_end = [&, iteration = 0]() mutable {
+        if (++iteration != 2) return;  // the first iteration is the paused one
         fetched.set_value();
-        asked.get_future().wait();
+        requests_sent.get_future().wait();
       };
     });
-    std::this_thread::sleep_for(60ms);  // those that asked in the last 50 ms are not closed
+    std::this_thread::sleep_for(60ms);  // clients with a request in the last 50 ms are not closed
   }
-  // The events of the turn that closes the oldest are fetched; now it asks.
+  // The events of the iteration that closes the oldest client are fetched; now all clients send a request.
   fetched.get_future().wait();
   for (std::size_t i = 0; i < clients.size(); ++i)
     REQUIRE(clients[i]->send(pg::simple_query(read_sql("z" + std::to_string(i)))));
-  asked.set_value();
+  requests_sent.set_value();
   for (auto& client : clients) CHECK(client->answer().row);
-  rig.with_proxy([](proxy::Proxy& p) { p.before_iteration_end = [] {}; });
-  let_it_run(rig);
+  fixture.with_proxy([](proxy::Proxy& p) { p.before_iteration_end = [] {}; });
+  run_pending_events(fixture);
 }
 
-// ---- how long a client still waits --------------------------------------------------------------------
+// ---- the time for which a client still waits -----------------------------------------------------------
 
-TEST_CASE("crossing: a request that waited to be accepted passes on what its client has left") {
-  Rig rig;
-  Client known(rig.port);
-  REQUIRE(known.query(read_sql("f0")).row);
-  std::unique_ptr<Client> late;
+TEST_CASE("crossing: a request that waited to be accepted forwards the remaining timeout") {
+  ProxyFixture fixture;
+  Client accepted(fixture.port);
+  REQUIRE(accepted.query(read_sql("f0")).row);
+  std::unique_ptr<Client> waiting_to_be_accepted;
   {
-    Rig::HeldLoop still(rig);
-    late = std::make_unique<Client>(rig.port, false);
-    late->send(pg::startup_message("backend", "store") + pg::simple_query(write_sql("f1", 1500)));
-    known.send(pg::simple_query(write_sql("f2", 1500)));
-    std::this_thread::sleep_for(500ms);  // the time under test, not a hope: both are left waiting for it
+    ProxyFixture::PausedLoop paused(fixture);
+    waiting_to_be_accepted = std::make_unique<Client>(fixture.port, false);
+    waiting_to_be_accepted->send(pg::startup_message("backend", "store") +
+                                 pg::simple_query(write_sql("f1", 1500)));
+    accepted.send(pg::simple_query(write_sql("f2", 1500)));
+    std::this_thread::sleep_for(500ms);  // the time under test: both requests wait this long
   }
-  CHECK(known.answer().row);
-  CHECK(late->answer().end == 'Z');  // the greeting
-  CHECK(late->answer().row);
+  CHECK(accepted.answer().row);
+  CHECK(waiting_to_be_accepted->answer().end == 'Z');  // the greeting
+  CHECK(waiting_to_be_accepted->answer().row);
   std::size_t checked = 0;
-  for (auto& statement : rig.primary.statements()) {
+  for (auto& statement : fixture.primary.statements()) {
     if (!statement.starts_with("INSERT")) continue;
     CHECK(forwarded_timeout(statement) <= 1500 - 500 + 150);
     ++checked;
@@ -344,22 +352,22 @@
   CHECK(checked == 2);
 }
 
-TEST_CASE("crossing: a request that waited unread behind a large one passes on what its client has left") {
-  Rig rig;
-  Client client(rig.port);
+TEST_CASE("crossing: a request that waited unread behind a large one forwards the remaining timeout") {
+  ProxyFixture fixture;
+  Client client(fixture.port);
   REQUIRE(client.query(write_sql("g0")).row);
   Gate gate;
-  rig.primary.reply = gate.before(Reply{});
-  auto before = rig.primary.count();
+  fixture.primary.reply = gate.hold(Reply{});
+  auto before = fixture.primary.count();
   auto sent = Clock::now();
   REQUIRE(client.send(pg::simple_query(long_write_sql("g1", "one", 64'000, 3000)) +
                       pg::simple_query(long_write_sql("g2", "two", 64'000, 3000))));
-  REQUIRE(soon([&] { return rig.primary.count() > before; }));
+  REQUIRE(eventually([&] { return fixture.primary.count() > before; }));
   std::this_thread::sleep_for(600ms);  // the time under test
   gate.open();
   CHECK(client.answer().row);
   CHECK(client.answer().row);
-  auto statements = rig.primary.statements();
+  auto statements = fixture.primary.statements();
   REQUIRE(statements.size() == before + 2);
   CHECK(forwarded_timeout(statements.back()) <= 3000 - 600 + 150);
   CHECK(Clock::now() - sent < 3s);
@@ -367,93 +375,94 @@
 
 // ---- shutdown -----------------------------------------------------------------------------------------
 
-TEST_CASE("crossing: what is read after the end of service is refused at once and not sent on") {
-  Rig rig;
-  Client pipelining(rig.port), half(rig.port);
-  REQUIRE(half.query(write_sql("h0")).row);
+TEST_CASE("crossing: a request read after the end of service is rejected at once and not forwarded") {
+  ProxyFixture fixture;
+  Client pipelining(fixture.port), partial(fixture.port);
+  REQUIRE(partial.query(write_sql("h0")).row);
   Gate gate;
-  rig.primary.reply = gate.before(Reply{});
-  auto before = rig.primary.count() + rig.replica.count();
+  fixture.primary.reply = gate.hold(Reply{});
+  auto before = fixture.primary.count() + fixture.replica.count();
   pipelining.send(pg::simple_query(write_sql("h1", 9000)));
-  REQUIRE(soon([&] { return rig.primary.count() + rig.replica.count() == before + 1; }));
+  REQUIRE(eventually([&] { return fixture.primary.count() + fixture.replica.count() == before + 1; }));
   auto statement = pg::simple_query(read_sql("h2"));
-  REQUIRE(half.send(statement.substr(0, 40)));
-  auto told = Clock::now();
-  rig.stop_gently();
-  std::this_thread::sleep_until(told + 900ms);  // service ends after 0.7 s
-  REQUIRE(half.send(statement.substr(40)));
+  REQUIRE(partial.send(statement.substr(0, 40)));
+  auto shutdown_began = Clock::now();
+  fixture.shut_down_gracefully();
+  std::this_thread::sleep_until(shutdown_began + 900ms);  // service ends after 0.7 s
+  REQUIRE(partial.send(statement.substr(40)));
   REQUIRE(pipelining.send(pg::simple_query(read_sql("h3"))));
-  CHECK(half.answer().code == "57P03");
-  CHECK_FALSE(half.more());
-  CHECK_FALSE(rig.ended);
+  CHECK(partial.answer().code == "57P03");
+  CHECK_FALSE(partial.receive());
+  CHECK_FALSE(fixture.ended);
   gate.open();
   CHECK(pipelining.answer().row);
   CHECK(pipelining.answer().code == "57P03");
-  CHECK_FALSE(pipelining.more());
-  CHECK(rig.primary.count() + rig.replica.count() == before + 1);
-  CHECK(soon([&] { return rig.ended.load(); }));
+  CHECK_FALSE(pipelining.receive());
+  CHECK(fixture.primary.count() + fixture.replica.count() == before + 1);
+  CHECK(eventually([&] { return fixture.ended.load(); }));
 }
 
 // ---- discovery ----------------------------------------------------------------------------------------
 
-TEST_CASE("crossing: a watch that has fallen silent is opened anew before its news counts as told") {
-  Rig rig;
-  Client client(rig.port);
+TEST_CASE("crossing: an unresponsive watch is reopened before the notification deadline") {
+  ProxyFixture fixture;
+  Client client(fixture.port);
   REQUIRE(client.query(read_sql("i0")).row);
-  REQUIRE(soon([&] { return rig.discovery.calls >= 2; }));
-  Server fresh(true);
-  rig.discovery.silence_open_connections();
-  rig.discovery.set(entry("s-n", fresh));
-  CHECK(until_used(rig, fresh) < 4500ms);  // it counts as told after 6 s
+  REQUIRE(eventually([&] { return fixture.discovery.calls >= 2; }));
+  Server new_server(true);
+  fixture.discovery.stop_answering_open_connections();
+  fixture.discovery.set(endpoint_entry("s-n", new_server));
+  CHECK(time_until_used(fixture, new_server) < 4500ms);  // the deadline of a notification is 6 s
 }
 
-TEST_CASE("crossing: a watch that trickles byte by byte is opened anew before its news counts as told") {
-  Rig rig;
-  Client client(rig.port);
+TEST_CASE("crossing: a watch that receives single bytes is reopened before the notification deadline") {
+  ProxyFixture fixture;
+  Client client(fixture.port);
   REQUIRE(client.query(read_sql("j0")).row);
-  rig.discovery.trickle = true;
-  auto calls = rig.discovery.calls.load();
-  REQUIRE(soon([&] { return rig.discovery.calls > calls; }));
-  Server fresh(true);
-  rig.discovery.set(entry("s-n", fresh));
-  rig.discovery.trickle = false;
-  rig.discovery.silence_open_connections();
-  CHECK(until_used(rig, fresh) < 4500ms);
+  fixture.discovery.trickle = true;
+  auto calls = fixture.discovery.calls.load();
+  REQUIRE(eventually([&] { return fixture.discovery.calls > calls; }));
+  Server new_server(true);
+  fixture.discovery.set(endpoint_entry("s-n", new_server));
+  fixture.discovery.trickle = false;
+  fixture.discovery.stop_answering_open_connections();
+  CHECK(time_until_used(fixture, new_server) < 4500ms);
 }
 
-TEST_CASE("crossing: after SIGHUP a first call that is lost leaves time for a second") {
-  Rig rig;
-  Client client(rig.port);
+TEST_CASE("crossing: after SIGHUP, a lost first call leaves time for a second one") {
+  ProxyFixture fixture;
+  Client client(fixture.port);
   REQUIRE(client.query(read_sql("k0")).row);
-  Discovery next;
-  Server fresh(true);
-  next.set(entry("s-n", fresh));
-  next.silent = true;
-  move_discovery_to(rig, next.address());
-  REQUIRE(soon([&] { return next.calls == 1; }));
-  next.silence_open_connections();
-  next.silent = false;
-  CHECK(until_used(rig, fresh) < 3s);  // it counts as told after 4 s
+  Discovery new_discovery;
+  Server new_server(true);
+  new_discovery.set(endpoint_entry("s-n", new_server));
+  new_discovery.unresponsive = true;
+  set_discovery_address(fixture, new_discovery.address());
+  REQUIRE(eventually([&] { return new_discovery.calls == 1; }));
+  new_discovery.stop_answering_open_connections();
+  new_discovery.unresponsive = false;
+  CHECK(time_until_used(fixture, new_server) < 3s);  // the deadline after SIGHUP is 4 s
 }
 
-TEST_CASE("crossing: a list without a length that a reset cuts off is no list") {
-  Rig rig;
-  Client client(rig.port);
+TEST_CASE("crossing: a list without a length that ends with a reset is not applied") {
+  ProxyFixture fixture;
+  Client client(fixture.port);
   REQUIRE(client.query(read_sql("l0")).row);
-  Server wrong(true);
+  Server unlisted(true);
   std::atomic<int> calls{0};
-  // The body is a whole list, and the reset comes behind it: nobody can tell what it has cut off.
-  Resetting cut([&](Peer& peer) {
-    while (peer.in.find("\r\n\r\n") == std::string::npos)
-      if (!peer.more()) return;
+  // The body is a complete list, followed by a reset. Without a length, the proxy cannot know whether the
+  // reset has truncated the body.
+  ResettingListener truncating_discovery([&](Peer& peer) {
+    while (peer.received.find("\r\n\r\n") == std::string::npos)
+      if (!peer.receive()) return;
     peer.send("HTTP/1.1 200 OK\r\n\r\n{\"generation\":9,\"reset\":true,\"instances\":[" +
-              entry("s-w", wrong) + "]}");
+              endpoint_entry("s-w", unlisted) + "]}");
     ++calls;
   });
-  move_discovery_to(rig, cut.address());
-  REQUIRE(soon([&] { return calls >= 3; }));
+  set_discovery_address(fixture, truncating_discovery.address());
+  REQUIRE(eventually([&] { return calls >= 3; }));
   CHECK(client.query(write_sql("l1", 900)).row);
-  CHECK(wrong.count() == 0);
+  CHECK(unlisted.count() == 0);
 }
 
 }  // namespace database_proxy::test
--- a/tests/workers/worker_pool_test.cpp
+++ b/tests/workers/worker_pool_test.cpp
@@ -87,10 +87,10 @@
     config.sockets = descriptors;
     running.emplace(config, o);
     port = running->port;
-    REQUIRE(soon([&] { return Client(port).query(read_sql("first")).row; }));
+    REQUIRE(eventually([&] { return Client(port).query(read_sql("first")).row; }));
   }
   std::string list(const std::string& of_second) {
-    return entry("s-p", primary) + "," + entry("s-r", replica) + "," + entry("s-q", second, of_second);
+    return endpoint_entry("s-p", primary) + "," + endpoint_entry("s-r", replica) + "," + endpoint_entry("s-q", second, of_second);
   }
   Server primary{true}, replica{false}, second{false};
   Discovery discovery;
@@ -104,7 +104,7 @@
   explicit PlacedClient(int port, std::size_t workers) : client(port, false) {
     client.send(pg::startup_message("backend", "store"));
     while (true) {
-      auto [type, body] = client.message();
+      auto [type, body] = client.next_message();
       REQUIRE(type != 0);
       if (type == 'K') {
         for (int i = 0; i < 4; ++i)
@@ -182,8 +182,7 @@
   std::this_thread::sleep_for(100ms);
   auto calls = rig.discovery.calls.load();
   rig.discovery.set(rig.list("draining"));
-  REQUIRE(
-      soon([&] { return rig.discovery.calls > calls; }));  // the pool has the update and polls for the next
+  REQUIRE(eventually([&] { return rig.discovery.calls > calls; }));  // the pool has the update and polls for the next
   drain_published = true;
   for (std::size_t w = 0; w < 4; ++w)
     for (int i = 0; i < 8; ++i) CHECK(placed[w]->client.answer().row);
@@ -198,13 +197,13 @@
     PoolRig rig(options(2, decisions));
     std::atomic<bool> release{false};
     rig.primary.reply = rig.replica.reply = rig.second.reply = [&](const std::string&) {
-      soon([&] { return release.load(); });
+      eventually([&] { return release.load(); });
       return Reply{};
     };
     auto placed = connect_client_to_each_worker(rig.port, 2);
     auto before = rig.primary.count() + rig.replica.count() + rig.second.count();
     placed[0]->client.send(pg::simple_query(read_sql("same", 1900)));
-    REQUIRE(soon([&] { return rig.primary.count() + rig.replica.count() + rig.second.count() > before; }));
+    REQUIRE(eventually([&] { return rig.primary.count() + rig.replica.count() + rig.second.count() > before; }));
     CHECK(placed[1]->client.query(read_sql("same", 1900)).code == "42710");
     release = true;
     CHECK(placed[0]->client.answer().row);
@@ -217,7 +216,7 @@
     PoolRig rig(options(2));
     std::atomic<bool> release{false};
     rig.primary.reply = [&](const std::string&) {
-      soon([&] { return release.load(); });
+      eventually([&] { return release.load(); });
       return Reply{};
     };
     // Once the others leave, the victim's worker has more clients than the other one, so the next clients are
@@ -232,14 +231,14 @@
     auto& victim = *own.front();
     auto before = rig.primary.count();
     victim.client.send(pg::simple_query(write_sql("c", 4000)));
-    REQUIRE(soon([&] { return rig.primary.count() > before; }));
-    CHECK(soon([&] { return rig.running->pool->clients(1 - serving_worker) == 0; }));
+    REQUIRE(eventually([&] { return rig.primary.count() > before; }));
+    CHECK(eventually([&] { return rig.running->pool->clients(1 - serving_worker) == 0; }));
     auto wrong = victim.cancel_request();
     wrong.back() = static_cast<char>(wrong.back() ^ 1);
     for (auto& request : {wrong, victim.cancel_request()}) {
-      auto canceller = Peer::to(rig.port);
+      auto canceller = Peer::connect_to(rig.port);
       canceller.send(request);
-      CHECK_FALSE(canceller.more());  // a CancelRequest gets no answer and its connection is closed
+      CHECK_FALSE(canceller.receive());  // a CancelRequest gets no answer and its connection is closed
       CHECK(rig.running->pool->clients(serving_worker) >= 4);
     }
     CHECK(victim.client.answer().code == "57014");
@@ -310,12 +309,12 @@
   auto placed = connect_client_to_each_worker(rig.port, 2);
   std::atomic<bool> release{false};
   rig.replica.reply = rig.second.reply = [&](const std::string&) {
-    soon([&] { return release.load(); });
+    eventually([&] { return release.load(); });
     return Reply{};
   };
   for (int i = 0; i < 6; ++i)
     placed[0]->client.send(pg::simple_query(read_sql("s" + std::to_string(i), 1800)));
-  REQUIRE(soon([&] { return rig.replica.count() + rig.second.count() >= 2; }));
+  REQUIRE(eventually([&] { return rig.replica.count() + rig.second.count() >= 2; }));
   rig.running->stall(0, 300ms);
   std::this_thread::sleep_for(20ms);
   release = true;
@@ -324,7 +323,7 @@
   CHECK(Clock::now() - began < 250ms);
   for (int i = 0; i < 6; ++i) CHECK(placed[0]->client.answer().row);
   CHECK(placed[0]->client.query(read_sql("again")).row);
-  CHECK(rig.replica.most_out <= 6);
+  CHECK(rig.replica.max_in_flight <= 6);
   rig.running->shut_down_and_join();
   check_request_counts(rig.running->counters);
 }
@@ -344,7 +343,7 @@
       if (accept == workers::AcceptMode::kBalanced && idle.size() > 40)
         break;  // assignment evens out the clients, so some are enough
     }
-    CHECK(soon([&] { return rig.running->pool->clients(1) == 0; }));
+    CHECK(eventually([&] { return rig.running->pool->clients(1) == 0; }));
     int served = 0;
     Clock::duration longest{0};
     for (int i = 0; i < 200 && served < 5; ++i) {
@@ -365,7 +364,7 @@
   PoolRig rig(o, 60);
   std::atomic<bool> release{false};
   rig.primary.reply = rig.replica.reply = rig.second.reply = [&](const std::string& sql) {
-    if (sql.find("id=hold") != std::string::npos) soon([&] { return release.load(); });
+    if (sql.find("id=hold") != std::string::npos) eventually([&] { return release.load(); });
     return Reply{};
   };
   // Worker 1 gets one client that has sent no request and so has no server connection yet; worker 0 gets 15
@@ -384,14 +383,14 @@
   REQUIRE(idle.size() == 4);
   for (std::size_t i = 0; i < busy.size(); ++i)
     busy[i]->client.send(pg::simple_query(read_sql("hold" + std::to_string(i), 4000)));
-  auto open = [&] { return rig.primary.open + rig.replica.open + rig.second.open; };
-  REQUIRE(soon([&] { return rig.replica.out + rig.second.out + rig.primary.out >= 15; }));
+  auto open = [&] { return rig.primary.open_connections + rig.replica.open_connections + rig.second.open_connections; };
+  REQUIRE(eventually([&] { return rig.replica.in_flight + rig.second.in_flight + rig.primary.in_flight >= 15; }));
   auto clients = rig.running->pool->clients(0);
   auto connections = open();
   // Two requests at once: one may find a connection that its worker has kept, the other cannot.
   last->client.send(pg::simple_query(read_sql("hold-a", 4000)) + pg::simple_query(read_sql("hold-b", 4000)));
-  CHECK(soon([&] { return open() > connections; }, 2s));
-  CHECK(soon([&] { return rig.running->pool->clients(0) < clients; }, 1s));
+  CHECK(eventually([&] { return open() > connections; }, 2s));
+  CHECK(eventually([&] { return rig.running->pool->clients(0) < clients; }, 1s));
   release = true;
   for (auto& b : busy) CHECK(b->client.answer().row);
   for (int i = 0; i < 2; ++i) CHECK(last->client.answer().row);
@@ -404,7 +403,7 @@
   std::atomic<int> out{0};
   rig.primary.reply = [&](const std::string&) {
     ++out;
-    soon([&] { return out >= 12; }, 300ms);  // many at once, so that each worker opens some
+    eventually([&] { return out >= 12; }, 300ms);  // many at once, so that each worker opens some
     return Reply{};
   };
   auto placed = connect_client_to_each_worker(rig.port, 4);
@@ -416,7 +415,7 @@
           ",c=book,d=3000,k=" + std::to_string(i * 10 + static_cast<int>(p->worker)) + ",cluster=2 */"));
   for (int i = 0; i < 3; ++i)
     for (auto& p : placed) CHECK(p->client.answer().row);
-  CHECK(soon([&] { return rig.primary.open <= 7; }));  // the limit of 6, and the connection for probes
+  CHECK(eventually([&] { return rig.primary.open_connections <= 7; }));  // the limit of 6, and the connection for probes
 }
 
 TEST_CASE("workers: a shutdown answers every request that was accepted, on every worker") {
@@ -424,11 +423,11 @@
   auto placed = connect_client_to_each_worker(rig.port, 4);
   std::atomic<bool> release{false};
   rig.replica.reply = rig.second.reply = rig.primary.reply = [&](const std::string&) {
-    soon([&] { return release.load(); });
+    eventually([&] { return release.load(); });
     return Reply{};
   };
   for (auto& p : placed) p->client.send(pg::simple_query(read_sql("e" + std::to_string(p->worker), 1900)));
-  REQUIRE(soon([&] { return rig.replica.count() + rig.second.count() + rig.primary.count() >= 4; }));
+  REQUIRE(eventually([&] { return rig.replica.count() + rig.second.count() + rig.primary.count() >= 4; }));
   std::thread stopping([&] { rig.running->shut_down_and_join(); });
   std::this_thread::sleep_for(100ms);
   Client late(rig.port);  // new connections are still accepted for a while
