--- a/src/app/commands.cpp
+++ b/src/app/commands.cpp
@@ -175,7 +175,7 @@
       fmt::format("{} workers, decisions {}, clients {}", worker_options.count,
                   worker_options.decisions == workers::DecisionMode::kShared ? "shared" : "split",
                   config.options.accept == workers::AcceptMode::kBalanced ? "balanced by the process"
-                                                                      : "balanced by the kernel"));
+                                                                          : "balanced by the kernel"));
   pool.on_ready = [&] { operations.on_serving(); };
   pool.on_unknown_cancel = [&](auto number, auto secret) { operations.forward_cancel(number, secret); };
   operations.open(make_operations_process(pool));
--- a/src/app/operator_file.cpp
+++ b/src/app/operator_file.cpp
@@ -67,10 +67,10 @@
     auto& w = root.at("workers");
     auto& o = file.workers;
     o.count = w.value("count", o.count);
-    o.decisions =
-        w.value("decisions", "shared") == "split" ? workers::DecisionMode::kSplit : workers::DecisionMode::kShared;
-    o.accept =
-        w.value("accept", "deal") == "reuseport" ? workers::AcceptMode::kReusePort : workers::AcceptMode::kBalanced;
+    o.decisions = w.value("decisions", "shared") == "split" ? workers::DecisionMode::kSplit
+                                                            : workers::DecisionMode::kShared;
+    o.accept = w.value("accept", "deal") == "reuseport" ? workers::AcceptMode::kReusePort
+                                                        : workers::AcceptMode::kBalanced;
     o.share_probes = w.value("share_probes", o.share_probes);
     o.connections_per_server = w.value("connections_per_server", o.connections_per_server);
     o.cpus = w.value("cpus", o.cpus);
--- a/src/group/health_check_job.cpp
+++ b/src/group/health_check_job.cpp
@@ -46,7 +46,8 @@
 
 std::vector<std::string> HealthCheckJob::job_names() const {
   std::set<std::int64_t> shard_groups;
-  for (auto& endpoint : subscriber_.effective_endpoint_list().endpoints) shard_groups.insert(endpoint.shard_group);
+  for (auto& endpoint : subscriber_.effective_endpoint_list().endpoints)
+    shard_groups.insert(endpoint.shard_group);
   std::vector<std::string> names;
   names.reserve(shard_groups.size());
   for (auto shard_group : shard_groups) names.push_back(health_check_job_name(shard_group));
--- a/src/testbench/fault_injection/experiments.cpp
+++ b/src/testbench/fault_injection/experiments.cpp
@@ -104,9 +104,10 @@
       o.called = rig_.history().now();
       try {
         if (!call)
-          call = std::make_unique<app::FleetConnection>(rig_.address(rig_.voters()[at]), "lab", kClientPatienceMs);
+          call = std::make_unique<app::FleetConnection>(rig_.address(rig_.voters()[at]), "lab",
+                                                        kClientPatienceMs);
         auto answer = call->send_request(o.write ? json{{"do", "put"}, {"key", key}, {"value", o.value}}
-                                        : json{{"do", "get"}, {"key", key}});
+                                                 : json{{"do", "get"}, {"key", key}});
         auto now = rig_.history().now();
         bool ok = answer.value("ok", false), unknown = answer.value("why", "").starts_with("unknown");
         if (!o.write) o.value = answer.value("value", "");
@@ -629,7 +630,8 @@
       try {
         app::FleetConnection call(rig.address(leader), "lab", 10'000);
         while (left-- > 0)
-          if (!call.send_request({{"do", "put"}, {"key", fmt::format("k{}", w)}, {"value", std::string(100, 'x')}})
+          if (!call.send_request(
+                       {{"do", "put"}, {"key", fmt::format("k{}", w)}, {"value", std::string(100, 'x')}})
                    .value("ok", false))
             ++refused;
       } catch (const std::runtime_error&) {
--- a/src/testbench/fault_injection/rig.cpp
+++ b/src/testbench/fault_injection/rig.cpp
@@ -336,7 +336,8 @@
 }
 
 json Rig::ask(const std::string& name, json request, int patience_ms) {
-  return app::FleetConnection(processes_.at(name).address, "lab", patience_ms).send_request(std::move(request));
+  return app::FleetConnection(processes_.at(name).address, "lab", patience_ms)
+      .send_request(std::move(request));
 }
 
 std::optional<json> Rig::status(const std::string& name, int patience_ms) {
--- a/tests/group/processes_test.cpp
+++ b/tests/group/processes_test.cpp
@@ -89,7 +89,8 @@
         try {
           app::FleetConnection call(to, "lab");
           while (left-- > 0)
-            if (!call.send_request({{"do", "put"}, {"key", "k" + std::to_string(w)}, {"value", std::to_string(left)}})
+            if (!call.send_request(
+                         {{"do", "put"}, {"key", "k" + std::to_string(w)}, {"value", std::to_string(left)}})
                      .value("ok", false))
               ++lost;
         } catch (const std::runtime_error&) {
@@ -392,8 +393,8 @@
         for (auto& name : f->voters()) {
           auto a = app::FleetConnection(f->address(name), "lab", 500)
                        .send_request({{"do", "put"},
-                             {"key", "w" + std::to_string(i % 50)},
-                             {"value", std::string(4000, 'a' + i % 26)}});
+                                      {"key", "w" + std::to_string(i % 50)},
+                                      {"value", std::string(4000, 'a' + i % 26)}});
           if (a.value("ok", false)) {
             ++acknowledged;
             break;
@@ -522,12 +523,12 @@
       [&] {
         app::FleetConnection call(f->address("n1"), "lab");
         call.send_request({{"t", "hello"},
-                  {"v", 99},
-                  {"least", 98},
-                  {"installation", "lab"},
-                  {"name", "x"},
-                  {"id", 5},
-                  {"kind", "voter"}});
+                           {"v", 99},
+                           {"least", 98},
+                           {"installation", "lab"},
+                           {"name", "x"},
+                           {"id", 5},
+                           {"kind", "voter"}});
         auto a = call.send_request({{"do", "status"}});
         throw std::runtime_error(a.dump());
       }(),
--- a/tests/proxy/parsers_test.cpp
+++ b/tests/proxy/parsers_test.cpp
@@ -367,7 +367,8 @@
   CHECK(single_proxy.delay_after_broken_call() <= 20ms);
   CHECK(single_proxy.delay_after_rejected_call() <= 30ms);
   CHECK(fleet_of_three.first_call_delay() <= 105ms);
-  for (int i = 0; i < 20; ++i) single_proxy.delay_after_rejected_call(), single_proxy.delay_after_broken_call();
+  for (int i = 0; i < 20; ++i)
+    single_proxy.delay_after_rejected_call(), single_proxy.delay_after_broken_call();
   CHECK(single_proxy.delay_after_rejected_call() <= 750ms);
   CHECK(single_proxy.delay_after_broken_call() <= 500ms);
 }
--- a/tests/upgrade/call_faults_test.cpp
+++ b/tests/upgrade/call_faults_test.cpp
@@ -99,7 +99,8 @@
   node.faults.control().rate(CallFault::kAccept) = 1;
   auto waiting = Peer::connect_to(node.port());
   waiting.send(pg::startup_message("backend", "store"));
-  REQUIRE(eventually([&] { return process->log().find("cannot accept clients for now") != std::string::npos; }));
+  REQUIRE(
+      eventually([&] { return process->log().find("cannot accept clients for now") != std::string::npos; }));
   node.faults.clear();
   CHECK(waiting.next_message().first == 'R');
 }
--- a/tests/workers/worker_pool_test.cpp
+++ b/tests/workers/worker_pool_test.cpp
@@ -90,7 +90,8 @@
     REQUIRE(eventually([&] { return Client(port).query(read_sql("first")).row; }));
   }
   std::string list(const std::string& of_second) {
-    return endpoint_entry("s-p", primary) + "," + endpoint_entry("s-r", replica) + "," + endpoint_entry("s-q", second, of_second);
+    return endpoint_entry("s-p", primary) + "," + endpoint_entry("s-r", replica) + "," +
+           endpoint_entry("s-q", second, of_second);
   }
   Server primary{true}, replica{false}, second{false};
   Discovery discovery;
@@ -182,7 +183,8 @@
   std::this_thread::sleep_for(100ms);
   auto calls = rig.discovery.calls.load();
   rig.discovery.set(rig.list("draining"));
-  REQUIRE(eventually([&] { return rig.discovery.calls > calls; }));  // the pool has the update and polls for the next
+  REQUIRE(eventually(
+      [&] { return rig.discovery.calls > calls; }));  // the pool has the update and polls for the next
   drain_published = true;
   for (std::size_t w = 0; w < 4; ++w)
     for (int i = 0; i < 8; ++i) CHECK(placed[w]->client.answer().row);
@@ -203,7 +205,8 @@
     auto placed = connect_client_to_each_worker(rig.port, 2);
     auto before = rig.primary.count() + rig.replica.count() + rig.second.count();
     placed[0]->client.send(pg::simple_query(read_sql("same", 1900)));
-    REQUIRE(eventually([&] { return rig.primary.count() + rig.replica.count() + rig.second.count() > before; }));
+    REQUIRE(
+        eventually([&] { return rig.primary.count() + rig.replica.count() + rig.second.count() > before; }));
     CHECK(placed[1]->client.query(read_sql("same", 1900)).code == "42710");
     release = true;
     CHECK(placed[0]->client.answer().row);
@@ -383,8 +386,11 @@
   REQUIRE(idle.size() == 4);
   for (std::size_t i = 0; i < busy.size(); ++i)
     busy[i]->client.send(pg::simple_query(read_sql("hold" + std::to_string(i), 4000)));
-  auto open = [&] { return rig.primary.open_connections + rig.replica.open_connections + rig.second.open_connections; };
-  REQUIRE(eventually([&] { return rig.replica.in_flight + rig.second.in_flight + rig.primary.in_flight >= 15; }));
+  auto open = [&] {
+    return rig.primary.open_connections + rig.replica.open_connections + rig.second.open_connections;
+  };
+  REQUIRE(
+      eventually([&] { return rig.replica.in_flight + rig.second.in_flight + rig.primary.in_flight >= 15; }));
   auto clients = rig.running->pool->clients(0);
   auto connections = open();
   // Two requests at once: one may find a connection that its worker has kept, the other cannot.
@@ -415,7 +421,8 @@
           ",c=book,d=3000,k=" + std::to_string(i * 10 + static_cast<int>(p->worker)) + ",cluster=2 */"));
   for (int i = 0; i < 3; ++i)
     for (auto& p : placed) CHECK(p->client.answer().row);
-  CHECK(eventually([&] { return rig.primary.open_connections <= 7; }));  // the limit of 6, and the connection for probes
+  CHECK(eventually(
+      [&] { return rig.primary.open_connections <= 7; }));  // the limit of 6, and the connection for probes
 }
 
 TEST_CASE("workers: a shutdown answers every request that was accepted, on every worker") {
