--- a/src/simulator_adapter/main.cpp
+++ b/src/simulator_adapter/main.cpp
@@ -17,20 +17,20 @@
 
 using namespace request_router;
 using wire::Line;
-using wire::Malformed;
+using wire::MalformedInput;
 
 // Limits of the simulator's wire.
-constexpr std::size_t kMostLists = 16;              // member lists that are kept, by their Ref
-constexpr std::int64_t kMostMembers = 10'000'000;   // in one list
-constexpr std::int64_t kMostSmallNumber = 1 << 30;  // of a peer: it fits in an int
+constexpr std::size_t kMaxLists = 16;                 // member lists that are kept, by their Ref
+constexpr std::int64_t kMaxListMembers = 10'000'000;  // in one list
+constexpr std::int64_t kMaxPeerId = 1 << 30;          // of a peer: it fits in an int
 
 // Characters of a bad line that an error quotes.
-constexpr std::size_t kMostQuoted = 300;
+constexpr std::size_t kMaxQuotedCharacters = 300;
 
 // One router of the simulation, with the events of the batch that it has not been given yet.
 struct Instance {
   Instance(const Line& spawn, std::uint64_t seed) : names(spawn), router(names.settings(), seed) {}
-  wire::Names names;
+  wire::InstanceNames names;
   Router router;
   std::vector<Event> events;
 };
@@ -39,44 +39,45 @@
 class AdapterLoop {
  public:
   // Reads one batch; false at the end of input.
-  bool batch() {
-    if (!next()) return false;
+  bool process_batch() {
+    if (!read_line()) return false;
     Line sync(line_);
-    if (sync.word() != "SYNC") sync.fail("expected SYNC");
+    if (sync.message_type() != "SYNC") sync.fail("expected SYNC");
     Micros now = sync.millis("TMs");
     if (now < now_) sync.fail("the clock went back");
     now_ = now;
-    touched_.clear();
-    instance_.reset();
+    updated_instances_.clear();
+    current_instance_.reset();
     while (true) {
-      if (!next())
-        throw Malformed("the input ended inside a batch, after line: " + last_.substr(0, kMostQuoted));
+      if (!read_line())
+        throw MalformedInput("the input ended inside a batch, after line: " +
+                             previous_line_.substr(0, kMaxQuotedCharacters));
       Line line(line_);
-      if (line.word() == "OVER_TO_YOU") break;
-      event(line);
+      if (line.message_type() == "OVER_TO_YOU") break;
+      dispatch(line);
     }
-    reply();
+    write_reply();
     return true;
   }
 
  private:
-  bool next() {
-    last_.swap(line_);
+  bool read_line() {
+    previous_line_.swap(line_);
     if (!std::getline(std::cin, line_)) return false;
     if (!line_.empty() && line_.back() == '\r') line_.pop_back();
     return true;
   }
 
-  Instance& instance(const Line& line) {
-    if (!instance_) line.fail("an event before any ABOUT");
-    auto known = instances_.find(*instance_);
+  Instance& require_instance(const Line& line) {
+    if (!current_instance_) line.fail("an event before any ABOUT");
+    auto known = instances_.find(*current_instance_);
     if (known == instances_.end()) line.fail("an instance that was never started");
-    touched_.insert(*instance_);
+    updated_instances_.insert(*current_instance_);
     return known->second;
   }
 
   // Passes a line to the handler of its first word.
-  void event(const Line& line) {
+  void dispatch(const Line& line) {
     using Handler = void (AdapterLoop::*)(const Line&);
     static const std::map<std::string_view, Handler> kHandlers{
         {"ABOUT", &AdapterLoop::on_about},
@@ -91,109 +92,111 @@
         {"STARTED", &AdapterLoop::on_started},
         {"SPAWN", &AdapterLoop::on_spawn},
         {"RETIRE", &AdapterLoop::on_retire}};
-    auto handler = kHandlers.find(line.word());
+    auto handler = kHandlers.find(line.message_type());
     if (handler == kHandlers.end()) line.fail("unknown message");
     (this->*handler->second)(line);
   }
 
-  void on_about(const Line& line) { instance_ = line.integer("I", 0, INT64_MAX); }
+  void on_about(const Line& line) { current_instance_ = line.integer("I", 0, INT64_MAX); }
 
   void on_order(const Line& line) {
-    Instance& target = instance(line);
+    Instance& target = require_instance(line);
     target.events.emplace_back(target.names.request(line));
   }
 
   void on_returned(const Line& line) {
-    Instance& target = instance(line);
+    Instance& target = require_instance(line);
     target.events.emplace_back(target.names.outcome(line));
   }
 
   void on_elapsed(const Line& line) {
-    Instance& target = instance(line);
+    Instance& target = require_instance(line);
     target.events.emplace_back(TimerFired{static_cast<std::uint64_t>(line.integer("KeyBack", 0, INT64_MAX))});
   }
 
   void on_health(const Line& line) {
-    Instance& target = instance(line);
+    Instance& target = require_instance(line);
     target.events.emplace_back(target.names.probe_result(line));
   }
 
   void on_lapsed(const Line& line) {
-    Instance& target = instance(line);
+    Instance& target = require_instance(line);
     target.events.emplace_back(target.names.client_gone(line));
   }
 
   void on_roster_change(const Line& line) {
     static const std::vector<wire::Row> kNoRows;
-    Instance& target = instance(line);
+    Instance& target = require_instance(line);
     bool failed = line.text("Form") == "1";
-    auto ref = failed ? 0 : line.integer("Ref", 0, kMostLists - 1);
+    auto ref = failed ? 0 : line.integer("Ref", 0, kMaxLists - 1);
     if (!failed && !lists_[ref]) line.fail("a list that was never sent");
     target.events.emplace_back(target.names.member_list(line, failed ? kNoRows : *lists_[ref]));
   }
 
   void on_mail(const Line& line) {
-    Instance& target = instance(line);
-    target.events.emplace_back(PeerMessage{static_cast<int>(line.integer("Who", 0, kMostSmallNumber)), ""});
+    Instance& target = require_instance(line);
+    target.events.emplace_back(PeerMessage{static_cast<int>(line.integer("Who", 0, kMaxPeerId)), ""});
   }
 
   void on_started(const Line& line) {
-    Instance& target = instance(line);
-    target.events.emplace_back(target.names.started(line));
+    Instance& target = require_instance(line);
+    target.events.emplace_back(target.names.stream_started(line));
   }
 
   void on_spawn(const Line& line) {
-    if (!instance_) line.fail("an event before any ABOUT");
+    if (!current_instance_) line.fail("an event before any ABOUT");
     auto seed = line.integer("RngSeed", INT64_MIN, INT64_MAX);
-    instances_.erase(*instance_);
+    instances_.erase(*current_instance_);
     try {
-      instances_.try_emplace(*instance_, line, static_cast<std::uint64_t>(seed));
+      instances_.try_emplace(*current_instance_, line, static_cast<std::uint64_t>(seed));
     } catch (const std::invalid_argument& error) {
       line.fail(error.what());
     }
-    touched_.insert(*instance_);
+    updated_instances_.insert(*current_instance_);
   }
 
   void on_retire(const Line& line) {
-    instance(line);
-    instances_.erase(*instance_);
-    touched_.erase(*instance_);
+    require_instance(line);
+    instances_.erase(*current_instance_);
+    updated_instances_.erase(*current_instance_);
   }
 
   void on_snapshot_rows(const Line& head) {
-    auto ref = head.integer("Ref", 0, kMostLists - 1);
-    auto count = head.integer("Members", 0, kMostMembers);
+    auto ref = head.integer("Ref", 0, kMaxLists - 1);
+    auto count = head.integer("Members", 0, kMaxListMembers);
     std::vector<wire::Row> rows;
     for (std::int64_t n = 0; n < count; ++n) {
-      if (!next())
-        throw Malformed("the input ended inside a list, after line: " + last_.substr(0, kMostQuoted));
+      if (!read_line())
+        throw MalformedInput("the input ended inside a list, after line: " +
+                             previous_line_.substr(0, kMaxQuotedCharacters));
       Line row(line_);
-      if (row.word() != "ROW") row.fail("a list of " + std::to_string(count) + " entries has fewer rows");
+      if (row.message_type() != "ROW")
+        row.fail("a list of " + std::to_string(count) + " entries has fewer rows");
       rows.push_back(wire::parse_row(row));
     }
     lists_[ref] = std::move(rows);
   }
 
-  void reply() {
-    out_.clear();
-    for (auto number : touched_) {
+  void write_reply() {
+    output_.clear();
+    for (auto number : updated_instances_) {
       Instance& instance = instances_.at(number);
       auto actions = instance.router.handle(now_, instance.events);
       instance.events.clear();
-      if (!actions.empty()) out_.append("CONTEXT I=").append(std::to_string(number)).append("\n");
-      for (const auto& action : actions) instance.names.print(action, out_);
-      instance.names.forget_closed();
+      if (!actions.empty()) output_.append("CONTEXT I=").append(std::to_string(number)).append("\n");
+      for (const auto& action : actions) instance.names.print(action, output_);
+      instance.names.erase_closed_requests();
     }
-    out_.append("DONE\n");
-    std::cout.write(out_.data(), static_cast<std::streamsize>(out_.size())).flush();
+    output_.append("DONE\n");
+    std::cout.write(output_.data(), static_cast<std::streamsize>(output_.size())).flush();
   }
 
   std::map<std::int64_t, Instance> instances_;
-  std::array<std::optional<std::vector<wire::Row>>, kMostLists> lists_;
-  std::optional<std::int64_t> instance_;
-  std::set<std::int64_t> touched_;
+  std::array<std::optional<std::vector<wire::Row>>, kMaxLists> lists_;
+  std::optional<std::int64_t> current_instance_;
+  std::set<std::int64_t> updated_instances_;
   Micros now_{INT64_MIN};
-  std::string line_, last_, out_;
+  std::string line_, previous_line_, output_;
 };
 
 }  // namespace
@@ -203,7 +206,7 @@
   std::cin.tie(nullptr);
   try {
     AdapterLoop adapter;
-    while (adapter.batch()) {
+    while (adapter.process_batch()) {
     }
   } catch (const std::exception& error) {
     std::cerr << "request-router-simulator-adapter: " << error.what() << "\n";
--- a/src/simulator_adapter/wire.cpp
+++ b/src/simulator_adapter/wire.cpp
@@ -11,30 +11,30 @@
 namespace {
 
 // Characters of a bad line that an error quotes.
-constexpr std::size_t kMostQuoted = 300;
+constexpr std::size_t kMaxQuotedCharacters = 300;
 
 // Limits of the wire's numbers: whole numbers up to here are exact in a double, reported ones fit in 64 bits
 // as microseconds, small ones in an int.
-constexpr double kMostWhole = 9e15;
-constexpr double kMostReported = 9e12;
-constexpr std::int64_t kMostSmallNumber = 1 << 30;
-constexpr std::int64_t kMostKey = std::int64_t{1} << 53;
+constexpr double kMaxExactInteger = 9e15;
+constexpr double kMaxReportedValue = 9e12;
+constexpr std::int64_t kMaxSmallInteger = 1 << 30;
+constexpr std::int64_t kMaxIdempotencyKey = std::int64_t{1} << 53;
 
 // The bit of Opts that marks a client's retry.
 constexpr std::int64_t kRetryBit = 2;
 
 // A Stand is a position in milliseconds times this, plus the role: 1 primary, 2 replica.
-constexpr std::int64_t kStandRoles = 4;
+constexpr std::int64_t kStandRoleFactor = 4;
 
 template <typename T>
-T one_of(const Line& line, std::string_view what, std::string_view value,
-         std::initializer_list<std::pair<std::string_view, T>> meanings) {
-  for (const auto& [name, meaning] : meanings)
-    if (name == value) return meaning;
+T parse_enum(const Line& line, std::string_view what, std::string_view value,
+             std::initializer_list<std::pair<std::string_view, T>> values) {
+  for (const auto& [name, parsed] : values)
+    if (name == value) return parsed;
   line.fail("unknown value '" + std::string(value) + "' of " + std::string(what));
 }
 
-SettingsReader reader(const Line& spawn) {
+SettingsReader settings_reader(const Line& spawn) {
   std::map<std::string, std::string, std::less<>> pairs;
   for (const auto& [name, value] : spawn.fields()) pairs[std::string(name)] = value;
   return SettingsReader(std::move(pairs));
@@ -45,7 +45,7 @@
 Line::Line(std::string_view text) : line_(text) {
   auto parts = split_at(text, ' ');
   if (parts.empty() || parts[0].empty()) fail("empty line inside a batch");
-  word_ = parts[0];
+  message_type_ = parts[0];
   fields_.reserve(parts.size());
   for (std::size_t i = 1; i < parts.size(); ++i) {
     auto at = parts[i].find('=');
@@ -56,7 +56,7 @@
 }
 
 void Line::fail(const std::string& what) const {
-  throw Malformed(what + ", in line: " + std::string(line_.substr(0, kMostQuoted)));
+  throw MalformedInput(what + ", in line: " + std::string(line_.substr(0, kMaxQuotedCharacters)));
 }
 
 bool Line::has(std::string_view name) const {
@@ -77,18 +77,18 @@
   return *value;
 }
 
-std::int64_t Line::integer(std::string_view name, std::int64_t least, std::int64_t most) const {
+std::int64_t Line::integer(std::string_view name, std::int64_t min, std::int64_t max) const {
   auto digits = text(name);
   std::int64_t value = 0;
   auto [end, error] = std::from_chars(digits.data(), digits.data() + digits.size(), value);
   if (error == std::errc::result_out_of_range) fail("field " + std::string(name) + " is out of range");
   if (error != std::errc() || end != digits.data() + digits.size()) {
     double whole = number(name);  // a whole number written with a fraction is still one
-    if (whole != std::floor(whole) || std::abs(whole) > kMostWhole)
+    if (whole != std::floor(whole) || std::abs(whole) > kMaxExactInteger)
       fail("field " + std::string(name) + " is not whole");
     value = static_cast<std::int64_t>(whole);
   }
-  if (value < least || value > most) fail("field " + std::string(name) + " is out of range");
+  if (value < min || value > max) fail("field " + std::string(name) + " is out of range");
   return value;
 }
 
@@ -104,30 +104,30 @@
   row.entry.group = line.has("Cell") ? line.integer("Cell", INT64_MIN, INT64_MAX) : 0;
   row.entry.zone = line.has("FailureDomain") ? line.text("FailureDomain") : "";
   row.entry.condition =
-      one_of<Condition>(line, "Condition", line.text("Condition"),
-                        {{"1", Condition::kReady}, {"2", Condition::kDraining}, {"0", Condition::kGone}});
+      parse_enum<Condition>(line, "Condition", line.text("Condition"),
+                            {{"1", Condition::kReady}, {"2", Condition::kDraining}, {"0", Condition::kGone}});
   row.entry.primary = line.has("Head") && line.number("Head") == 1;
   row.entry.weight = line.has("Share") ? line.number("Share") : 1;
   row.entry.started_at = line.has("StartedAtMs") ? line.millis("StartedAtMs") : Micros(0);
   return row;
 }
 
-Names::Names(const Line& spawn) {
-  auto in = reader(spawn);
+InstanceNames::InstanceNames(const Line& spawn) {
+  auto in = settings_reader(spawn);
   settings_ = in.settings();
-  zero_ = in.millis("FamilyInfo.CountedFromMs");
+  position_origin_ = in.millis("FamilyInfo.CountedFromMs");
   for (std::size_t i = 0; i < settings_.classes.size(); ++i) classes_[settings_.classes[i].name] = i;
   for (std::size_t i = 0; i < settings_.tenants.size(); ++i) tenants_[settings_.tenants[i].name] = i;
 }
 
-MemberList Names::member_list(const Line& line, const std::vector<Row>& rows) {
+MemberList InstanceNames::member_list(const Line& line, const std::vector<Row>& rows) {
   MemberList list;
-  list.kind = one_of<ListKind>(
+  list.kind = parse_enum<ListKind>(
       line, "Form", line.text("Form"),
       {{"0", ListKind::kDelta}, {"1", ListKind::kFailed}, {"2", ListKind::kCached}, {"3", ListKind::kFull}});
   if (list.kind == ListKind::kFailed) return list;
   for (const auto& row : rows) {
-    auto [host, is_new] = hosts_.try_emplace(row.host, static_cast<MemberId>(host_names_.size()));
+    auto [host, is_new] = member_ids_.try_emplace(row.host, static_cast<MemberId>(host_names_.size()));
     if (is_new) host_names_.push_back(row.host);
     list.entries.push_back(row.entry);
     list.entries.back().member = host->second;
@@ -135,7 +135,7 @@
   return list;
 }
 
-Request Names::request(const Line& line) {
+Request InstanceNames::request(const Line& line) {
   Request request;
   auto ticket = std::string(line.text("Ticket"));
   auto request_class = classes_.find(line.text("Kind"));
@@ -143,42 +143,43 @@
   request.request_class = static_cast<std::size_t>(request_class->second);
   request.group = line.integer("DbNo", INT64_MIN, INT64_MAX);
   request.expires = line.millis("ExpiresMs");
-  std::int64_t bits = line.has("Opts") ? line.integer("Opts", 0, kMostSmallNumber) : 0;
+  std::int64_t bits = line.has("Opts") ? line.integer("Opts", 0, kMaxSmallInteger) : 0;
   request.retry = (bits & kRetryBit) != 0;
-  if (line.has("Key")) request.key = static_cast<std::uint64_t>(line.integer("Key", 0, kMostKey));
+  if (line.has("Key")) request.key = static_cast<std::uint64_t>(line.integer("Key", 0, kMaxIdempotencyKey));
   if (line.has("TokenMs")) request.write_age = line.millis("TokenMs");
   if (line.has("ClientGroup")) {
     auto tenant = tenants_.find(line.text("ClientGroup"));
     if (tenant != tenants_.end()) request.tenant = tenant->second;
   }
-  if (tickets_.count(ticket)) line.fail("a request id came twice");
-  request.id = next_++;
-  tickets_[ticket] = request.id;
-  open_[request.id] = {std::move(ticket), 0, false};
+  if (request_ids_.count(ticket)) line.fail("a request id came twice");
+  request.id = next_request_id_++;
+  request_ids_[ticket] = request.id;
+  open_requests_[request.id] = {std::move(ticket), 0, false};
   return request;
 }
 
-RequestId Names::known_request(const Line& line) const {
-  auto it = tickets_.find(std::string(line.text("Ticket")));
-  return it == tickets_.end() ? 0 : it->second;  // 0: never given out, so the router knows nothing of it
+RequestId InstanceNames::request_id(const Line& line) const {
+  auto it = request_ids_.find(std::string(line.text("Ticket")));
+  return it == request_ids_.end() ? 0 : it->second;  // 0: never given out, so the router knows nothing of it
 }
 
-MemberId Names::host(const Line& line) const {
-  auto it = hosts_.find(std::string(line.text("Host")));
-  if (it == hosts_.end()) line.fail("a host that was in no list");
+MemberId InstanceNames::member_id(const Line& line) const {
+  auto it = member_ids_.find(std::string(line.text("Host")));
+  if (it == member_ids_.end()) line.fail("a host that was in no list");
   return it->second;
 }
 
-Report Names::report(const Line& line) const {
+Report InstanceNames::report(const Line& line) const {
   Report report;
   if (!line.has("ServerStats")) return report;
   for (auto pair : split_at(line.text("ServerStats"), ',')) {
     if (pair == "-") continue;
     auto at = pair.find(':');
     auto value = at == std::string_view::npos ? std::nullopt : to_number(pair.substr(at + 1));
-    if (!value || std::abs(*value) > kMostReported) line.fail("a load report that is no list of name:number");
+    if (!value || std::abs(*value) > kMaxReportedValue)
+      line.fail("a load report that is no list of name:number");
     auto name = pair.substr(0, at);
-    if (name == "x0") report.position = zero_ + Micros(std::llround(*value * 1e6));
+    if (name == "x0") report.position = position_origin_ + Micros(std::llround(*value * 1e6));
     if (name == "x1") report.primary = *value == 1;
     if (name == "busy") report.busy = *value;
     if (name == "rif" || name == "inflight") report.in_flight = *value;
@@ -186,73 +187,73 @@
   return report;
 }
 
-void Names::close(RequestId id) {
-  auto it = open_.find(id);
-  if (it == open_.end()) return;
+void InstanceNames::close_request(RequestId id) {
+  auto it = open_requests_.find(id);
+  if (it == open_requests_.end()) return;
   it->second.closed = true;
-  if (it->second.out == 0) closed_.push_back(id);
+  if (it->second.attempts_in_flight == 0) closed_requests_.push_back(id);
 }
 
-void Names::forget_closed() {
-  for (auto id : closed_) {
-    auto it = open_.find(id);
-    if (it == open_.end() || it->second.out > 0) continue;
-    tickets_.erase(it->second.text);
-    open_.erase(it);
+void InstanceNames::erase_closed_requests() {
+  for (auto id : closed_requests_) {
+    auto it = open_requests_.find(id);
+    if (it == open_requests_.end() || it->second.attempts_in_flight > 0) continue;
+    request_ids_.erase(it->second.ticket);
+    open_requests_.erase(it);
   }
-  closed_.clear();
+  closed_requests_.clear();
 }
 
-Outcome Names::outcome(const Line& line) {
+Outcome InstanceNames::outcome(const Line& line) {
   Outcome outcome;
-  outcome.id = known_request(line);
-  outcome.attempt = static_cast<int>(line.integer("Hop", 0, kMostSmallNumber));
-  outcome.member = host(line);
-  outcome.status = one_of<Status>(line, "Code", line.text("Code"),
-                                  {{"success", Status::kSuccess},
-                                   {"failure", Status::kFailure},
-                                   {"overloaded", Status::kOverloaded},
-                                   {"timed_out", Status::kTimedOut},
-                                   {"unreachable", Status::kUnreachable},
-                                   {"broken", Status::kBroken},
-                                   {"withdrawn", Status::kCancelled},
-                                   {"void", Status::kNotStarted},
-                                   {"absent", Status::kDeclined}});
+  outcome.id = request_id(line);
+  outcome.attempt = static_cast<int>(line.integer("Hop", 0, kMaxSmallInteger));
+  outcome.member = member_id(line);
+  outcome.status = parse_enum<Status>(line, "Code", line.text("Code"),
+                                      {{"success", Status::kSuccess},
+                                       {"failure", Status::kFailure},
+                                       {"overloaded", Status::kOverloaded},
+                                       {"timed_out", Status::kTimedOut},
+                                       {"unreachable", Status::kUnreachable},
+                                       {"broken", Status::kBroken},
+                                       {"withdrawn", Status::kCancelled},
+                                       {"void", Status::kNotStarted},
+                                       {"absent", Status::kDeclined}});
   outcome.taken = line.has("TimeTakenMs") ? line.millis("TimeTakenMs") : Micros(0);
   outcome.closed = line.has("Last") && line.flag("Last");
   if (line.has("Stand")) {
     auto stand = line.integer("Stand", 0, INT64_MAX);
-    auto role = stand % kStandRoles;
-    auto position_ms = stand / kStandRoles;
+    auto role = stand % kStandRoleFactor;
+    auto position_ms = stand / kStandRoleFactor;
     if (role == 1) outcome.role = Role::kPrimary;
     if (role == 2) outcome.role = Role::kReplica;
-    if (position_ms > 0) outcome.position = zero_ + Micros(position_ms * 1000);
+    if (position_ms > 0) outcome.position = position_origin_ + Micros(position_ms * 1000);
   }
   outcome.report = report(line);
-  auto known = open_.find(outcome.id);
-  if (known != open_.end()) {
-    --known->second.out;
-    if (outcome.closed || known->second.closed) close(outcome.id);
+  auto known = open_requests_.find(outcome.id);
+  if (known != open_requests_.end()) {
+    --known->second.attempts_in_flight;
+    if (outcome.closed || known->second.closed) close_request(outcome.id);
   }
   return outcome;
 }
 
-ProbeResult Names::probe_result(const Line& line) {
+ProbeResult InstanceNames::probe_result(const Line& line) {
   ProbeResult result;
-  result.member = host(line);
+  result.member = member_id(line);
   result.ok = line.text("Code") == "success";
   result.taken = line.has("TimeTakenMs") ? line.millis("TimeTakenMs") : Micros(0);
   result.report = report(line);
   return result;
 }
 
-StreamStarted Names::started(const Line& line) {
-  return {known_request(line), static_cast<int>(line.integer("Hop", 0, kMostSmallNumber))};
+StreamStarted InstanceNames::stream_started(const Line& line) {
+  return {request_id(line), static_cast<int>(line.integer("Hop", 0, kMaxSmallInteger))};
 }
 
-ClientGone Names::client_gone(const Line& line) {
-  ClientGone gone{known_request(line)};
-  close(gone.id);
+ClientGone InstanceNames::client_gone(const Line& line) {
+  ClientGone gone{request_id(line)};
+  close_request(gone.id);
   return gone;
 }
 
@@ -267,33 +268,33 @@
 
 }  // namespace
 
-void Names::print(const Action& action, std::string& out) {
+void InstanceNames::print(const Action& action, std::string& out) {
   struct Printer {
-    Names& names;
+    InstanceNames& names;
     std::string& out;
-    void ticket(RequestId id) { out.append(" Ticket=").append(names.open_.at(id).text); }
+    void append_ticket(RequestId id) { out.append(" Ticket=").append(names.open_requests_.at(id).ticket); }
     void operator()(const Send& action) {
       out.append("DELIVER");
-      ticket(action.id);
+      append_ticket(action.id);
       out.append(" Host=").append(names.host_names_.at(action.member));
       if (action.timeout.count() != 0) append_millis(out, "TryForMs", action.timeout);
-      ++names.open_.at(action.id).out;
+      ++names.open_requests_.at(action.id).attempts_in_flight;
     }
     void operator()(const Cancel& action) {
       out.append("STOP_ATTEMPT");
-      ticket(action.id);
+      append_ticket(action.id);
       out.append(" Hop=").append(std::to_string(action.attempt));
     }
     void operator()(const Reject& action) {
       out.append("PUSH_BACK");
-      ticket(action.id);
+      append_ticket(action.id);
       if (action.retry_after.count() > 0) append_millis(out, "RetryInMs", action.retry_after);
-      names.close(action.id);
+      names.close_request(action.id);
     }
     void operator()(const Fail& action) {
       out.append("END_FAILED");
-      ticket(action.id);
-      names.close(action.id);
+      append_ticket(action.id);
+      names.close_request(action.id);
     }
     void operator()(const Probe& action) {
       out.append("CHECK Host=").append(names.host_names_.at(action.member));
--- a/tests/simulator_adapter/wire_test.cpp
+++ b/tests/simulator_adapter/wire_test.cpp
@@ -22,7 +22,7 @@
 
 struct Wire : ::testing::Test {
   Line spawn{kSpawn};
-  Names names{spawn};
+  InstanceNames names{spawn};
   std::vector<Row> rows{
       parse_row(Line("ROW Host=h1 FailureDomain=z Head=1 Cell=4 Condition=1 StartedAtMs=7.25 New=1"))};
   void SetUp() override { names.member_list(Line("ROSTER_CHANGE Form=2 Generation=1 Ref=0"), rows); }
@@ -67,13 +67,13 @@
     try {
       names.request(Line(bad));
       ADD_FAILURE() << "accepted: " << bad;
-    } catch (const Malformed& e) {
+    } catch (const MalformedInput& e) {
       EXPECT_NE(std::string(e.what()).find(bad), std::string::npos);
     }
-  EXPECT_THROW(names.outcome(Line("RETURNED Ticket=a Hop=0 Host=h9 Code=success")), Malformed);
-  EXPECT_THROW(names.outcome(Line("RETURNED Ticket=a Hop=0 Host=h1 Code=fine")), Malformed);
-  EXPECT_THROW(Line("ORDER Ticket"), Malformed);
-  EXPECT_THROW(parse_row(Line("ROW Host=h1 Condition=7")), Malformed);
+  EXPECT_THROW(names.outcome(Line("RETURNED Ticket=a Hop=0 Host=h9 Code=success")), MalformedInput);
+  EXPECT_THROW(names.outcome(Line("RETURNED Ticket=a Hop=0 Host=h1 Code=fine")), MalformedInput);
+  EXPECT_THROW(Line("ORDER Ticket"), MalformedInput);
+  EXPECT_THROW(parse_row(Line("ROW Host=h1 Condition=7")), MalformedInput);
 }
 
 }  // namespace
