--- a/src/simulator_adapter/main.cpp
+++ b/src/simulator_adapter/main.cpp
@@ -1,5 +1,6 @@
-// request-router-simulator-adapter: hosts routers on the simulator's wire (standard input and output).
-// It numbers the wire's names for each instance and passes events and actions on; it decides nothing.
+// request-router-simulator-adapter: runs routers for the simulator, over standard input and output.
+// Maps the simulator's names to ids for each instance and passes events to the routers and their actions
+// back; all decisions are made by the routers.
 #include <array>
 #include <charconv>
 #include <iostream>
@@ -19,15 +20,15 @@
 using wire::Line;
 using wire::MalformedInput;
 
-// Limits of the simulator's wire.
-constexpr std::size_t kMaxLists = 16;                 // member lists that are kept, by their Ref
-constexpr std::int64_t kMaxListMembers = 10'000'000;  // in one list
-constexpr std::int64_t kMaxPeerId = 1 << 30;          // of a peer: it fits in an int
+// Limits of the simulator's protocol.
+constexpr std::size_t kMaxLists = 16;  // number of member lists kept; the field Ref is the index
+constexpr std::int64_t kMaxListMembers = 10'000'000;  // number of members in one list
+constexpr std::int64_t kMaxPeerId = 1 << 30;          // the id of a peer fits in an int
 
-// Characters of a bad line that an error quotes.
+// Number of characters of a malformed line that an error message quotes.
 constexpr std::size_t kMaxQuotedCharacters = 300;
 
-// One router of the simulation, with the events of the batch that it has not been given yet.
+// One router of the simulation, with the events of the current batch that it has not handled yet.
 struct Instance {
   Instance(const Line& spawn, std::uint64_t seed) : names(spawn), router(names.settings(), seed) {}
   wire::InstanceNames names;
@@ -35,18 +36,19 @@
   std::vector<Event> events;
 };
 
-// Reads batches from standard input and writes the actions of all routers that one touches.
+// Reads batches of events from standard input and, after each, writes the actions of all routers that the
+// batch addressed.
 class AdapterLoop {
  public:
-  // Reads one batch; false at the end of input.
+  // Reads and processes one batch; returns false at the end of input.
   bool process_batch() {
     if (!read_line()) return false;
     Line sync(line_);
     if (sync.message_type() != "SYNC") sync.fail("expected SYNC");
     Micros now = sync.millis("TMs");
-    if (now < now_) sync.fail("the clock went back");
+    if (now < now_) sync.fail("TMs went back: earlier than in the previous batch");
     now_ = now;
-    updated_instances_.clear();
+    addressed_instances_.clear();
     current_instance_.reset();
     while (true) {
       if (!read_line())
@@ -61,6 +63,7 @@
   }
 
  private:
+  // Reads the next line into line_, without its line end; returns false at the end of input.
   bool read_line() {
     previous_line_.swap(line_);
     if (!std::getline(std::cin, line_)) return false;
@@ -68,15 +71,16 @@
     return true;
   }
 
+  // Returns the instance that the last ABOUT line selected and marks it as addressed by this batch.
   Instance& require_instance(const Line& line) {
-    if (!current_instance_) line.fail("an event before any ABOUT");
+    if (!current_instance_) line.fail("event before any ABOUT line");
     auto known = instances_.find(*current_instance_);
-    if (known == instances_.end()) line.fail("an instance that was never started");
-    updated_instances_.insert(*current_instance_);
+    if (known == instances_.end()) line.fail("instance was never started or was retired");
+    addressed_instances_.insert(*current_instance_);
     return known->second;
   }
 
-  // Passes a line to the handler of its first word.
+  // Passes a line to the handler of its message type.
   void dispatch(const Line& line) {
     using Handler = void (AdapterLoop::*)(const Line&);
     static const std::map<std::string_view, Handler> kHandlers{
@@ -93,7 +97,7 @@
         {"SPAWN", &AdapterLoop::on_spawn},
         {"RETIRE", &AdapterLoop::on_retire}};
     auto handler = kHandlers.find(line.message_type());
-    if (handler == kHandlers.end()) line.fail("unknown message");
+    if (handler == kHandlers.end()) line.fail("unknown message type");
     (this->*handler->second)(line);
   }
 
@@ -129,7 +133,7 @@
     Instance& target = require_instance(line);
     bool failed = line.text("Form") == "1";
     auto ref = failed ? 0 : line.integer("Ref", 0, kMaxLists - 1);
-    if (!failed && !lists_[ref]) line.fail("a list that was never sent");
+    if (!failed && !lists_[ref]) line.fail("field Ref names a member list that was never sent");
     target.events.emplace_back(target.names.member_list(line, failed ? kNoRows : *lists_[ref]));
   }
 
@@ -144,7 +148,7 @@
   }
 
   void on_spawn(const Line& line) {
-    if (!current_instance_) line.fail("an event before any ABOUT");
+    if (!current_instance_) line.fail("event before any ABOUT line");
     auto seed = line.integer("RngSeed", INT64_MIN, INT64_MAX);
     instances_.erase(*current_instance_);
     try {
@@ -152,13 +156,13 @@
     } catch (const std::invalid_argument& error) {
       line.fail(error.what());
     }
-    updated_instances_.insert(*current_instance_);
+    addressed_instances_.insert(*current_instance_);
   }
 
   void on_retire(const Line& line) {
     require_instance(line);
     instances_.erase(*current_instance_);
-    updated_instances_.erase(*current_instance_);
+    addressed_instances_.erase(*current_instance_);
   }
 
   void on_snapshot_rows(const Line& head) {
@@ -167,11 +171,11 @@
     std::vector<wire::Row> rows;
     for (std::int64_t n = 0; n < count; ++n) {
       if (!read_line())
-        throw MalformedInput("the input ended inside a list, after line: " +
+        throw MalformedInput("the input ended inside a member list, after line: " +
                              previous_line_.substr(0, kMaxQuotedCharacters));
       Line row(line_);
       if (row.message_type() != "ROW")
-        row.fail("a list of " + std::to_string(count) + " entries has fewer rows");
+        row.fail("member list of " + std::to_string(count) + " entries has fewer rows");
       rows.push_back(wire::parse_row(row));
     }
     lists_[ref] = std::move(rows);
@@ -179,7 +183,7 @@
 
   void write_reply() {
     output_.clear();
-    for (auto number : updated_instances_) {
+    for (auto number : addressed_instances_) {
       Instance& instance = instances_.at(number);
       auto actions = instance.router.handle(now_, instance.events);
       instance.events.clear();
@@ -194,7 +198,7 @@
   std::map<std::int64_t, Instance> instances_;
   std::array<std::optional<std::vector<wire::Row>>, kMaxLists> lists_;
   std::optional<std::int64_t> current_instance_;
-  std::set<std::int64_t> updated_instances_;
+  std::set<std::int64_t> addressed_instances_;
   Micros now_{INT64_MIN};
   std::string line_, previous_line_, output_;
 };
--- a/src/simulator_adapter/wire.cpp
+++ b/src/simulator_adapter/wire.cpp
@@ -10,20 +10,20 @@
 namespace request_router::wire {
 namespace {
 
-// Characters of a bad line that an error quotes.
+// Number of characters of a malformed line that an error message quotes.
 constexpr std::size_t kMaxQuotedCharacters = 300;
 
-// Limits of the wire's numbers: whole numbers up to here are exact in a double, reported ones fit in 64 bits
-// as microseconds, small ones in an int.
+// Limits of numbers in messages: integers up to kMaxExactInteger are exact in a double, reported values up to
+// kMaxReportedValue fit in 64 bits as microseconds, and integers up to kMaxSmallInteger fit in an int.
 constexpr double kMaxExactInteger = 9e15;
 constexpr double kMaxReportedValue = 9e12;
 constexpr std::int64_t kMaxSmallInteger = 1 << 30;
 constexpr std::int64_t kMaxIdempotencyKey = std::int64_t{1} << 53;
 
-// The bit of Opts that marks a client's retry.
+// The bit of the field Opts that marks a request as a client's retry.
 constexpr std::int64_t kRetryBit = 2;
 
-// A Stand is a position in milliseconds times this, plus the role: 1 primary, 2 replica.
+// The field Stand is a position in milliseconds times this factor, plus the role: 1 primary, 2 replica.
 constexpr std::int64_t kStandRoleFactor = 4;
 
 template <typename T>
@@ -44,7 +44,7 @@
 
 Line::Line(std::string_view text) : line_(text) {
   auto parts = split_at(text, ' ');
-  if (parts.empty() || parts[0].empty()) fail("empty line inside a batch");
+  if (parts.empty() || parts[0].empty()) fail("empty line or missing message type inside a batch");
   message_type_ = parts[0];
   fields_.reserve(parts.size());
   for (std::size_t i = 1; i < parts.size(); ++i) {
@@ -73,7 +73,7 @@
 
 double Line::number(std::string_view name) const {
   auto value = to_number(text(name));
-  if (!value) fail("field " + std::string(name) + " is no number");
+  if (!value) fail("field " + std::string(name) + " is not a number");
   return *value;
 }
 
@@ -83,9 +83,9 @@
   auto [end, error] = std::from_chars(digits.data(), digits.data() + digits.size(), value);
   if (error == std::errc::result_out_of_range) fail("field " + std::string(name) + " is out of range");
   if (error != std::errc() || end != digits.data() + digits.size()) {
-    double whole = number(name);  // a whole number written with a fraction is still one
+    double whole = number(name);  // accepts an integer that is written with a fraction, e.g. 5.0
     if (whole != std::floor(whole) || std::abs(whole) > kMaxExactInteger)
-      fail("field " + std::string(name) + " is not whole");
+      fail("field " + std::string(name) + " is not an integer");
     value = static_cast<std::int64_t>(whole);
   }
   if (value < min || value > max) fail("field " + std::string(name) + " is out of range");
@@ -94,7 +94,7 @@
 
 Micros Line::millis(std::string_view name) const {
   auto value = millis_to_micros(text(name));
-  if (!value) fail("field " + std::string(name) + " is no time");
+  if (!value) fail("field " + std::string(name) + " is not a time in milliseconds");
   return *value;
 }
 
@@ -139,7 +139,7 @@
   Request request;
   auto ticket = std::string(line.text("Ticket"));
   auto request_class = classes_.find(line.text("Kind"));
-  if (request_class == classes_.end()) line.fail("unknown class");
+  if (request_class == classes_.end()) line.fail("unknown request class in field Kind");
   request.request_class = static_cast<std::size_t>(request_class->second);
   request.group = line.integer("DbNo", INT64_MIN, INT64_MAX);
   request.expires = line.millis("ExpiresMs");
@@ -151,7 +151,7 @@
     auto tenant = tenants_.find(line.text("ClientGroup"));
     if (tenant != tenants_.end()) request.tenant = tenant->second;
   }
-  if (request_ids_.count(ticket)) line.fail("a request id came twice");
+  if (request_ids_.count(ticket)) line.fail("duplicate request id in field Ticket");
   request.id = next_request_id_++;
   request_ids_[ticket] = request.id;
   open_requests_[request.id] = {std::move(ticket), 0, false};
@@ -160,12 +160,13 @@
 
 RequestId InstanceNames::request_id(const Line& line) const {
   auto it = request_ids_.find(std::string(line.text("Ticket")));
-  return it == request_ids_.end() ? 0 : it->second;  // 0: never given out, so the router knows nothing of it
+  // 0 is never assigned to a request, so the router does not know it.
+  return it == request_ids_.end() ? 0 : it->second;
 }
 
 MemberId InstanceNames::member_id(const Line& line) const {
   auto it = member_ids_.find(std::string(line.text("Host")));
-  if (it == member_ids_.end()) line.fail("a host that was in no list");
+  if (it == member_ids_.end()) line.fail("host was not in any member list");
   return it->second;
 }
 
@@ -177,7 +178,7 @@
     auto at = pair.find(':');
     auto value = at == std::string_view::npos ? std::nullopt : to_number(pair.substr(at + 1));
     if (!value || std::abs(*value) > kMaxReportedValue)
-      line.fail("a load report that is no list of name:number");
+      line.fail("load report in field ServerStats is not a list of name:number pairs");
     auto name = pair.substr(0, at);
     if (name == "x0") report.position = position_origin_ + Micros(std::llround(*value * 1e6));
     if (name == "x1") report.primary = *value == 1;
--- a/src/simulator_adapter/wire.h
+++ b/src/simulator_adapter/wire.h
@@ -1,4 +1,5 @@
-// Parsing and printing of the simulator's wire. Nothing here decides anything.
+// Parses and prints the simulator's line protocol: one message a line, read from standard input and written
+// to standard output. Translates only; routing decisions are made by request_router::Router.
 #pragma once
 
 #include <map>
@@ -13,24 +14,26 @@
 
 namespace request_router::wire {
 
-// What is wrong with a line; the text names the line.
+// Error in the input; for a malformed line, the text quotes the line.
 struct MalformedInput : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
-// One line: its first word, and its name=value fields. Look-ups throw Malformed where a field is missing or
-// impossible.
+// One line: its message type (the first word) and its name=value fields. The getters throw MalformedInput if
+// a field is missing, cannot be parsed or is out of range. Keeps views into the text that it is constructed
+// from.
 class Line {
  public:
   explicit Line(std::string_view text);
   std::string_view message_type() const { return message_type_; }
   const std::vector<std::pair<std::string_view, std::string_view>>& fields() const { return fields_; }
   bool has(std::string_view name) const;
-  std::string_view text(std::string_view name) const;  // throws where the field is missing
+  std::string_view text(std::string_view name) const;  // throws if the field is missing
   double number(std::string_view name) const;
   std::int64_t integer(std::string_view name, std::int64_t min, std::int64_t max) const;
   bool flag(std::string_view name) const { return integer(name, 0, 1) == 1; }
   Micros millis(std::string_view name) const;
+  // Throws MalformedInput with the reason and the line.
   [[noreturn]] void fail(const std::string& what) const;
 
  private:
@@ -38,16 +41,18 @@
   std::vector<std::pair<std::string_view, std::string_view>> fields_;
 };
 
-// One row of a SNAPSHOT_ROWS list; its host is still a name, because each instance gives its own numbers.
+// One row of a SNAPSHOT_ROWS list. The host is kept as a name, because each instance assigns its own member
+// ids.
 struct Row {
   std::string host;
   MemberEntry entry;
 };
 
-// Reads a ROW line.
+// Parses a ROW line.
 Row parse_row(const Line& line);
 
-// The names of one instance and the numbers that its router knows them by.
+// Maps the names that the simulator uses in messages to and from one instance (hosts, tickets, classes,
+// tenants) to the ids that the instance's router uses, and converts events and actions between the two.
 class InstanceNames {
  public:
   explicit InstanceNames(const Line& spawn);
@@ -60,7 +65,7 @@
   StreamStarted stream_started(const Line& line);
   ClientGone client_gone(const Line& line);
   void print(const Action& action, std::string& out);
-  void erase_closed_requests();  // drops the ids of requests that are closed and have no attempt in flight
+  void erase_closed_requests();  // erases requests that are closed and have no attempt in flight
 
  private:
   struct OpenRequest {
--- a/tests/simulator_adapter/adapter_test.sh
+++ b/tests/simulator_adapter/adapter_test.sh
@@ -1,5 +1,6 @@
 #!/bin/sh
-# The adapter as a process: end of input exits 0; anything malformed gets one line on standard error and fails.
+# Tests the adapter as a process: it exits with 0 at the end of input; for malformed input it prints one line on standard error
+# and exits with an error.
 adapter=$1
 failed=0
 spawn='SPAWN RngSeed=1 RequestClasses.count=1 RequestClasses.0.Name=view RequestClasses.0.TargetMs=100 RequestClasses.0.DeadlineMs=400 RequestClasses.0.Effect=pure Limits.MaxAttempts=2'
--- a/tests/simulator_adapter/wire_test.cpp
+++ b/tests/simulator_adapter/wire_test.cpp
@@ -1,4 +1,4 @@
-// Parsing and printing of the wire.
+// Tests of parsing and printing the simulator's messages.
 #include "simulator_adapter/wire.h"
 
 #include "request_router/support.h"
