--- a/src/testbench/fault_injection/coldstart.cpp
+++ b/src/testbench/fault_injection/coldstart.cpp
@@ -29,7 +29,7 @@
 constexpr ListService kServices[] = {{"strong", Micros(0), 0}, {"weak", Micros(50'000), 20}};
 
 json run_one(const ExperimentOptions& options, const std::string& mode, const ListService& service) {
-  RigOptions o;
+  FaultHarnessOptions o;
   o.program = mode == "before" ? options.before : options.program;
   o.folder = fmt::format("{}/{}-{}", options.folder, mode, service.name);
   o.voters = 3;
@@ -48,7 +48,7 @@
   o.stand_in.model.fall_inside = 100;
   o.settings = {{"Guarantees", {{"WarmUpMs", static_cast<double>(kWarmUp.count()) / 1000}}}};
   o.start = false;
-  Rig rig(o);
+  FaultHarness rig(o);
   // A group is made once in the life of an installation; then everything is switched off.
   if (o.grouped) {
     for (auto& name : rig.voters()) rig.start(name);
--- a/src/testbench/fault_injection/experiments.cpp
+++ b/src/testbench/fault_injection/experiments.cpp
@@ -31,7 +31,7 @@
 // Clients of the group's registers, each call told to the history.
 class Registers {
  public:
-  Registers(Rig& rig, std::uint64_t seed) : rig_(rig), seed_(seed) {
+  Registers(FaultHarness& rig, std::uint64_t seed) : rig_(rig), seed_(seed) {
     for (int i = 0; i < kClients; ++i) threads_.emplace_back([this, i] { run(i); });
   }
   ~Registers() { stop(); }
@@ -131,7 +131,7 @@
     }
   }
 
-  Rig& rig_;
+  FaultHarness& rig_;
   std::uint64_t seed_;
   std::atomic<bool> stop_{false};
   std::mutex mutex_;
@@ -145,7 +145,7 @@
 // Asks every process who it is and what it holds, all the time.
 class Sampler {
  public:
-  explicit Sampler(Rig& rig) : rig_(rig) {
+  explicit Sampler(FaultHarness& rig) : rig_(rig) {
     for (auto& name : rig.all())
       if (!rig.address(name).empty()) threads_.emplace_back([this, name] { run(name); });
   }
@@ -180,7 +180,7 @@
       pause_for(20ms);
     }
   }
-  Rig& rig_;
+  FaultHarness& rig_;
   std::atomic<bool> stop_{false};
   std::vector<std::thread> threads_;
 };
@@ -209,7 +209,7 @@
 };
 
 // One fault on `victim`, over when this returns. What hits it is undone here.
-std::string one_fault(Rig& rig, Draw& draw, const std::string& victim, bool jobs) {
+std::string one_fault(FaultHarness& rig, Draw& draw, const std::string& victim, bool jobs) {
   auto& voters = rig.voters();
   auto other = victim;
   while (other == victim) other = draw.of(voters);
@@ -319,7 +319,7 @@
 }
 
 // All links well, all processes up: waits until the nodes have the same state and one leader.
-bool settled(Rig& rig) {
+bool settled(FaultHarness& rig) {
   return rig.soon(
       [&] {
         std::set<std::uint64_t> applied;
@@ -337,13 +337,13 @@
 }  // namespace
 
 json run_group(const ExperimentOptions& options) {
-  RigOptions o;
+  FaultHarnessOptions o;
   o.program = options.program;
   o.folder = options.folder;
   o.voters = options.processes > 0 ? options.processes : 5;
   o.seed = options.seed;
   o.group = {{"jobs", json::array()}};
-  Rig rig(o);
+  FaultHarness rig(o);
   Registers clients(rig, options.seed);
   Sampler sampler(rig);
   Draw draw{std::mt19937_64(options.seed)};
@@ -391,7 +391,7 @@
 }
 
 json run_owner(const ExperimentOptions& options) {
-  RigOptions o;
+  FaultHarnessOptions o;
   o.program = options.program;
   o.folder = options.folder;
   o.voters = 3;
@@ -399,7 +399,7 @@
   o.seed = options.seed;
   o.stand_in.sets = 3;
   o.stand_in.seed = options.seed;
-  Rig rig(o);
+  FaultHarness rig(o);
   const std::vector<std::string> jobs{"list", "probe 1", "probe 2", "probe 3"};
   auto all_owned = [&] {
     auto owners = rig.owners();
@@ -520,7 +520,7 @@
   json rows = json::array();
   int processes = options.processes > 0 ? options.processes : 100;
   for (bool grouped : {false, true}) {
-    RigOptions o;
+    FaultHarnessOptions o;
     o.program = options.program;
     o.folder = fmt::format("{}/{}", options.folder, grouped ? "owned" : "alone");
     o.voters = 3;
@@ -536,7 +536,7 @@
       o.stand_in.model.lag = Micros(options.lag_ms * 1000);
       o.settings = {{"FamilyInfo", {{"Behind", "off"}, {"Positions", false}}}};
     }
-    Rig rig(o);
+    FaultHarness rig(o);
     if (grouped && !rig.soon([&] { return rig.owners().size() >= 4; }))
       throw std::runtime_error("the jobs found no owners");
     pause_for(2s);
@@ -602,13 +602,13 @@
 }
 
 json run_return(const ExperimentOptions& options) {
-  RigOptions o;
+  FaultHarnessOptions o;
   o.program = options.program;
   o.folder = options.folder;
   o.voters = 3;
   o.followers = std::max(1, (options.processes > 0 ? options.processes : 303) - o.voters);
   o.seed = options.seed;
-  Rig rig(o);
+  FaultHarness rig(o);
   rig.soon([&] { return !rig.owner("list").empty(); });
   auto leader = rig.leader();
   std::string behind;
--- a/src/testbench/fault_injection/rig.cpp
+++ b/src/testbench/fault_injection/rig.cpp
@@ -17,7 +17,7 @@
 
 }  // namespace
 
-Rig::Rig(RigOptions options) : options_(std::move(options)) {
+FaultHarness::FaultHarness(FaultHarnessOptions options) : options_(std::move(options)) {
   links_ = std::make_unique<Links>();
   for (std::size_t i = 0; i < options_.zones.size(); ++i) {
     auto& zone = options_.zones[i].name;
@@ -112,31 +112,31 @@
   if (!soon([&] { return !leader().empty(); })) throw std::runtime_error("no leader was elected");
 }
 
-Rig::~Rig() {
+FaultHarness::~FaultHarness() {
   for (auto& [name, p] : processes_) p.daemon.reset();
 }
 
-std::string Rig::folder(const std::string& name) const { return (fs::path(options_.folder) / name).string(); }
-std::string Rig::operator_file(const std::string& name) const { return folder(name) + "/operator.json"; }
+std::string FaultHarness::folder(const std::string& name) const { return (fs::path(options_.folder) / name).string(); }
+std::string FaultHarness::operator_file(const std::string& name) const { return folder(name) + "/operator.json"; }
 
-std::string Rig::log(const std::string& name) const {
+std::string FaultHarness::log(const std::string& name) const {
   auto& p = processes_.at(name);
   return p.earlier_log + (p.daemon ? p.daemon->log() : "");
 }
 
-std::vector<std::string> Rig::followers() const {
+std::vector<std::string> FaultHarness::followers() const {
   std::vector<std::string> names;
   for (int i = 1; i <= options_.followers; ++i) names.push_back(fmt::format("p{}", i));
   return names;
 }
 
-std::vector<std::string> Rig::all() const {
+std::vector<std::string> FaultHarness::all() const {
   auto names = voters_;
   for (auto& f : followers()) names.push_back(f);
   return names;
 }
 
-void Rig::start(const std::string& name) {
+void FaultHarness::start(const std::string& name) {
   auto& p = processes_.at(name);
   if (p.daemon) {
     p.earlier_log += p.daemon->log();
@@ -147,7 +147,7 @@
   p.daemon = std::make_unique<ProcessUnderTest>(p.options);
 }
 
-void Rig::launch(const std::vector<std::string>& names, const json& known) {
+void FaultHarness::launch(const std::vector<std::string>& names, const json& known) {
   for (auto& name : names) {
     auto& p = processes_.at(name);
     if (p.daemon) p.earlier_log += p.daemon->log();
@@ -161,7 +161,7 @@
   }
 }
 
-void Rig::kill(const std::string& name) {
+void FaultHarness::kill(const std::string& name) {
   auto& p = processes_.at(name);
   history_.add("kill", {{"node", name}});
   if (!p.daemon) return;
@@ -169,31 +169,31 @@
   p.daemon->wait();
 }
 
-void Rig::pause(const std::string& name) {
+void FaultHarness::pause(const std::string& name) {
   history_.add("pause", {{"node", name}});
   processes_.at(name).paused = true;
   processes_.at(name).daemon->signal(SIGSTOP);
 }
 
-void Rig::resume(const std::string& name) {
+void FaultHarness::resume(const std::string& name) {
   history_.add("resume", {{"node", name}});
   processes_.at(name).paused = false;
   if (processes_.at(name).daemon) processes_.at(name).daemon->signal(SIGCONT);
 }
 
-int Rig::terminate(const std::string& name) {
+int FaultHarness::terminate(const std::string& name) {
   history_.add("terminate", {{"node", name}});
   auto& d = processes_.at(name).daemon;
   d->signal(SIGTERM);
   return d->wait();
 }
 
-void Rig::empty_directory(const std::string& name) {
+void FaultHarness::empty_directory(const std::string& name) {
   history_.add("empty directory", {{"node", name}});
   fs::remove_all(folder(name) + "/state");
 }
 
-void Rig::tear_directory(const std::string& name) {
+void FaultHarness::tear_directory(const std::string& name) {
   history_.add("tear directory", {{"node", name}});
   auto path = folder(name) + "/state/group.db";
   // What is ahead of the file in its log would mend it.
@@ -205,42 +205,42 @@
   file << std::string(std::min<std::size_t>(size / 2, 4000), '\x5a');
 }
 
-void Rig::limit_files(const std::string& name, std::uint64_t bytes) {
+void FaultHarness::limit_files(const std::string& name, std::uint64_t bytes) {
   history_.add("limit files", {{"node", name}, {"bytes", bytes}});
   processes_.at(name).options.file_limit = bytes;
 }
 
-void Rig::slow_disk(const std::string& name, int ms) {
+void FaultHarness::slow_disk(const std::string& name, int ms) {
   history_.add("slow disk", {{"node", name}, {"ms", ms}});
   std::ofstream(folder(name) + "/slow") << ms;
 }
 
-bool Rig::running(const std::string& name) {
+bool FaultHarness::running(const std::string& name) {
   auto& d = processes_.at(name).daemon;
   return d && d->running();
 }
 
-void Rig::each_link(const std::function<bool(const std::string&, const std::string&)>& chosen,
+void FaultHarness::each_link(const std::function<bool(const std::string&, const std::string&)>& chosen,
                     LinkState state) {
   for (auto& [from, to] : linked_)
     if (chosen(from, to)) links_->set(from, to, state);
 }
 
-void Rig::cut(const std::string& a, const std::string& b) {
+void FaultHarness::cut(const std::string& a, const std::string& b) {
   history_.add("cut", {{"a", a}, {"b", b}});
   LinkState cut;
   cut.hold_there = cut.hold_back = true;
   each_link([&](auto& from, auto& to) { return (from == a && to == b) || (from == b && to == a); }, cut);
 }
 
-void Rig::isolate(const std::string& name) {
+void FaultHarness::isolate(const std::string& name) {
   history_.add("isolate", {{"node", name}});
   LinkState cut;
   cut.hold_there = cut.hold_back = true;
   each_link([&](auto& from, auto& to) { return from == name || to == name; }, cut);
 }
 
-void Rig::mute(const std::string& name) {
+void FaultHarness::mute(const std::string& name) {
   history_.add("mute", {{"node", name}});
   for (auto& [from, to] : linked_) {
     LinkState s;
@@ -250,7 +250,7 @@
   }
 }
 
-void Rig::deafen(const std::string& name) {
+void FaultHarness::deafen(const std::string& name) {
   history_.add("deafen", {{"node", name}});
   for (auto& [from, to] : linked_) {
     LinkState s;
@@ -260,7 +260,7 @@
   }
 }
 
-void Rig::shape(const std::string& from, const std::string& to, LinkState s) {
+void FaultHarness::shape(const std::string& from, const std::string& to, LinkState s) {
   history_.add("shape", {{"from", from},
                          {"to", to},
                          {"delay_ms", s.delay.count() / 1000},
@@ -269,13 +269,13 @@
   links_->set(from, to, s);
 }
 
-void Rig::reset_links(const std::string& name) {
+void FaultHarness::reset_links(const std::string& name) {
   history_.add("reset links", {{"node", name}});
   for (auto& [from, to] : linked_)
     if (from == name || to == name) links_->reset(from, to);
 }
 
-void Rig::heal() {
+void FaultHarness::heal() {
   history_.add("heal");
   each_link([](auto&, auto&) { return true; }, LinkState{});
   for (auto& a : options_.zones)
@@ -291,33 +291,33 @@
     }
 }
 
-LinkState Rig::between(const RigZone& a, const RigZone& b) const {
+LinkState FaultHarness::between(const HarnessZone& a, const HarnessZone& b) const {
   LinkState s;
   if (a.name != b.name) s.delay = a.region == b.region ? options_.near_delay : options_.far_delay;
   return s;
 }
 
-std::string Rig::region_of(const std::string& zone) const {
+std::string FaultHarness::region_of(const std::string& zone) const {
   for (auto& z : options_.zones)
     if (z.name == zone) return z.region;
   return "";
 }
 
-std::vector<std::string> Rig::in_zone(const std::string& zone) const {
+std::vector<std::string> FaultHarness::in_zone(const std::string& zone) const {
   std::vector<std::string> names;
   for (auto& name : all())
     if (zone_of(name) == zone) names.push_back(name);
   return names;
 }
 
-void Rig::cut_zone_way(const std::string& from, const std::string& to) {
+void FaultHarness::cut_zone_way(const std::string& from, const std::string& to) {
   history_.add("cut zone way", {{"from", from}, {"to", to}});
   LinkState cut;
   cut.hold_there = cut.hold_back = true;
   links_->set(from, to, cut);
 }
 
-void Rig::cut_zones(const std::string& a, const std::string& b) {
+void FaultHarness::cut_zones(const std::string& a, const std::string& b) {
   history_.add("cut zones", {{"a", a}, {"b", b}});
   LinkState cut;
   cut.hold_there = cut.hold_back = true;
@@ -330,17 +330,17 @@
       cut);
 }
 
-void Rig::isolate_zone(const std::string& zone) {
+void FaultHarness::isolate_zone(const std::string& zone) {
   for (auto& other : options_.zones)
     if (other.name != zone) cut_zones(zone, other.name);
 }
 
-json Rig::ask(const std::string& name, json request, int patience_ms) {
+json FaultHarness::ask(const std::string& name, json request, int patience_ms) {
   return app::FleetConnection(processes_.at(name).address, "lab", patience_ms)
       .send_request(std::move(request));
 }
 
-std::optional<json> Rig::status(const std::string& name, int patience_ms) {
+std::optional<json> FaultHarness::status(const std::string& name, int patience_ms) {
   auto& p = processes_.at(name);
   if (p.paused || !p.daemon || !p.daemon->running()) return std::nullopt;
   try {
@@ -351,7 +351,7 @@
   return std::nullopt;
 }
 
-std::string Rig::leader() {
+std::string FaultHarness::leader() {
   std::map<std::string, std::size_t> named;
   for (auto& name : voters_)
     if (auto s = status(name)) ++named[s->value("leader", "")];
@@ -361,7 +361,7 @@
   return "";
 }
 
-json Rig::owners() {
+json FaultHarness::owners() {
   json best;
   std::uint64_t newest = 0;
   for (auto& name : voters_) {
@@ -377,13 +377,13 @@
   return best;
 }
 
-std::string Rig::owner(const std::string& job) {
+std::string FaultHarness::owner(const std::string& job) {
   for (auto& o : owners())
     if (o.at("job") == job) return o.value("owner", "");
   return "";
 }
 
-bool Rig::soon(const std::function<bool()>& what, Micros patience) {
+bool FaultHarness::soon(const std::function<bool()>& what, Micros patience) {
   auto end = net::monotonic_now() + patience;
   while (true) {
     if (what()) return true;
--- a/src/testbench/fault_injection/rig.h
+++ b/src/testbench/fault_injection/rig.h
@@ -20,11 +20,11 @@
 
 using nlohmann::json;
 
-struct RigZone {
+struct HarnessZone {
   std::string name, region;
 };
 
-struct RigOptions {
+struct FaultHarnessOptions {
   std::string program, folder;
   int voters = 3, followers = 0;
   bool grouped = true;          // false: each proxy for itself, as without the section
@@ -36,7 +36,7 @@
   std::uint64_t seed = 1;
   // Processes, voters first, are dealt out over these in turn, and so are data servers; every connection from
   // a proxy to a data server takes the link of their zones. Empty: one place, and no such links.
-  std::vector<RigZone> zones;
+  std::vector<HarnessZone> zones;
   Micros near_delay{500}, far_delay{10'000};  // each way: between zones of a region, and of two
   Micros near_lag{5'000}, far_lag{40'000};    // of replicas, beside what all have
   std::vector<std::string> own_ways;  // processes whose ways to servers are no others': links (name, zone)
@@ -44,10 +44,10 @@
   double per_weight = 0;              // what a server of weight 1 bears, as the plan is told
 };
 
-class Rig {
+class FaultHarness {
  public:
-  explicit Rig(RigOptions options);  // throws std::runtime_error
-  ~Rig();
+  explicit FaultHarness(FaultHarnessOptions options);  // throws std::runtime_error
+  ~FaultHarness();
 
   const std::vector<std::string>& voters() const { return voters_; }
   std::vector<std::string> followers() const;
@@ -113,10 +113,10 @@
     std::string earlier_log;
     bool paused = false;
   };
-  LinkState between(const RigZone& a, const RigZone& b) const;
+  LinkState between(const HarnessZone& a, const HarnessZone& b) const;
   void each_link(const std::function<bool(const std::string&, const std::string&)>& chosen, LinkState state);
 
-  RigOptions options_;
+  FaultHarnessOptions options_;
   History history_;
   std::vector<std::string> voters_;
   std::unique_ptr<Links> links_;
--- a/src/testbench/fault_injection/script.cpp
+++ b/src/testbench/fault_injection/script.cpp
@@ -92,7 +92,7 @@
   return parse_script(text);
 }
 
-std::string play(Rig& rig, const Fault& fault, std::string* victim) {
+std::string play(FaultHarness& rig, const Fault& fault, std::string* victim) {
   std::string first, words;
   auto all = rig.all();
   auto who = [&](const std::string& name) {
--- a/src/testbench/fault_injection/zones.cpp
+++ b/src/testbench/fault_injection/zones.cpp
@@ -25,11 +25,11 @@
 
 struct Loss {
   std::string name;
-  std::function<void(Rig&)> begin, end;
+  std::function<void(FaultHarness&)> begin, end;
   double load = 1;  // of the usual, while it lasts
 };
 
-void steer_zone(Rig& rig, const char* what, const std::string& zone, json more = json::object()) {
+void steer_zone(FaultHarness& rig, const char* what, const std::string& zone, json more = json::object()) {
   more["do"] = what;
   more["zone"] = zone;
   rig.stand_in().steer(more);
@@ -39,25 +39,25 @@
 // The zones are a and b in the north, c in the south; b is the one that is lost. The primary stands in a.
 const std::vector<Loss>& losses() {
   static const std::vector<Loss> all{
-      {"dies", [](Rig& r) { steer_zone(r, "kill", "b"); }, [](Rig& r) { steer_zone(r, "start", "b"); }},
-      {"hangs", [](Rig& r) { steer_zone(r, "silence", "b"); }, [](Rig& r) { steer_zone(r, "speak", "b"); }},
+      {"dies", [](FaultHarness& r) { steer_zone(r, "kill", "b"); }, [](FaultHarness& r) { steer_zone(r, "start", "b"); }},
+      {"hangs", [](FaultHarness& r) { steer_zone(r, "silence", "b"); }, [](FaultHarness& r) { steer_zone(r, "speak", "b"); }},
       {"slow",
-       [](Rig& r) {
+       [](FaultHarness& r) {
          steer_zone(r, "slow", "b", {{"times", 10}});
        },
-       [](Rig& r) {
+       [](FaultHarness& r) {
          steer_zone(r, "slow", "b", {{"times", 1}});
        }},
       {"fails",
-       [](Rig& r) {
+       [](FaultHarness& r) {
          steer_zone(r, "fail", "b", {{"share", 0.2}});
        },
-       [](Rig& r) {
+       [](FaultHarness& r) {
          steer_zone(r, "fail", "b", {{"share", 0}});
        }},
-      {"cut", [](Rig& r) { r.isolate_zone("b"); }, [](Rig& r) { r.heal(); }},
-      {"dies, half as much load again", [](Rig& r) { steer_zone(r, "kill", "b"); },
-       [](Rig& r) { steer_zone(r, "start", "b"); }, 1.5}};
+      {"cut", [](FaultHarness& r) { r.isolate_zone("b"); }, [](FaultHarness& r) { r.heal(); }},
+      {"dies, half as much load again", [](FaultHarness& r) { steer_zone(r, "kill", "b"); },
+       [](FaultHarness& r) { steer_zone(r, "start", "b"); }, 1.5}};
   return all;
 }
 
@@ -67,7 +67,7 @@
 };
 
 json run_one(const ExperimentOptions& options, const Loss& loss, bool common, int index) {
-  RigOptions o;
+  FaultHarnessOptions o;
   o.program = options.program;
   o.folder = fmt::format("{}/{}-{}", options.folder, index, common ? "common" : "alone");
   o.voters = 3;
@@ -85,7 +85,7 @@
   o.stand_in.model.warm_up = kWarmUp;
   o.stand_in.model.fall_inside = 80;
   o.settings = {{"Guarantees", {{"WarmUpMs", static_cast<double>(kWarmUp.count()) / 1000}}}};
-  Rig rig(o);
+  FaultHarness rig(o);
   if (!rig.soon([&] {
         auto owners = rig.owners();
         auto owned = [&](const std::string& job) {
@@ -236,7 +236,7 @@
 json run_zones_cost(const ExperimentOptions& options) {
   json rows = json::array();
   for (bool planned : {false, true}) {
-    RigOptions o;
+    FaultHarnessOptions o;
     o.program = options.program;
     o.folder = fmt::format("{}/{}", options.folder, planned ? "planned" : "alone");
     o.voters = 3;
@@ -249,7 +249,7 @@
     o.stand_in.sets = 20;
     o.stand_in.replicas = 5;
     o.stand_in.seed = options.seed;
-    Rig rig(o);
+    FaultHarness rig(o);
     if (!rig.soon([&] { return rig.owners().size() >= (planned ? 22u : 21u); }))
       throw std::runtime_error("the jobs found no owners");
     const auto names = rig.all();
--- a/tests/group/processes_test.cpp
+++ b/tests/group/processes_test.cpp
@@ -19,17 +19,17 @@
 
 struct Fleet {
   explicit Fleet(
-      int voters = 3, int followers = 0, std::function<void(RigOptions&)> change = [](auto&) {}) {
-    RigOptions o;
+      int voters = 3, int followers = 0, std::function<void(FaultHarnessOptions&)> change = [](auto&) {}) {
+    FaultHarnessOptions o;
     o.program = DATABASE_PROXY_PROGRAM;
     o.folder = scratch.path();
     o.voters = voters;
     o.followers = followers;
     change(o);
-    rig = std::make_unique<Rig>(o);
+    rig = std::make_unique<FaultHarness>(o);
   }
-  Rig* operator->() { return rig.get(); }
-  Rig& operator*() { return *rig; }
+  FaultHarness* operator->() { return rig.get(); }
+  FaultHarness& operator*() { return *rig; }
 
   bool put(const std::string& key, const std::string& value) {
     return rig->soon([&] {
@@ -102,7 +102,7 @@
   }
 
   TemporaryDirectory scratch;
-  std::unique_ptr<Rig> rig;
+  std::unique_ptr<FaultHarness> rig;
 };
 
 std::size_t times(const std::string& text, const std::string& what) {
@@ -264,7 +264,7 @@
 }
 
 TEST_CASE("group: without a majority nothing is granted, owners stop in time, and proxies serve on") {
-  Fleet f(3, 1, [](RigOptions& o) { o.group = {{"fallback_ms", 1500}}; });
+  Fleet f(3, 1, [](FaultHarnessOptions& o) { o.group = {{"fallback_ms", 1500}}; });
   REQUIRE(f.owned("list"));
   REQUIRE(f.owned("probe 1"));
   auto one = f->owner("list");
@@ -383,7 +383,7 @@
 }
 
 TEST_CASE("group: killed in the middle of writes, snapshots and changes of members, it comes back whole") {
-  Fleet f(3, 0, [](RigOptions& o) { o.group = {{"jobs", json::array()}}; });
+  Fleet f(3, 0, [](FaultHarnessOptions& o) { o.group = {{"jobs", json::array()}}; });
   f.fill(900);
   std::atomic<bool> stop{false};
   std::atomic<int> acknowledged{0};
@@ -555,7 +555,7 @@
 
 TEST_CASE("group: a follower far behind, and dozens that come back at once, are fed whole") {
   // They were away for longer than they would wait for word of the list.
-  Fleet f(3, 24, [](RigOptions& o) { o.group = {{"fallback_ms", 1500}}; });
+  Fleet f(3, 24, [](FaultHarnessOptions& o) { o.group = {{"fallback_ms", 1500}}; });
   REQUIRE(f.owned("list"));
   auto alone = [&] {
     std::size_t n = 0;
@@ -660,7 +660,7 @@
 TEST_CASE(
     "group: all start at once and know nothing, without a majority: one voter asks the list service for "
     "all") {
-  Fleet f(3, 12, [](RigOptions& o) { o.group = {{"fallback_ms", 1500}}; });
+  Fleet f(3, 12, [](FaultHarnessOptions& o) { o.group = {{"fallback_ms", 1500}}; });
   REQUIRE(f.owned("list"));
   REQUIRE(f->soon([&] {
     auto s = f->status("n1");
@@ -719,7 +719,7 @@
 
 TEST_CASE("group: an owner that holds the lease but does no work is relieved") {
   // The list service is out of reach of one process only: its owner hears nothing of it.
-  Fleet f(3, 0, [](RigOptions& o) { o.group = {{"lease_ms", 1300}}; });
+  Fleet f(3, 0, [](FaultHarnessOptions& o) { o.group = {{"lease_ms", 1300}}; });
   REQUIRE(f.owned("list"));
   f->stand_in().steer({{"do", "discovery"}, {"mute", true}});
   auto owner = f->owner("list");
--- a/tests/group/zones_test.cpp
+++ b/tests/group/zones_test.cpp
@@ -20,8 +20,8 @@
 // Voters n1 and n2 stand in a and b, n3 in c; proxies p1 to p6 in turn in a, b, c. One set: its primary and
 // two replicas in a, three replicas in b and in c.
 struct Zones {
-  explicit Zones(std::function<void(RigOptions&)> change = [](auto&) {}) {
-    RigOptions o;
+  explicit Zones(std::function<void(FaultHarnessOptions&)> change = [](auto&) {}) {
+    FaultHarnessOptions o;
     o.program = DATABASE_PROXY_PROGRAM;
     o.folder = scratch.path();
     o.voters = 3;
@@ -36,14 +36,14 @@
     o.stand_in.model.warm_up = 4s;
     o.settings = {{"Guarantees", {{"WarmUpMs", 4000.0}}}};
     change(o);
-    rig = std::make_unique<Rig>(o);
+    rig = std::make_unique<FaultHarness>(o);
     REQUIRE(rig->soon([&] { return !rig->owner("placement").empty() && !rig->owner("list").empty(); },
                       kPatience));
   }
   // Shorter than shipped, so that a test is not all waiting.
   static json quick() { return {{"dwell_ms", 3000}, {"open_after_ms", 1500}, {"step_ms", 500}}; }
   ~Zones() { end_load(); }
-  Rig* operator->() { return rig.get(); }
+  FaultHarness* operator->() { return rig.get(); }
 
   // Some load at every proxy until end_load().
   void load(double rate_each = 30) {
@@ -160,7 +160,7 @@
   }
 
   TemporaryDirectory scratch;
-  std::unique_ptr<Rig> rig;
+  std::unique_ptr<FaultHarness> rig;
   std::vector<std::thread> loads;
   std::atomic<bool> stop{false};
   std::mutex mutex;
@@ -207,7 +207,7 @@
 }
 
 TEST_CASE("zones: one request in five that fails, or one proxy that sees all as dead, closes nothing") {
-  Zones z([](RigOptions& o) { o.own_ways = {"p1"}; });
+  Zones z([](FaultHarnessOptions& o) { o.own_ways = {"p1"}; });
   z.load();
   REQUIRE(z.ready());
   z.servers("fail", "b", {{"share", 0.2}});
@@ -248,7 +248,7 @@
 }
 
 TEST_CASE("zones: a zone cut from the others serves its own on, follows the last plan, then goes on alone") {
-  Zones z([](RigOptions& o) { o.group["placement"]["keep_ms"] = 3000; });
+  Zones z([](FaultHarnessOptions& o) { o.group["placement"]["keep_ms"] = 3000; });
   z.load();
   REQUIRE(z.ready());
   REQUIRE(z.all_follow(z->voters()));
@@ -352,7 +352,7 @@
 }
 
 TEST_CASE("zones: two lost in turn, the second while the first returns cold, and no cold server falls") {
-  Zones z([](RigOptions& o) { o.stand_in.model.fall_inside = 40; });
+  Zones z([](FaultHarnessOptions& o) { o.stand_in.model.fall_inside = 40; });
   z.load(20);
   REQUIRE(z.ready());
   z.servers("kill", "b");
@@ -369,7 +369,7 @@
 }
 
 TEST_CASE("zones: one that flaps every 2 s changes at most four times a minute") {
-  Zones z([](RigOptions& o) { o.group = json::object(); });  // the times as shipped
+  Zones z([](FaultHarnessOptions& o) { o.group = json::object(); });  // the times as shipped
   z.load();
   REQUIRE(z.ready());
   auto changes = [&] {
@@ -443,7 +443,7 @@
 }
 
 TEST_CASE("zones: what the rest cannot carry is refused near home and not pushed onto the next zone") {
-  Zones z([](RigOptions& o) { o.per_weight = 60; });
+  Zones z([](FaultHarnessOptions& o) { o.per_weight = 60; });
   z.load(40);
   REQUIRE(z.ready());
   CHECK(z.rig->soon([&] {
