--- a/src/testbench/fault_injection/coldstart.cpp
+++ b/src/testbench/fault_injection/coldstart.cpp
@@ -36,16 +36,16 @@
   o.followers = std::max(1, (options.processes > 0 ? options.processes : kProcesses) - o.voters);
   o.grouped = mode == "group";
   o.seed = options.seed;
-  o.stand_in.sets = 4;
-  o.stand_in.replicas = 2;
-  o.stand_in.threads = 2;
-  o.stand_in.seed = options.seed;
-  o.stand_in.list_cost = service.cost;
-  o.stand_in.list_cap = service.cap;
-  o.stand_in.model.cores = 2;
-  o.stand_in.model.service_us = 1000;
-  o.stand_in.model.warm_up = kWarmUp;
-  o.stand_in.model.fall_inside = 100;
+  o.fake_servers.sets = 4;
+  o.fake_servers.replicas = 2;
+  o.fake_servers.threads = 2;
+  o.fake_servers.seed = options.seed;
+  o.fake_servers.list_cost = service.cost;
+  o.fake_servers.list_cap = service.cap;
+  o.fake_servers.model.cores = 2;
+  o.fake_servers.model.service_us = 1000;
+  o.fake_servers.model.warm_up = kWarmUp;
+  o.fake_servers.model.fall_inside = 100;
   o.settings = {{"Guarantees", {{"WarmUpMs", static_cast<double>(kWarmUp.count()) / 1000}}}};
   o.start = false;
   FaultHarness rig(o);
@@ -53,27 +53,27 @@
   if (o.grouped) {
     for (auto& name : rig.voters()) rig.start(name);
     json ids = json::array();
-    for (auto& name : rig.voters()) ids.push_back(rig.ask(name, {{"do", "identify"}}, 5000).at("id"));
-    for (auto& name : rig.voters()) rig.ask(name, {{"do", "bootstrap"}, {"voters", ids}}, 5000);
-    if (!rig.soon([&] { return !rig.leader().empty(); })) throw std::runtime_error("no leader was elected");
+    for (auto& name : rig.voters()) ids.push_back(rig.send_command(name, {{"do", "identify"}}, 5000).at("id"));
+    for (auto& name : rig.voters()) rig.send_command(name, {{"do", "bootstrap"}, {"voters", ids}}, 5000);
+    if (!rig.wait_until([&] { return !rig.leader().empty(); })) throw std::runtime_error("no leader was elected");
     for (auto& name : rig.voters()) rig.kill(name);
   }
-  for (auto& id : rig.stand_in().servers()) {  // cold, and the list says so
-    rig.stand_in().steer({{"do", "kill"}, {"server", id}});
-    rig.stand_in().steer({{"do", "start"}, {"server", id}});
+  for (auto& id : rig.fake_servers().servers()) {  // cold, and the list says so
+    rig.fake_servers().steer({{"do", "kill"}, {"server", id}});
+    rig.fake_servers().steer({{"do", "start"}, {"server", id}});
   }
-  auto before = rig.stand_in().report();
+  auto before = rig.fake_servers().report();
   auto began = net::monotonic_now();
   const auto names = rig.all();
   std::atomic<bool> stop{false};
   double handshakes = 0, probes = 0;
   std::thread sampler([&] {
     std::map<std::string, std::uint64_t> opened, probed;
-    for (auto& [id, f] : rig.stand_in().figures()) opened[id] = f.opened, probed[id] = f.probes;
+    for (auto& [id, f] : rig.fake_servers().figures()) opened[id] = f.opened, probed[id] = f.probes;
     auto first = probed;
     while (!stop) {
       std::this_thread::sleep_for(kSample);
-      auto figures = rig.stand_in().figures();
+      auto figures = rig.fake_servers().figures();
       for (auto& [id, f] : figures) {
         handshakes = std::max(handshakes, static_cast<double>(f.opened - opened[id]));
         opened[id] = f.opened;
@@ -101,7 +101,7 @@
       l.sets = {1, 2, 3, 4};
       l.seed = options.seed * 1000 + i;
       l.prefix = fmt::format("c{}-", i);
-      l.rules = &rig.stand_in().rules();
+      l.rules = &rig.fake_servers().rules();
       auto f = run_load(l);
       std::lock_guard lock(mutex);
       sum.add(f);
@@ -121,7 +121,7 @@
         0.0, first_served[static_cast<std::size_t>(share * static_cast<double>(first_served.size() - 1))]);
   };
   std::uint64_t peak = 0, calls = 0;
-  for (auto& [second, n] : rig.stand_in().list_calls_by_second()) {
+  for (auto& [second, n] : rig.fake_servers().list_calls_by_second()) {
     if (second < began / Micros(1'000'000)) continue;
     peak = std::max(peak, n);
     calls += n;
@@ -137,12 +137,12 @@
     if (later_asked > 0 && later_served / later_asked < 0.99) break;
     service_s = static_cast<double>((Micros(500'000) * it->first - began).count()) / 1e6;
   }
-  auto report = rig.stand_in().report();
+  auto report = rig.fake_servers().report();
   int falls = 0;
   std::uint64_t wrong = 0;
-  for (auto& [id, f] : rig.stand_in().figures()) falls += f.falls, wrong += f.not_primary + f.too_old;
+  for (auto& [id, f] : rig.fake_servers().figures()) falls += f.falls, wrong += f.not_primary + f.too_old;
   double drain = -1;
-  for (auto& [name, ms] : rig.stand_in().rules().drain_last_send_ms()) drain = std::max(drain, ms);
+  for (auto& [name, ms] : rig.fake_servers().rules().drain_last_send_ms()) drain = std::max(drain, ms);
   if (!options.history.empty()) rig.history().write(options.history);
   auto grown = [&](const char* key) {
     return report.at(key).get<std::uint64_t>() - before.at(key).get<std::uint64_t>();
@@ -165,7 +165,7 @@
           {"served_share_first_30s", asked > 0 ? served / asked : 0},
           {"wrong_routes", wrong},
           {"drain_last_send_ms", drain},
-          {"rule_breaches", rig.stand_in().rules().total()},
+          {"rule_breaches", rig.fake_servers().rules().total()},
           {"breaches", report.at("breaches")}};
 }
 
--- a/src/testbench/fault_injection/experiments.cpp
+++ b/src/testbench/fault_injection/experiments.cpp
@@ -60,9 +60,9 @@
       json answer;
       Operation o;
       o.called = rig_.history().now();
-      rig_.soon([&] {
+      rig_.wait_until([&] {
         try {
-          answer = rig_.ask(rig_.leader(), {{"do", "get"}, {"key", key}}, 2000);
+          answer = rig_.send_command(rig_.leader(), {{"do", "get"}, {"key", key}}, 2000);
         } catch (const std::exception&) {
           return false;
         }
@@ -231,12 +231,12 @@
       rig.resume(victim);
       return "stopped for 2 s";
     case 4:
-      rig.mute(victim);
+      rig.block_outgoing(victim);
       pause_for(draw.span(1000, jobs ? 4500 : 2500));
       rig.heal();
       return "heard by none";
     case 5:
-      rig.deafen(victim);
+      rig.block_incoming(victim);
       pause_for(draw.span(1000, 2500));
       rig.heal();
       return "hears none";
@@ -278,7 +278,7 @@
     case 11: {
       if (jobs) {
         // What the owner said to one of the others comes only once somebody else owns its jobs.
-        auto owner = rig.owner("list"), leader = rig.leader();
+        auto owner = rig.lease_holder("list"), leader = rig.leader();
         if (owner.empty() || !std::count(voters.begin(), voters.end(), owner)) owner = victim;
         std::string third;
         for (auto& name : voters)
@@ -288,9 +288,9 @@
         rig.shape(owner, third, held);
         pause_for(700ms);
         rig.terminate(owner);
-        rig.soon(
+        rig.wait_until(
             [&] {
-              auto now = rig.owner("list");
+              auto now = rig.lease_holder("list");
               return !now.empty() && now != owner;
             },
             Micros(1'200'000));
@@ -298,9 +298,9 @@
         rig.start(owner);
         return "effects come late";
       }
-      rig.slow_disk(victim, 1000);
+      rig.set_sync_delay(victim, 1000);
       pause_for(draw.span(1000, 2500));
-      rig.slow_disk(victim, 0);
+      rig.set_sync_delay(victim, 0);
       return "slow disk";
     }
     default: {
@@ -320,7 +320,7 @@
 
 // All links well, all processes up: waits until the nodes have the same state and one leader.
 bool settled(FaultHarness& rig) {
-  return rig.soon(
+  return rig.wait_until(
       [&] {
         std::set<std::uint64_t> applied;
         for (auto& name : rig.all()) {
@@ -367,7 +367,7 @@
     if (counted && again) leaderless.push_back(ms);
     rig.history().add("fault over",
                       {{"fault", what}, {"node", victim}, {"led", victim == leader}, {"until_write_ms", ms}});
-    if (!rig.soon([&] { return !rig.leader().empty(); }, kSettled)) ++stuck;
+    if (!rig.wait_until([&] { return !rig.leader().empty(); }, kSettled)) ++stuck;
   }
   clients.stop();
   bool agreed = settled(rig);
@@ -397,18 +397,18 @@
   o.voters = 3;
   o.followers = std::max(1, (options.processes > 0 ? options.processes : 9) - o.voters);
   o.seed = options.seed;
-  o.stand_in.sets = 3;
-  o.stand_in.seed = options.seed;
+  o.fake_servers.sets = 3;
+  o.fake_servers.seed = options.seed;
   FaultHarness rig(o);
   const std::vector<std::string> jobs{"list", "probe 1", "probe 2", "probe 3"};
   auto all_owned = [&] {
-    auto owners = rig.owners();
+    auto owners = rig.lease_holders();
     return std::all_of(jobs.begin(), jobs.end(), [&](auto& job) {
       return std::any_of(owners.begin(), owners.end(),
                          [&](auto& x) { return x.at("job") == job && x.value("owner", "") != ""; });
     });
   };
-  if (!rig.soon(all_owned)) throw std::runtime_error("the jobs found no owners");
+  if (!rig.wait_until(all_owned)) throw std::runtime_error("the jobs found no owners");
   Sampler sampler(rig);
   std::vector<std::thread> loads;
   std::atomic<bool> stop{false};
@@ -426,7 +426,7 @@
         l.warm_up = Micros(0);
         l.sets = {1, 2, 3};
         l.seed = options.seed * 1000 + i * 100 + static_cast<std::uint64_t>(n);
-        l.rules = &rig.stand_in().rules();
+        l.rules = &rig.fake_servers().rules();
         l.prefix = fmt::format("o{}-{}-", i, n);
         try {
           auto f = run_load(l);
@@ -444,13 +444,13 @@
   const int faults = options.script.empty() ? options.faults : static_cast<int>(options.script.size());
   for (int i = 0; i < faults; ++i) {
     auto job = draw.of(jobs);
-    auto victim = rig.owner(job);
+    auto victim = rig.lease_holder(job);
     if (victim.empty() || !std::count(rig.voters().begin(), rig.voters().end(), victim))
       victim = draw.of(rig.voters());
     auto what = options.script.empty() ? one_fault(rig, draw, victim, true)
                                        : play(rig, options.script[static_cast<std::size_t>(i)], &victim);
     auto at = net::monotonic_now();
-    if (!rig.soon([&] { return !rig.leader().empty() && all_owned(); }, kSettled)) ++taken_over_late;
+    if (!rig.wait_until([&] { return !rig.leader().empty() && all_owned(); }, kSettled)) ++taken_over_late;
     until_owned.push_back(static_cast<double>((net::monotonic_now() - at).count()) / 1000);
     rig.history().add("fault over", {{"fault", what}, {"node", victim}, {"job", job}});
     if (i % 10 == 9) {
@@ -464,14 +464,14 @@
             least = std::min(least, s->value("list_generation", std::int64_t{0}));
         return least;
       };
-      auto list = rig.stand_in().members().at("generation").get<std::int64_t>();
-      rig.stand_in().steer({{"do", "drain"}, {"server", server}});
+      auto list = rig.fake_servers().members().at("generation").get<std::int64_t>();
+      rig.fake_servers().steer({{"do", "drain"}, {"server", server}});
       rig.history().add("drain", {{"server", server}});
-      rig.soon([&] { return generation() > list; });
+      rig.wait_until([&] { return generation() > list; });
       pause_for(1500ms);
-      for (auto& [name, ms] : rig.stand_in().rules().drain_last_send_ms()) drain_ms = std::max(drain_ms, ms);
-      rig.stand_in().steer({{"do", "up"}, {"server", server}});
-      rig.soon([&] { return generation() > list + 1; });
+      for (auto& [name, ms] : rig.fake_servers().rules().drain_last_send_ms()) drain_ms = std::max(drain_ms, ms);
+      rig.fake_servers().steer({{"do", "up"}, {"server", server}});
+      rig.wait_until([&] { return generation() > list + 1; });
     }
   }
   stop = true;
@@ -485,7 +485,7 @@
   }
   for (auto& name : rig.all()) attempted += count_in(rig.log(name), "turned down");
   moves = count_in(rig.log("n1"), "is granted to");
-  auto report = rig.stand_in().report();
+  auto report = rig.fake_servers().report();
   double seconds = static_cast<double>(rig.history().now().count()) / 1e6, probes = 0;
   for (auto& [id, s] : report.at("servers").items()) probes += s.at("probes").get<double>();
   if (!options.history.empty()) rig.history().write(options.history);
@@ -512,7 +512,7 @@
           {"whole_list_calls", report.at("whole_list_calls")},
           {"probes_per_server_per_s", probes / static_cast<double>(report.at("servers").size()) / seconds},
           {"drain_last_send_ms", drain_ms},
-          {"rule_breaches", rig.stand_in().rules().total()},
+          {"rule_breaches", rig.fake_servers().rules().total()},
           {"breaches", breaches}};
 }
 
@@ -527,20 +527,20 @@
     o.followers = processes - 3;
     o.grouped = grouped;
     o.seed = options.seed;
-    o.stand_in.sets = 3;
-    o.stand_in.seed = options.seed;
-    o.stand_in.threads = 2;
+    o.fake_servers.sets = 3;
+    o.fake_servers.seed = options.seed;
+    o.fake_servers.threads = 2;
     // Data servers that do not say whether a read was too old: only positions do, and probes bring them.
     if (options.lag_ms > 0) {
-      o.stand_in.model.check_age = false;
-      o.stand_in.model.lag = Micros(options.lag_ms * 1000);
+      o.fake_servers.model.check_age = false;
+      o.fake_servers.model.lag = Micros(options.lag_ms * 1000);
       o.settings = {{"FamilyInfo", {{"Behind", "off"}, {"Positions", false}}}};
     }
     FaultHarness rig(o);
-    if (grouped && !rig.soon([&] { return rig.owners().size() >= 4; }))
+    if (grouped && !rig.wait_until([&] { return rig.lease_holders().size() >= 4; }))
       throw std::runtime_error("the jobs found no owners");
     pause_for(2s);
-    auto before = rig.stand_in().report();
+    auto before = rig.fake_servers().report();
     auto cpu = [&] {
       double seconds = 0;
       for (auto& name : rig.all()) seconds += rig.daemon(name)->usage().cpu_seconds;
@@ -563,7 +563,7 @@
         l.warm_up = Micros(0);
         l.sets = {1, 2, 3};
         l.seed = options.seed * 1000 + i;
-        l.rules = &rig.stand_in().rules();
+        l.rules = &rig.fake_servers().rules();
         l.prefix = fmt::format("s{}-", i);
         auto f = run_load(l);
         std::lock_guard lock(mutex);
@@ -571,7 +571,7 @@
       });
     for (auto& t : loads) t.join();
     double seconds = static_cast<double>((net::monotonic_now() - began).count()) / 1e6;
-    auto after = rig.stand_in().report();
+    auto after = rig.fake_servers().report();
     auto cpu_after = cpu();
     double probes = 0, rss = 0;
     for (auto& [id, s] : after.at("servers").items())
@@ -596,7 +596,7 @@
          {"probes_per_server_per_s", probes / static_cast<double>(after.at("servers").size()) / seconds},
          {"cpu_seconds_all", cpu_after - cpu_before},
          {"rss_mb_most", rss},
-         {"rule_breaches", rig.stand_in().rules().total()}});
+         {"rule_breaches", rig.fake_servers().rules().total()}});
   }
   return rows;
 }
@@ -609,7 +609,7 @@
   o.followers = std::max(1, (options.processes > 0 ? options.processes : 303) - o.voters);
   o.seed = options.seed;
   FaultHarness rig(o);
-  rig.soon([&] { return !rig.owner("list").empty(); });
+  rig.wait_until([&] { return !rig.lease_holder("list").empty(); });
   auto leader = rig.leader();
   std::string behind;
   for (auto& name : rig.voters())
@@ -617,7 +617,7 @@
   auto since = [](Micros began) {
     return static_cast<double>((net::monotonic_now() - began).count()) / 1000;
   };
-  auto calls = rig.stand_in().report().at("list_calls").get<std::uint64_t>();
+  auto calls = rig.fake_servers().report().at("list_calls").get<std::uint64_t>();
   for (auto& name : rig.followers()) rig.pause(name);
   rig.kill(behind);
   int entries = options.faults * 100;
@@ -643,7 +643,7 @@
   auto applied = rig.status(leader, 5000)->at("applied").get<std::uint64_t>();
   began = net::monotonic_now();
   rig.start(behind);
-  bool caught_up = rig.soon(
+  bool caught_up = rig.wait_until(
       [&] {
         auto s = rig.status(behind, 5000);
         return s && s->at("applied").get<std::uint64_t>() >= applied;
@@ -658,7 +658,7 @@
       if (auto s = rig.status(name, 5000)) count += s->at("followers").get<std::uint64_t>();
     return count == rig.followers().size();
   };
-  bool all = rig.soon(fed, kSettled);
+  bool all = rig.wait_until(fed, kSettled);
   auto all_ms = since(began);
   auto s = rig.status(leader, 5000);
   return {{"seed", options.seed},
@@ -670,7 +670,7 @@
           {"voter_caught_up_ms", caught_up_ms},
           {"followers_back", all},
           {"followers_back_ms", all_ms},
-          {"list_calls_meanwhile", rig.stand_in().report().at("list_calls").get<std::uint64_t>() - calls},
+          {"list_calls_meanwhile", rig.fake_servers().report().at("list_calls").get<std::uint64_t>() - calls},
           {"leader_held", rig.leader() == leader},
           {"term", s ? s->at("term").get<std::uint64_t>() : 0},
           {"leader_rss_mb", rig.daemon(leader)->usage().rss_mb}};
--- a/src/testbench/fault_injection/links.cpp
+++ b/src/testbench/fault_injection/links.cpp
@@ -67,7 +67,7 @@
   net::Address target;
   net::Fd listener;
   LinkState state;
-  std::uint64_t passed = 0;
+  std::uint64_t bytes_forwarded = 0;
   std::vector<std::unique_ptr<Pair>> pairs;
 };
 
@@ -163,7 +163,7 @@
     if (n < 0 && errno == EINTR) continue;
     if (n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK)) return true;
     if (n < 0) return false;
-    link.passed += static_cast<std::uint64_t>(n);
+    link.bytes_forwarded += static_cast<std::uint64_t>(n);
     way.held -= static_cast<std::size_t>(n);
     way.credit -= static_cast<double>(n);
     bytes.erase(0, static_cast<std::size_t>(n));
@@ -274,9 +274,9 @@
   });
 }
 
-std::uint64_t Links::passed(const std::string& from, const std::string& to) {
+std::uint64_t Links::bytes_forwarded(const std::string& from, const std::string& to) {
   std::uint64_t bytes = 0;
-  thread_.call([&] { bytes = link(from, to).passed; });
+  thread_.call([&] { bytes = link(from, to).bytes_forwarded; });
   return bytes;
 }
 
--- a/src/testbench/fault_injection/links.h
+++ b/src/testbench/fault_injection/links.h
@@ -39,7 +39,7 @@
   int add_front(const std::string& to, const std::string& address);
   void set(const std::string& from, const std::string& to, LinkState state);
   void reset(const std::string& from, const std::string& to);  // RST on all its connections, both ends
-  std::uint64_t passed(const std::string& from, const std::string& to);  // bytes
+  std::uint64_t bytes_forwarded(const std::string& from, const std::string& to);  // bytes
 
  private:
   struct Pair;
--- a/src/testbench/fault_injection/rig.cpp
+++ b/src/testbench/fault_injection/rig.cpp
@@ -25,16 +25,16 @@
     for (auto& other : options_.zones) links_->pair(zone, other.name);
   }
   if (!options_.zones.empty()) {
-    options_.stand_in.zones.clear();
-    for (auto& zone : options_.zones) options_.stand_in.zones.push_back(zone.name);
-    options_.stand_in.front = [this](const std::string& zone, int port) {
+    options_.fake_servers.zones.clear();
+    for (auto& zone : options_.zones) options_.fake_servers.zones.push_back(zone.name);
+    options_.fake_servers.front = [this](const std::string& zone, int port) {
       return fmt::format("127.0.0.1:{}", links_->add_front(zone, fmt::format("127.0.0.1:{}", port)));
     };
-    options_.stand_in.lag_between = [this](const std::string& a, const std::string& b) {
-      return a == b ? Micros(0) : region_of(a) == region_of(b) ? options_.near_lag : options_.far_lag;
+    options_.fake_servers.lag_between = [this](const std::string& a, const std::string& b) {
+      return a == b ? Micros(0) : region_of(a) == region_of(b) ? options_.intra_region_lag : options_.inter_region_lag;
     };
   }
-  stand_in_ = std::make_unique<FakeServers>(options_.stand_in);
+  fake_servers_ = std::make_unique<FakeServers>(options_.fake_servers);
   std::vector<std::string> names;
   for (int i = 1; i <= options_.voters; ++i) voters_.push_back(fmt::format("n{}", i));
   names = voters_;
@@ -53,22 +53,22 @@
       auto to = processes_[other].address;
       if (other != name && options_.grouped) {
         to = fmt::format("127.0.0.1:{}", links_->add(name, other, to));
-        linked_.emplace_back(name, other);
+        process_links_.emplace_back(name, other);
       }
       group["nodes"].push_back({{"name", other}, {"address", to}});
     }
     if (options_.placement) {
       json regions = json::object();
       for (auto& zone : options_.zones) regions[zone.region].push_back(zone.name);
-      group["placement"] = {{"regions", regions}, {"requests_per_weight", options_.per_weight}};
+      group["placement"] = {{"regions", regions}, {"requests_per_weight", options_.requests_per_weight}};
     }
     group.merge_patch(options_.group);
     fs::create_directories(folder(name));
     auto& d = p.options;
     d.program = options_.program;
     d.folder = folder(name);
-    d.discovery = stand_in_->discovery();
-    d.known = stand_in_->members();
+    d.discovery = fake_servers_->discovery();
+    d.known = fake_servers_->members();
     d.name = name;
     d.sockets = 512;
     d.memory_mb = 64;
@@ -83,7 +83,7 @@
       d.settings["Zone"] = p.zone;
       if (d.operator_file.is_null()) d.operator_file = json::object();
       auto source = fmt::format("127.0.{}.1", at + 1);
-      if (std::count(options_.own_ways.begin(), options_.own_ways.end(), name)) {
+      if (std::count(options_.own_sources.begin(), options_.own_sources.end(), name)) {
         source = fmt::format("127.1.{}.1", i + 1);
         links_->source(source, name);
         for (auto& zone : options_.zones) links_->pair(name, zone.name);
@@ -103,13 +103,13 @@
   heal();
   if (!options_.start) return;
   for (auto& name : names) start(name);
-  if (!options_.grouped || !options_.initialise) return;
+  if (!options_.grouped || !options_.bootstrap) return;
   json ids = json::array();
-  for (auto& name : voters_) ids.push_back(ask(name, {{"do", "identify"}}, 5000).at("id"));
+  for (auto& name : voters_) ids.push_back(send_command(name, {{"do", "identify"}}, 5000).at("id"));
   for (auto& name : voters_)
-    if (auto answer = ask(name, {{"do", "bootstrap"}, {"voters", ids}}, 5000); !answer.value("ok", false))
+    if (auto answer = send_command(name, {{"do", "bootstrap"}, {"voters", ids}}, 5000); !answer.value("ok", false))
       throw std::runtime_error(fmt::format("{} does not begin: {}", name, answer.value("why", "?")));
-  if (!soon([&] { return !leader().empty(); })) throw std::runtime_error("no leader was elected");
+  if (!wait_until([&] { return !leader().empty(); })) throw std::runtime_error("no leader was elected");
 }
 
 FaultHarness::~FaultHarness() {
@@ -193,7 +193,7 @@
   fs::remove_all(folder(name) + "/state");
 }
 
-void FaultHarness::tear_directory(const std::string& name) {
+void FaultHarness::corrupt_store(const std::string& name) {
   history_.add("tear directory", {{"node", name}});
   auto path = folder(name) + "/state/group.db";
   // What is ahead of the file in its log would mend it.
@@ -205,12 +205,12 @@
   file << std::string(std::min<std::size_t>(size / 2, 4000), '\x5a');
 }
 
-void FaultHarness::limit_files(const std::string& name, std::uint64_t bytes) {
+void FaultHarness::limit_file_size(const std::string& name, std::uint64_t bytes) {
   history_.add("limit files", {{"node", name}, {"bytes", bytes}});
   processes_.at(name).options.file_limit = bytes;
 }
 
-void FaultHarness::slow_disk(const std::string& name, int ms) {
+void FaultHarness::set_sync_delay(const std::string& name, int ms) {
   history_.add("slow disk", {{"node", name}, {"ms", ms}});
   std::ofstream(folder(name) + "/slow") << ms;
 }
@@ -220,29 +220,29 @@
   return d && d->running();
 }
 
-void FaultHarness::each_link(const std::function<bool(const std::string&, const std::string&)>& chosen,
+void FaultHarness::set_links(const std::function<bool(const std::string&, const std::string&)>& predicate,
                     LinkState state) {
-  for (auto& [from, to] : linked_)
-    if (chosen(from, to)) links_->set(from, to, state);
+  for (auto& [from, to] : process_links_)
+    if (predicate(from, to)) links_->set(from, to, state);
 }
 
 void FaultHarness::cut(const std::string& a, const std::string& b) {
   history_.add("cut", {{"a", a}, {"b", b}});
   LinkState cut;
   cut.hold_there = cut.hold_back = true;
-  each_link([&](auto& from, auto& to) { return (from == a && to == b) || (from == b && to == a); }, cut);
+  set_links([&](auto& from, auto& to) { return (from == a && to == b) || (from == b && to == a); }, cut);
 }
 
 void FaultHarness::isolate(const std::string& name) {
   history_.add("isolate", {{"node", name}});
   LinkState cut;
   cut.hold_there = cut.hold_back = true;
-  each_link([&](auto& from, auto& to) { return from == name || to == name; }, cut);
+  set_links([&](auto& from, auto& to) { return from == name || to == name; }, cut);
 }
 
-void FaultHarness::mute(const std::string& name) {
+void FaultHarness::block_outgoing(const std::string& name) {
   history_.add("mute", {{"node", name}});
-  for (auto& [from, to] : linked_) {
+  for (auto& [from, to] : process_links_) {
     LinkState s;
     if (from == name) s.hold_there = true;
     if (to == name) s.hold_back = true;
@@ -250,9 +250,9 @@
   }
 }
 
-void FaultHarness::deafen(const std::string& name) {
+void FaultHarness::block_incoming(const std::string& name) {
   history_.add("deafen", {{"node", name}});
-  for (auto& [from, to] : linked_) {
+  for (auto& [from, to] : process_links_) {
     LinkState s;
     if (from == name) s.hold_back = true;
     if (to == name) s.hold_there = true;
@@ -271,29 +271,29 @@
 
 void FaultHarness::reset_links(const std::string& name) {
   history_.add("reset links", {{"node", name}});
-  for (auto& [from, to] : linked_)
+  for (auto& [from, to] : process_links_)
     if (from == name || to == name) links_->reset(from, to);
 }
 
 void FaultHarness::heal() {
   history_.add("heal");
-  each_link([](auto&, auto&) { return true; }, LinkState{});
+  set_links([](auto&, auto&) { return true; }, LinkState{});
   for (auto& a : options_.zones)
-    for (auto& b : options_.zones) links_->set(a.name, b.name, between(a, b));
-  for (auto& name : options_.own_ways)
+    for (auto& b : options_.zones) links_->set(a.name, b.name, link_state_between(a, b));
+  for (auto& name : options_.own_sources)
     for (auto& b : options_.zones)
-      links_->set(name, b.name, between({zone_of(name), region_of(zone_of(name))}, b));
-  for (auto& [from, to] : linked_)
+      links_->set(name, b.name, link_state_between({zone_of(name), region_of(zone_of(name))}, b));
+  for (auto& [from, to] : process_links_)
     if (!options_.zones.empty() && zone_of(from) != zone_of(to)) {
       LinkState s;
-      s.delay = region_of(zone_of(from)) == region_of(zone_of(to)) ? options_.near_delay : options_.far_delay;
+      s.delay = region_of(zone_of(from)) == region_of(zone_of(to)) ? options_.intra_region_delay : options_.inter_region_delay;
       links_->set(from, to, s);
     }
 }
 
-LinkState FaultHarness::between(const HarnessZone& a, const HarnessZone& b) const {
+LinkState FaultHarness::link_state_between(const HarnessZone& a, const HarnessZone& b) const {
   LinkState s;
-  if (a.name != b.name) s.delay = a.region == b.region ? options_.near_delay : options_.far_delay;
+  if (a.name != b.name) s.delay = a.region == b.region ? options_.intra_region_delay : options_.inter_region_delay;
   return s;
 }
 
@@ -310,7 +310,7 @@
   return names;
 }
 
-void FaultHarness::cut_zone_way(const std::string& from, const std::string& to) {
+void FaultHarness::cut_zone_direction(const std::string& from, const std::string& to) {
   history_.add("cut zone way", {{"from", from}, {"to", to}});
   LinkState cut;
   cut.hold_there = cut.hold_back = true;
@@ -323,7 +323,7 @@
   cut.hold_there = cut.hold_back = true;
   links_->set(a, b, cut);
   links_->set(b, a, cut);
-  each_link(
+  set_links(
       [&](auto& from, auto& to) {
         return (zone_of(from) == a && zone_of(to) == b) || (zone_of(from) == b && zone_of(to) == a);
       },
@@ -335,16 +335,16 @@
     if (other.name != zone) cut_zones(zone, other.name);
 }
 
-json FaultHarness::ask(const std::string& name, json request, int patience_ms) {
-  return app::FleetConnection(processes_.at(name).address, "lab", patience_ms)
-      .send_request(std::move(request));
+json FaultHarness::send_command(const std::string& name, json command, int timeout_ms) {
+  return app::FleetConnection(processes_.at(name).address, "lab", timeout_ms)
+      .send_request(std::move(command));
 }
 
-std::optional<json> FaultHarness::status(const std::string& name, int patience_ms) {
+std::optional<json> FaultHarness::status(const std::string& name, int timeout_ms) {
   auto& p = processes_.at(name);
   if (p.paused || !p.daemon || !p.daemon->running()) return std::nullopt;
   try {
-    auto answer = ask(name, {{"do", "status"}}, patience_ms);
+    auto answer = send_command(name, {{"do", "status"}}, timeout_ms);
     if (answer.contains("status")) return answer.at("status");
   } catch (const std::runtime_error&) {
   }
@@ -361,32 +361,32 @@
   return "";
 }
 
-json FaultHarness::owners() {
-  json best;
-  std::uint64_t newest = 0;
+json FaultHarness::lease_holders() {
+  json newest_answer;
+  std::uint64_t newest_applied = 0;
   for (auto& name : voters_) {
     auto s = status(name);
-    if (!s || s->value("applied", std::uint64_t{0}) < newest) continue;
+    if (!s || s->value("applied", std::uint64_t{0}) < newest_applied) continue;
     try {
-      auto answer = ask(name, {{"do", "owners"}});
-      newest = s->value("applied", std::uint64_t{0});
-      best = answer.value("owners", json::array());
+      auto answer = send_command(name, {{"do", "owners"}});
+      newest_applied = s->value("applied", std::uint64_t{0});
+      newest_answer = answer.value("owners", json::array());
     } catch (const std::runtime_error&) {
     }
   }
-  return best;
+  return newest_answer;
 }
 
-std::string FaultHarness::owner(const std::string& job) {
-  for (auto& o : owners())
+std::string FaultHarness::lease_holder(const std::string& job) {
+  for (auto& o : lease_holders())
     if (o.at("job") == job) return o.value("owner", "");
   return "";
 }
 
-bool FaultHarness::soon(const std::function<bool()>& what, Micros patience) {
-  auto end = net::monotonic_now() + patience;
+bool FaultHarness::wait_until(const std::function<bool()>& condition, Micros timeout) {
+  auto end = net::monotonic_now() + timeout;
   while (true) {
-    if (what()) return true;
+    if (condition()) return true;
     if (net::monotonic_now() >= end) return false;
     std::this_thread::sleep_for(std::chrono::milliseconds(20));
   }
--- a/src/testbench/fault_injection/script.cpp
+++ b/src/testbench/fault_injection/script.cpp
@@ -92,18 +92,18 @@
   return parse_script(text);
 }
 
-std::string play(FaultHarness& rig, const Fault& fault, std::string* victim) {
+std::string play(FaultHarness& harness, const Fault& fault, std::string* victim) {
   std::string first, words;
-  auto all = rig.all();
+  auto all = harness.all();
   auto who = [&](const std::string& name) {
     std::string found = name;
-    if (name == "leader") found = rig.leader();
-    if (name.starts_with("owner ")) found = rig.owner(name.substr(6));
+    if (name == "leader") found = harness.leader();
+    if (name.starts_with("owner ")) found = harness.lease_holder(name.substr(6));
     if (name == "victim") found = first;
     if (name == "other") {
       found.clear();
-      auto leader = rig.leader();
-      for (auto& voter : rig.voters())
+      auto leader = harness.leader();
+      for (auto& voter : harness.voters())
         if (voter != first && (found.empty() || found == leader)) found = voter;
     }
     if (!std::count(all.begin(), all.end(), found))
@@ -115,30 +115,30 @@
     if (first.empty()) first = node;
     words += fmt::format("{}{}{}", words.empty() ? "" : ", ", s.what, s.node.empty() ? "" : " " + s.node);
     if (s.what == "wait") std::this_thread::sleep_for(std::chrono::milliseconds(s.ms));
-    if (s.what == "kill") rig.kill(node);
-    if (s.what == "start") rig.start(node);
-    if (s.what == "pause") rig.pause(node);
-    if (s.what == "resume") rig.resume(node);
-    if (s.what == "terminate") rig.terminate(node);
-    if (s.what == "empty") rig.empty_directory(node);
-    if (s.what == "tear") rig.tear_directory(node);
-    if (s.what == "limit-files") rig.limit_files(node, static_cast<std::uint64_t>(s.bytes));
-    if (s.what == "slow-disk") rig.slow_disk(node, static_cast<int>(s.ms));
-    if (s.what == "cut") rig.cut(node, to);
-    if (s.what == "mute") rig.mute(node);
-    if (s.what == "deafen") rig.deafen(node);
-    if (s.what == "isolate") rig.isolate(node);
-    if (s.what == "reset-links") rig.reset_links(node);
-    if (s.what == "heal") rig.heal();
-    if (s.what == "steer") rig.stand_in().steer(s.steer);
-    if (s.what == "settle" && !rig.soon([&] { return !rig.leader().empty(); }))
+    if (s.what == "kill") harness.kill(node);
+    if (s.what == "start") harness.start(node);
+    if (s.what == "pause") harness.pause(node);
+    if (s.what == "resume") harness.resume(node);
+    if (s.what == "terminate") harness.terminate(node);
+    if (s.what == "empty") harness.empty_directory(node);
+    if (s.what == "tear") harness.corrupt_store(node);
+    if (s.what == "limit-files") harness.limit_file_size(node, static_cast<std::uint64_t>(s.bytes));
+    if (s.what == "slow-disk") harness.set_sync_delay(node, static_cast<int>(s.ms));
+    if (s.what == "cut") harness.cut(node, to);
+    if (s.what == "mute") harness.block_outgoing(node);
+    if (s.what == "deafen") harness.block_incoming(node);
+    if (s.what == "isolate") harness.isolate(node);
+    if (s.what == "reset-links") harness.reset_links(node);
+    if (s.what == "heal") harness.heal();
+    if (s.what == "steer") harness.fake_servers().steer(s.steer);
+    if (s.what == "settle" && !harness.wait_until([&] { return !harness.leader().empty(); }))
       throw std::runtime_error("script: no leader was elected");
     if (s.what == "shape") {
       LinkState state;
       state.delay = Micros(s.ms * 1000);
       state.bytes_per_second = s.bytes;
       state.stall_after = s.stall_after;
-      rig.shape(node, to, state);
+      harness.shape(node, to, state);
     }
   }
   if (victim && !first.empty()) *victim = first;
--- a/src/testbench/fault_injection/script.h
+++ b/src/testbench/fault_injection/script.h
@@ -27,6 +27,6 @@
 Script read_script(const std::string& path);
 // Does one fault; returns it in words. `*victim`: its first node, as named when it began. Throws
 // std::runtime_error where a step names what is not there at that moment, after undoing nothing.
-std::string play(FaultHarness& rig, const Fault& fault, std::string* victim);
+std::string play(FaultHarness& harness, const Fault& fault, std::string* victim);
 
 }  // namespace database_proxy::testbench::faults
--- a/src/testbench/fault_injection/zones.cpp
+++ b/src/testbench/fault_injection/zones.cpp
@@ -32,7 +32,7 @@
 void steer_zone(FaultHarness& rig, const char* what, const std::string& zone, json more = json::object()) {
   more["do"] = what;
   more["zone"] = zone;
-  rig.stand_in().steer(more);
+  rig.fake_servers().steer(more);
   rig.history().add("servers", more);
 }
 
@@ -75,19 +75,19 @@
   o.seed = options.seed;
   o.zones = {{"a", "north"}, {"b", "north"}, {"c", "south"}};
   o.placement = common;
-  o.per_weight = kPerWeight;
-  o.stand_in.sets = 1;
-  o.stand_in.replicas = 8;
-  o.stand_in.seed = options.seed;
-  o.stand_in.model.cores = 1;
-  o.stand_in.model.service_us = kServiceUs;
-  o.stand_in.model.queue = 200;
-  o.stand_in.model.warm_up = kWarmUp;
-  o.stand_in.model.fall_inside = 80;
+  o.requests_per_weight = kPerWeight;
+  o.fake_servers.sets = 1;
+  o.fake_servers.replicas = 8;
+  o.fake_servers.seed = options.seed;
+  o.fake_servers.model.cores = 1;
+  o.fake_servers.model.service_us = kServiceUs;
+  o.fake_servers.model.queue = 200;
+  o.fake_servers.model.warm_up = kWarmUp;
+  o.fake_servers.model.fall_inside = 80;
   o.settings = {{"Guarantees", {{"WarmUpMs", static_cast<double>(kWarmUp.count()) / 1000}}}};
   FaultHarness rig(o);
-  if (!rig.soon([&] {
-        auto owners = rig.owners();
+  if (!rig.wait_until([&] {
+        auto owners = rig.lease_holders();
         auto owned = [&](const std::string& job) {
           return std::any_of(owners.begin(), owners.end(),
                              [&](auto& x) { return x.at("job") == job && x.value("owner", "") != ""; });
@@ -115,7 +115,7 @@
       l.warm_up = Micros(0);
       l.book = 0.05;
       l.seed = options.seed * 1000 + i + (from.count() > 0 ? 500 : 0);
-      l.rules = &rig.stand_in().rules();
+      l.rules = &rig.fake_servers().rules();
       l.prefix = fmt::format("z{}-{}-", i, from.count() > 0 ? 2 : 1);
       auto f = run_load(l);
       std::lock_guard lock(mutex);
@@ -134,7 +134,7 @@
       double now_far = 0, now_all = 0;
       for (auto& a : o.zones)
         for (auto& b : o.zones) {
-          auto bytes = static_cast<double>(rig.passed(a.name, b.name));
+          auto bytes = static_cast<double>(rig.bytes_forwarded(a.name, b.name));
           now_all += bytes;
           if (a.name != b.name) now_far += bytes;
         }
@@ -189,9 +189,9 @@
         far(samples[i].at - 1s, samples[i].at) > far_calm + 0.03)
       returned = samples[i].at;
   int falls = 0;
-  for (auto& [id, f] : rig.stand_in().figures()) falls += f.falls;
+  for (auto& [id, f] : rig.fake_servers().figures()) falls += f.falls;
   std::uint64_t stale = 0;
-  for (auto& b : rig.stand_in().rules().breaches()) stale += b.rule == Rule::kStale ? b.count : 0;
+  for (auto& b : rig.fake_servers().rules().breaches()) stale += b.rule == Rule::kStale ? b.count : 0;
   json series = json::array();
   for (auto& [at, n] : sum.series)
     series.push_back({static_cast<double>((at - faulty) * (kBin / Micros(1000))) / 1000, n.first, n.second});
@@ -214,8 +214,8 @@
       {"stale_reads", stale},
       {"refused_share", sum.asked ? static_cast<double>(sum.refused) / static_cast<double>(sum.asked) : 0},
       {"p99_ms", percentile(sum.all, 0.99) / 1000},
-      {"rule_breaches", rig.stand_in().rules().total()},
-      {"breaches", rig.stand_in().report().at("breaches")},
+      {"rule_breaches", rig.fake_servers().rules().total()},
+      {"breaches", rig.fake_servers().report().at("breaches")},
       {"series", series}};
 }
 
@@ -243,14 +243,14 @@
     o.followers = std::max(3, (options.processes > 0 ? options.processes : 300) - o.voters);
     o.seed = options.seed;
     o.zones = {{"a", "north"}, {"b", "north"}, {"c", "south"}};
-    o.near_delay = o.far_delay = Micros(0);
+    o.intra_region_delay = o.inter_region_delay = Micros(0);
     o.placement = planned;
-    o.per_weight = kPerWeight;
-    o.stand_in.sets = 20;
-    o.stand_in.replicas = 5;
-    o.stand_in.seed = options.seed;
+    o.requests_per_weight = kPerWeight;
+    o.fake_servers.sets = 20;
+    o.fake_servers.replicas = 5;
+    o.fake_servers.seed = options.seed;
     FaultHarness rig(o);
-    if (!rig.soon([&] { return rig.owners().size() >= (planned ? 22u : 21u); }))
+    if (!rig.wait_until([&] { return rig.lease_holders().size() >= (planned ? 22u : 21u); }))
       throw std::runtime_error("the jobs found no owners");
     const auto names = rig.all();
     const double rate = options.rate > 0 ? options.rate : 2;
@@ -267,7 +267,7 @@
         r.cpu += cpu;
         if (std::count(rig.voters().begin(), rig.voters().end(), name)) r.voters_cpu += cpu;
         for (auto& voter : rig.voters())
-          if (voter != name) r.bytes += static_cast<double>(rig.passed(name, voter));
+          if (voter != name) r.bytes += static_cast<double>(rig.bytes_forwarded(name, voter));
       }
       return r;
     };
--- a/tests/group/processes_test.cpp
+++ b/tests/group/processes_test.cpp
@@ -32,9 +32,9 @@
   FaultHarness& operator*() { return *rig; }
 
   bool put(const std::string& key, const std::string& value) {
-    return rig->soon([&] {
+    return rig->wait_until([&] {
       try {
-        return rig->ask(rig->leader(), {{"do", "put"}, {"key", key}, {"value", value}}).value("ok", false);
+        return rig->send_command(rig->leader(), {{"do", "put"}, {"key", key}, {"value", value}}).value("ok", false);
       } catch (const std::exception&) {
         return false;
       }
@@ -42,9 +42,9 @@
   }
   std::string get(const std::string& key) {
     std::string value = "(none)";
-    rig->soon([&] {
+    rig->wait_until([&] {
       try {
-        auto a = rig->ask(rig->leader(), {{"do", "get"}, {"key", key}});
+        auto a = rig->send_command(rig->leader(), {{"do", "get"}, {"key", key}});
         value = a.value("value", "");
         return a.value("ok", false);
       } catch (const std::exception&) {
@@ -54,7 +54,7 @@
     return value;
   }
   bool owned(const std::string& job) {
-    return rig->soon([&] { return !rig->owner(job).empty(); });
+    return rig->wait_until([&] { return !rig->lease_holder(job).empty(); });
   }
   // The group's leader has heard of it, so that its vote counts again.
   bool follows_or_leads(const std::string& name) {
@@ -120,7 +120,7 @@
   auto again = [&](const std::string& what, const std::string& old) {
     INFO(what);
     auto value = std::to_string(++n);
-    REQUIRE(f.rig->soon([&] { return f->leader() != old && !f->leader().empty(); }));
+    REQUIRE(f.rig->wait_until([&] { return f->leader() != old && !f->leader().empty(); }));
     CHECK(f.get("k") == std::to_string(n - 1));
     CHECK(f.put("k", value));
   };
@@ -134,11 +134,11 @@
     auto at = net::monotonic_now();
     f->pause(leader);
     if (span > 1s) again("stopped", leader);
-    f->soon([&] { return net::monotonic_now() - at > span; }, Micros(40'000'000));
+    f->wait_until([&] { return net::monotonic_now() - at > span; }, Micros(40'000'000));
     f->resume(leader);
     // It believes in itself at most until it hears that nobody answers; what it takes meanwhile is not
     // committed.
-    CHECK(f->soon([&] {
+    CHECK(f->wait_until([&] {
       auto s = f->status(leader);
       return s && !f->leader().empty() &&
              s->value("applied", std::uint64_t{0}) == f.number(f->leader(), "applied");
@@ -148,18 +148,18 @@
   // What it takes while it is cut one way is never acknowledged; whether it lasts is another matter.
   auto at_the_old_one = [&](const std::string& old) {
     try {
-      return f->ask(old, {{"do", "put"}, {"key", "old"}, {"value", "x"}}, 700).value("ok", false);
+      return f->send_command(old, {{"do", "put"}, {"key", "old"}, {"value", "x"}}, 700).value("ok", false);
     } catch (const std::runtime_error&) {
       return false;
     }
   };
   leader = f->leader();
-  f->mute(leader);
+  f->block_outgoing(leader);
   CHECK_FALSE(at_the_old_one(leader));
   again("heard by none", leader);
   f->heal();
   leader = f->leader();
-  f->deafen(leader);
+  f->block_incoming(leader);
   CHECK_FALSE(at_the_old_one(leader));
   again("hears none", leader);
   f->heal();
@@ -174,18 +174,18 @@
   // The old one still takes the write and can not commit it.
   bool taken = true;
   try {
-    taken = f->ask(old, {{"do", "put"}, {"key", "k"}, {"value", "lost"}}, 500).value("ok", false);
+    taken = f->send_command(old, {{"do", "put"}, {"key", "k"}, {"value", "lost"}}, 500).value("ok", false);
   } catch (const std::runtime_error&) {
     taken = false;
   }
   CHECK_FALSE(taken);
-  REQUIRE(f->soon([&] { return !f->leader().empty() && f->leader() != old; }));
+  REQUIRE(f->wait_until([&] { return !f->leader().empty() && f->leader() != old; }));
   CHECK(f.put("k", "after"));
   // Reads at the old one are not confirmed.
-  auto read = f->ask(f->leader(), {{"do", "get"}, {"key", "k"}});
+  auto read = f->send_command(f->leader(), {{"do", "get"}, {"key", "k"}});
   CHECK(read.value("value", "") == "after");
   f->heal();
-  CHECK(f->soon([&] { return f.number(old, "applied") == f.number(f->leader(), "applied"); }));
+  CHECK(f->wait_until([&] { return f.number(old, "applied") == f.number(f->leader(), "applied"); }));
   CHECK(f.get("k") == "after");
 }
 
@@ -193,23 +193,23 @@
     "group: an owner that was stopped comes back to find that it owns nothing, after three successors") {
   Fleet f;
   REQUIRE(f.owned("list"));
-  auto first = f->owner("list");
-  REQUIRE(f->soon([&] { return f.holds(first, "list"); }));
+  auto first = f->lease_holder("list");
+  REQUIRE(f->wait_until([&] { return f.holds(first, "list"); }));
   std::uint64_t token = 0;
   f->pause(first);
   // Its leases go from one to the other, twice.
   for (int i = 0; i < 2; ++i) {
     std::string now;
-    REQUIRE(f->soon([&] {
-      now = f->owner("list");
+    REQUIRE(f->wait_until([&] {
+      now = f->lease_holder("list");
       return !now.empty() && now != first && f.holds(now, "list");
     }));
-    for (auto& o : f->owners())
+    for (auto& o : f->lease_holders())
       if (o.at("job") == "list") token = o.at("token");
     f->terminate(now);
     f->start(now);
-    REQUIRE(f->soon([&] {
-      for (auto& o : f->owners())
+    REQUIRE(f->wait_until([&] {
+      for (auto& o : f->lease_holders())
         if (o.at("job") == "list" && o.value("owner", "") != "" &&
             o.at("token").get<std::uint64_t>() > token) {
           token = o.at("token");
@@ -219,14 +219,14 @@
     }));
   }
   f->resume(first);
-  CHECK(f->soon([&] { return f->status(first).has_value(); }));
+  CHECK(f->wait_until([&] { return f->status(first).has_value(); }));
   INFO(f->log(first));
   // Whatever it holds from now on, it holds by a newer token.
   auto s = f->status(first, 3000);
   REQUIRE(s);
   for (auto& h : s->at("holds"))
     if (h.at(0) == "list") CHECK(h.at(1).get<std::uint64_t>() >= token);
-  CHECK(f->soon([&] { return f->log(first).find("its lease has run out") != std::string::npos; }));
+  CHECK(f->wait_until([&] { return f->log(first).find("its lease has run out") != std::string::npos; }));
 }
 
 TEST_CASE("group: effects of an owner that arrive late, with an old token, are turned down and counted") {
@@ -236,27 +236,27 @@
   // nothing for too long is closed, so on a very busy machine it takes another turn.
   for (int turn = 0; turn < 10 && stale == 0; ++turn) {
     REQUIRE(f.owned("list"));
-    auto owner = f->owner("list");
+    auto owner = f->lease_holder("list");
     if (f->leader() == owner) {
-      f->ask(owner, {{"do", "transfer"}, {"name", f.other(owner)}});
-      REQUIRE(f->soon([&] { return !f->leader().empty() && f->leader() != owner; }));
+      f->send_command(owner, {{"do", "transfer"}, {"name", f.other(owner)}});
+      REQUIRE(f->wait_until([&] { return !f->leader().empty() && f->leader() != owner; }));
     }
     std::string third;
     for (auto& name : f->voters())
       if (name != owner && name != f->leader()) third = name;
-    REQUIRE(f->soon([&] { return f.number(third, "list_generation") < 1000; }));  // -1 before the first
+    REQUIRE(f->wait_until([&] { return f.number(third, "list_generation") < 1000; }));  // -1 before the first
     auto generation = f.number(third, "list_generation");
     LinkState held;
     held.hold_there = true;
     f->shape(owner, third, held);
     std::this_thread::sleep_for(700ms);  // its word that it lives comes every 500 ms
     CHECK(f->terminate(owner) == 0);
-    REQUIRE(f->soon([&] {
-      auto now = f->owner("list");
+    REQUIRE(f->wait_until([&] {
+      auto now = f->lease_holder("list");
       return !now.empty() && now != owner;
     }));
     f->heal();
-    f->soon([&] { return (stale = f.number(third, "stale_effects")) > 0; }, Micros(1'500'000));
+    f->wait_until([&] { return (stale = f.number(third, "stale_effects")) > 0; }, Micros(1'500'000));
     CHECK(f.number(third, "list_generation") >= generation);
     f->start(owner);
   }
@@ -267,28 +267,28 @@
   Fleet f(3, 1, [](FaultHarnessOptions& o) { o.group = {{"fallback_ms", 1500}}; });
   REQUIRE(f.owned("list"));
   REQUIRE(f.owned("probe 1"));
-  auto one = f->owner("list");
-  REQUIRE(f->soon([&] { return f.holds(one, "list"); }));
+  auto one = f->lease_holder("list");
+  REQUIRE(f->wait_until([&] { return f.holds(one, "list"); }));
   for (auto& name : f->voters())
     if (name != one) f->kill(name);
   // Its own clock ends what it holds.
-  CHECK(f->soon([&] { return !f.holds(one, "list") && !f.holds(one, "probe 1"); }));
-  CHECK(f->soon([&] { return f->status(one) && f->status(one)->value("role", "") != "leader"; }));
+  CHECK(f->wait_until([&] { return !f.holds(one, "list") && !f.holds(one, "probe 1"); }));
+  CHECK(f->wait_until([&] { return f->status(one) && f->status(one)->value("role", "") != "leader"; }));
   // It asks the list service for itself and for the proxy below it.
-  CHECK(f->soon([&] { return f->log(one).find("asks the list service for all") != std::string::npos; }));
-  CHECK(f->soon([&] { return f->stand_in().report().at("list_calls").get<int>() > 0; }));
+  CHECK(f->wait_until([&] { return f->log(one).find("asks the list service for all") != std::string::npos; }));
+  CHECK(f->wait_until([&] { return f->fake_servers().report().at("list_calls").get<int>() > 0; }));
   auto granted = times(f->log(one), "is granted to");
   LoadOptions load;
   load.target = *net::parse_address("127.0.0.1:" + std::to_string(f->port("p1")));
   load.connections = 4;
   load.rate = 50;
   load.length = 1s;
-  load.rules = &f->stand_in().rules();
+  load.rules = &f->fake_servers().rules();
   // A drain reaches it, though there is no owner.
-  f->stand_in().steer({{"do", "drain"}, {"server", "s1-3"}});
+  f->fake_servers().steer({{"do", "drain"}, {"server", "s1-3"}});
   auto figures = run_load(load);
   // Where it had to look for a voter that lives, it may have begun to ask itself, and has stopped.
-  CHECK(f->soon(
+  CHECK(f->wait_until(
       [&] { return times(f->log("p1"), "asks by itself") == times(f->log("p1"), "heard of again"); }));
   CHECK(figures.served > 20);
   CHECK(figures.served == figures.asked);
@@ -296,8 +296,8 @@
   for (auto& name : f->voters())
     if (name != one) f->start(name);
   CHECK(f.owned("list"));
-  CHECK(f->soon([&] { return f->log(one).find("heard of again") != std::string::npos; }));
-  CHECK(f->stand_in().rules().breaches_in_words() == "");
+  CHECK(f->wait_until([&] { return f->log(one).find("heard of again") != std::string::npos; }));
+  CHECK(f->fake_servers().rules().breaches_in_words() == "");
 }
 
 TEST_CASE(
@@ -312,7 +312,7 @@
     if (how == "emptied")
       f->empty_directory(victim);
     else
-      f->tear_directory(victim);
+      f->corrupt_store(victim);
     f->start(victim);
     auto fresh = f.number(victim, "id");
     CHECK(fresh != id);
@@ -323,27 +323,27 @@
       if (name != victim && name != f->leader()) third = name;
     auto leader = f->leader();
     f->kill(third);
-    CHECK(f->soon([&] { return f->status(leader) && f->status(leader)->value("role", "") != "leader"; }));
+    CHECK(f->wait_until([&] { return f->status(leader) && f->status(leader)->value("role", "") != "leader"; }));
     bool taken = true;
     try {
-      taken = f->ask(leader, {{"do", "put"}, {"key", "k"}, {"value", "never"}}, 1500).value("ok", false);
+      taken = f->send_command(leader, {{"do", "put"}, {"key", "k"}, {"value", "never"}}, 1500).value("ok", false);
     } catch (const std::runtime_error&) {
       taken = false;
     }
     CHECK_FALSE(taken);
     f->start(third);
-    REQUIRE(f->soon([&] { return !f->leader().empty(); }));
+    REQUIRE(f->wait_until([&] { return !f->leader().empty(); }));
     // The operator takes the old one out and the new one in.
-    REQUIRE(f->soon([&] {
-      return f->ask(f->leader(), {{"do", "remove"}, {"name", victim}, {"id", id}}).value("ok", false);
+    REQUIRE(f->wait_until([&] {
+      return f->send_command(f->leader(), {{"do", "remove"}, {"name", victim}, {"id", id}}).value("ok", false);
     }));
-    REQUIRE(f->soon([&] {
-      return f->ask(f->leader(), {{"do", "add"}, {"name", victim}, {"id", fresh}}).value("ok", false);
+    REQUIRE(f->wait_until([&] {
+      return f->send_command(f->leader(), {{"do", "add"}, {"name", victim}, {"id", fresh}}).value("ok", false);
     }));
-    REQUIRE(f->soon([&] {
-      return f->ask(f->leader(), {{"do", "promote"}, {"name", victim}, {"id", fresh}}).value("ok", false);
+    REQUIRE(f->wait_until([&] {
+      return f->send_command(f->leader(), {{"do", "promote"}, {"name", victim}, {"id", fresh}}).value("ok", false);
     }));
-    CHECK(f->soon([&] { return f.number(victim, "applied") == f.number(f->leader(), "applied"); }));
+    CHECK(f->wait_until([&] { return f.number(victim, "applied") == f.number(f->leader(), "applied"); }));
     CHECK(f.get("k") == "kept");
     id = fresh;
   }
@@ -353,12 +353,12 @@
   Fleet f;
   auto victim = f.other(f->leader());
   f->kill(victim);
-  f->limit_files(victim, 256 * 1024);
+  f->limit_file_size(victim, 256 * 1024);
   f->start(victim);
-  REQUIRE(f->soon([&] { return f.number(victim, "applied") == f.number(f->leader(), "applied"); }));
+  REQUIRE(f->wait_until([&] { return f.number(victim, "applied") == f.number(f->leader(), "applied"); }));
   std::string big(8000, 'x');
   for (int i = 0; i < 60; ++i) REQUIRE(f.put("big" + std::to_string(i), big));
-  CHECK(f->soon([&] {
+  CHECK(f->wait_until([&] {
     auto s = f->status(victim);
     return s && s->value("role", "") == "halted" && s->contains("disk");
   }));
@@ -367,19 +367,19 @@
   CHECK(f.put("k", "on"));
   // With room again it comes back with what it had.
   f->kill(victim);
-  f->limit_files(victim, 0);
+  f->limit_file_size(victim, 0);
   f->start(victim);
-  CHECK(f->soon([&] { return f.number(victim, "applied") == f.number(f->leader(), "applied"); }));
+  CHECK(f->wait_until([&] { return f.number(victim, "applied") == f.number(f->leader(), "applied"); }));
 }
 
 TEST_CASE("group: a leader whose disk takes seconds does not hold the others up") {
   Fleet f;
   auto leader = f->leader();
-  f->slow_disk(leader, 2000);
+  f->set_sync_delay(leader, 2000);
   CHECK(f.put("k", "quick"));  // committed by the two others, or by a successor
   CHECK(f.get("k") == "quick");
-  f->slow_disk(leader, 0);
-  CHECK(f->soon([&] { return f.number(leader, "applied") == f.number(f->leader(), "applied"); }));
+  f->set_sync_delay(leader, 0);
+  CHECK(f->wait_until([&] { return f.number(leader, "applied") == f.number(f->leader(), "applied"); }));
 }
 
 TEST_CASE("group: killed in the middle of writes, snapshots and changes of members, it comes back whole") {
@@ -412,7 +412,7 @@
     f->kill(victim);
     std::this_thread::sleep_for(20ms * (i % 5));
     f->start(victim);
-    REQUIRE(f->soon([&] { return !f->leader().empty(); }));
+    REQUIRE(f->wait_until([&] { return !f->leader().empty(); }));
     std::this_thread::sleep_for(30ms * (i % 7));
     REQUIRE(i < 400);
   }
@@ -420,21 +420,21 @@
   auto out = f.other(f->leader());
   auto id = f.number(out, "id");
   auto leader = f->leader();
-  auto removed = f->ask(leader, {{"do", "remove"}, {"name", out}, {"id", id}});
+  auto removed = f->send_command(leader, {{"do", "remove"}, {"name", out}, {"id", id}});
   f->kill(leader);
   f->start(leader);
-  REQUIRE(f->soon([&] { return !f->leader().empty(); }));
+  REQUIRE(f->wait_until([&] { return !f->leader().empty(); }));
   stop = true;
   for (auto& t : writers) t.join();
-  REQUIRE(f->soon([&] {
+  REQUIRE(f->wait_until([&] {
     for (auto what : {"remove", "add", "promote"}) {
       if (std::string(what) == "remove") continue;
-      auto a = f->ask(f->leader(), {{"do", what}, {"name", out}, {"id", id}});
+      auto a = f->send_command(f->leader(), {{"do", what}, {"name", out}, {"id", id}});
       if (!a.value("ok", false) && a.value("why", "").find("already") == std::string::npos) return false;
     }
     return true;
   }));
-  CHECK(f->soon([&] {
+  CHECK(f->wait_until([&] {
     auto applied = f.number(f->leader(), "applied");
     for (auto& name : f->voters())
       if (f.number(name, "applied") != applied) return false;
@@ -464,12 +464,12 @@
   other = f.other(leader);
   for (int i = 0; i < 3; ++i) {
     f->isolate(other);
-    CHECK(f->soon([&] {
+    CHECK(f->wait_until([&] {
       auto s = f->status(other);
       return s && s->value("role", "") != "follower";
     }));
     f->heal();
-    CHECK(f->soon([&] {
+    CHECK(f->wait_until([&] {
       auto s = f->status(other);
       return s && s->value("role", "") == "follower" && s->value("leader", "") != "";
     }));
@@ -495,7 +495,7 @@
   };
   // At once, and for what it said, not since it said no more.
   auto told = [&](std::size_t count) {
-    return f->soon(
+    return f->wait_until(
         [&] { return times(f->log("n1"), "closed a connection: it sent a malformed frame") == count; });
   };
   std::mt19937_64 random(7);
@@ -516,7 +516,7 @@
   CHECK(send_bytes(hello + gigabyte));  // also from one that greeted well
   CHECK(told(3));
   CHECK(send_bytes(database_proxy::peers::frame({{"t", "raft"}, {"k", 2}})));  // before any greeting
-  CHECK(f->soon([&] { return times(f->log("n1"), "it sent a message before its greeting") == 1; }));
+  CHECK(f->wait_until([&] { return times(f->log("n1"), "it sent a message before its greeting") == 1; }));
   CHECK_THROWS_WITH(app::FleetConnection(f->address("n1"), "elsewhere"),
                     Catch::Contains("it is of the installation 'elsewhere'"));
   CHECK_THROWS_WITH(
@@ -567,8 +567,8 @@
     for (auto& name : f->followers()) n += times(f->log(name), "heard of again");
     return n;
   };
-  REQUIRE(f->soon([&] { return f.number(f->leader(), "list_generation") < 1000; }));
-  REQUIRE(f->soon([&] { return alone() == back(); }));  // some may have begun before the group had an owner
+  REQUIRE(f->wait_until([&] { return f.number(f->leader(), "list_generation") < 1000; }));
+  REQUIRE(f->wait_until([&] { return alone() == back(); }));  // some may have begun before the group had an owner
   for (auto& name : f->followers()) f->pause(name);
   auto before = alone();
   auto paused = net::monotonic_now();
@@ -577,18 +577,18 @@
   auto voter_behind = f.other(f->leader());
   f->kill(voter_behind);
   f.fill(3000);
-  f->soon([&] { return net::monotonic_now() - paused > 3s; });
-  auto calls = f->stand_in().report().at("list_calls").get<std::uint64_t>();
+  f->wait_until([&] { return net::monotonic_now() - paused > 3s; });
+  auto calls = f->fake_servers().report().at("list_calls").get<std::uint64_t>();
   for (auto& name : f->followers()) f->resume(name);
   f->start(voter_behind);  // by a snapshot: the leader's log does not reach back so far
-  CHECK(f->soon([&] { return f.number(voter_behind, "applied") == f.number(f->leader(), "applied"); }));
-  CHECK(f->soon([&] {
+  CHECK(f->wait_until([&] { return f.number(voter_behind, "applied") == f.number(f->leader(), "applied"); }));
+  CHECK(f->wait_until([&] {
     std::uint64_t fed = 0;
     for (auto& name : f->voters()) fed += f.number(name, "followers");
     return fed == f->followers().size();
   }));
   // None of them took its own absence for the group's.
-  CHECK(f->stand_in().report().at("list_calls").get<std::uint64_t>() - calls < 8);
+  CHECK(f->fake_servers().report().at("list_calls").get<std::uint64_t>() - calls < 8);
   CHECK(alone() == before);
 }
 
@@ -605,7 +605,7 @@
       l.rate = 40;
       l.length = 1s;
       l.prefix = "r" + std::to_string(i) + "-";
-      l.rules = &f->stand_in().rules();
+      l.rules = &f->fake_servers().rules();
       sum.add(run_load(l));
     }
   });
@@ -614,14 +614,14 @@
     CHECK(f->terminate(name) == 0);
     if (led) CHECK(f->log(name).find("hands leadership over") != std::string::npos);
     f->start(name);
-    REQUIRE(f->soon([&] { return f.follows_or_leads(name) && !f->owner("list").empty(); }));
+    REQUIRE(f->wait_until([&] { return f.follows_or_leads(name) && !f->lease_holder("list").empty(); }));
     // Members change meanwhile: out and in again.
     auto member = f.other(f->leader());
     for (std::string what : {"remove", "add", "promote"})
-      REQUIRE(f->soon([&] {
+      REQUIRE(f->wait_until([&] {
         auto leader = f->leader();
         return !leader.empty() &&
-               f->ask(leader, {{"do", what}, {"name", member}, {"id", f.number(member, "id")}})
+               f->send_command(leader, {{"do", what}, {"name", member}, {"id", f.number(member, "id")}})
                    .value("ok", false);
       }));
   }
@@ -630,7 +630,7 @@
   CHECK(f.get("k") == "kept");
   CHECK(sum.served == sum.asked);
   CHECK(sum.served > 0);
-  CHECK(f->stand_in().rules().breaches_in_words() == "");
+  CHECK(f->fake_servers().rules().breaches_in_words() == "");
 }
 
 TEST_CASE("group: faults from a script are played in order and found in the history") {
@@ -662,26 +662,26 @@
     "all") {
   Fleet f(3, 12, [](FaultHarnessOptions& o) { o.group = {{"fallback_ms", 1500}}; });
   REQUIRE(f.owned("list"));
-  REQUIRE(f->soon([&] {
+  REQUIRE(f->wait_until([&] {
     auto s = f->status("n1");
     return s && s->value("list_generation", std::int64_t{-1}) > 0;
   }));
   for (auto& name : f->all()) f->kill(name);
-  auto before = f->stand_in().report();
+  auto before = f->fake_servers().report();
   // The list that the group had published lies on the voters' disks; the proxies have none.
   std::vector<std::string> back = f->followers();
   back.push_back("n1");
   f->launch(back, {{"generation", 0}, {"reset", true}, {"instances", json::array()}});
-  CHECK(f->soon(
+  CHECK(f->wait_until(
       [&] {
         return std::all_of(back.begin(), back.end(), [&](auto& name) { return f->daemon(name)->ready(); });
       },
       Micros(40'000'000)));
   auto grown = [&](const char* key) {
-    return f->stand_in().report().at(key).get<std::uint64_t>() - before.at(key).get<std::uint64_t>();
+    return f->fake_servers().report().at(key).get<std::uint64_t>() - before.at(key).get<std::uint64_t>();
   };
-  CHECK(f->soon([&] { return f->log("n1").find("asks the list service for all") != std::string::npos; }));
-  CHECK(f->soon([&] {
+  CHECK(f->wait_until([&] { return f->log("n1").find("asks the list service for all") != std::string::npos; }));
+  CHECK(f->wait_until([&] {
     std::size_t asking = 0;
     for (auto& name : f->followers())
       asking += times(f->log(name), "asks by itself") - times(f->log(name), "heard of again");
@@ -700,42 +700,42 @@
         l.rate = 20;
         l.length = 500ms;
         l.prefix = name + "-" + std::to_string(i) + "-";
-        l.rules = &f->stand_in().rules();
+        l.rules = &f->fake_servers().rules();
         run_load(l);
       }
     });
-  f->stand_in().steer({{"do", "drain"}, {"server", "s1-2"}});
+  f->fake_servers().steer({{"do", "drain"}, {"server", "s1-2"}});
   auto word = net::monotonic_now();
-  f->soon([&] { return net::monotonic_now() - word > 1500ms; });
+  f->wait_until([&] { return net::monotonic_now() - word > 1500ms; });
   stop = true;
   for (auto& t : loads) t.join();
-  CHECK(f->stand_in().rules().breaches_in_words() == "");
+  CHECK(f->fake_servers().rules().breaches_in_words() == "");
   // The others come back, and the group goes on from where it was.
   f->start("n2");
   f->start("n3");
   CHECK(f.owned("list"));
-  CHECK(f->soon([&] { return f->log("n1").find("heard of again") != std::string::npos; }));
+  CHECK(f->wait_until([&] { return f->log("n1").find("heard of again") != std::string::npos; }));
 }
 
 TEST_CASE("group: an owner that holds the lease but does no work is relieved") {
   // The list service is out of reach of one process only: its owner hears nothing of it.
   Fleet f(3, 0, [](FaultHarnessOptions& o) { o.group = {{"lease_ms", 1300}}; });
   REQUIRE(f.owned("list"));
-  f->stand_in().steer({{"do", "discovery"}, {"mute", true}});
-  auto owner = f->owner("list");
-  CHECK(f->soon(
+  f->fake_servers().steer({{"do", "discovery"}, {"mute", true}});
+  auto owner = f->lease_holder("list");
+  CHECK(f->wait_until(
       [&] { return f->log(f->leader()).find("holds the lease but does no work") != std::string::npos; },
       Micros(40'000'000)));
-  f->stand_in().steer({{"do", "discovery"}, {"mute", false}});
+  f->fake_servers().steer({{"do", "discovery"}, {"mute", false}});
   CHECK(f.owned("list"));
-  CHECK(f->soon([&] { return f->status(f->owner("list"))->value("list_generation", -1) >= 0; }));
+  CHECK(f->wait_until([&] { return f->status(f->lease_holder("list"))->value("list_generation", -1) >= 0; }));
 }
 
 TEST_CASE("group: word of a drain reaches all by the owner, who alone asks the list service") {
   Fleet f(3, 8);
   REQUIRE(f.owned("list"));
-  REQUIRE(f->soon([&] { return f.number(f->voters()[0], "list_generation") > 0; }));
-  auto calls = f->stand_in().report().at("list_calls").get<std::uint64_t>();
+  REQUIRE(f->wait_until([&] { return f.number(f->voters()[0], "list_generation") > 0; }));
+  auto calls = f->fake_servers().report().at("list_calls").get<std::uint64_t>();
   std::vector<std::thread> loads;
   std::atomic<std::uint64_t> asked{0}, served{0};
   std::atomic<bool> stop{false};
@@ -748,22 +748,22 @@
         l.rate = 40;
         l.length = 700ms;
         l.prefix = name + "-" + std::to_string(i) + "-";
-        l.rules = &f->stand_in().rules();
+        l.rules = &f->fake_servers().rules();
         auto x = run_load(l);
         asked += x.asked;
         served += x.served;
       }
     });
-  f->soon([&] { return served > 100; });
-  f->stand_in().steer({{"do", "drain"}, {"server", "s1-2"}});
+  f->wait_until([&] { return served > 100; });
+  f->fake_servers().steer({{"do", "drain"}, {"server", "s1-2"}});
   auto word = net::monotonic_now();
-  f->soon([&] { return net::monotonic_now() - word > 1300ms; });
+  f->wait_until([&] { return net::monotonic_now() - word > 1300ms; });
   stop = true;
   for (auto& t : loads) t.join();
   CHECK(served == asked);
-  CHECK(f->stand_in().rules().breaches_in_words() == "");
-  CHECK(f->stand_in().rules().drain_last_send_ms().at("s1-2") < 1000);
-  CHECK(f->stand_in().report().at("list_calls").get<std::uint64_t>() - calls <= 3);
+  CHECK(f->fake_servers().rules().breaches_in_words() == "");
+  CHECK(f->fake_servers().rules().drain_last_send_ms().at("s1-2") < 1000);
+  CHECK(f->fake_servers().report().at("list_calls").get<std::uint64_t>() - calls <= 3);
   for (auto& name : f->followers()) CHECK(f->log(name).find("asks by itself") == std::string::npos);
 }
 
@@ -772,34 +772,34 @@
   REQUIRE(f.owned("list"));
   // Tokens of some height: a job changes hands when the log is long already.
   f.fill(300);
-  auto owner = f->owner("list");
+  auto owner = f->lease_holder("list");
   f->terminate(owner);
   f->start(owner);
   REQUIRE(f.owned("list"));
   REQUIRE(f.put("k", "kept"));
-  auto one = f.other(f->owner("list"));  // the list's owner is among the lost
-  REQUIRE(f->soon([&] { return f.number(one, "applied") == f.number(f->leader(), "applied"); }));
-  CHECK(f->ask(one, {{"do", "recover"}, {"consequence", "what only the lost nodes knew is gone"}})
+  auto one = f.other(f->lease_holder("list"));  // the list's owner is among the lost
+  REQUIRE(f->wait_until([&] { return f.number(one, "applied") == f.number(f->leader(), "applied"); }));
+  CHECK(f->send_command(one, {{"do", "recover"}, {"consequence", "what only the lost nodes knew is gone"}})
             .value("why", "")
             .find("a leader is heard of") != std::string::npos);
   for (auto& name : f->voters())
     if (name != one) f->kill(name);
-  CHECK(f->soon([&] { return f->status(one) && f->status(one)->value("leader", "") == ""; }));
-  CHECK_FALSE(f->ask(one, {{"do", "recover"}}).value("ok", true));
-  auto tokens = f->ask(one, {{"do", "owners"}}).at("owners");
-  CHECK(f->soon([&] {
-    return f->ask(one, {{"do", "recover"}, {"consequence", "what only the lost nodes knew is gone"}})
+  CHECK(f->wait_until([&] { return f->status(one) && f->status(one)->value("leader", "") == ""; }));
+  CHECK_FALSE(f->send_command(one, {{"do", "recover"}}).value("ok", true));
+  auto tokens = f->send_command(one, {{"do", "owners"}}).at("owners");
+  CHECK(f->wait_until([&] {
+    return f->send_command(one, {{"do", "recover"}, {"consequence", "what only the lost nodes knew is gone"}})
         .value("ok", false);
   }));
-  CHECK(f->soon([&] { return f->status(one)->value("role", "") == "leader"; }));
-  CHECK(f->ask(one, {{"do", "get"}, {"key", "k"}}).value("value", "") == "kept");
+  CHECK(f->wait_until([&] { return f->status(one)->value("role", "") == "leader"; }));
+  CHECK(f->send_command(one, {{"do", "get"}, {"key", "k"}}).value("value", "") == "kept");
   // Whatever the lost ones owned is granted by tokens above all of theirs.
   std::size_t lost = 0;
   for (auto& before : tokens) lost += before.at("owner") != one && before.at("owner") != "";
   CHECK(lost > 0);
-  CHECK(f->soon([&] {
+  CHECK(f->wait_until([&] {
     std::size_t risen = 0;
-    auto now = f->ask(one, {{"do", "owners"}}).at("owners");
+    auto now = f->send_command(one, {{"do", "owners"}}).at("owners");
     for (auto& o : now)
       for (auto& before : tokens)
         risen += o.at("job") == before.at("job") && before.at("owner") != one && before.at("owner") != "" &&
@@ -815,8 +815,8 @@
     d.program = DATABASE_PROXY_PROGRAM;
     TemporaryDirectory scratch;
     d.folder = scratch.path();
-    d.discovery = f->stand_in().discovery();
-    d.known = f->stand_in().members();
+    d.discovery = f->fake_servers().discovery();
+    d.known = f->fake_servers().members();
     d.operator_file = {{"group", group}};
     try {
       ProcessUnderTest daemon(d);
@@ -853,7 +853,7 @@
   file["group"]["nodes"].erase(2);
   f->daemon("n1")->write_operator_file(file);
   f->daemon("n1")->signal(SIGHUP);
-  CHECK(f->soon([&] { return f->log("n1").find("the configuration in force stays") != std::string::npos; }));
+  CHECK(f->wait_until([&] { return f->log("n1").find("the configuration in force stays") != std::string::npos; }));
   CHECK(f.put("k", "on"));
 }
 
--- a/tests/group/zones_test.cpp
+++ b/tests/group/zones_test.cpp
@@ -28,16 +28,16 @@
     o.followers = 6;
     o.zones = {{"a", "north"}, {"b", "north"}, {"c", "south"}};
     o.placement = true;
-    o.per_weight = 200;
+    o.requests_per_weight = 200;
     o.group = {{"placement", quick()}};
-    o.stand_in.replicas = 8;
-    o.stand_in.model.cores = 1;
-    o.stand_in.model.service_us = 1000;
-    o.stand_in.model.warm_up = 4s;
+    o.fake_servers.replicas = 8;
+    o.fake_servers.model.cores = 1;
+    o.fake_servers.model.service_us = 1000;
+    o.fake_servers.model.warm_up = 4s;
     o.settings = {{"Guarantees", {{"WarmUpMs", 4000.0}}}};
     change(o);
     rig = std::make_unique<FaultHarness>(o);
-    REQUIRE(rig->soon([&] { return !rig->owner("placement").empty() && !rig->owner("list").empty(); },
+    REQUIRE(rig->wait_until([&] { return !rig->lease_holder("placement").empty() && !rig->lease_holder("list").empty(); },
                       kPatience));
   }
   // Shorter than shipped, so that a test is not all waiting.
@@ -58,7 +58,7 @@
           l.book = 0.02;
           l.seed = std::hash<std::string>{}(name) + static_cast<std::uint64_t>(i);
           l.prefix = name + "-" + std::to_string(i) + "-";
-          l.rules = &rig->stand_in().rules();
+          l.rules = &rig->fake_servers().rules();
           try {
             auto f = run_load(l);
             std::lock_guard lock(mutex);
@@ -82,7 +82,7 @@
     for (auto& name : rig->voters()) {
       if (!at.empty() && name != at) continue;
       try {
-        return rig->ask(name, more, 3000);
+        return rig->send_command(name, more, 3000);
       } catch (const std::exception&) {
       }
     }
@@ -99,7 +99,7 @@
     return it == p.zones.end() ? "" : pl::text_of(it->second.phase);
   }
   bool becomes(const std::string& zone, const std::string& wanted) {
-    if (rig->soon([&] { return phase(zone) == wanted; }, kPatience)) return true;
+    if (rig->wait_until([&] { return phase(zone) == wanted; }, kPatience)) return true;
     auto shown = tool("show");
     if (shown.contains("plan")) shown["plan"].erase("shares"), shown["plan"].erase("spares");
     WARN(zone << " is not " << wanted << ": " << shown.dump());
@@ -110,7 +110,7 @@
     return s ? s->value("plan", std::uint64_t{0}) : 0;
   }
   bool all_follow(const std::vector<std::string>& names) {
-    return rig->soon(
+    return rig->wait_until(
         [&] {
           auto number = plan().number;
           return number > 0 &&
@@ -119,7 +119,7 @@
         kPatience);
   }
   bool ready() {  // observed, planned, and all voters follow
-    return rig->soon(
+    return rig->wait_until(
                [&] {
                  return plan().shares.count({1, "b"}) > 0;
                },
@@ -129,12 +129,12 @@
   void servers(const std::string& what, const std::string& zone, json more = json::object()) {
     more["do"] = what;
     more["zone"] = zone;
-    rig->stand_in().steer(more);
+    rig->fake_servers().steer(more);
   }
   std::uint64_t requests(const std::string& zone) {
     std::uint64_t n = 0;
-    auto members = rig->stand_in().members();
-    auto figures = rig->stand_in().figures();
+    auto members = rig->fake_servers().members();
+    auto figures = rig->fake_servers().figures();
     for (auto& m : members.at("instances"))
       if (m.at("zone") == zone) n += figures[m.at("instanceId")].requests;
     return n;
@@ -143,7 +143,7 @@
   bool rests(const std::string& zone) {
     std::uint64_t last = requests(zone);
     auto since = net::monotonic_now();
-    return rig->soon(
+    return rig->wait_until(
         [&] {
           auto now = requests(zone);
           if (now != last) last = now, since = net::monotonic_now();
@@ -153,9 +153,9 @@
   }
   void nothing_broken() {
     end_load();
-    auto report = rig->stand_in().report();
+    auto report = rig->fake_servers().report();
     INFO(report.at("breaches").dump());
-    CHECK(rig->stand_in().rules().breaches_in_words() == "");
+    CHECK(rig->fake_servers().rules().breaches_in_words() == "");
     CHECK(sum.served > 0);
   }
 
@@ -179,11 +179,11 @@
     z.servers(how, "b", how == "slow" ? json{{"times", 60}} : json::object());
     if (how == "slow") {
       // Reads leave it by their cost, as far as there is spare room, whether or not a plan closes it.
-      CHECK(z.rig->soon(
+      CHECK(z.rig->wait_until(
           [&] {
             auto from = z.requests("b"), others = z.requests("a") + z.requests("c");
             auto at = net::monotonic_now();
-            z.rig->soon([&] { return net::monotonic_now() - at > 1s; });
+            z.rig->wait_until([&] { return net::monotonic_now() - at > 1s; });
             return (z.requests("b") - from) * 10 < z.requests("a") + z.requests("c") - others;
           },
           kPatience));
@@ -201,13 +201,13 @@
               "b", how == "slow" ? json{{"times", 1}} : json::object());
     if (how == "kill") CHECK(z.becomes("b", "opening"));
     CHECK(z.becomes("b", "open"));
-    CHECK(z.rig->soon([&] { return z.plan().links.empty(); }, kPatience));
+    CHECK(z.rig->wait_until([&] { return z.plan().links.empty(); }, kPatience));
     z.nothing_broken();
   }
 }
 
 TEST_CASE("zones: one request in five that fails, or one proxy that sees all as dead, closes nothing") {
-  Zones z([](FaultHarnessOptions& o) { o.own_ways = {"p1"}; });
+  Zones z([](FaultHarnessOptions& o) { o.own_sources = {"p1"}; });
   z.load();
   REQUIRE(z.ready());
   z.servers("fail", "b", {{"share", 0.2}});
@@ -216,21 +216,21 @@
     auto answer = z.tool("show");
     return answer.contains("seen") ? pl::observation_from_json(answer.at("seen")) : pl::Observation{};
   };
-  CHECK(z.rig->soon([&] {
+  CHECK(z.rig->wait_until([&] {
     auto o = seen();
     for (auto& [key, s] : o.seen())
       if (std::get<2>(key) == "b" && s.failed > 0) return true;
     return false;
   }));
   auto until = net::monotonic_now() + 6s;
-  z.rig->soon([&] { return net::monotonic_now() > until; });
+  z.rig->wait_until([&] { return net::monotonic_now() > until; });
   CHECK(z.phase("b") == "open");
   CHECK(z.plan().links.empty());
   z.servers("fail", "b", {{"share", 0}});
   CHECK(z.plan().number >= number);
   // A bad network card: p1, which stands in a, reaches no server at all; everybody else does.
-  for (auto zone : {"a", "b", "c"}) z->cut_zone_way("p1", zone);
-  CHECK(z.rig->soon(
+  for (auto zone : {"a", "b", "c"}) z->cut_zone_direction("p1", zone);
+  CHECK(z.rig->wait_until(
       [&] {
         std::uint64_t doubts = 0;
         auto o = seen();
@@ -240,7 +240,7 @@
       },
       kPatience));
   until = net::monotonic_now() + 6s;
-  z.rig->soon([&] { return net::monotonic_now() > until; });
+  z.rig->wait_until([&] { return net::monotonic_now() > until; });
   for (auto zone : {"a", "b", "c"}) CHECK(z.phase(zone) == "open");
   CHECK(z.plan().links.empty());
   z->heal();
@@ -252,18 +252,18 @@
   z.load();
   REQUIRE(z.ready());
   REQUIRE(z.all_follow(z->voters()));
-  if (z->leader() == "n2") z->ask("n2", {{"do", "transfer"}, {"name", "n1"}});
-  REQUIRE(z.rig->soon([&] { return !z->leader().empty() && z->leader() != "n2"; }));
+  if (z->leader() == "n2") z->send_command("n2", {{"do", "transfer"}, {"name", "n1"}});
+  REQUIRE(z.rig->wait_until([&] { return !z->leader().empty() && z->leader() != "n2"; }));
   z->isolate_zone("b");
   // By its own eyes b is well; the others' ways there are closed, or the zone.
-  CHECK(z.rig->soon([&] { return z->log("n2").find("this proxy goes on alone") != std::string::npos; },
+  CHECK(z.rig->wait_until([&] { return z->log("n2").find("this proxy goes on alone") != std::string::npos; },
                     kPatience));
-  CHECK(z.rig->soon([&] { return !z->owner("placement").empty() && z->owner("placement") != "n2"; },
+  CHECK(z.rig->wait_until([&] { return !z->lease_holder("placement").empty() && z->lease_holder("placement") != "n2"; },
                     kPatience));
   auto before = z.requests("b");
-  CHECK(z.rig->soon([&] { return z.requests("b") > before + 50; }));  // its own clients are served there
+  CHECK(z.rig->wait_until([&] { return z.requests("b") > before + 50; }));  // its own clients are served there
   z->heal();
-  CHECK(z.rig->soon([&] { return z->log("n2").find("this proxy follows plan") != std::string::npos; },
+  CHECK(z.rig->wait_until([&] { return z->log("n2").find("this proxy follows plan") != std::string::npos; },
                     kPatience));
   CHECK(z.becomes("b", "open"));
   CHECK(z.all_follow(z->voters()));
@@ -274,8 +274,8 @@
   Zones z;
   z.load();
   REQUIRE(z.ready());
-  z->cut_zone_way("c", "b");  // proxies of c reach b's servers no more; a and b see it well
-  CHECK(z.rig->soon(
+  z->cut_zone_direction("c", "b");  // proxies of c reach b's servers no more; a and b see it well
+  CHECK(z.rig->wait_until(
       [&] {
         auto p = z.plan();
         auto it = p.links.find({"c", "b"});
@@ -284,7 +284,7 @@
       kPatience));
   CHECK(z.phase("b") == "open");
   z->heal();
-  CHECK(z.rig->soon([&] { return z.plan().links.empty(); }, kPatience));
+  CHECK(z.rig->wait_until([&] { return z.plan().links.empty(); }, kPatience));
   z.nothing_broken();
 }
 
@@ -292,13 +292,13 @@
   Zones z;
   z.load();
   REQUIRE(z.ready());
-  auto owner = z->owner("placement");
+  auto owner = z->lease_holder("placement");
   auto zone = z->zone_of(owner);
   auto number = z.plan().number;
   // Its servers die and its processes stop, together.
   z.servers("kill", zone);
   for (auto& name : z->in_zone(zone)) z->pause(name);
-  CHECK(z.rig->soon([&] { return !z->owner("placement").empty() && z->owner("placement") != owner; },
+  CHECK(z.rig->wait_until([&] { return !z->lease_holder("placement").empty() && z->lease_holder("placement") != owner; },
                     kPatience));
   CHECK(z.becomes(zone, "closed"));
   auto then = z.plan().number;
@@ -306,18 +306,18 @@
   for (auto& name : z->in_zone(zone)) z->resume(name);
   z.servers("start", zone);
   CHECK(z.becomes(zone, "open"));
-  CHECK(z.rig->soon([&] { return z.following(owner) >= then; }, kPatience));
+  CHECK(z.rig->wait_until([&] { return z.following(owner) >= then; }, kPatience));
   // The majority: nobody plans, all that live keep the last one, later they go on alone.
   std::string left = z->voters()[0];
   auto last = z.plan().number;
   for (auto& name : z->voters())
     if (name != left) z->kill(name);
-  CHECK(z.rig->soon([&] { return z->log(left).find("this proxy goes on alone") != std::string::npos; },
+  CHECK(z.rig->wait_until([&] { return z->log(left).find("this proxy goes on alone") != std::string::npos; },
                     kPatience));
   CHECK(z.following(left) == 0);
   for (auto& name : z->voters())
     if (name != left) z->start(name);
-  CHECK(z.rig->soon([&] { return z.following(left) >= last; }, kPatience));
+  CHECK(z.rig->wait_until([&] { return z.following(left) >= last; }, kPatience));
   z.nothing_broken();
 }
 
@@ -325,7 +325,7 @@
   Zones z;
   z.load();
   REQUIRE(z.ready());
-  auto owner = z->owner("placement"), leader = z->leader();
+  auto owner = z->lease_holder("placement"), leader = z->leader();
   for (auto& other : z->voters()) {
     if (other == owner) continue;
     INFO(other << " cut from " << owner << ", leader " << leader);
@@ -333,7 +333,7 @@
     // One still hears the group by the third: a plan goes on being made, wherever the owner is now.
     auto number = z.plan().number;
     z.servers("kill", "c");
-    CHECK(z.rig->soon(
+    CHECK(z.rig->wait_until(
         [&] {
           for (auto& name : z->voters()) {
             auto s = z->status(name);
@@ -352,7 +352,7 @@
 }
 
 TEST_CASE("zones: two lost in turn, the second while the first returns cold, and no cold server falls") {
-  Zones z([](FaultHarnessOptions& o) { o.stand_in.model.fall_inside = 40; });
+  Zones z([](FaultHarnessOptions& o) { o.fake_servers.model.fall_inside = 40; });
   z.load(20);
   REQUIRE(z.ready());
   z.servers("kill", "b");
@@ -364,7 +364,7 @@
   z.servers("start", "c");
   CHECK(z.becomes("b", "open"));
   CHECK(z.becomes("c", "open"));
-  for (auto& [id, f] : z->stand_in().figures()) CHECK(f.falls == 0);
+  for (auto& [id, f] : z->fake_servers().figures()) CHECK(f.falls == 0);
   z.nothing_broken();
 }
 
@@ -382,10 +382,10 @@
   for (int i = 0; i < 7; ++i) {
     z.servers("silence", "b");
     auto at = net::monotonic_now();
-    z.rig->soon([&] { return net::monotonic_now() - at > 2s; });
+    z.rig->wait_until([&] { return net::monotonic_now() - at > 2s; });
     z.servers("speak", "b");
     at = net::monotonic_now();
-    z.rig->soon([&] { return net::monotonic_now() - at > 2s; });
+    z.rig->wait_until([&] { return net::monotonic_now() - at > 2s; });
     most = std::max(most, changes());
   }
   CHECK(most <= 4);
@@ -401,18 +401,18 @@
   REQUIRE(z.ready());
   auto answer = z.tool("evacuate", {{"zone", "nowhere"}});
   CHECK(answer.value("why", "").find("no server stands in zone 'nowhere'") != std::string::npos);
-  auto owner = z->owner("placement");
+  auto owner = z->lease_holder("placement");
   answer = z.tool("evacuate", {{"zone", "c"}});
   CHECK(answer.value("ok", false));
   CHECK(answer.value("takes_ms", 0) >= 1000);
   REQUIRE(z.becomes("c", "evacuating"));
   z->pause(owner);
-  CHECK(z.rig->soon([&] { return !z->owner("placement").empty() && z->owner("placement") != owner; },
+  CHECK(z.rig->wait_until([&] { return !z->lease_holder("placement").empty() && z->lease_holder("placement") != owner; },
                     kPatience));
   CHECK(z.becomes("c", "evacuated"));
   auto number = z.plan().number;
   z->resume(owner);
-  CHECK(z.rig->soon([&] { return z.following(owner) >= number; }, kPatience));
+  CHECK(z.rig->wait_until([&] { return z.following(owner) >= number; }, kPatience));
   CHECK(z.phase("c") == "evacuated");
   CHECK(z.rests("c"));
   // Another zone fails meanwhile: what is evacuated stays so.
@@ -425,28 +425,28 @@
   for (auto& name : z->voters()) {
     z->terminate(name);
     z->start(name);
-    REQUIRE(z.rig->soon([&] { return !z->leader().empty(); }));
+    REQUIRE(z.rig->wait_until([&] { return !z->leader().empty(); }));
   }
-  CHECK(z.rig->soon([&] { return z.phase("c") == "evacuated"; }, kPatience));
-  CHECK(z.rig->soon([&] { return z.tool("restore", {{"zone", "c"}}).value("ok", false); }, kPatience));
+  CHECK(z.rig->wait_until([&] { return z.phase("c") == "evacuated"; }, kPatience));
+  CHECK(z.rig->wait_until([&] { return z.tool("restore", {{"zone", "c"}}).value("ok", false); }, kPatience));
   CHECK(z.becomes("c", "open"));
   // Frozen: a loss changes nothing until it is resumed.
-  CHECK(z.rig->soon([&] { return z.tool("freeze").value("ok", false); }, kPatience));
+  CHECK(z.rig->wait_until([&] { return z.tool("freeze").value("ok", false); }, kPatience));
   CHECK(z.tool("freeze").value("why", "").find("frozen already") != std::string::npos);
   z.servers("kill", "b");
   auto until = net::monotonic_now() + 4s;
-  z.rig->soon([&] { return net::monotonic_now() > until; });
+  z.rig->wait_until([&] { return net::monotonic_now() > until; });
   CHECK(z.phase("b") == "open");
-  CHECK(z.rig->soon([&] { return z.tool("resume").value("ok", false); }, kPatience));
+  CHECK(z.rig->wait_until([&] { return z.tool("resume").value("ok", false); }, kPatience));
   CHECK(z.becomes("b", "closed"));
   z.nothing_broken();
 }
 
 TEST_CASE("zones: what the rest cannot carry is refused near home and not pushed onto the next zone") {
-  Zones z([](FaultHarnessOptions& o) { o.per_weight = 60; });
+  Zones z([](FaultHarnessOptions& o) { o.requests_per_weight = 60; });
   z.load(40);
   REQUIRE(z.ready());
-  CHECK(z.rig->soon([&] {
+  CHECK(z.rig->wait_until([&] {
     double all = 0;
     for (auto& r : z.tool("explain", {{"set", 1}}).value("asked", json::array()))
       all += r.at(2).get<double>();
@@ -456,7 +456,7 @@
   CHECK(answer.value("why", "").find("cannot carry") != std::string::npos);
   z.servers("kill", "b");
   CHECK(z.becomes("b", "closed"));
-  CHECK(z.rig->soon(
+  CHECK(z.rig->wait_until(
       [&] {
         auto p = z.plan();
         return p.rejected_share(1, "a") + p.rejected_share(1, "b") + p.rejected_share(1, "c") > 0.05;
@@ -466,7 +466,7 @@
   CHECK(explained.contains("asked"));
   CHECK(z.tool("evacuate", {{"zone", "c"}, {"force", true}}).value("ok", false));
   z.servers("start", "b");
-  CHECK(z.rig->soon([&] { return z.tool("restore", {{"zone", "c"}}).value("ok", false); }, kPatience));
+  CHECK(z.rig->wait_until([&] { return z.tool("restore", {{"zone", "c"}}).value("ok", false); }, kPatience));
   CHECK(z.becomes("c", "open"));
   CHECK(z.becomes("b", "open"));
   z.nothing_broken();
@@ -479,15 +479,15 @@
   REQUIRE(z.ready());
   z.servers("kill", "b");
   REQUIRE(z.becomes("b", "closed"));
-  z->stand_in().steer({{"do", "handover"}, {"server", "s1-3"}});  // into c, the other region
+  z->fake_servers().steer({{"do", "handover"}, {"server", "s1-3"}});  // into c, the other region
   for (auto& name : {"p1", "p2", "p3"}) {
     z->terminate(name);
     z->start(name);
   }
-  auto written = [&] { return z->stand_in().figures().at("s1-3").requests; };
+  auto written = [&] { return z->fake_servers().figures().at("s1-3").requests; };
   auto before = written();
-  CHECK(z.rig->soon([&] { return written() > before + 20; }, kPatience));
-  CHECK(z.rig->soon([&] { return z->log("p1").find("linked with") != std::string::npos && z.rests("b"); },
+  CHECK(z.rig->wait_until([&] { return written() > before + 20; }, kPatience));
+  CHECK(z.rig->wait_until([&] { return z->log("p1").find("linked with") != std::string::npos && z.rests("b"); },
                     kPatience));
   z.servers("start", "b");
   CHECK(z.becomes("b", "open"));
