--- a/src/testbench/fault_injection/experiments.cpp
+++ b/src/testbench/fault_injection/experiments.cpp
@@ -284,7 +284,7 @@
         for (auto& name : voters)
           if (name != owner && (third.empty() || name != leader)) third = name;
         LinkState held;
-        held.hold_there = true;
+        held.hold_forward = true;
         rig.shape(owner, third, held);
         pause_for(700ms);
         rig.terminate(owner);
--- a/src/testbench/fault_injection/links.cpp
+++ b/src/testbench/fault_injection/links.cpp
@@ -14,36 +14,36 @@
 namespace {
 
 // Of one direction, held in the rig; then the sender meets a full window, as on a dead link.
-constexpr std::size_t kMostHeld = 4 << 20;
-constexpr std::size_t kChunk = 64 * 1024;
+constexpr std::size_t kMaxBufferedBytes = 4 << 20;
+constexpr std::size_t kChunkBytes = 64 * 1024;
 
 }  // namespace
 
-struct Links::Pair {
+struct Links::Connection {
   struct End : net::Handler {
-    explicit End(Pair& p) : pair(p) {}
-    void on_ready(std::uint32_t) override { pair.pump(); }
-    Pair& pair;
+    explicit End(Connection& c) : connection(c) {}
+    void on_ready(std::uint32_t) override { connection.pump(); }
+    Connection& connection;
     net::Fd fd;
     bool connected = true, ended = false;
   };
-  struct Way {
+  struct Direction {
     std::deque<std::pair<Micros, std::string>> queue;  // due
-    std::size_t held = 0;
+    std::size_t buffered = 0;
     double credit = 0;
-    Micros credited{0};
+    Micros credit_updated{0};
   };
 
-  Pair(Link& l, net::Fd accepted, net::Fd dialed);
-  ~Pair();
+  Connection(Link& l, net::Fd accepted, net::Fd dialed);
+  ~Connection();
   void pump();
-  bool read(End& from, Way& way);
-  bool write(End& to, Way& way, bool there);
-  void close(bool hard);
+  bool read(End& from, Direction& direction);
+  bool write(End& to, Direction& direction, bool is_forward);
+  void close(bool with_reset);
 
   Link& link;
-  End near{*this}, far{*this};  // the dialer's end, and the other's
-  Way there, back;
+  End dialer_end{*this}, target_end{*this};  // the dialer's end, and the other's
+  Direction forward, backward;
   net::Loop::TimerId timer = net::Loop::kNoTimer;
   bool closed = false;
 };
@@ -51,16 +51,16 @@
 struct Links::Link : net::Handler {
   Link(net::Loop& l, net::Address t) : loop(l), target(t) {}
   ~Link() override {
-    pairs.clear();
+    connections.clear();
     if (listener) loop.remove(listener.get(), this);
   }
   void on_ready(std::uint32_t) override {
     int error = 0;
     while (auto fd = net::accept_from(listener.get(), &error)) {
-      auto there = net::start_connect(target, &error);
-      if (!there) continue;
-      std::erase_if(pairs, [](auto& p) { return p->closed; });
-      pairs.push_back(std::make_unique<Pair>(*this, std::move(fd), std::move(there)));
+      auto dialed = net::start_connect(target, &error);
+      if (!dialed) continue;
+      std::erase_if(connections, [](auto& p) { return p->closed; });
+      connections.push_back(std::make_unique<Connection>(*this, std::move(fd), std::move(dialed)));
     }
   }
   net::Loop& loop;
@@ -68,12 +68,12 @@
   net::Fd listener;
   LinkState state;
   std::uint64_t bytes_forwarded = 0;
-  std::vector<std::unique_ptr<Pair>> pairs;
+  std::vector<std::unique_ptr<Connection>> connections;
 };
 
-struct Links::Front : net::Handler {
-  Front(Links& l, std::string t, net::Address a) : links(l), to(std::move(t)), target(a) {}
-  ~Front() override {
+struct Links::SharedListener : net::Handler {
+  SharedListener(Links& l, std::string t, net::Address a) : links(l), to(std::move(t)), target(a) {}
+  ~SharedListener() override {
     if (listener) links.thread_.loop().remove(listener.get(), this);
   }
   void on_ready(std::uint32_t) override {
@@ -88,10 +88,10 @@
       if (from == links.sources_.end()) continue;
       auto it = links.links_.find({from->second, to});
       if (it == links.links_.end()) continue;
-      auto there = net::start_connect(target, &error);
-      if (!there) continue;
-      std::erase_if(it->second->pairs, [](auto& p) { return p->closed; });
-      it->second->pairs.push_back(std::make_unique<Pair>(*it->second, std::move(fd), std::move(there)));
+      auto dialed = net::start_connect(target, &error);
+      if (!dialed) continue;
+      std::erase_if(it->second->connections, [](auto& p) { return p->closed; });
+      it->second->connections.push_back(std::make_unique<Connection>(*it->second, std::move(fd), std::move(dialed)));
     }
   }
   Links& links;
@@ -100,23 +100,23 @@
   net::Fd listener;
 };
 
-Links::Pair::Pair(Link& l, net::Fd accepted, net::Fd dialed) : link(l) {
-  near.fd = std::move(accepted);
-  far.fd = std::move(dialed);
-  far.connected = false;
-  link.loop.add(near.fd.get(), &near);
-  link.loop.add(far.fd.get(), &far);
+Links::Connection::Connection(Link& l, net::Fd accepted, net::Fd dialed) : link(l) {
+  dialer_end.fd = std::move(accepted);
+  target_end.fd = std::move(dialed);
+  target_end.connected = false;
+  link.loop.add(dialer_end.fd.get(), &dialer_end);
+  link.loop.add(target_end.fd.get(), &target_end);
 }
 
-Links::Pair::~Pair() { close(false); }
+Links::Connection::~Connection() { close(false); }
 
-void Links::Pair::close(bool hard) {
+void Links::Connection::close(bool with_reset) {
   if (closed) return;
   closed = true;
   link.loop.cancel(&timer);
-  for (auto* end : {&near, &far}) {
+  for (auto* end : {&dialer_end, &target_end}) {
     if (!end->fd) continue;
-    if (hard) {
+    if (with_reset) {
       linger now{1, 0};
       setsockopt(end->fd.get(), SOL_SOCKET, SO_LINGER, &now, sizeof now);
     }
@@ -125,9 +125,9 @@
   }
 }
 
-bool Links::Pair::read(End& from, Way& way) {
-  std::string chunk(kChunk, '\0');
-  while (!from.ended && way.held < kMostHeld) {
+bool Links::Connection::read(End& from, Direction& direction) {
+  std::string chunk(kChunkBytes, '\0');
+  while (!from.ended && direction.buffered < kMaxBufferedBytes) {
     auto n = recv(from.fd.get(), chunk.data(), chunk.size(), 0);
     if (n < 0 && errno == EINTR) continue;
     if (n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK)) return true;
@@ -135,69 +135,69 @@
       from.ended = true;
       break;
     }
-    way.held += static_cast<std::size_t>(n);
-    way.queue.emplace_back(link.loop.now() + link.state.delay, chunk.substr(0, static_cast<std::size_t>(n)));
+    direction.buffered += static_cast<std::size_t>(n);
+    direction.queue.emplace_back(link.loop.now() + link.state.delay, chunk.substr(0, static_cast<std::size_t>(n)));
   }
   return true;
 }
 
 // False: the end is gone.
-bool Links::Pair::write(End& to, Way& way, bool is_there) {
+bool Links::Connection::write(End& to, Direction& direction, bool is_forward) {
   auto& s = link.state;
   auto now = link.loop.now();
-  while (!way.queue.empty()) {
-    bool held = is_there ? s.hold_there : s.hold_back;
-    if (held || way.queue.front().first > now) return true;
-    auto& bytes = way.queue.front().second;
-    auto most = bytes.size();
+  while (!direction.queue.empty()) {
+    bool held = is_forward ? s.hold_forward : s.hold_backward;
+    if (held || direction.queue.front().first > now) return true;
+    auto& bytes = direction.queue.front().second;
+    auto max_bytes = bytes.size();
     if (s.bytes_per_second > 0) {
       auto rate = static_cast<double>(s.bytes_per_second);
-      auto past = static_cast<double>((now - way.credited).count()) / 1e6;
-      way.credit = std::min(rate / 20 + 1, way.credit + past * rate);
-      way.credited = now;
-      most = std::min(most, static_cast<std::size_t>(way.credit));
-      if (most == 0) return true;
+      auto elapsed_s = static_cast<double>((now - direction.credit_updated).count()) / 1e6;
+      direction.credit = std::min(rate / 20 + 1, direction.credit + elapsed_s * rate);
+      direction.credit_updated = now;
+      max_bytes = std::min(max_bytes, static_cast<std::size_t>(direction.credit));
+      if (max_bytes == 0) return true;
     }
-    if (is_there && s.stall_after >= 0) most = std::min(most, static_cast<std::size_t>(s.stall_after));
-    auto n = most == 0 ? 0 : send(to.fd.get(), bytes.data(), most, MSG_NOSIGNAL);
+    if (is_forward && s.stall_after >= 0) max_bytes = std::min(max_bytes, static_cast<std::size_t>(s.stall_after));
+    auto n = max_bytes == 0 ? 0 : send(to.fd.get(), bytes.data(), max_bytes, MSG_NOSIGNAL);
     if (n < 0 && errno == EINTR) continue;
     if (n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK)) return true;
     if (n < 0) return false;
     link.bytes_forwarded += static_cast<std::uint64_t>(n);
-    way.held -= static_cast<std::size_t>(n);
-    way.credit -= static_cast<double>(n);
+    direction.buffered -= static_cast<std::size_t>(n);
+    direction.credit -= static_cast<double>(n);
     bytes.erase(0, static_cast<std::size_t>(n));
-    if (is_there && s.stall_after >= 0 && (s.stall_after -= n) <= 0) {
+    if (is_forward && s.stall_after >= 0 && (s.stall_after -= n) <= 0) {
       s.stall_after = -1;
-      s.hold_there = true;
+      s.hold_forward = true;
     }
-    if (bytes.empty()) way.queue.pop_front();
+    if (bytes.empty()) direction.queue.pop_front();
   }
   return true;
 }
 
-void Links::Pair::pump() {
+void Links::Connection::pump() {
   if (closed) return;
-  if (!far.connected) {
-    int error = net::socket_error(far.fd.get());
+  if (!target_end.connected) {
+    int error = net::socket_error(target_end.fd.get());
     sockaddr_storage peer{};
     socklen_t length = sizeof peer;
     if (error != 0) return close(true);
-    if (getpeername(far.fd.get(), reinterpret_cast<sockaddr*>(&peer), &length) != 0) return;
-    far.connected = true;
+    if (getpeername(target_end.fd.get(), reinterpret_cast<sockaddr*>(&peer), &length) != 0) return;
+    target_end.connected = true;
   }
-  read(near, there);
-  read(far, back);
-  if (!write(far, there, true) || !write(near, back, false)) return close(true);
+  read(dialer_end, forward);
+  read(target_end, backward);
+  if (!write(target_end, forward, true) || !write(dialer_end, backward, false)) return close(true);
   // An end that has gone is told to the other once what it said has passed, and not through a cut.
   auto& s = link.state;
-  if (near.ended && there.queue.empty() && !s.hold_there) return close(false);
-  if (far.ended && back.queue.empty() && !s.hold_back) return close(false);
+  if (dialer_end.ended && forward.queue.empty() && !s.hold_forward) return close(false);
+  if (target_end.ended && backward.queue.empty() && !s.hold_backward) return close(false);
   link.loop.cancel(&timer);
   Micros next = Micros::max();
-  for (auto* way : {&there, &back})
-    if (!way->queue.empty() && !(way == &there ? s.hold_there : s.hold_back))
-      next = std::min(next, std::max(way->queue.front().first, link.loop.now() + Micros(2000)));
+  for (auto* direction : {&forward, &backward})
+    if (!direction->queue.empty() && !(direction == &forward ? s.hold_forward : s.hold_backward))
+      next = std::min(next, std::max(direction->queue.front().first, link.loop.now() + Micros(2000)));
   if (next != Micros::max()) timer = link.loop.at(next, [this] { pump(); });
 }
 
@@ -205,13 +205,13 @@
 
 Links::~Links() {
   thread_.call([this] {
-    fronts_.clear();
+    shared_listeners_.clear();
     links_.clear();
   });
   thread_.stop();
 }
 
-int Links::add(const std::string& from, const std::string& to, const std::string& address) {
+int Links::add_listener(const std::string& from, const std::string& to, const std::string& address) {
   int port = 0;
   int error = 0;
   auto target = net::parse_address(address);
@@ -229,26 +229,26 @@
   return port;
 }
 
-void Links::source(const std::string& address, const std::string& from) {
+void Links::add_source(const std::string& address, const std::string& from) {
   thread_.call([&] { sources_[address] = from; });
 }
 
-void Links::pair(const std::string& from, const std::string& to) {
+void Links::add_link(const std::string& from, const std::string& to) {
   thread_.call([&] { links_[{from, to}] = std::make_unique<Link>(thread_.loop(), net::Address{}); });
 }
 
-int Links::add_front(const std::string& to, const std::string& address) {
+int Links::add_shared_listener(const std::string& to, const std::string& address) {
   int port = 0;
   int error = 0;
   auto target = net::parse_address(address);
   if (!target) throw std::runtime_error("no address: " + address);
   thread_.call([&] {
-    auto front = std::make_unique<Front>(*this, to, *target);
-    front->listener = net::listen_on(*net::parse_address("127.0.0.1:0"), &error);
-    if (!front->listener) return;
-    port = net::local_port(front->listener.get());
-    thread_.loop().add(front->listener.get(), front.get());
-    fronts_.push_back(std::move(front));
+    auto shared_listener = std::make_unique<SharedListener>(*this, to, *target);
+    shared_listener->listener = net::listen_on(*net::parse_address("127.0.0.1:0"), &error);
+    if (!shared_listener->listener) return;
+    port = net::local_port(shared_listener->listener.get());
+    thread_.loop().add(shared_listener->listener.get(), shared_listener.get());
+    shared_listeners_.push_back(std::move(shared_listener));
   });
   if (port == 0) throw std::runtime_error(fmt::format("the front of {}: {}", to, net::message_of(error)));
   return port;
@@ -264,13 +264,13 @@
   thread_.call([&] {
     auto& l = link(from, to);
     l.state = state;
-    for (auto& p : l.pairs) p->pump();
+    for (auto& p : l.connections) p->pump();
   });
 }
 
 void Links::reset(const std::string& from, const std::string& to) {
   thread_.call([&] {
-    for (auto& p : link(from, to).pairs) p->close(true);
+    for (auto& p : link(from, to).connections) p->close(true);
   });
 }
 
--- a/src/testbench/fault_injection/rig.cpp
+++ b/src/testbench/fault_injection/rig.cpp
@@ -21,14 +21,14 @@
   links_ = std::make_unique<Links>();
   for (std::size_t i = 0; i < options_.zones.size(); ++i) {
     auto& zone = options_.zones[i].name;
-    links_->source(fmt::format("127.0.{}.1", i + 1), zone);
-    for (auto& other : options_.zones) links_->pair(zone, other.name);
+    links_->add_source(fmt::format("127.0.{}.1", i + 1), zone);
+    for (auto& other : options_.zones) links_->add_link(zone, other.name);
   }
   if (!options_.zones.empty()) {
     options_.fake_servers.zones.clear();
     for (auto& zone : options_.zones) options_.fake_servers.zones.push_back(zone.name);
     options_.fake_servers.front = [this](const std::string& zone, int port) {
-      return fmt::format("127.0.0.1:{}", links_->add_front(zone, fmt::format("127.0.0.1:{}", port)));
+      return fmt::format("127.0.0.1:{}", links_->add_shared_listener(zone, fmt::format("127.0.0.1:{}", port)));
     };
     options_.fake_servers.lag_between = [this](const std::string& a, const std::string& b) {
       return a == b ? Micros(0) : region_of(a) == region_of(b) ? options_.intra_region_lag : options_.inter_region_lag;
@@ -52,7 +52,7 @@
     for (auto& other : voters_) {
       auto to = processes_[other].address;
       if (other != name && options_.grouped) {
-        to = fmt::format("127.0.0.1:{}", links_->add(name, other, to));
+        to = fmt::format("127.0.0.1:{}", links_->add_listener(name, other, to));
         process_links_.emplace_back(name, other);
       }
       group["nodes"].push_back({{"name", other}, {"address", to}});
@@ -85,8 +85,8 @@
       auto source = fmt::format("127.0.{}.1", at + 1);
       if (std::count(options_.own_sources.begin(), options_.own_sources.end(), name)) {
         source = fmt::format("127.1.{}.1", i + 1);
-        links_->source(source, name);
-        for (auto& zone : options_.zones) links_->pair(name, zone.name);
+        links_->add_source(source, name);
+        for (auto& zone : options_.zones) links_->add_link(name, zone.name);
       }
       d.operator_file["network"] = {{"source", source}};
     }
@@ -229,14 +229,14 @@
 void FaultHarness::cut(const std::string& a, const std::string& b) {
   history_.add("cut", {{"a", a}, {"b", b}});
   LinkState cut;
-  cut.hold_there = cut.hold_back = true;
+  cut.hold_forward = cut.hold_backward = true;
   set_links([&](auto& from, auto& to) { return (from == a && to == b) || (from == b && to == a); }, cut);
 }
 
 void FaultHarness::isolate(const std::string& name) {
   history_.add("isolate", {{"node", name}});
   LinkState cut;
-  cut.hold_there = cut.hold_back = true;
+  cut.hold_forward = cut.hold_backward = true;
   set_links([&](auto& from, auto& to) { return from == name || to == name; }, cut);
 }
 
@@ -244,8 +244,8 @@
   history_.add("mute", {{"node", name}});
   for (auto& [from, to] : process_links_) {
     LinkState s;
-    if (from == name) s.hold_there = true;
-    if (to == name) s.hold_back = true;
+    if (from == name) s.hold_forward = true;
+    if (to == name) s.hold_backward = true;
     if (from == name || to == name) links_->set(from, to, s);
   }
 }
@@ -254,8 +254,8 @@
   history_.add("deafen", {{"node", name}});
   for (auto& [from, to] : process_links_) {
     LinkState s;
-    if (from == name) s.hold_back = true;
-    if (to == name) s.hold_there = true;
+    if (from == name) s.hold_backward = true;
+    if (to == name) s.hold_forward = true;
     if (from == name || to == name) links_->set(from, to, s);
   }
 }
@@ -313,14 +313,14 @@
 void FaultHarness::cut_zone_direction(const std::string& from, const std::string& to) {
   history_.add("cut zone way", {{"from", from}, {"to", to}});
   LinkState cut;
-  cut.hold_there = cut.hold_back = true;
+  cut.hold_forward = cut.hold_backward = true;
   links_->set(from, to, cut);
 }
 
 void FaultHarness::cut_zones(const std::string& a, const std::string& b) {
   history_.add("cut zones", {{"a", a}, {"b", b}});
   LinkState cut;
-  cut.hold_there = cut.hold_back = true;
+  cut.hold_forward = cut.hold_backward = true;
   links_->set(a, b, cut);
   links_->set(b, a, cut);
   set_links(
--- a/tests/group/processes_test.cpp
+++ b/tests/group/processes_test.cpp
@@ -247,7 +247,7 @@
     REQUIRE(f->wait_until([&] { return f.number(third, "list_generation") < 1000; }));  // -1 before the first
     auto generation = f.number(third, "list_generation");
     LinkState held;
-    held.hold_there = true;
+    held.hold_forward = true;
     f->shape(owner, third, held);
     std::this_thread::sleep_for(700ms);  // its word that it lives comes every 500 ms
     CHECK(f->terminate(owner) == 0);
