--- a/src/testbench/fault_injection/commands.cpp
+++ b/src/testbench/fault_injection/commands.cpp
@@ -215,9 +215,9 @@
     return 0;
   }
   if (name == "check") {
-    auto verdict = judge(read_history(given["history"].as<std::string>()));
+    auto verdict = check_history(read_history(given["history"].as<std::string>()));
     std::cout << to_json(verdict).dump(1) << "\n";
-    return verdict.broken() ? 2 : 0;
+    return verdict.has_violations() ? 2 : 0;
   }
   if (name != "group" && name != "owner" && name != "savings" && name != "return" && name != "zones" &&
       name != "zones-cost" && name != "coldstart")
--- a/src/testbench/fault_injection/experiments.cpp
+++ b/src/testbench/fault_injection/experiments.cpp
@@ -376,7 +376,7 @@
   std::uint64_t elections = 0;
   for (auto& name : rig.voters()) elections += count_in(rig.log(name), "group: leader in term");
   if (!options.history.empty()) rig.history().write(options.history);
-  auto row = to_json(judge(rig.history().events()));
+  auto row = to_json(check_history(rig.history().events()));
   row.update({{"seed", options.seed},
               {"processes", o.voters},
               {"faults", faults},
@@ -490,7 +490,7 @@
   for (auto& [id, s] : report.at("servers").items()) probes += s.at("probes").get<double>();
   if (!options.history.empty()) rig.history().write(options.history);
   json breaches = report.at("breaches");
-  auto verdict = judge(rig.history().events());
+  auto verdict = check_history(rig.history().events());
   return {{"seed", options.seed},
           {"processes", rig.all().size()},
           {"faults", faults},
--- a/src/testbench/fault_injection/history.cpp
+++ b/src/testbench/fault_injection/history.cpp
@@ -34,7 +34,7 @@
   write_whole(path, text);
 }
 
-bool linearizable(std::vector<Operation> ops, bool* gave_up, std::size_t most_states) {
+bool linearizable(std::vector<Operation> ops, bool* gave_up, std::size_t max_states) {
   if (gave_up) *gave_up = false;
   // A write that nobody knows the end of and nobody read need not have happened.
   std::set<std::string> read;
@@ -66,7 +66,7 @@
     }
     if (s.first == ops.size()) return true;
     if (!seen.insert(key(s)).second) continue;
-    if (seen.size() > most_states) {
+    if (seen.size() > max_states) {
       if (gave_up) *gave_up = true;
       return false;
     }
@@ -86,14 +86,14 @@
   return false;
 }
 
-void Holds::saw(Micros at, const std::string& node, const std::string& job, std::uint64_t token) {
+void LeaseHoldSamples::add_sample(Micros at, const std::string& node, const std::string& job, std::uint64_t token) {
   ++samples_;
-  auto [it, fresh] = spans_[job].try_emplace(token, Span{at, at, node});
+  auto [it, inserted] = spans_[job].try_emplace(token, Span{at, at, node});
   it->second.first = std::min(it->second.first, at);
   it->second.last = std::max(it->second.last, at);
 }
 
-std::uint64_t Holds::overlapping() const {
+std::uint64_t LeaseHoldSamples::overlapping() const {
   std::uint64_t count = 0;
   for (auto& [job, spans] : spans_)
     for (auto a = spans.begin(); a != spans.end(); ++a)
@@ -102,12 +102,12 @@
   return count;
 }
 
-Verdict judge(const std::vector<nlohmann::json>& events) {
-  Verdict v;
+HistoryCheckResult check_history(const std::vector<nlohmann::json>& events) {
+  HistoryCheckResult v;
   std::map<std::string, std::vector<Operation>> registers;
-  std::map<std::string, std::string> last_words;
+  std::map<std::string, std::string> final_values;
   std::set<std::string> written;
-  Holds holds;
+  LeaseHoldSamples holds;
   std::map<std::uint64_t, std::string> leaders;                          // by term
   std::map<std::pair<std::string, std::string>, std::uint64_t> follows;  // node, job: token
   for (auto& e : events) {
@@ -123,17 +123,17 @@
         ++v.acknowledged;
         written.insert(key);
       }
-      if (e.value("last", false)) last_words[key] = o.value;
+      if (e.value("last", false)) final_values[key] = o.value;
       ++v.operations;
       registers[key].push_back(std::move(o));
     } else if (what == "sample") {
       auto node = e.at("node").get<std::string>();
       auto at = Micros(e.at("clock_us").get<std::int64_t>());
       ++v.samples;
-      for (auto& h : e.at("holds")) holds.saw(at, node, h.at(0), h.at(1).get<std::uint64_t>());
+      for (auto& h : e.at("holds")) holds.add_sample(at, node, h.at(0), h.at(1).get<std::uint64_t>());
       if (e.contains("leads")) {
-        auto [it, fresh] = leaders.emplace(e.at("leads").get<std::uint64_t>(), node);
-        if (!fresh && it->second != node) ++v.two_leaders_in_a_term;
+        auto [it, inserted] = leaders.emplace(e.at("leads").get<std::uint64_t>(), node);
+        if (!inserted && it->second != node) ++v.two_leaders_in_a_term;
       }
       if (e.value("anew", false)) std::erase_if(follows, [&](auto& f) { return f.first.first == node; });
       for (auto& p : e.at("published")) {
@@ -144,21 +144,21 @@
       }
     }
   }
-  for (auto& [key, word] : last_words) v.lost += word.empty() && written.count(key);
+  for (auto& [key, value] : final_values) v.lost += value.empty() && written.count(key);
   for (auto& [key, operations] : registers) {
     bool gave_up = false;
     if (!linearizable(operations, &gave_up))
-      ++(gave_up ? v.registers_not_decided : v.registers_without_order);
+      ++(gave_up ? v.registers_not_decided : v.non_linearizable_registers);
   }
   v.owners_overlapping = holds.overlapping();
   return v;
 }
 
-nlohmann::json to_json(const Verdict& v) {
+nlohmann::json to_json(const HistoryCheckResult& v) {
   return {{"acknowledged", v.acknowledged},
           {"lost", v.lost},
           {"operations_checked", v.operations},
-          {"linearizable", v.registers_without_order == 0},
+          {"linearizable", v.non_linearizable_registers == 0},
           {"registers_not_decided", v.registers_not_decided},
           {"samples", v.samples},
           {"owners_overlapping", v.owners_overlapping},
--- a/tests/group/parts_test.cpp
+++ b/tests/group/parts_test.cpp
@@ -306,15 +306,15 @@
 }
 
 TEST(Checkers, NobodyMayPassACheckAfterANewerTokenDid) {
-  testbench::faults::Holds holds;
-  holds.saw(1s, "a", "list", 3);
-  holds.saw(2s, "a", "list", 3);
-  holds.saw(4s, "b", "list", 7);
-  holds.saw(5s, "a", "list", 9);
+  testbench::faults::LeaseHoldSamples holds;
+  holds.add_sample(1s, "a", "list", 3);
+  holds.add_sample(2s, "a", "list", 3);
+  holds.add_sample(4s, "b", "list", 7);
+  holds.add_sample(5s, "a", "list", 9);
   EXPECT_EQ(holds.overlapping(), 0u);
-  holds.saw(4500ms, "a", "list", 3);
+  holds.add_sample(4500ms, "a", "list", 3);
   EXPECT_EQ(holds.overlapping(), 1u);
-  holds.saw(4600ms, "c", "probe 1", 1);  // another job
+  holds.add_sample(4600ms, "c", "probe 1", 1);  // another job
   EXPECT_EQ(holds.overlapping(), 1u);
 }
 
@@ -342,12 +342,12 @@
   auto with = [&](std::vector<json> more) {
     auto all = good;
     all.insert(all.end(), more.begin(), more.end());
-    return testbench::faults::judge(all);
+    return testbench::faults::check_history(all);
   };
   auto last = call("r1", false, "b", 50, 60);
   last["last"] = true;
   auto v = with({last});
-  EXPECT_FALSE(v.broken());
+  EXPECT_FALSE(v.has_violations());
   EXPECT_EQ(v.acknowledged, 1u);
   EXPECT_EQ(v.operations, 4u);
   EXPECT_EQ(v.samples, 3u);
@@ -355,9 +355,9 @@
   gone["last"] = true;
   v = with({gone});
   EXPECT_EQ(v.lost, 1u);
-  EXPECT_EQ(v.registers_without_order, 1u);
+  EXPECT_EQ(v.non_linearizable_registers, 1u);
   v = with({last, call("r1", false, "a", 70, 80)});
-  EXPECT_EQ(v.registers_without_order, 1u);
+  EXPECT_EQ(v.non_linearizable_registers, 1u);
   EXPECT_EQ(v.lost, 0u);
   EXPECT_EQ(with({sample("n1", 250, list3, list7)}).owners_overlapping, 1u);
   auto leads = [&](const std::string& node) {
@@ -370,7 +370,7 @@
   EXPECT_EQ(with({sample("n2", 500, json::array(), list3)}).stale_effects_accepted, 1u);
   auto anew = sample("n2", 500, json::array(), list3);
   anew["anew"] = true;  // it came back with an earlier state
-  EXPECT_FALSE(with({anew}).broken());
+  EXPECT_FALSE(with({anew}).has_violations());
   EXPECT_THROW(with({{{"what", "call"}}}), json::exception);
 }
 
