--- a/src/testbench/fault_injection/experiments.cpp
+++ b/src/testbench/fault_injection/experiments.cpp
@@ -358,7 +358,7 @@
     std::optional<Micros> again;
     std::thread watch([&] { again = clients.first_after(at + 1ms, 30s); });
     auto what = options.script.empty() ? one_fault(rig, draw, victim, false)
-                                       : play(rig, options.script[static_cast<std::size_t>(i)], &victim);
+                                       : run_fault(rig, options.script[static_cast<std::size_t>(i)], &victim);
     watch.join();
     // What lost the majority or slowed the disk lasts as long as it is made to: that is no election's time.
     bool counted = victim == leader && what != "majority killed" && what != "slow disk";
@@ -448,7 +448,7 @@
     if (victim.empty() || !std::count(rig.voters().begin(), rig.voters().end(), victim))
       victim = draw.of(rig.voters());
     auto what = options.script.empty() ? one_fault(rig, draw, victim, true)
-                                       : play(rig, options.script[static_cast<std::size_t>(i)], &victim);
+                                       : run_fault(rig, options.script[static_cast<std::size_t>(i)], &victim);
     auto at = net::monotonic_now();
     if (!rig.wait_until([&] { return !rig.leader().empty() && all_owned(); }, kSettled)) ++taken_over_late;
     until_owned.push_back(static_cast<double>((net::monotonic_now() - at).count()) / 1000);
--- a/src/testbench/fault_injection/script.cpp
+++ b/src/testbench/fault_injection/script.cpp
@@ -16,14 +16,14 @@
 
 // What a step needs beside `do`: n a node, t the other end, m milliseconds, b bytes, s words for the
 // stand-in; in capitals where it may be left out.
-const std::map<std::string, std::string> kSteps = {
+const std::map<std::string, std::string> kStepParameters = {
     {"wait", "m"},        {"kill", "n"},  {"start", "n"},  {"pause", "n"},        {"resume", "n"},
     {"terminate", "n"},   {"empty", "n"}, {"tear", "n"},   {"limit-files", "nb"}, {"slow-disk", "nm"},
     {"cut", "nt"},        {"mute", "n"},  {"deafen", "n"}, {"isolate", "n"},      {"shape", "ntMBS"},
     {"reset-links", "n"}, {"heal", ""},   {"steer", "s"},  {"settle", ""}};
-constexpr std::int64_t kLongestMs = 600'000;  // of one step: a script is not to hang for ever
+constexpr std::int64_t kMaxStepMs = 600'000;  // of one step: a script is not to hang for ever
 
-const std::map<char, const char*> kKeys = {{'n', "node"},  {'t', "to"},    {'m', "ms"},
+const std::map<char, const char*> kParameterKeys = {{'n', "node"},  {'t', "to"},    {'m', "ms"},
                                            {'b', "bytes"}, {'s', "steer"}, {'S', "stall_after"}};
 
 }  // namespace
@@ -42,17 +42,17 @@
       };
       if (!j.is_object() || !j.contains("do") || !j.at("do").is_string()) fail("no object with 'do'");
       Step step;
-      step.what = j.at("do").get<std::string>();
-      auto kind = kSteps.find(step.what);
-      if (kind == kSteps.end()) fail(fmt::format("'{}' is not known", step.what));
-      std::set<std::string> may{"do"};
+      step.action = j.at("do").get<std::string>();
+      auto kind = kStepParameters.find(step.action);
+      if (kind == kStepParameters.end()) fail(fmt::format("'{}' is not known", step.action));
+      std::set<std::string> allowed{"do"};
       for (char c : kind->second) {
-        auto known = kKeys.find(c);
-        bool must = c >= 'a' && c <= 'z';
-        auto* key = known != kKeys.end() ? known->second : kKeys.at(static_cast<char>(c - 'A' + 'a'));
-        may.insert(key);
+        auto known = kParameterKeys.find(c);
+        bool is_required = c >= 'a' && c <= 'z';
+        auto* key = known != kParameterKeys.end() ? known->second : kParameterKeys.at(static_cast<char>(c - 'A' + 'a'));
+        allowed.insert(key);
         if (!j.contains(key)) {
-          if (must) fail(fmt::format("'{}' needs '{}'", step.what, key));
+          if (is_required) fail(fmt::format("'{}' needs '{}'", step.action, key));
           continue;
         }
         auto& value = j.at(key);
@@ -61,22 +61,22 @@
             fail(fmt::format("'{}' is no whole number from 0", key));
           return value.get<std::int64_t>();
         };
-        auto word = [&] {
+        auto name = [&] {
           if (!value.is_string() || value.get<std::string>().empty())
             fail(fmt::format("'{}' is no name", key));
           return value.get<std::string>();
         };
         std::string k = key;
-        if (k == "node") step.node = word();
-        if (k == "to") step.to = word();
+        if (k == "node") step.node = name();
+        if (k == "to") step.to = name();
         if (k == "ms") step.ms = number();
         if (k == "bytes") step.bytes = number();
         if (k == "stall_after") step.stall_after = number();
-        if (k == "steer") step.steer = value;
+        if (k == "steer") step.control_command = value;
       }
       for (auto& [key, value] : j.items())
-        if (!may.count(key)) fail(fmt::format("'{}' has no '{}'", step.what, key));
-      if (step.ms > kLongestMs) fail(fmt::format("more than {} ms", kLongestMs));
+        if (!allowed.count(key)) fail(fmt::format("'{}' has no '{}'", step.action, key));
+      if (step.ms > kMaxStepMs) fail(fmt::format("more than {} ms", kMaxStepMs));
       fault.push_back(std::move(step));
     }
     script.push_back(std::move(fault));
@@ -92,10 +92,10 @@
   return parse_script(text);
 }
 
-std::string play(FaultHarness& harness, const Fault& fault, std::string* victim) {
-  std::string first, words;
+std::string run_fault(FaultHarness& harness, const Fault& fault, std::string* victim) {
+  std::string first, description;
   auto all = harness.all();
-  auto who = [&](const std::string& name) {
+  auto resolve_node = [&](const std::string& name) {
     std::string found = name;
     if (name == "leader") found = harness.leader();
     if (name.starts_with("owner ")) found = harness.lease_holder(name.substr(6));
@@ -111,29 +111,29 @@
     return found;
   };
   for (auto& s : fault) {
-    auto node = s.node.empty() ? "" : who(s.node), to = s.to.empty() ? "" : who(s.to);
+    auto node = s.node.empty() ? "" : resolve_node(s.node), to = s.to.empty() ? "" : resolve_node(s.to);
     if (first.empty()) first = node;
-    words += fmt::format("{}{}{}", words.empty() ? "" : ", ", s.what, s.node.empty() ? "" : " " + s.node);
-    if (s.what == "wait") std::this_thread::sleep_for(std::chrono::milliseconds(s.ms));
-    if (s.what == "kill") harness.kill(node);
-    if (s.what == "start") harness.start(node);
-    if (s.what == "pause") harness.pause(node);
-    if (s.what == "resume") harness.resume(node);
-    if (s.what == "terminate") harness.terminate(node);
-    if (s.what == "empty") harness.empty_directory(node);
-    if (s.what == "tear") harness.corrupt_store(node);
-    if (s.what == "limit-files") harness.limit_file_size(node, static_cast<std::uint64_t>(s.bytes));
-    if (s.what == "slow-disk") harness.set_sync_delay(node, static_cast<int>(s.ms));
-    if (s.what == "cut") harness.cut(node, to);
-    if (s.what == "mute") harness.block_outgoing(node);
-    if (s.what == "deafen") harness.block_incoming(node);
-    if (s.what == "isolate") harness.isolate(node);
-    if (s.what == "reset-links") harness.reset_links(node);
-    if (s.what == "heal") harness.heal();
-    if (s.what == "steer") harness.fake_servers().steer(s.steer);
-    if (s.what == "settle" && !harness.wait_until([&] { return !harness.leader().empty(); }))
+    description += fmt::format("{}{}{}", description.empty() ? "" : ", ", s.action, s.node.empty() ? "" : " " + s.node);
+    if (s.action == "wait") std::this_thread::sleep_for(std::chrono::milliseconds(s.ms));
+    if (s.action == "kill") harness.kill(node);
+    if (s.action == "start") harness.start(node);
+    if (s.action == "pause") harness.pause(node);
+    if (s.action == "resume") harness.resume(node);
+    if (s.action == "terminate") harness.terminate(node);
+    if (s.action == "empty") harness.empty_directory(node);
+    if (s.action == "tear") harness.corrupt_store(node);
+    if (s.action == "limit-files") harness.limit_file_size(node, static_cast<std::uint64_t>(s.bytes));
+    if (s.action == "slow-disk") harness.set_sync_delay(node, static_cast<int>(s.ms));
+    if (s.action == "cut") harness.cut(node, to);
+    if (s.action == "mute") harness.block_outgoing(node);
+    if (s.action == "deafen") harness.block_incoming(node);
+    if (s.action == "isolate") harness.isolate(node);
+    if (s.action == "reset-links") harness.reset_links(node);
+    if (s.action == "heal") harness.heal();
+    if (s.action == "steer") harness.fake_servers().steer(s.control_command);
+    if (s.action == "settle" && !harness.wait_until([&] { return !harness.leader().empty(); }))
       throw std::runtime_error("script: no leader was elected");
-    if (s.what == "shape") {
+    if (s.action == "shape") {
       LinkState state;
       state.delay = Micros(s.ms * 1000);
       state.bytes_per_second = s.bytes;
@@ -142,7 +142,7 @@
     }
   }
   if (victim && !first.empty()) *victim = first;
-  return words;
+  return description;
 }
 
 }  // namespace database_proxy::testbench::faults
--- a/src/testbench/fault_injection/script.h
+++ b/src/testbench/fault_injection/script.h
@@ -13,11 +13,11 @@
 class FaultHarness;
 
 struct Step {
-  std::string what, node, to;  // `to`: the other end of a link
+  std::string action, node, to;  // `to`: the other end of a link
   std::int64_t ms = 0;         // wait: how long; shape: the delay; slow-disk: of each sync
   std::int64_t bytes = 0;      // shape: a second; limit-files: most of one file
   std::int64_t stall_after = -1;
-  nlohmann::json steer;  // steer: the stand-in's own words
+  nlohmann::json control_command;  // steer: the stand-in's own words
 };
 using Fault = std::vector<Step>;
 using Script = std::vector<Fault>;
@@ -27,6 +27,6 @@
 Script read_script(const std::string& path);
 // Does one fault; returns it in words. `*victim`: its first node, as named when it began. Throws
 // std::runtime_error where a step names what is not there at that moment, after undoing nothing.
-std::string play(FaultHarness& harness, const Fault& fault, std::string* victim);
+std::string run_fault(FaultHarness& harness, const Fault& fault, std::string* victim);
 
 }  // namespace database_proxy::testbench::faults
--- a/tests/group/processes_test.cpp
+++ b/tests/group/processes_test.cpp
@@ -642,12 +642,12 @@
     [{"do": "kill", "node": "owner nothing"}]])"));
   std::string victim;
   auto leader = f->leader();
-  CHECK(play(*f, script[0], &victim) == "pause leader, wait, resume victim");
+  CHECK(run_fault(*f, script[0], &victim) == "pause leader, wait, resume victim");
   CHECK(victim == leader);
-  play(*f, script[1], &victim);
+  run_fault(*f, script[1], &victim);
   CHECK(victim == "p1");
   CHECK(f->running("p1"));
-  CHECK_THROWS_WITH(play(*f, script[2], &victim), "script: there is no owner nothing now");
+  CHECK_THROWS_WITH(run_fault(*f, script[2], &victim), "script: there is no owner nothing now");
   std::vector<std::string> seen;
   for (auto& e : f->history().events())
     if (e.contains("node"))
