--- a/src/testbench/fault_injection/fault_control.h
+++ b/src/testbench/fault_injection/fault_control.h
@@ -20,12 +20,12 @@
   kSocket,             // ENFILE, ENOBUFS
   kConnect,            // EADDRNOTAVAIL, ENETUNREACH, EHOSTUNREACH
   kReceive,            // ETIMEDOUT
-  kHeldUpBeforeWrite,  // sendmsg() comes 0.15 s late
-  kFolderFull,         // ENOSPC where a file is written or made
-  kFolderError,        // EIO where a file is read or written
-  kTornWrite,          // a file takes half of what is written, without an error
-  kHeldUpBeforeEnd,    // close() and shutdown() of a socket come 0.15 s late
-  kSlowFolder,         // a file in the shared folder is opened 1.2 s late
+  kDelayedWrite,  // sendmsg() comes 0.15 s late
+  kDiskFull,         // ENOSPC where a file is written or made
+  kFileError,        // EIO where a file is read or written
+  kTruncatedWrite,          // a file takes half of what is written, without an error
+  kDelayedClose,    // close() and shutdown() of a socket come 0.15 s late
+  kSlowOpen,         // a file in the shared folder is opened 1.2 s late
 };
 constexpr std::size_t kCallFaults = 13;
 
--- a/src/testbench/fault_injection/faulty_calls.cpp
+++ b/src/testbench/fault_injection/faulty_calls.cpp
@@ -24,7 +24,7 @@
 using database_proxy::testbench::CallFault;
 using database_proxy::testbench::FaultControl;
 
-constexpr long kHeldUpNanos = 150'000'000, kSlowFolderNanos = 200'000'000;
+constexpr long kCallDelayNanos = 150'000'000, kSlowOpenExtraNanos = 200'000'000;
 constexpr std::int64_t kMicrosPerSecond = 1'000'000, kNanosPerMicro = 1000;
 
 template <class Function>
@@ -48,7 +48,7 @@
   return memory;
 }
 
-std::uint64_t draw() {
+std::uint64_t next_random() {
   thread_local std::uint64_t state =
       control()->seed.load() * 0x9e3779b97f4a7c15u + static_cast<std::uint64_t>(gettid());
   state ^= state << 13;
@@ -57,20 +57,20 @@
   return state;
 }
 
-bool is_hit(CallFault fault) {
+bool should_inject(CallFault fault) {
   if (!control()) return false;
   auto one_in = control()->rate(fault).load(std::memory_order_relaxed);
-  return one_in > 0 && draw() % one_in == 0;
+  return one_in > 0 && next_random() % one_in == 0;
 }
 
 // Fails with one of the errors. False: this call is spared.
-bool fails(CallFault fault, std::initializer_list<int> errors) {
-  if (!is_hit(fault)) return false;
-  errno = errors.begin()[draw() % errors.size()];
+bool inject_error(CallFault fault, std::initializer_list<int> errors) {
+  if (!should_inject(fault)) return false;
+  errno = errors.begin()[next_random() % errors.size()];
   return true;
 }
 
-bool is_interrupted() { return fails(CallFault::kInterrupted, {EINTR}); }
+bool inject_interrupt() { return inject_error(CallFault::kInterrupted, {EINTR}); }
 
 bool is_regular_file(int file) {
   struct stat info {};
@@ -82,7 +82,7 @@
   return fstat(file, &info) == 0 && S_ISSOCK(info.st_mode);
 }
 
-void hold_up(timespec delay = {0, kHeldUpNanos}) { nanosleep(&delay, nullptr); }
+void delay_call(timespec delay = {0, kCallDelayNanos}) { nanosleep(&delay, nullptr); }
 
 // Only what lies in the folder that processes share: the configuration is the platform's.
 bool is_in_shared_folder(const char* path) {
@@ -94,19 +94,19 @@
 
 extern "C" ssize_t recv(int fd, void* buffer, size_t size, int flags) {
   static auto* call = real<ssize_t (*)(int, void*, size_t, int)>("recv");
-  if (is_interrupted() || fails(CallFault::kReceive, {ETIMEDOUT})) return -1;
-  if (size > 1 && is_hit(CallFault::kShortRead)) size = 1 + draw() % std::min<size_t>(size - 1, 64);
+  if (inject_interrupt() || inject_error(CallFault::kReceive, {ETIMEDOUT})) return -1;
+  if (size > 1 && should_inject(CallFault::kShortRead)) size = 1 + next_random() % std::min<size_t>(size - 1, 64);
   return call(fd, buffer, size, flags);
 }
 
 extern "C" ssize_t sendmsg(int fd, const msghdr* message, int flags) {
   static auto* call = real<ssize_t (*)(int, const msghdr*, int)>("sendmsg");
-  if (is_interrupted()) return -1;
-  if (is_hit(CallFault::kHeldUpBeforeWrite)) hold_up();
+  if (inject_interrupt()) return -1;
+  if (should_inject(CallFault::kDelayedWrite)) delay_call();
   bool is_short =
-      message->msg_iovlen > 0 && message->msg_iov[0].iov_len > 1 && is_hit(CallFault::kShortWrite);
+      message->msg_iovlen > 0 && message->msg_iov[0].iov_len > 1 && should_inject(CallFault::kShortWrite);
   if (!is_short) return call(fd, message, flags);
-  iovec part{message->msg_iov[0].iov_base, 1 + draw() % (message->msg_iov[0].iov_len - 1)};
+  iovec part{message->msg_iov[0].iov_base, 1 + next_random() % (message->msg_iov[0].iov_len - 1)};
   msghdr shortened = *message;
   shortened.msg_iov = &part;
   shortened.msg_iovlen = 1;
@@ -115,54 +115,54 @@
 
 extern "C" int shutdown(int fd, int how) noexcept {
   static auto* call = real<int (*)(int, int)>("shutdown");
-  if (is_hit(CallFault::kHeldUpBeforeEnd)) hold_up();
+  if (should_inject(CallFault::kDelayedClose)) delay_call();
   return call(fd, how);
 }
 
 extern "C" int close(int fd) {
   static auto* call = real<int (*)(int)>("close");
-  if (is_hit(CallFault::kHeldUpBeforeEnd) && is_socket(fd)) hold_up();
+  if (should_inject(CallFault::kDelayedClose) && is_socket(fd)) delay_call();
   return call(fd);
 }
 
 extern "C" int accept4(int fd, sockaddr* address, socklen_t* length, int flags) {
   static auto* call = real<int (*)(int, sockaddr*, socklen_t*, int)>("accept4");
-  if (is_interrupted() || fails(CallFault::kAccept, {ECONNABORTED, ENFILE, ENOBUFS})) return -1;
+  if (inject_interrupt() || inject_error(CallFault::kAccept, {ECONNABORTED, ENFILE, ENOBUFS})) return -1;
   return call(fd, address, length, flags);
 }
 
 extern "C" int socket(int domain, int type, int protocol) {
   static auto* call = real<int (*)(int, int, int)>("socket");
-  if (fails(CallFault::kSocket, {ENFILE, ENOBUFS})) return -1;
+  if (inject_error(CallFault::kSocket, {ENFILE, ENOBUFS})) return -1;
   return call(domain, type, protocol);
 }
 
 extern "C" int connect(int fd, const sockaddr* address, socklen_t length) {
   static auto* call = real<int (*)(int, const sockaddr*, socklen_t)>("connect");
-  if (fails(CallFault::kConnect, {EADDRNOTAVAIL, ENETUNREACH, EHOSTUNREACH})) return -1;
+  if (inject_error(CallFault::kConnect, {EADDRNOTAVAIL, ENETUNREACH, EHOSTUNREACH})) return -1;
   return call(fd, address, length);
 }
 
-extern "C" int epoll_wait(int fd, epoll_event* events, int most, int timeout) {
+extern "C" int epoll_wait(int fd, epoll_event* events, int max_events, int timeout) {
   static auto* call = real<int (*)(int, epoll_event*, int, int)>("epoll_wait");
-  if (is_interrupted()) return -1;
-  return call(fd, events, most, timeout);
+  if (inject_interrupt()) return -1;
+  return call(fd, events, max_events, timeout);
 }
 
 extern "C" ssize_t read(int fd, void* buffer, size_t size) {
   static auto* call = real<ssize_t (*)(int, void*, size_t)>("read");
-  if (is_interrupted()) return -1;
-  if (control() && is_regular_file(fd) && fails(CallFault::kFolderError, {EIO})) return -1;
+  if (inject_interrupt()) return -1;
+  if (control() && is_regular_file(fd) && inject_error(CallFault::kFileError, {EIO})) return -1;
   return call(fd, buffer, size);
 }
 
 extern "C" ssize_t write(int fd, const void* buffer, size_t size) {
   static auto* call = real<ssize_t (*)(int, const void*, size_t)>("write");
-  bool is_spared = !control() || fd <= STDERR_FILENO || !is_regular_file(fd);
-  if (is_spared) return call(fd, buffer, size);
-  if (is_interrupted() || fails(CallFault::kFolderFull, {ENOSPC}) || fails(CallFault::kFolderError, {EIO}))
+  bool is_excluded = !control() || fd <= STDERR_FILENO || !is_regular_file(fd);
+  if (is_excluded) return call(fd, buffer, size);
+  if (inject_interrupt() || inject_error(CallFault::kDiskFull, {ENOSPC}) || inject_error(CallFault::kFileError, {EIO}))
     return -1;
-  if (!is_hit(CallFault::kTornWrite)) return call(fd, buffer, size);
+  if (!should_inject(CallFault::kTruncatedWrite)) return call(fd, buffer, size);
   [[maybe_unused]] auto written = call(fd, buffer, size / 2);
   return static_cast<ssize_t>(size);
 }
@@ -174,9 +174,9 @@
   mode_t mode = (flags & O_CREAT) != 0 ? va_arg(arguments, mode_t) : 0;
   va_end(arguments);
   bool is_shared = is_in_shared_folder(path);
-  if (is_shared && is_hit(CallFault::kSlowFolder)) hold_up({1, kSlowFolderNanos});
-  if (is_shared && (flags & O_CREAT) != 0 && fails(CallFault::kFolderFull, {ENOSPC})) return -1;
-  if (is_shared && fails(CallFault::kFolderError, {EIO})) return -1;
+  if (is_shared && should_inject(CallFault::kSlowOpen)) delay_call({1, kSlowOpenExtraNanos});
+  if (is_shared && (flags & O_CREAT) != 0 && inject_error(CallFault::kDiskFull, {ENOSPC})) return -1;
+  if (is_shared && inject_error(CallFault::kFileError, {EIO})) return -1;
   return call(path, flags, mode);
 }
 
--- a/src/testbench/fault_injection/operator_calls.cpp
+++ b/src/testbench/fault_injection/operator_calls.cpp
@@ -14,55 +14,55 @@
 constexpr auto kCallTimeout = 1s;
 // A process that is stopped or ends gives no answer; so often another one is asked.
 constexpr int kAttempts = 8;
-constexpr auto kBetweenAttempts = 150ms;
+constexpr auto kRetryInterval = 150ms;
 
-std::string line_of(const PlannedCall& call) {
+std::string command_line(const PlannedCall& call) {
   return fmt::format("{} {}", call.kind == CallKind::kCordon ? "cordon" : "uncordon", call.server);
 }
 
 }  // namespace
 
-std::string OperatorCalls::answer_to(const PlannedCall& call) {
+std::string OperatorCalls::send_with_retries(const PlannedCall& call) {
   for (int attempt = 0; attempt < kAttempts; ++attempt) {
-    bool asks_newest = call.at_newest != (attempt % 2 == 1);
-    auto answer = operator_call(find_(asks_newest), line_of(call), kCallTimeout);
+    bool use_newest = call.at_newest != (attempt % 2 == 1);
+    auto answer = operator_call(find_address_(use_newest), command_line(call), kCallTimeout);
     if (!answer.empty()) return answer;
-    std::this_thread::sleep_for(kBetweenAttempts);
+    std::this_thread::sleep_for(kRetryInterval);
   }
   return "";
 }
 
-void OperatorCalls::confirm_return(const PlannedCall& call) {
-  auto answer = answer_to(call);
+void OperatorCalls::confirm_uncordoned(const PlannedCall& call) {
+  auto answer = send_with_retries(call);
   if (answer == "YES\n")
     violations_.push_back(fmt::format("{}: {} was put back, and is cordoned again", node_, call.server));
 }
 
-void OperatorCalls::make(const PlannedCall& call) {
-  if (call.kind == CallKind::kConfirmReturn) return confirm_return(call);
+void OperatorCalls::execute(const PlannedCall& call) {
+  if (call.kind == CallKind::kConfirmReturn) return confirm_uncordoned(call);
   bool is_cordon = call.kind == CallKind::kCordon;
   if (!is_cordon && call.is_known) checker_.on_uncordoning(net::monotonic_now(), node_, call.server);
-  auto answer = answer_to(call);
-  bool is_yes = answer.starts_with("YES");
+  auto answer = send_with_retries(call);
+  bool is_accepted = answer.starts_with("YES");
   if (!call.is_known) {
-    if (is_yes) violations_.push_back(fmt::format("{}: {} is answered {}", node_, line_of(call), answer));
+    if (is_accepted) violations_.push_back(fmt::format("{}: {} is answered {}", node_, command_line(call), answer));
     return;
   }
   if (answer.empty()) return checker_.on_unanswered(node_, call.server);
-  if (!is_yes) {
-    violations_.push_back(fmt::format("{}: {} is answered {}", node_, line_of(call), answer));
+  if (!is_accepted) {
+    violations_.push_back(fmt::format("{}: {} is answered {}", node_, command_line(call), answer));
     return checker_.on_unanswered(node_, call.server);
   }
   if (is_cordon) checker_.on_cordoned(net::monotonic_now(), node_, call.server);
 }
 
-void OperatorCalls::run(std::chrono::steady_clock::time_point began,
+void OperatorCalls::run(std::chrono::steady_clock::time_point started,
                         std::chrono::steady_clock::time_point until) {
   for (auto& call : calls_) {
-    auto at = began + std::chrono::milliseconds(call.at_ms);
+    auto at = started + std::chrono::milliseconds(call.at_ms);
     if (at > until) return;
     std::this_thread::sleep_until(at);
-    make(call);
+    execute(call);
   }
 }
 
--- a/src/testbench/fault_injection/operator_calls.h
+++ b/src/testbench/fault_injection/operator_calls.h
@@ -18,23 +18,23 @@
   using FindAddress = std::function<std::string(bool newest)>;
 
   OperatorCalls(std::string node, std::vector<PlannedCall> calls, WithdrawalChecker& checker,
-                FindAddress find)
-      : node_(std::move(node)), calls_(std::move(calls)), checker_(checker), find_(std::move(find)) {}
+                FindAddress find_address)
+      : node_(std::move(node)), calls_(std::move(calls)), checker_(checker), find_address_(std::move(find_address)) {}
 
   // Makes the calls, up to the last or to `until`. In a thread of its own.
-  void run(std::chrono::steady_clock::time_point began, std::chrono::steady_clock::time_point until);
+  void run(std::chrono::steady_clock::time_point started, std::chrono::steady_clock::time_point until);
   // After run().
   const std::vector<std::string>& violations() const { return violations_; }
 
  private:
-  void make(const PlannedCall& call);
-  void confirm_return(const PlannedCall& call);
-  std::string answer_to(const PlannedCall& call);
+  void execute(const PlannedCall& call);
+  void confirm_uncordoned(const PlannedCall& call);
+  std::string send_with_retries(const PlannedCall& call);
 
   const std::string node_;
   const std::vector<PlannedCall> calls_;
   WithdrawalChecker& checker_;
-  FindAddress find_;
+  FindAddress find_address_;
   std::vector<std::string> violations_;
 };
 
--- a/src/testbench/fault_injection/slow_sync.cpp
+++ b/src/testbench/fault_injection/slow_sync.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-void wait_a_while() {
+void delay_sync() {
   const char* path = getenv("DATABASE_PROXY_SLOW_SYNC");
   if (!path) return;
   int fd = open(path, O_RDONLY | O_CLOEXEC);
@@ -28,12 +28,12 @@
 
 extern "C" int fsync(int fd) {
   static auto real = reinterpret_cast<Sync>(dlsym(RTLD_NEXT, "fsync"));
-  wait_a_while();
+  delay_sync();
   return real(fd);
 }
 
 extern "C" int fdatasync(int fd) {
   static auto real = reinterpret_cast<Sync>(dlsym(RTLD_NEXT, "fdatasync"));
-  wait_a_while();
+  delay_sync();
   return real(fd);
 }
--- a/src/testbench/fault_injection/soak_script.cpp
+++ b/src/testbench/fault_injection/soak_script.cpp
@@ -17,11 +17,11 @@
     {CallFault::kAccept, 4},
     {CallFault::kSocket, 8},
     {CallFault::kConnect, 20},
-    {CallFault::kHeldUpBeforeWrite, 500},
-    {CallFault::kFolderFull, 2},
-    {CallFault::kFolderError, 2},
-    {CallFault::kTornWrite, 4},
-    {CallFault::kSlowFolder, 20},
+    {CallFault::kDelayedWrite, 500},
+    {CallFault::kDiskFull, 2},
+    {CallFault::kFileError, 2},
+    {CallFault::kTruncatedWrite, 4},
+    {CallFault::kSlowOpen, 20},
 };
 
 constexpr std::int64_t kHourUs = 3'600'000'000, kSecondUs = 1'000'000;
--- a/tests/upgrade/call_faults_test.cpp
+++ b/tests/upgrade/call_faults_test.cpp
@@ -43,7 +43,7 @@
 TEST_CASE("calls: a start that meets temporary errors is retried until the process serves") {
   FaultyNode node;
   for (auto fault :
-       {CallFault::kSocket, CallFault::kInterrupted, CallFault::kFolderError, CallFault::kFolderFull}) {
+       {CallFault::kSocket, CallFault::kInterrupted, CallFault::kFileError, CallFault::kDiskFull}) {
     node.faults.clear();
     node.faults.control().rate(fault) = 2;
     auto process = node.start_faulty();
@@ -125,7 +125,7 @@
   Client client(node.port());
   auto next = node.start();
   REQUIRE(becomes_healthy(*next));
-  node.faults.control().rate(CallFault::kHeldUpBeforeEnd) = 1;
+  node.faults.control().rate(CallFault::kDelayedClose) = 1;
   old->signal(SIGTERM);
   for (int number = 0; !has_ended(client); ++number) {
     auto id = "e" + std::to_string(number);
@@ -139,7 +139,7 @@
   FaultyNode node;
   auto process = node.start_faulty();
   REQUIRE(becomes_healthy(*process));
-  node.faults.control().rate(CallFault::kSlowFolder) = 1;
+  node.faults.control().rate(CallFault::kSlowOpen) = 1;
   auto load_options = node.load(std::chrono::milliseconds(3000));
   load_options.rate = 400;
   testbench::LoadFigures figures;
