--- a/src/testbench/fault_injection/call_faults.h
+++ b/src/testbench/fault_injection/call_faults.h
@@ -1,5 +1,5 @@
-// The test bench's end of the fault control of one process: its file, its memory, and what the process has to
-// be started with.
+// The testbench's side of the fault control of one process: its file, its shared memory, and the environment
+// that the process has to be started with.
 #pragma once
 
 #include <string>
@@ -10,9 +10,11 @@
 
 namespace database_proxy::testbench {
 
+// Owns the control file and the mapping of the fault control of one process.
 class CallFaults {
  public:
-  // `program`: the one to be started; the library lies beside it. Throws std::runtime_error.
+  // `program`: the program to be started; the preloaded library is in its directory. Throws
+  // std::runtime_error.
   CallFaults(const std::string& program, const std::string& file, std::uint64_t seed);
   ~CallFaults();
   CallFaults(const CallFaults&) = delete;
@@ -20,7 +22,7 @@
 
   std::vector<std::pair<std::string, std::string>> environment() const;
   FaultControl& control() { return *control_; }
-  // Every kind off, the wall clock right.
+  // Turns off all faults and resets the wall clock offset.
   void clear();
 
  private:
--- a/src/testbench/fault_injection/faulty_calls.cpp
+++ b/src/testbench/fault_injection/faulty_calls.cpp
@@ -1,5 +1,5 @@
-// Loaded into a process (LD_PRELOAD): its system calls fail as the shared fault control says, in ways that
-// Linux documents. The process itself knows nothing of it.
+// Library preloaded into a process (LD_PRELOAD). Injects the system call failures that the shared fault
+// control configures, with errors that Linux documents. The process needs no support for it.
 #include <dlfcn.h>
 #include <fcntl.h>
 #include <sys/epoll.h>
@@ -32,7 +32,7 @@
   return reinterpret_cast<Function>(dlsym(RTLD_NEXT, name));
 }
 
-// nullptr: no file is named, or it is not there.
+// Returns nullptr if no file is configured or it cannot be opened or mapped.
 FaultControl* open_control() {
   const char* path = getenv(database_proxy::testbench::kFaultControlVariable);
   auto* open_file = real<int (*)(const char*, int, ...)>("open");
@@ -63,7 +63,7 @@
   return one_in > 0 && next_random() % one_in == 0;
 }
 
-// Fails with one of the errors. False: this call is spared.
+// Sets errno to one of the errors and returns true if this call is to fail.
 bool inject_error(CallFault fault, std::initializer_list<int> errors) {
   if (!should_inject(fault)) return false;
   errno = errors.begin()[next_random() % errors.size()];
@@ -84,7 +84,7 @@
 
 void delay_call(timespec delay = {0, kCallDelayNanos}) { nanosleep(&delay, nullptr); }
 
-// Only what lies in the folder that processes share: the configuration is the platform's.
+// Only files in the folder that processes share are affected: the configuration belongs to the platform.
 bool is_in_shared_folder(const char* path) {
   const char* folder = getenv("TMPDIR");
   return folder && path && strncmp(path, folder, strlen(folder)) == 0;
@@ -95,7 +95,8 @@
 extern "C" ssize_t recv(int fd, void* buffer, size_t size, int flags) {
   static auto* call = real<ssize_t (*)(int, void*, size_t, int)>("recv");
   if (inject_interrupt() || inject_error(CallFault::kReceive, {ETIMEDOUT})) return -1;
-  if (size > 1 && should_inject(CallFault::kShortRead)) size = 1 + next_random() % std::min<size_t>(size - 1, 64);
+  if (size > 1 && should_inject(CallFault::kShortRead))
+    size = 1 + next_random() % std::min<size_t>(size - 1, 64);
   return call(fd, buffer, size, flags);
 }
 
@@ -160,7 +161,8 @@
   static auto* call = real<ssize_t (*)(int, const void*, size_t)>("write");
   bool is_excluded = !control() || fd <= STDERR_FILENO || !is_regular_file(fd);
   if (is_excluded) return call(fd, buffer, size);
-  if (inject_interrupt() || inject_error(CallFault::kDiskFull, {ENOSPC}) || inject_error(CallFault::kFileError, {EIO}))
+  if (inject_interrupt() || inject_error(CallFault::kDiskFull, {ENOSPC}) ||
+      inject_error(CallFault::kFileError, {EIO}))
     return -1;
   if (!should_inject(CallFault::kTruncatedWrite)) return call(fd, buffer, size);
   [[maybe_unused]] auto written = call(fd, buffer, size / 2);
--- a/src/testbench/fault_injection/history.cpp
+++ b/src/testbench/fault_injection/history.cpp
@@ -36,18 +36,19 @@
 
 bool linearizable(std::vector<Operation> ops, bool* gave_up, std::size_t max_states) {
   if (gave_up) *gave_up = false;
-  // A write that nobody knows the end of and nobody read need not have happened.
+  // A write with an unknown outcome whose value was never read can be left out, as can a read with an unknown
+  // outcome.
   std::set<std::string> read;
   for (auto& o : ops)
     if (!o.write) read.insert(o.value);
   std::erase_if(ops,
                 [&](auto& o) { return o.answered == Micros::max() && (!o.write || !read.count(o.value)); });
   std::sort(ops.begin(), ops.end(), [](auto& a, auto& b) { return a.called < b.called; });
-  // Depth first (Wing and Gong, 1993) over sets of operations done, as a string of the first that is not and
-  // of those done beyond it, and the value that stands.
+  // Depth-first search (Wing and Gong, 1993) over sets of operations done. The key of a state is a string of
+  // the first operation that is not done, those done after it, and the current value.
   struct State {
-    std::size_t first;              // all before are done
-    std::vector<std::size_t> done;  // beyond, in order
+    std::size_t first;              // all operations before it are done
+    std::vector<std::size_t> done;  // those done after `first`, in order
     std::string value;
   };
   auto key = [](const State& s) {
@@ -70,7 +71,7 @@
       if (gave_up) *gave_up = true;
       return false;
     }
-    // The next may be any that was called before the first answer of those not done.
+    // The next operation can be any that was called before the earliest answer of those not done.
     Micros bound = Micros::max();
     for (std::size_t i = s.first; i < ops.size() && ops[i].called <= bound; ++i)
       if (!std::binary_search(s.done.begin(), s.done.end(), i)) bound = std::min(bound, ops[i].answered);
@@ -86,7 +87,8 @@
   return false;
 }
 
-void LeaseHoldSamples::add_sample(Micros at, const std::string& node, const std::string& job, std::uint64_t token) {
+void LeaseHoldSamples::add_sample(Micros at, const std::string& node, const std::string& job,
+                                  std::uint64_t token) {
   ++samples_;
   auto [it, inserted] = spans_[job].try_emplace(token, Span{at, at, node});
   it->second.first = std::min(it->second.first, at);
@@ -174,7 +176,7 @@
   while (std::getline(file, line)) {
     auto event = nlohmann::json::parse(line, nullptr, false);
     if (!event.is_object() || !event.contains("what"))
-      throw std::runtime_error(fmt::format("{}: line {} is no event", path, events.size() + 1));
+      throw std::runtime_error(fmt::format("{}: line {} is not an event", path, events.size() + 1));
     events.push_back(std::move(event));
   }
   return events;
--- a/src/testbench/fault_injection/history.h
+++ b/src/testbench/fault_injection/history.h
@@ -1,5 +1,5 @@
-// What happened in a run of the fault rig, in the order of time, and checkers that read it afterwards. No I/O
-// but write().
+// Events of a run of the fault harness in order of time, and checkers that read them afterwards. The only I/O
+// is in History::write() and read_history().
 #pragma once
 
 #include <cstdint>
@@ -15,10 +15,11 @@
 
 using net::Micros;
 
+// Thread-safe record of the events of a run.
 class History {
  public:
   History() : started_at_(net::monotonic_now()) {}
-  // From any thread. `what` and the time are added.
+  // Adds an event with `what` and the current time. May be called from any thread.
   void add(const std::string& what, nlohmann::json event = nlohmann::json::object());
   Micros now() const { return net::monotonic_now() - started_at_; }
   std::vector<nlohmann::json> events() const;
@@ -30,24 +31,26 @@
   std::vector<nlohmann::json> events_;
 };
 
-// One call on one register.
+// One call on one register (a key).
 struct Operation {
-  Micros called{0}, answered{Micros::max()};  // max: nobody knows how it ended
+  Micros called{0}, answered{Micros::max()};  // max: outcome unknown
   bool write = false;
   std::string value;  // written or read
 };
-// Whether one order of all operations explains what each saw (Herlihy and Wing, 1990), each taking effect at
-// one moment between call and answer; writes of unknown end may have taken effect or not. Values written are
-// all different. `most_states` bounds the search; false with `*gave_up` set: it ended there.
+// Returns true if some order of all operations explains every value read (linearizability, Herlihy and Wing,
+// 1990). Each operation takes effect at one moment between call and answer; a write with an unknown outcome
+// may or may not have taken effect. All written values must differ. `max_states` bounds the search: if it is
+// reached, the result is false and `*gave_up` is set.
 bool linearizable(std::vector<Operation> operations, bool* gave_up = nullptr,
                   std::size_t max_states = 2'000'000);
 
-// Samples of who passed its own check for a job: nobody may pass it after a holder of a newer token has.
+// Samples of which node passed its own lease check for a job. No node may pass the check after the holder of
+// a newer fencing token has passed it.
 class LeaseHoldSamples {
  public:
-  // Sampled by the holder's own process at that moment, of one clock for all.
+  // Adds a sample that the lease holder's process took at `at`; all samples use one clock.
   void add_sample(Micros at, const std::string& node, const std::string& job, std::uint64_t token);
-  std::uint64_t overlapping() const;  // pairs that contradict each other
+  std::uint64_t overlapping() const;  // pairs of tokens whose holders overlap
   std::uint64_t samples() const { return samples_; }
 
  private:
@@ -59,14 +62,17 @@
   std::uint64_t samples_ = 0;
 };
 
-// What the events of a run say, read from nothing else; also from a file that write() made. Events looked at:
-// - call: client, key, write, value, called_us, answered_us (absent: nobody knows how it ended), last (the
-// last
-//   word on a register, read when all faults were over);
-// - sample: node, clock_us, holds [[job, token]], leads (its term, absent: it does not), published
-//   [[job, token of what it follows]], anew (nothing earlier of this node is to be compared).
+// Result of checking the events of a run. The events alone are evaluated, so a file from History::write()
+// gives the same result. Events that are evaluated:
+// - call: client, key, write, value, called_us, answered_us (absent: outcome unknown), last (the final read
+// of
+//   a register, after all faults have ended);
+// - sample: node, clock_us, holds [[job, token]], leads (the term; absent: the node does not lead), published
+//   [[job, fencing token of the state that the node follows]], anew (the node is not compared with its
+//   earlier samples).
 struct HistoryCheckResult {
-  std::uint64_t acknowledged = 0, operations = 0, lost = 0;  // lost: acknowledged, and the last word is empty
+  std::uint64_t acknowledged = 0, operations = 0,
+                lost = 0;  // lost: a write was acknowledged, and the final read is empty
   std::uint64_t non_linearizable_registers = 0, registers_not_decided = 0;
   std::uint64_t samples = 0, owners_overlapping = 0, two_leaders_in_a_term = 0, stale_effects_accepted = 0;
   bool has_violations() const {
@@ -75,10 +81,10 @@
            0;
   }
 };
-// Throws nlohmann::json::exception on an event that lacks what it must have.
+// Throws nlohmann::json::exception if an event lacks a required field.
 HistoryCheckResult check_history(const std::vector<nlohmann::json>& events);
 nlohmann::json to_json(const HistoryCheckResult& result);
-// Throws std::runtime_error: no such file, or a line that is no event.
+// Throws std::runtime_error if the file cannot be read or a line is not an event.
 std::vector<nlohmann::json> read_history(const std::string& path);
 
 }  // namespace database_proxy::testbench::faults
--- a/src/testbench/fault_injection/links.cpp
+++ b/src/testbench/fault_injection/links.cpp
@@ -13,7 +13,7 @@
 namespace database_proxy::testbench::faults {
 namespace {
 
-// Of one direction, held in the rig; then the sender meets a full window, as on a dead link.
+// Limit per direction; beyond it the sender's window fills up, as on a dead link.
 constexpr std::size_t kMaxBufferedBytes = 4 << 20;
 constexpr std::size_t kChunkBytes = 64 * 1024;
 
@@ -28,7 +28,7 @@
     bool connected = true, ended = false;
   };
   struct Direction {
-    std::deque<std::pair<Micros, std::string>> queue;  // due
+    std::deque<std::pair<Micros, std::string>> queue;  // due time and bytes
     std::size_t buffered = 0;
     double credit = 0;
     Micros credit_updated{0};
@@ -42,7 +42,7 @@
   void close(bool with_reset);
 
   Link& link;
-  End dialer_end{*this}, target_end{*this};  // the dialer's end, and the other's
+  End dialer_end{*this}, target_end{*this};  // the sockets to the dialer and to the target
   Direction forward, backward;
   net::Loop::TimerId timer = net::Loop::kNoTimer;
   bool closed = false;
@@ -91,7 +91,8 @@
       auto dialed = net::start_connect(target, &error);
       if (!dialed) continue;
       std::erase_if(it->second->connections, [](auto& p) { return p->closed; });
-      it->second->connections.push_back(std::make_unique<Connection>(*it->second, std::move(fd), std::move(dialed)));
+      it->second->connections.push_back(
+          std::make_unique<Connection>(*it->second, std::move(fd), std::move(dialed)));
     }
   }
   Links& links;
@@ -136,12 +137,13 @@
       break;
     }
     direction.buffered += static_cast<std::size_t>(n);
-    direction.queue.emplace_back(link.loop.now() + link.state.delay, chunk.substr(0, static_cast<std::size_t>(n)));
+    direction.queue.emplace_back(link.loop.now() + link.state.delay,
+                                 chunk.substr(0, static_cast<std::size_t>(n)));
   }
   return true;
 }
 
-// False: the end is gone.
+// Returns false if the socket has failed.
 bool Links::Connection::write(End& to, Direction& direction, bool is_forward) {
   auto& s = link.state;
   auto now = link.loop.now();
@@ -158,7 +160,8 @@
       max_bytes = std::min(max_bytes, static_cast<std::size_t>(direction.credit));
       if (max_bytes == 0) return true;
     }
-    if (is_forward && s.stall_after >= 0) max_bytes = std::min(max_bytes, static_cast<std::size_t>(s.stall_after));
+    if (is_forward && s.stall_after >= 0)
+      max_bytes = std::min(max_bytes, static_cast<std::size_t>(s.stall_after));
     auto n = max_bytes == 0 ? 0 : send(to.fd.get(), bytes.data(), max_bytes, MSG_NOSIGNAL);
     if (n < 0 && errno == EINTR) continue;
     if (n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK)) return true;
@@ -189,7 +192,7 @@
   read(dialer_end, forward);
   read(target_end, backward);
   if (!write(target_end, forward, true) || !write(dialer_end, backward, false)) return close(true);
-  // An end that has gone is told to the other once what it said has passed, and not through a cut.
+  // The end of a stream is passed on after all its bytes, and not while the direction is held.
   auto& s = link.state;
   if (dialer_end.ended && forward.queue.empty() && !s.hold_forward) return close(false);
   if (target_end.ended && backward.queue.empty() && !s.hold_backward) return close(false);
@@ -215,7 +218,7 @@
   int port = 0;
   int error = 0;
   auto target = net::parse_address(address);
-  if (!target) throw std::runtime_error("no address: " + address);
+  if (!target) throw std::runtime_error("not an address: " + address);
   thread_.call([&] {
     auto l = std::make_unique<Link>(thread_.loop(), *target);
     l->listener = net::listen_on(*net::parse_address("127.0.0.1:0"), &error);
@@ -225,7 +228,8 @@
     links_[{from, to}] = std::move(l);
   });
   if (port == 0)
-    throw std::runtime_error(fmt::format("the link from {} to {}: {}", from, to, net::message_of(error)));
+    throw std::runtime_error(
+        fmt::format("cannot listen for the link from {} to {}: {}", from, to, net::message_of(error)));
   return port;
 }
 
@@ -241,7 +245,7 @@
   int port = 0;
   int error = 0;
   auto target = net::parse_address(address);
-  if (!target) throw std::runtime_error("no address: " + address);
+  if (!target) throw std::runtime_error("not an address: " + address);
   thread_.call([&] {
     auto shared_listener = std::make_unique<SharedListener>(*this, to, *target);
     shared_listener->listener = net::listen_on(*net::parse_address("127.0.0.1:0"), &error);
@@ -250,13 +254,15 @@
     thread_.loop().add(shared_listener->listener.get(), shared_listener.get());
     shared_listeners_.push_back(std::move(shared_listener));
   });
-  if (port == 0) throw std::runtime_error(fmt::format("the front of {}: {}", to, net::message_of(error)));
+  if (port == 0)
+    throw std::runtime_error(fmt::format("cannot listen in front of {}: {}", to, net::message_of(error)));
   return port;
 }
 
 Links::Link& Links::link(const std::string& from, const std::string& to) {
   auto it = links_.find({from, to});
-  if (it == links_.end()) throw std::invalid_argument(fmt::format("no link leads from {} to {}", from, to));
+  if (it == links_.end())
+    throw std::invalid_argument(fmt::format("there is no link from {} to {}", from, to));
   return *it->second;
 }
 
--- a/src/testbench/fault_injection/links.h
+++ b/src/testbench/fault_injection/links.h
@@ -1,5 +1,6 @@
-// Links of the fault rig: each connection from one process to another runs through a port of the rig's own,
-// so that it can be cut, delayed, slowed, stalled or reset, one direction at a time. All in one thread.
+// Links of the fault harness: each connection from one process to another is forwarded through a port of the
+// harness, so that it can be held, delayed, limited in bandwidth, stalled or reset. Each direction can be
+// held on its own. All links run in one thread.
 #pragma once
 
 #include <cstdint>
@@ -19,27 +20,32 @@
 
 using net::Micros;
 
+// Faults in effect on a link. Forward is from the dialer to the target, backward the other direction.
 struct LinkState {
-  bool hold_forward = false, hold_backward = false;  // bytes stay in the rig until it passes them again
-  Micros delay{0};                             // each way
-  std::int64_t bytes_per_second = 0;           // each way; 0: as they come
-  std::int64_t stall_after = -1;               // bytes that still pass from the dialer, then it is held
+  bool hold_forward = false, hold_backward = false;  // bytes stay buffered in the harness until released
+  Micros delay{0};                                   // each way
+  std::int64_t bytes_per_second = 0;                 // each way; 0: unlimited
+  std::int64_t stall_after = -1;  // bytes still forwarded from the dialer before holding; -1: no stall
 };
 
+// Forwards connections between processes and applies the state of their links.
 class Links {
  public:
   Links();
   ~Links();
-  // A port that leads from one process to another's address; both names are the rig's own.
+  // Returns a port that forwards to `address`, the address of process `to`, for connections from process
+  // `from`. Both are names within the harness.
   int add_listener(const std::string& from, const std::string& to, const std::string& address);
-  // One port in front of a server, for dialers from anywhere: which pair's link a connection takes is told by
-  // the address it comes from. `pair` makes a link of that kind, without a port.
+  // `add_shared_listener` returns one port in front of a server for dialers of all names. The source address
+  // of a connection, registered with `add_source`, selects the link that it uses. `add_link` creates such a
+  // link, which has no port of its own.
   void add_source(const std::string& address, const std::string& from);
   void add_link(const std::string& from, const std::string& to);
   int add_shared_listener(const std::string& to, const std::string& address);
   void set(const std::string& from, const std::string& to, LinkState state);
-  void reset(const std::string& from, const std::string& to);  // RST on all its connections, both ends
-  std::uint64_t bytes_forwarded(const std::string& from, const std::string& to);  // bytes
+  void reset(const std::string& from,
+             const std::string& to);  // sends RST to both ends of all its connections
+  std::uint64_t bytes_forwarded(const std::string& from, const std::string& to);  // both directions
 
  private:
   struct Connection;
@@ -48,7 +54,7 @@
   Link& link(const std::string& from, const std::string& to);
 
   std::map<std::pair<std::string, std::string>, std::unique_ptr<Link>> links_;
-  std::map<std::string, std::string> sources_;  // by address
+  std::map<std::string, std::string> sources_;  // dialer name by source address
   std::vector<std::unique_ptr<SharedListener>> shared_listeners_;
   LoopThread thread_;
 };
--- a/src/testbench/fault_injection/operator_calls.cpp
+++ b/src/testbench/fault_injection/operator_calls.cpp
@@ -12,7 +12,7 @@
 using namespace std::chrono_literals;
 
 constexpr auto kCallTimeout = 1s;
-// A process that is stopped or ends gives no answer; so often another one is asked.
+// A stopped or ending process does not answer; attempts alternate between the newest and the oldest process.
 constexpr int kAttempts = 8;
 constexpr auto kRetryInterval = 150ms;
 
@@ -35,7 +35,7 @@
 void OperatorCalls::confirm_uncordoned(const PlannedCall& call) {
   auto answer = send_with_retries(call);
   if (answer == "YES\n")
-    violations_.push_back(fmt::format("{}: {} was put back, and is cordoned again", node_, call.server));
+    violations_.push_back(fmt::format("{}: {} was uncordoned but is cordoned again", node_, call.server));
 }
 
 void OperatorCalls::execute(const PlannedCall& call) {
@@ -45,12 +45,13 @@
   auto answer = send_with_retries(call);
   bool is_accepted = answer.starts_with("YES");
   if (!call.is_known) {
-    if (is_accepted) violations_.push_back(fmt::format("{}: {} is answered {}", node_, command_line(call), answer));
+    if (is_accepted)
+      violations_.push_back(fmt::format("{}: {} was answered with {}", node_, command_line(call), answer));
     return;
   }
   if (answer.empty()) return checker_.on_unanswered(node_, call.server);
   if (!is_accepted) {
-    violations_.push_back(fmt::format("{}: {} is answered {}", node_, command_line(call), answer));
+    violations_.push_back(fmt::format("{}: {} was answered with {}", node_, command_line(call), answer));
     return checker_.on_unanswered(node_, call.server);
   }
   if (is_cordon) checker_.on_cordoned(net::monotonic_now(), node_, call.server);
--- a/src/testbench/fault_injection/operator_calls.h
+++ b/src/testbench/fault_injection/operator_calls.h
@@ -1,5 +1,5 @@
-// An operator of one node of a soak: makes the planned calls at whichever of its processes, asks again where
-// none answers, and notes what was answered.
+// Simulates an operator of one node in a soak test: sends the planned commands to one of the node's
+// processes, retries when there is no answer, and records the answers.
 #pragma once
 
 #include <chrono>
@@ -12,18 +12,23 @@
 
 namespace database_proxy::testbench {
 
+// Sends the planned operator commands of one node and checks their answers.
 class OperatorCalls {
  public:
-  // The operators' address of the newest or the oldest process of the node; empty: none runs.
+  // Returns the operators' address of the newest or the oldest process of the node; empty: none runs.
   using FindAddress = std::function<std::string(bool newest)>;
 
   OperatorCalls(std::string node, std::vector<PlannedCall> calls, WithdrawalChecker& checker,
                 FindAddress find_address)
-      : node_(std::move(node)), calls_(std::move(calls)), checker_(checker), find_address_(std::move(find_address)) {}
+      : node_(std::move(node)),
+        calls_(std::move(calls)),
+        checker_(checker),
+        find_address_(std::move(find_address)) {}
 
-  // Makes the calls, up to the last or to `until`. In a thread of its own.
+  // Executes the calls in turn, and returns after the last or at the first one due after `until`. Runs in a
+  // thread of its own.
   void run(std::chrono::steady_clock::time_point started, std::chrono::steady_clock::time_point until);
-  // After run().
+  // To be called after run() has returned.
   const std::vector<std::string>& violations() const { return violations_; }
 
  private:
--- a/src/testbench/fault_injection/rig.cpp
+++ b/src/testbench/fault_injection/rig.cpp
@@ -28,10 +28,13 @@
     options_.fake_servers.zones.clear();
     for (auto& zone : options_.zones) options_.fake_servers.zones.push_back(zone.name);
     options_.fake_servers.front = [this](const std::string& zone, int port) {
-      return fmt::format("127.0.0.1:{}", links_->add_shared_listener(zone, fmt::format("127.0.0.1:{}", port)));
+      return fmt::format("127.0.0.1:{}",
+                         links_->add_shared_listener(zone, fmt::format("127.0.0.1:{}", port)));
     };
     options_.fake_servers.lag_between = [this](const std::string& a, const std::string& b) {
-      return a == b ? Micros(0) : region_of(a) == region_of(b) ? options_.intra_region_lag : options_.inter_region_lag;
+      return a == b                         ? Micros(0)
+             : region_of(a) == region_of(b) ? options_.intra_region_lag
+                                            : options_.inter_region_lag;
     };
   }
   fake_servers_ = std::make_unique<FakeServers>(options_.fake_servers);
@@ -107,8 +110,10 @@
   json ids = json::array();
   for (auto& name : voters_) ids.push_back(send_command(name, {{"do", "identify"}}, 5000).at("id"));
   for (auto& name : voters_)
-    if (auto answer = send_command(name, {{"do", "bootstrap"}, {"voters", ids}}, 5000); !answer.value("ok", false))
-      throw std::runtime_error(fmt::format("{} does not begin: {}", name, answer.value("why", "?")));
+    if (auto answer = send_command(name, {{"do", "bootstrap"}, {"voters", ids}}, 5000);
+        !answer.value("ok", false))
+      throw std::runtime_error(
+          fmt::format("{} cannot bootstrap the group: {}", name, answer.value("why", "?")));
   if (!wait_until([&] { return !leader().empty(); })) throw std::runtime_error("no leader was elected");
 }
 
@@ -116,8 +121,12 @@
   for (auto& [name, p] : processes_) p.daemon.reset();
 }
 
-std::string FaultHarness::folder(const std::string& name) const { return (fs::path(options_.folder) / name).string(); }
-std::string FaultHarness::operator_file(const std::string& name) const { return folder(name) + "/operator.json"; }
+std::string FaultHarness::folder(const std::string& name) const {
+  return (fs::path(options_.folder) / name).string();
+}
+std::string FaultHarness::operator_file(const std::string& name) const {
+  return folder(name) + "/operator.json";
+}
 
 std::string FaultHarness::log(const std::string& name) const {
   auto& p = processes_.at(name);
@@ -196,7 +205,7 @@
 void FaultHarness::corrupt_store(const std::string& name) {
   history_.add("tear directory", {{"node", name}});
   auto path = folder(name) + "/state/group.db";
-  // What is ahead of the file in its log would mend it.
+  // Replay of the write-ahead log would repair the damaged pages.
   std::error_code none;
   fs::remove(path + "-wal", none);
   auto size = fs::file_size(path);
@@ -221,7 +230,7 @@
 }
 
 void FaultHarness::set_links(const std::function<bool(const std::string&, const std::string&)>& predicate,
-                    LinkState state) {
+                             LinkState state) {
   for (auto& [from, to] : process_links_)
     if (predicate(from, to)) links_->set(from, to, state);
 }
@@ -286,14 +295,16 @@
   for (auto& [from, to] : process_links_)
     if (!options_.zones.empty() && zone_of(from) != zone_of(to)) {
       LinkState s;
-      s.delay = region_of(zone_of(from)) == region_of(zone_of(to)) ? options_.intra_region_delay : options_.inter_region_delay;
+      s.delay = region_of(zone_of(from)) == region_of(zone_of(to)) ? options_.intra_region_delay
+                                                                   : options_.inter_region_delay;
       links_->set(from, to, s);
     }
 }
 
 LinkState FaultHarness::link_state_between(const HarnessZone& a, const HarnessZone& b) const {
   LinkState s;
-  if (a.name != b.name) s.delay = a.region == b.region ? options_.intra_region_delay : options_.inter_region_delay;
+  if (a.name != b.name)
+    s.delay = a.region == b.region ? options_.intra_region_delay : options_.inter_region_delay;
   return s;
 }
 
--- a/src/testbench/fault_injection/rig.h
+++ b/src/testbench/fault_injection/rig.h
@@ -1,5 +1,6 @@
-// The fault rig: many processes of the daemon, stand-ins for what they talk to, a link of its own on every
-// connection between any two of them, and one history of all that happened. Its processes end with it.
+// Fault-injection harness: runs several proxy processes, the fake servers that they connect to, a
+// controllable link for each connection between two processes, and one history of all events. The destructor
+// ends the processes.
 #pragma once
 
 #include <functional>
@@ -20,30 +21,33 @@
 
 using nlohmann::json;
 
+// A zone, and the region that it belongs to.
 struct HarnessZone {
   std::string name, region;
 };
 
+// Processes, zones and settings of a FaultHarness.
 struct FaultHarnessOptions {
   std::string program, folder;
   int voters = 3, followers = 0;
-  bool grouped = true;          // false: each proxy for itself, as without the section
-  bool start = true;            // all processes, when the rig is made
-  bool bootstrap = true;       // the group begins, and a leader is there when the rig is ready
-  json group = json::object();  // merged over the section of each process
+  bool grouped = true;          // false: proxies run without a consensus group
+  bool start = true;            // the constructor starts all processes
+  bool bootstrap = true;        // the constructor bootstraps the group and waits for a leader
+  json group = json::object();  // merged over the `group` section of each process
   FakeServersOptions fake_servers;
   json settings = json::object();
   std::uint64_t seed = 1;
-  // Processes, voters first, are dealt out over these in turn, and so are data servers; every connection from
-  // a proxy to a data server takes the link of their zones. Empty: one place, and no such links.
+  // Processes (voters first) and data servers are assigned to these zones round-robin. Each connection from a
+  // proxy to a data server uses the link between their zones. Empty: one zone, and no such links.
   std::vector<HarnessZone> zones;
-  Micros intra_region_delay{500}, inter_region_delay{10'000};  // each way: between zones of a region, and of two
-  Micros intra_region_lag{5'000}, inter_region_lag{40'000};    // of replicas, beside what all have
-  std::vector<std::string> own_sources;  // processes whose ways to servers are no others': links (name, zone)
-  bool placement = false;             // the plan of zones is on
-  double requests_per_weight = 0;              // what a server of weight 1 bears, as the plan is told
+  Micros intra_region_delay{500}, inter_region_delay{10'000};  // one way, between zones
+  Micros intra_region_lag{5'000}, inter_region_lag{40'000};    // of replicas, added to the common lag
+  std::vector<std::string> own_sources;  // processes with links (name, zone) of their own to the servers
+  bool placement = false;                // placement plans for zones are enabled
+  double requests_per_weight = 0;        // configured capacity of a server of weight 1, for the plan
 };
 
+// Owns the processes, fake servers and links of one test, and injects faults into them.
 class FaultHarness {
  public:
   explicit FaultHarness(FaultHarnessOptions options);  // throws std::runtime_error
@@ -57,51 +61,57 @@
   int port(const std::string& name) const { return processes_.at(name).client_port; }
   ProcessUnderTest* daemon(const std::string& name) { return processes_.at(name).daemon.get(); }
   std::string folder(const std::string& name) const;
-  std::string log(const std::string& name) const;  // of all its lives
+  std::string log(const std::string& name) const;  // of all runs of the process
   std::string address(const std::string& name) const { return processes_.at(name).address; }
   std::string operator_file(const std::string& name) const;
 
   // Processes.
-  void start(const std::string& name);  // waits until it is ready
-  // All of these at the same moment, without waiting for any; `known`: the list that each has at its start.
+  void start(const std::string& name);  // waits until the process is ready
+  // Starts all named processes without waiting until they are ready. `known`: the endpoint list that each has
+  // at its start.
   void launch(const std::vector<std::string>& names, const json& known);
   void kill(const std::string& name);
   void pause(const std::string& name);   // SIGSTOP
   void resume(const std::string& name);  // SIGCONT
   bool paused(const std::string& name) const { return processes_.at(name).paused; }
-  int terminate(const std::string& name);  // SIGTERM; its exit code
+  int terminate(const std::string& name);  // sends SIGTERM; returns the exit code
   void empty_directory(const std::string& name);
-  void corrupt_store(const std::string& name);                    // overwrites the middle of its store
-  void limit_file_size(const std::string& name, std::uint64_t bytes);  // from its next start on
-  void set_sync_delay(const std::string& name, int ms);                 // each sync, from now on
+  void corrupt_store(const std::string& name);                         // overwrites part of its database file
+  void limit_file_size(const std::string& name, std::uint64_t bytes);  // takes effect at the next start
+  void set_sync_delay(const std::string& name,
+                      int ms);  // adds `ms` to each sync of a file; takes effect at once
   bool running(const std::string& name);
 
-  // Links between processes; `from` dials. Both ways of speaking of two voters run over two links.
-  void cut(const std::string& a, const std::string& b);  // nothing passes, in silence
-  void block_outgoing(const std::string& name);                    // is heard by none, hears all
-  void block_incoming(const std::string& name);                  // hears none, is heard by all
+  // Links between processes; `from` opens the connection. Two voters have two links, as each connects to the
+  // other.
+  void cut(const std::string& a, const std::string& b);  // holds all bytes; connections stay open
+  void block_outgoing(const std::string& name);          // holds what the process sends; it still receives
+  void block_incoming(const std::string& name);          // holds what is sent to the process; it still sends
   void isolate(const std::string& name);
   void shape(const std::string& from, const std::string& to, LinkState state);
   void reset_links(const std::string& name);
-  void heal();  // all links
+  void heal();  // ends the faults of all links; delays between zones stay
 
-  // Zones. `cut_zones` is for servers' connections and the daemons' own, both ways.
+  // Zones. `cut_zones` holds connections to servers and between processes, in both directions.
   const std::string& zone_of(const std::string& name) const { return processes_.at(name).zone; }
   std::vector<std::string> in_zone(const std::string& zone) const;
   void cut_zones(const std::string& a, const std::string& b);
-  void cut_zone_direction(const std::string& from,
-                    const std::string& to);  // proxies of one to servers of the other
+  void cut_zone_direction(
+      const std::string& from,
+      const std::string& to);  // connections from proxies of one zone to servers of the other
   void isolate_zone(const std::string& zone);
-  std::uint64_t bytes_forwarded(const std::string& from, const std::string& to) { return links_->bytes_forwarded(from, to); }
+  std::uint64_t bytes_forwarded(const std::string& from, const std::string& to) {
+    return links_->bytes_forwarded(from, to);
+  }
   std::string region_of(const std::string& zone) const;
 
-  // Tools. Throw std::runtime_error where there is no answer.
+  // Admin commands and queries. `send_command` throws std::runtime_error if there is no answer.
   json send_command(const std::string& name, json command, int timeout_ms = 1000);
   std::optional<json> status(const std::string& name, int timeout_ms = 500);
-  std::string leader();                       // as a majority of the voters names it; empty: none
-  std::string lease_holder(const std::string& job);  // by any voter's ledger
-  json lease_holders();
-  // Polls until it is so; false after `patience`.
+  std::string leader();                              // as reported by a majority of the voters; empty: none
+  std::string lease_holder(const std::string& job);  // from `lease_holders`; empty: none
+  json lease_holders();  // from the lease registry of the voter with the highest applied index
+  // Polls `condition`. Returns true once it holds, false after `timeout`.
   bool wait_until(const std::function<bool()>& condition, Micros timeout = Micros(20'000'000));
 
  private:
@@ -114,7 +124,8 @@
     bool paused = false;
   };
   LinkState link_state_between(const HarnessZone& a, const HarnessZone& b) const;
-  void set_links(const std::function<bool(const std::string&, const std::string&)>& predicate, LinkState state);
+  void set_links(const std::function<bool(const std::string&, const std::string&)>& predicate,
+                 LinkState state);
 
   FaultHarnessOptions options_;
   History history_;
--- a/src/testbench/fault_injection/script.cpp
+++ b/src/testbench/fault_injection/script.cpp
@@ -14,17 +14,17 @@
 namespace database_proxy::testbench::faults {
 namespace {
 
-// What a step needs beside `do`: n a node, t the other end, m milliseconds, b bytes, s words for the
-// stand-in; in capitals where it may be left out.
+// Parameters of each step besides `do`: n node, t other end of a link, m milliseconds, b bytes, s command for
+// the fake servers. Capitals are optional; S is stall_after.
 const std::map<std::string, std::string> kStepParameters = {
     {"wait", "m"},        {"kill", "n"},  {"start", "n"},  {"pause", "n"},        {"resume", "n"},
     {"terminate", "n"},   {"empty", "n"}, {"tear", "n"},   {"limit-files", "nb"}, {"slow-disk", "nm"},
     {"cut", "nt"},        {"mute", "n"},  {"deafen", "n"}, {"isolate", "n"},      {"shape", "ntMBS"},
     {"reset-links", "n"}, {"heal", ""},   {"steer", "s"},  {"settle", ""}};
-constexpr std::int64_t kMaxStepMs = 600'000;  // of one step: a script is not to hang for ever
+constexpr std::int64_t kMaxStepMs = 600'000;  // of one step, so that a script cannot hang forever
 
 const std::map<char, const char*> kParameterKeys = {{'n', "node"},  {'t', "to"},    {'m', "ms"},
-                                           {'b', "bytes"}, {'s', "steer"}, {'S', "stall_after"}};
+                                                    {'b', "bytes"}, {'s', "steer"}, {'S', "stall_after"}};
 
 }  // namespace
 
@@ -40,7 +40,7 @@
       auto fail = [&](const std::string& why) {
         throw std::runtime_error(fmt::format("script: fault {}, step {}: {}", f + 1, i + 1, why));
       };
-      if (!j.is_object() || !j.contains("do") || !j.at("do").is_string()) fail("no object with 'do'");
+      if (!j.is_object() || !j.contains("do") || !j.at("do").is_string()) fail("not an object with 'do'");
       Step step;
       step.action = j.at("do").get<std::string>();
       auto kind = kStepParameters.find(step.action);
@@ -49,7 +49,8 @@
       for (char c : kind->second) {
         auto known = kParameterKeys.find(c);
         bool is_required = c >= 'a' && c <= 'z';
-        auto* key = known != kParameterKeys.end() ? known->second : kParameterKeys.at(static_cast<char>(c - 'A' + 'a'));
+        auto* key = known != kParameterKeys.end() ? known->second
+                                                  : kParameterKeys.at(static_cast<char>(c - 'A' + 'a'));
         allowed.insert(key);
         if (!j.contains(key)) {
           if (is_required) fail(fmt::format("'{}' needs '{}'", step.action, key));
@@ -63,7 +64,7 @@
         };
         auto name = [&] {
           if (!value.is_string() || value.get<std::string>().empty())
-            fail(fmt::format("'{}' is no name", key));
+            fail(fmt::format("'{}' is not a non-empty string", key));
           return value.get<std::string>();
         };
         std::string k = key;
@@ -113,7 +114,8 @@
   for (auto& s : fault) {
     auto node = s.node.empty() ? "" : resolve_node(s.node), to = s.to.empty() ? "" : resolve_node(s.to);
     if (first.empty()) first = node;
-    description += fmt::format("{}{}{}", description.empty() ? "" : ", ", s.action, s.node.empty() ? "" : " " + s.node);
+    description +=
+        fmt::format("{}{}{}", description.empty() ? "" : ", ", s.action, s.node.empty() ? "" : " " + s.node);
     if (s.action == "wait") std::this_thread::sleep_for(std::chrono::milliseconds(s.ms));
     if (s.action == "kill") harness.kill(node);
     if (s.action == "start") harness.start(node);
--- a/src/testbench/fault_injection/script.h
+++ b/src/testbench/fault_injection/script.h
@@ -1,7 +1,7 @@
-// Faults from a script: a JSON array of faults, each an array of steps that are done one after the other. A
-// step is one object with `do` and what that needs; docs/lab.md lists them. Nodes are named (n1, p1), or by
-// what they are at that moment: `leader`, `owner JOB`, `other` (a voter that is neither the leader nor the
-// fault's first node), `victim` (the fault's first node).
+// Fault scripts: a JSON array of faults, each an array of steps that run one after another. A step is an
+// object with `do` and the parameters of that step; docs/lab.md lists them. A node is given by name (n1, p1)
+// or by its current role: `leader`, `owner JOB`, `other` (a voter that is neither the leader nor the fault's
+// first node), `victim` (the fault's first node).
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -12,21 +12,23 @@
 
 class FaultHarness;
 
+// One step of a fault.
 struct Step {
   std::string action, node, to;  // `to`: the other end of a link
-  std::int64_t ms = 0;         // wait: how long; shape: the delay; slow-disk: of each sync
-  std::int64_t bytes = 0;      // shape: a second; limit-files: most of one file
+  std::int64_t ms = 0;           // wait: duration; shape: delay; slow-disk: added to each sync
+  std::int64_t bytes = 0;        // shape: bytes per second; limit-files: maximum size of a file
   std::int64_t stall_after = -1;
-  nlohmann::json control_command;  // steer: the stand-in's own words
+  nlohmann::json control_command;  // steer: the command for the fake servers
 };
 using Fault = std::vector<Step>;
 using Script = std::vector<Fault>;
 
-// Throws std::runtime_error with one line: what of which step cannot be.
+// Throws std::runtime_error with one line that names the step and the error.
 Script parse_script(const nlohmann::json& text);
 Script read_script(const std::string& path);
-// Does one fault; returns it in words. `*victim`: its first node, as named when it began. Throws
-// std::runtime_error where a step names what is not there at that moment, after undoing nothing.
+// Runs one fault and returns its description. Sets `*victim` to the first node, as resolved when its step
+// began. Throws std::runtime_error if a step names a node that does not exist at that moment; the steps
+// before it are not undone.
 std::string run_fault(FaultHarness& harness, const Fault& fault, std::string* victim);
 
 }  // namespace database_proxy::testbench::faults
--- a/src/testbench/fault_injection/slow_sync.cpp
+++ b/src/testbench/fault_injection/slow_sync.cpp
@@ -1,5 +1,6 @@
-// Loaded into a daemon by the fault rig (LD_PRELOAD): each sync of a file takes as many milliseconds longer
-// as the file named by DATABASE_PROXY_SLOW_SYNC says then. The daemon itself knows nothing of it.
+// Library that the fault harness preloads into a process (LD_PRELOAD). Delays each sync of a file by the
+// number of milliseconds that the file named by DATABASE_PROXY_SLOW_SYNC holds at that time. The process
+// needs no support for it.
 #include <dlfcn.h>
 #include <fcntl.h>
 #include <time.h>
