--- a/src/testbench/fault_injection/history.cpp
+++ b/src/testbench/fault_injection/history.cpp
@@ -105,7 +105,7 @@
 }
 
 HistoryCheckResult check_history(const std::vector<nlohmann::json>& events) {
-  HistoryCheckResult v;
+  HistoryCheckResult result;
   std::map<std::string, std::vector<Operation>> registers;
   std::map<std::string, std::string> final_values;
   std::set<std::string> written;
@@ -122,50 +122,50 @@
       o.called = Micros(e.at("called_us").get<std::int64_t>());
       if (e.contains("answered_us")) o.answered = Micros(e.at("answered_us").get<std::int64_t>());
       if (o.write && o.answered != Micros::max()) {
-        ++v.acknowledged;
+        ++result.acknowledged;
         written.insert(key);
       }
       if (e.value("last", false)) final_values[key] = o.value;
-      ++v.operations;
+      ++result.operations;
       registers[key].push_back(std::move(o));
     } else if (what == "sample") {
       auto node = e.at("node").get<std::string>();
       auto at = Micros(e.at("clock_us").get<std::int64_t>());
-      ++v.samples;
+      ++result.samples;
       for (auto& h : e.at("holds")) holds.add_sample(at, node, h.at(0), h.at(1).get<std::uint64_t>());
       if (e.contains("leads")) {
         auto [it, inserted] = leaders.emplace(e.at("leads").get<std::uint64_t>(), node);
-        if (!inserted && it->second != node) ++v.two_leaders_in_a_term;
+        if (!inserted && it->second != node) ++result.two_leaders_in_a_term;
       }
       if (e.value("anew", false)) std::erase_if(follows, [&](auto& f) { return f.first.first == node; });
       for (auto& p : e.at("published")) {
         auto& before = follows[{node, p.at(0).get<std::string>()}];
         auto token = p.at(1).get<std::uint64_t>();
-        if (token < before) ++v.stale_effects_accepted;
+        if (token < before) ++result.stale_effects_accepted;
         before = token;
       }
     }
   }
-  for (auto& [key, value] : final_values) v.lost += value.empty() && written.count(key);
+  for (auto& [key, value] : final_values) result.lost += value.empty() && written.count(key);
   for (auto& [key, operations] : registers) {
     bool gave_up = false;
     if (!linearizable(operations, &gave_up))
-      ++(gave_up ? v.registers_not_decided : v.non_linearizable_registers);
+      ++(gave_up ? result.registers_not_decided : result.non_linearizable_registers);
   }
-  v.owners_overlapping = holds.overlapping();
-  return v;
+  result.owners_overlapping = holds.overlapping();
+  return result;
 }
 
-nlohmann::json to_json(const HistoryCheckResult& v) {
-  return {{"acknowledged", v.acknowledged},
-          {"lost", v.lost},
-          {"operations_checked", v.operations},
-          {"linearizable", v.non_linearizable_registers == 0},
-          {"registers_not_decided", v.registers_not_decided},
-          {"samples", v.samples},
-          {"owners_overlapping", v.owners_overlapping},
-          {"two_leaders_in_a_term", v.two_leaders_in_a_term},
-          {"stale_effects_accepted", v.stale_effects_accepted}};
+nlohmann::json to_json(const HistoryCheckResult& result) {
+  return {{"acknowledged", result.acknowledged},
+          {"lost", result.lost},
+          {"operations_checked", result.operations},
+          {"linearizable", result.non_linearizable_registers == 0},
+          {"registers_not_decided", result.registers_not_decided},
+          {"samples", result.samples},
+          {"owners_overlapping", result.owners_overlapping},
+          {"two_leaders_in_a_term", result.two_leaders_in_a_term},
+          {"stale_effects_accepted", result.stale_effects_accepted}};
 }
 
 std::vector<nlohmann::json> read_history(const std::string& path) {
--- a/src/testbench/fault_injection/history.h
+++ b/src/testbench/fault_injection/history.h
@@ -65,8 +65,7 @@
 // Result of checking the events of a run. The events alone are evaluated, so a file from History::write()
 // gives the same result. Events that are evaluated:
 // - call: client, key, write, value, called_us, answered_us (absent: outcome unknown), last (the final read
-// of
-//   a register, after all faults have ended);
+//   of a register, after all faults have ended);
 // - sample: node, clock_us, holds [[job, token]], leads (the term; absent: the node does not lead), published
 //   [[job, fencing token of the state that the node follows]], anew (the node is not compared with its
 //   earlier samples).
--- a/src/testbench/fault_injection/links.h
+++ b/src/testbench/fault_injection/links.h
@@ -43,8 +43,8 @@
   void add_link(const std::string& from, const std::string& to);
   int add_shared_listener(const std::string& to, const std::string& address);
   void set(const std::string& from, const std::string& to, LinkState state);
-  void reset(const std::string& from,
-             const std::string& to);  // sends RST to both ends of all its connections
+  // Sends RST to both ends of all connections of the link.
+  void reset(const std::string& from, const std::string& to);
   std::uint64_t bytes_forwarded(const std::string& from, const std::string& to);  // both directions
 
  private:
--- a/src/testbench/fault_injection/rig.h
+++ b/src/testbench/fault_injection/rig.h
@@ -40,7 +40,7 @@
   // Processes (voters first) and data servers are assigned to these zones round-robin. Each connection from a
   // proxy to a data server uses the link between their zones. Empty: one zone, and no such links.
   std::vector<HarnessZone> zones;
-  Micros intra_region_delay{500}, inter_region_delay{10'000};  // one way, between zones
+  Micros intra_region_delay{500}, inter_region_delay{10'000};  // one way: between zones of one region, of two
   Micros intra_region_lag{5'000}, inter_region_lag{40'000};    // of replicas, added to the common lag
   std::vector<std::string> own_sources;  // processes with links (name, zone) of their own to the servers
   bool placement = false;                // placement plans for zones are enabled
@@ -78,8 +78,8 @@
   void empty_directory(const std::string& name);
   void corrupt_store(const std::string& name);                         // overwrites part of its database file
   void limit_file_size(const std::string& name, std::uint64_t bytes);  // takes effect at the next start
-  void set_sync_delay(const std::string& name,
-                      int ms);  // adds `ms` to each sync of a file; takes effect at once
+  // Adds `ms` milliseconds to each sync of a file by a voter. Takes effect at once.
+  void set_sync_delay(const std::string& name, int ms);
   bool running(const std::string& name);
 
   // Links between processes; `from` opens the connection. Two voters have two links, as each connects to the
@@ -96,9 +96,9 @@
   const std::string& zone_of(const std::string& name) const { return processes_.at(name).zone; }
   std::vector<std::string> in_zone(const std::string& zone) const;
   void cut_zones(const std::string& a, const std::string& b);
-  void cut_zone_direction(
-      const std::string& from,
-      const std::string& to);  // connections from proxies of one zone to servers of the other
+  // Holds connections from proxies of zone `from`, or from one process of `own_sources`, to servers of zone
+  // `to`.
+  void cut_zone_direction(const std::string& from, const std::string& to);
   void isolate_zone(const std::string& zone);
   std::uint64_t bytes_forwarded(const std::string& from, const std::string& to) {
     return links_->bytes_forwarded(from, to);
