--- a/src/testbench/fault_injection/history.cpp
+++ b/src/testbench/fault_injection/history.cpp
@@ -34,20 +34,21 @@
   write_whole(path, text);
 }
 
-bool linearizable(std::vector<Operation> ops, bool* gave_up, std::size_t most_states) {
+bool linearizable(std::vector<Operation> ops, bool* gave_up, std::size_t max_states) {
   if (gave_up) *gave_up = false;
-  // A write that nobody knows the end of and nobody read need not have happened.
+  // A write with an unknown outcome whose value was never read can be left out, as can a read with an unknown
+  // outcome.
   std::set<std::string> read;
   for (auto& o : ops)
     if (!o.write) read.insert(o.value);
   std::erase_if(ops,
                 [&](auto& o) { return o.answered == Micros::max() && (!o.write || !read.count(o.value)); });
   std::sort(ops.begin(), ops.end(), [](auto& a, auto& b) { return a.called < b.called; });
-  // Depth first (Wing and Gong, 1993) over sets of operations done, as a string of the first that is not and
-  // of those done beyond it, and the value that stands.
+  // Depth-first search (Wing and Gong, 1993) over sets of operations done. The key of a state is a string of
+  // the first operation that is not done, those done after it, and the current value.
   struct State {
-    std::size_t first;              // all before are done
-    std::vector<std::size_t> done;  // beyond, in order
+    std::size_t first;              // all operations before it are done
+    std::vector<std::size_t> done;  // those done after `first`, in order
     std::string value;
   };
   auto key = [](const State& s) {
@@ -66,11 +67,11 @@
     }
     if (s.first == ops.size()) return true;
     if (!seen.insert(key(s)).second) continue;
-    if (seen.size() > most_states) {
+    if (seen.size() > max_states) {
       if (gave_up) *gave_up = true;
       return false;
     }
-    // The next may be any that was called before the first answer of those not done.
+    // The next operation can be any that was called before the earliest answer of those not done.
     Micros bound = Micros::max();
     for (std::size_t i = s.first; i < ops.size() && ops[i].called <= bound; ++i)
       if (!std::binary_search(s.done.begin(), s.done.end(), i)) bound = std::min(bound, ops[i].answered);
@@ -86,14 +87,15 @@
   return false;
 }
 
-void Holds::saw(Micros at, const std::string& node, const std::string& job, std::uint64_t token) {
+void LeaseHoldSamples::add_sample(Micros at, const std::string& node, const std::string& job,
+                                  std::uint64_t token) {
   ++samples_;
-  auto [it, fresh] = spans_[job].try_emplace(token, Span{at, at, node});
+  auto [it, inserted] = spans_[job].try_emplace(token, Span{at, at, node});
   it->second.first = std::min(it->second.first, at);
   it->second.last = std::max(it->second.last, at);
 }
 
-std::uint64_t Holds::overlapping() const {
+std::uint64_t LeaseHoldSamples::overlapping() const {
   std::uint64_t count = 0;
   for (auto& [job, spans] : spans_)
     for (auto a = spans.begin(); a != spans.end(); ++a)
@@ -102,12 +104,12 @@
   return count;
 }
 
-Verdict judge(const std::vector<nlohmann::json>& events) {
-  Verdict v;
+HistoryCheckResult check_history(const std::vector<nlohmann::json>& events) {
+  HistoryCheckResult result;
   std::map<std::string, std::vector<Operation>> registers;
-  std::map<std::string, std::string> last_words;
+  std::map<std::string, std::string> final_values;
   std::set<std::string> written;
-  Holds holds;
+  LeaseHoldSamples holds;
   std::map<std::uint64_t, std::string> leaders;                          // by term
   std::map<std::pair<std::string, std::string>, std::uint64_t> follows;  // node, job: token
   for (auto& e : events) {
@@ -120,50 +122,50 @@
       o.called = Micros(e.at("called_us").get<std::int64_t>());
       if (e.contains("answered_us")) o.answered = Micros(e.at("answered_us").get<std::int64_t>());
       if (o.write && o.answered != Micros::max()) {
-        ++v.acknowledged;
+        ++result.acknowledged;
         written.insert(key);
       }
-      if (e.value("last", false)) last_words[key] = o.value;
-      ++v.operations;
+      if (e.value("last", false)) final_values[key] = o.value;
+      ++result.operations;
       registers[key].push_back(std::move(o));
     } else if (what == "sample") {
       auto node = e.at("node").get<std::string>();
       auto at = Micros(e.at("clock_us").get<std::int64_t>());
-      ++v.samples;
-      for (auto& h : e.at("holds")) holds.saw(at, node, h.at(0), h.at(1).get<std::uint64_t>());
+      ++result.samples;
+      for (auto& h : e.at("holds")) holds.add_sample(at, node, h.at(0), h.at(1).get<std::uint64_t>());
       if (e.contains("leads")) {
-        auto [it, fresh] = leaders.emplace(e.at("leads").get<std::uint64_t>(), node);
-        if (!fresh && it->second != node) ++v.two_leaders_in_a_term;
+        auto [it, inserted] = leaders.emplace(e.at("leads").get<std::uint64_t>(), node);
+        if (!inserted && it->second != node) ++result.two_leaders_in_a_term;
       }
       if (e.value("anew", false)) std::erase_if(follows, [&](auto& f) { return f.first.first == node; });
       for (auto& p : e.at("published")) {
         auto& before = follows[{node, p.at(0).get<std::string>()}];
         auto token = p.at(1).get<std::uint64_t>();
-        if (token < before) ++v.stale_effects_accepted;
+        if (token < before) ++result.stale_effects_accepted;
         before = token;
       }
     }
   }
-  for (auto& [key, word] : last_words) v.lost += word.empty() && written.count(key);
+  for (auto& [key, value] : final_values) result.lost += value.empty() && written.count(key);
   for (auto& [key, operations] : registers) {
     bool gave_up = false;
     if (!linearizable(operations, &gave_up))
-      ++(gave_up ? v.registers_not_decided : v.registers_without_order);
+      ++(gave_up ? result.registers_not_decided : result.non_linearizable_registers);
   }
-  v.owners_overlapping = holds.overlapping();
-  return v;
+  result.owners_overlapping = holds.overlapping();
+  return result;
 }
 
-nlohmann::json to_json(const Verdict& v) {
-  return {{"acknowledged", v.acknowledged},
-          {"lost", v.lost},
-          {"operations_checked", v.operations},
-          {"linearizable", v.registers_without_order == 0},
-          {"registers_not_decided", v.registers_not_decided},
-          {"samples", v.samples},
-          {"owners_overlapping", v.owners_overlapping},
-          {"two_leaders_in_a_term", v.two_leaders_in_a_term},
-          {"stale_effects_accepted", v.stale_effects_accepted}};
+nlohmann::json to_json(const HistoryCheckResult& result) {
+  return {{"acknowledged", result.acknowledged},
+          {"lost", result.lost},
+          {"operations_checked", result.operations},
+          {"linearizable", result.non_linearizable_registers == 0},
+          {"registers_not_decided", result.registers_not_decided},
+          {"samples", result.samples},
+          {"owners_overlapping", result.owners_overlapping},
+          {"two_leaders_in_a_term", result.two_leaders_in_a_term},
+          {"stale_effects_accepted", result.stale_effects_accepted}};
 }
 
 std::vector<nlohmann::json> read_history(const std::string& path) {
@@ -174,7 +176,7 @@
   while (std::getline(file, line)) {
     auto event = nlohmann::json::parse(line, nullptr, false);
     if (!event.is_object() || !event.contains("what"))
-      throw std::runtime_error(fmt::format("{}: line {} is no event", path, events.size() + 1));
+      throw std::runtime_error(fmt::format("{}: line {} is not an event", path, events.size() + 1));
     events.push_back(std::move(event));
   }
   return events;
--- a/src/testbench/fault_injection/rig.cpp
+++ b/src/testbench/fault_injection/rig.cpp
@@ -17,24 +17,27 @@
 
 }  // namespace
 
-Rig::Rig(RigOptions options) : options_(std::move(options)) {
+FaultHarness::FaultHarness(FaultHarnessOptions options) : options_(std::move(options)) {
   links_ = std::make_unique<Links>();
   for (std::size_t i = 0; i < options_.zones.size(); ++i) {
     auto& zone = options_.zones[i].name;
-    links_->source(fmt::format("127.0.{}.1", i + 1), zone);
-    for (auto& other : options_.zones) links_->pair(zone, other.name);
+    links_->add_source(fmt::format("127.0.{}.1", i + 1), zone);
+    for (auto& other : options_.zones) links_->add_link(zone, other.name);
   }
   if (!options_.zones.empty()) {
-    options_.stand_in.zones.clear();
-    for (auto& zone : options_.zones) options_.stand_in.zones.push_back(zone.name);
-    options_.stand_in.front = [this](const std::string& zone, int port) {
-      return fmt::format("127.0.0.1:{}", links_->add_front(zone, fmt::format("127.0.0.1:{}", port)));
+    options_.fake_servers.zones.clear();
+    for (auto& zone : options_.zones) options_.fake_servers.zones.push_back(zone.name);
+    options_.fake_servers.front = [this](const std::string& zone, int port) {
+      return fmt::format("127.0.0.1:{}",
+                         links_->add_shared_listener(zone, fmt::format("127.0.0.1:{}", port)));
     };
-    options_.stand_in.lag_between = [this](const std::string& a, const std::string& b) {
-      return a == b ? Micros(0) : region_of(a) == region_of(b) ? options_.near_lag : options_.far_lag;
+    options_.fake_servers.lag_between = [this](const std::string& a, const std::string& b) {
+      return a == b                         ? Micros(0)
+             : region_of(a) == region_of(b) ? options_.intra_region_lag
+                                            : options_.inter_region_lag;
     };
   }
-  stand_in_ = std::make_unique<FakeServers>(options_.stand_in);
+  fake_servers_ = std::make_unique<FakeServers>(options_.fake_servers);
   std::vector<std::string> names;
   for (int i = 1; i <= options_.voters; ++i) voters_.push_back(fmt::format("n{}", i));
   names = voters_;
@@ -52,23 +55,23 @@
     for (auto& other : voters_) {
       auto to = processes_[other].address;
       if (other != name && options_.grouped) {
-        to = fmt::format("127.0.0.1:{}", links_->add(name, other, to));
-        linked_.emplace_back(name, other);
+        to = fmt::format("127.0.0.1:{}", links_->add_listener(name, other, to));
+        process_links_.emplace_back(name, other);
       }
       group["nodes"].push_back({{"name", other}, {"address", to}});
     }
     if (options_.placement) {
       json regions = json::object();
       for (auto& zone : options_.zones) regions[zone.region].push_back(zone.name);
-      group["placement"] = {{"regions", regions}, {"requests_per_weight", options_.per_weight}};
+      group["placement"] = {{"regions", regions}, {"requests_per_weight", options_.requests_per_weight}};
     }
     group.merge_patch(options_.group);
     fs::create_directories(folder(name));
     auto& d = p.options;
     d.program = options_.program;
     d.folder = folder(name);
-    d.discovery = stand_in_->discovery();
-    d.known = stand_in_->members();
+    d.discovery = fake_servers_->discovery();
+    d.known = fake_servers_->members();
     d.name = name;
     d.sockets = 512;
     d.memory_mb = 64;
@@ -83,10 +86,10 @@
       d.settings["Zone"] = p.zone;
       if (d.operator_file.is_null()) d.operator_file = json::object();
       auto source = fmt::format("127.0.{}.1", at + 1);
-      if (std::count(options_.own_ways.begin(), options_.own_ways.end(), name)) {
+      if (std::count(options_.own_sources.begin(), options_.own_sources.end(), name)) {
         source = fmt::format("127.1.{}.1", i + 1);
-        links_->source(source, name);
-        for (auto& zone : options_.zones) links_->pair(name, zone.name);
+        links_->add_source(source, name);
+        for (auto& zone : options_.zones) links_->add_link(name, zone.name);
       }
       d.operator_file["network"] = {{"source", source}};
     }
@@ -103,40 +106,46 @@
   heal();
   if (!options_.start) return;
   for (auto& name : names) start(name);
-  if (!options_.grouped || !options_.initialise) return;
+  if (!options_.grouped || !options_.bootstrap) return;
   json ids = json::array();
-  for (auto& name : voters_) ids.push_back(ask(name, {{"do", "identify"}}, 5000).at("id"));
+  for (auto& name : voters_) ids.push_back(send_command(name, {{"do", "identify"}}, 5000).at("id"));
   for (auto& name : voters_)
-    if (auto answer = ask(name, {{"do", "bootstrap"}, {"voters", ids}}, 5000); !answer.value("ok", false))
-      throw std::runtime_error(fmt::format("{} does not begin: {}", name, answer.value("why", "?")));
-  if (!soon([&] { return !leader().empty(); })) throw std::runtime_error("no leader was elected");
+    if (auto answer = send_command(name, {{"do", "bootstrap"}, {"voters", ids}}, 5000);
+        !answer.value("ok", false))
+      throw std::runtime_error(
+          fmt::format("{} cannot bootstrap the group: {}", name, answer.value("why", "?")));
+  if (!wait_until([&] { return !leader().empty(); })) throw std::runtime_error("no leader was elected");
 }
 
-Rig::~Rig() {
+FaultHarness::~FaultHarness() {
   for (auto& [name, p] : processes_) p.daemon.reset();
 }
 
-std::string Rig::folder(const std::string& name) const { return (fs::path(options_.folder) / name).string(); }
-std::string Rig::operator_file(const std::string& name) const { return folder(name) + "/operator.json"; }
+std::string FaultHarness::folder(const std::string& name) const {
+  return (fs::path(options_.folder) / name).string();
+}
+std::string FaultHarness::operator_file(const std::string& name) const {
+  return folder(name) + "/operator.json";
+}
 
-std::string Rig::log(const std::string& name) const {
+std::string FaultHarness::log(const std::string& name) const {
   auto& p = processes_.at(name);
   return p.earlier_log + (p.daemon ? p.daemon->log() : "");
 }
 
-std::vector<std::string> Rig::followers() const {
+std::vector<std::string> FaultHarness::followers() const {
   std::vector<std::string> names;
   for (int i = 1; i <= options_.followers; ++i) names.push_back(fmt::format("p{}", i));
   return names;
 }
 
-std::vector<std::string> Rig::all() const {
+std::vector<std::string> FaultHarness::all() const {
   auto names = voters_;
   for (auto& f : followers()) names.push_back(f);
   return names;
 }
 
-void Rig::start(const std::string& name) {
+void FaultHarness::start(const std::string& name) {
   auto& p = processes_.at(name);
   if (p.daemon) {
     p.earlier_log += p.daemon->log();
@@ -147,7 +156,7 @@
   p.daemon = std::make_unique<ProcessUnderTest>(p.options);
 }
 
-void Rig::launch(const std::vector<std::string>& names, const json& known) {
+void FaultHarness::launch(const std::vector<std::string>& names, const json& known) {
   for (auto& name : names) {
     auto& p = processes_.at(name);
     if (p.daemon) p.earlier_log += p.daemon->log();
@@ -161,7 +170,7 @@
   }
 }
 
-void Rig::kill(const std::string& name) {
+void FaultHarness::kill(const std::string& name) {
   auto& p = processes_.at(name);
   history_.add("kill", {{"node", name}});
   if (!p.daemon) return;
@@ -169,34 +178,34 @@
   p.daemon->wait();
 }
 
-void Rig::pause(const std::string& name) {
+void FaultHarness::pause(const std::string& name) {
   history_.add("pause", {{"node", name}});
   processes_.at(name).paused = true;
   processes_.at(name).daemon->signal(SIGSTOP);
 }
 
-void Rig::resume(const std::string& name) {
+void FaultHarness::resume(const std::string& name) {
   history_.add("resume", {{"node", name}});
   processes_.at(name).paused = false;
   if (processes_.at(name).daemon) processes_.at(name).daemon->signal(SIGCONT);
 }
 
-int Rig::terminate(const std::string& name) {
+int FaultHarness::terminate(const std::string& name) {
   history_.add("terminate", {{"node", name}});
   auto& d = processes_.at(name).daemon;
   d->signal(SIGTERM);
   return d->wait();
 }
 
-void Rig::empty_directory(const std::string& name) {
+void FaultHarness::empty_directory(const std::string& name) {
   history_.add("empty directory", {{"node", name}});
   fs::remove_all(folder(name) + "/state");
 }
 
-void Rig::tear_directory(const std::string& name) {
+void FaultHarness::corrupt_store(const std::string& name) {
   history_.add("tear directory", {{"node", name}});
   auto path = folder(name) + "/state/group.db";
-  // What is ahead of the file in its log would mend it.
+  // Replay of the write-ahead log would repair the damaged pages.
   std::error_code none;
   fs::remove(path + "-wal", none);
   auto size = fs::file_size(path);
@@ -205,62 +214,62 @@
   file << std::string(std::min<std::size_t>(size / 2, 4000), '\x5a');
 }
 
-void Rig::limit_files(const std::string& name, std::uint64_t bytes) {
+void FaultHarness::limit_file_size(const std::string& name, std::uint64_t bytes) {
   history_.add("limit files", {{"node", name}, {"bytes", bytes}});
   processes_.at(name).options.file_limit = bytes;
 }
 
-void Rig::slow_disk(const std::string& name, int ms) {
+void FaultHarness::set_sync_delay(const std::string& name, int ms) {
   history_.add("slow disk", {{"node", name}, {"ms", ms}});
   std::ofstream(folder(name) + "/slow") << ms;
 }
 
-bool Rig::running(const std::string& name) {
+bool FaultHarness::running(const std::string& name) {
   auto& d = processes_.at(name).daemon;
   return d && d->running();
 }
 
-void Rig::each_link(const std::function<bool(const std::string&, const std::string&)>& chosen,
-                    LinkState state) {
-  for (auto& [from, to] : linked_)
-    if (chosen(from, to)) links_->set(from, to, state);
+void FaultHarness::set_links(const std::function<bool(const std::string&, const std::string&)>& predicate,
+                             LinkState state) {
+  for (auto& [from, to] : process_links_)
+    if (predicate(from, to)) links_->set(from, to, state);
 }
 
-void Rig::cut(const std::string& a, const std::string& b) {
+void FaultHarness::cut(const std::string& a, const std::string& b) {
   history_.add("cut", {{"a", a}, {"b", b}});
   LinkState cut;
-  cut.hold_there = cut.hold_back = true;
-  each_link([&](auto& from, auto& to) { return (from == a && to == b) || (from == b && to == a); }, cut);
+  cut.hold_forward = cut.hold_backward = true;
+  set_links([&](auto& from, auto& to) { return (from == a && to == b) || (from == b && to == a); }, cut);
 }
 
-void Rig::isolate(const std::string& name) {
+void FaultHarness::isolate(const std::string& name) {
   history_.add("isolate", {{"node", name}});
   LinkState cut;
-  cut.hold_there = cut.hold_back = true;
-  each_link([&](auto& from, auto& to) { return from == name || to == name; }, cut);
+  cut.hold_forward = cut.hold_backward = true;
+  set_links([&](auto& from, auto& to) { return from == name || to == name; }, cut);
 }
 
-void Rig::mute(const std::string& name) {
+void FaultHarness::block_outgoing(const std::string& name) {
   history_.add("mute", {{"node", name}});
-  for (auto& [from, to] : linked_) {
+  for (auto& [from, to] : process_links_) {
     LinkState s;
-    if (from == name) s.hold_there = true;
-    if (to == name) s.hold_back = true;
+    if (from == name) s.hold_forward = true;
+    if (to == name) s.hold_backward = true;
     if (from == name || to == name) links_->set(from, to, s);
   }
 }
 
-void Rig::deafen(const std::string& name) {
+void FaultHarness::block_incoming(const std::string& name) {
   history_.add("deafen", {{"node", name}});
-  for (auto& [from, to] : linked_) {
+  for (auto& [from, to] : process_links_) {
     LinkState s;
-    if (from == name) s.hold_back = true;
-    if (to == name) s.hold_there = true;
+    if (from == name) s.hold_backward = true;
+    if (to == name) s.hold_forward = true;
     if (from == name || to == name) links_->set(from, to, s);
   }
 }
 
-void Rig::shape(const std::string& from, const std::string& to, LinkState s) {
+void FaultHarness::shape(const std::string& from, const std::string& to, LinkState s) {
   history_.add("shape", {{"from", from},
                          {"to", to},
                          {"delay_ms", s.delay.count() / 1000},
@@ -269,89 +278,91 @@
   links_->set(from, to, s);
 }
 
-void Rig::reset_links(const std::string& name) {
+void FaultHarness::reset_links(const std::string& name) {
   history_.add("reset links", {{"node", name}});
-  for (auto& [from, to] : linked_)
+  for (auto& [from, to] : process_links_)
     if (from == name || to == name) links_->reset(from, to);
 }
 
-void Rig::heal() {
+void FaultHarness::heal() {
   history_.add("heal");
-  each_link([](auto&, auto&) { return true; }, LinkState{});
+  set_links([](auto&, auto&) { return true; }, LinkState{});
   for (auto& a : options_.zones)
-    for (auto& b : options_.zones) links_->set(a.name, b.name, between(a, b));
-  for (auto& name : options_.own_ways)
+    for (auto& b : options_.zones) links_->set(a.name, b.name, link_state_between(a, b));
+  for (auto& name : options_.own_sources)
     for (auto& b : options_.zones)
-      links_->set(name, b.name, between({zone_of(name), region_of(zone_of(name))}, b));
-  for (auto& [from, to] : linked_)
+      links_->set(name, b.name, link_state_between({zone_of(name), region_of(zone_of(name))}, b));
+  for (auto& [from, to] : process_links_)
     if (!options_.zones.empty() && zone_of(from) != zone_of(to)) {
       LinkState s;
-      s.delay = region_of(zone_of(from)) == region_of(zone_of(to)) ? options_.near_delay : options_.far_delay;
+      s.delay = region_of(zone_of(from)) == region_of(zone_of(to)) ? options_.intra_region_delay
+                                                                   : options_.inter_region_delay;
       links_->set(from, to, s);
     }
 }
 
-LinkState Rig::between(const RigZone& a, const RigZone& b) const {
+LinkState FaultHarness::link_state_between(const HarnessZone& a, const HarnessZone& b) const {
   LinkState s;
-  if (a.name != b.name) s.delay = a.region == b.region ? options_.near_delay : options_.far_delay;
+  if (a.name != b.name)
+    s.delay = a.region == b.region ? options_.intra_region_delay : options_.inter_region_delay;
   return s;
 }
 
-std::string Rig::region_of(const std::string& zone) const {
+std::string FaultHarness::region_of(const std::string& zone) const {
   for (auto& z : options_.zones)
     if (z.name == zone) return z.region;
   return "";
 }
 
-std::vector<std::string> Rig::in_zone(const std::string& zone) const {
+std::vector<std::string> FaultHarness::in_zone(const std::string& zone) const {
   std::vector<std::string> names;
   for (auto& name : all())
     if (zone_of(name) == zone) names.push_back(name);
   return names;
 }
 
-void Rig::cut_zone_way(const std::string& from, const std::string& to) {
+void FaultHarness::cut_zone_direction(const std::string& from, const std::string& to) {
   history_.add("cut zone way", {{"from", from}, {"to", to}});
   LinkState cut;
-  cut.hold_there = cut.hold_back = true;
+  cut.hold_forward = cut.hold_backward = true;
   links_->set(from, to, cut);
 }
 
-void Rig::cut_zones(const std::string& a, const std::string& b) {
+void FaultHarness::cut_zones(const std::string& a, const std::string& b) {
   history_.add("cut zones", {{"a", a}, {"b", b}});
   LinkState cut;
-  cut.hold_there = cut.hold_back = true;
+  cut.hold_forward = cut.hold_backward = true;
   links_->set(a, b, cut);
   links_->set(b, a, cut);
-  each_link(
+  set_links(
       [&](auto& from, auto& to) {
         return (zone_of(from) == a && zone_of(to) == b) || (zone_of(from) == b && zone_of(to) == a);
       },
       cut);
 }
 
-void Rig::isolate_zone(const std::string& zone) {
+void FaultHarness::isolate_zone(const std::string& zone) {
   for (auto& other : options_.zones)
     if (other.name != zone) cut_zones(zone, other.name);
 }
 
-json Rig::ask(const std::string& name, json request, int patience_ms) {
-  return app::FleetConnection(processes_.at(name).address, "lab", patience_ms)
-      .send_request(std::move(request));
+json FaultHarness::send_command(const std::string& name, json command, int timeout_ms) {
+  return app::FleetConnection(processes_.at(name).address, "lab", timeout_ms)
+      .send_request(std::move(command));
 }
 
-std::optional<json> Rig::status(const std::string& name, int patience_ms) {
+std::optional<json> FaultHarness::status(const std::string& name, int timeout_ms) {
   auto& p = processes_.at(name);
   if (p.paused || !p.daemon || !p.daemon->running()) return std::nullopt;
   try {
-    auto answer = ask(name, {{"do", "status"}}, patience_ms);
+    auto answer = send_command(name, {{"do", "status"}}, timeout_ms);
     if (answer.contains("status")) return answer.at("status");
   } catch (const std::runtime_error&) {
   }
   return std::nullopt;
 }
 
-std::string Rig::leader() {
+std::string FaultHarness::leader() {
   std::map<std::string, std::size_t> named;
   for (auto& name : voters_)
     if (auto s = status(name)) ++named[s->value("leader", "")];
@@ -361,32 +372,32 @@
   return "";
 }
 
-json Rig::owners() {
-  json best;
-  std::uint64_t newest = 0;
+json FaultHarness::lease_holders() {
+  json newest_answer;
+  std::uint64_t newest_applied = 0;
   for (auto& name : voters_) {
     auto s = status(name);
-    if (!s || s->value("applied", std::uint64_t{0}) < newest) continue;
+    if (!s || s->value("applied", std::uint64_t{0}) < newest_applied) continue;
     try {
-      auto answer = ask(name, {{"do", "owners"}});
-      newest = s->value("applied", std::uint64_t{0});
-      best = answer.value("owners", json::array());
+      auto answer = send_command(name, {{"do", "owners"}});
+      newest_applied = s->value("applied", std::uint64_t{0});
+      newest_answer = answer.value("owners", json::array());
     } catch (const std::runtime_error&) {
     }
   }
-  return best;
+  return newest_answer;
 }
 
-std::string Rig::owner(const std::string& job) {
-  for (auto& o : owners())
+std::string FaultHarness::lease_holder(const std::string& job) {
+  for (auto& o : lease_holders())
     if (o.at("job") == job) return o.value("owner", "");
   return "";
 }
 
-bool Rig::soon(const std::function<bool()>& what, Micros patience) {
-  auto end = net::monotonic_now() + patience;
+bool FaultHarness::wait_until(const std::function<bool()>& condition, Micros timeout) {
+  auto end = net::monotonic_now() + timeout;
   while (true) {
-    if (what()) return true;
+    if (condition()) return true;
     if (net::monotonic_now() >= end) return false;
     std::this_thread::sleep_for(std::chrono::milliseconds(20));
   }
--- a/src/testbench/fault_injection/script.cpp
+++ b/src/testbench/fault_injection/script.cpp
@@ -14,17 +14,17 @@
 namespace database_proxy::testbench::faults {
 namespace {
 
-// What a step needs beside `do`: n a node, t the other end, m milliseconds, b bytes, s words for the
-// stand-in; in capitals where it may be left out.
-const std::map<std::string, std::string> kSteps = {
+// Parameters of each step besides `do`: n node, t other end of a link, m milliseconds, b bytes, s command for
+// the fake servers. Capitals are optional; S is stall_after.
+const std::map<std::string, std::string> kStepParameters = {
     {"wait", "m"},        {"kill", "n"},  {"start", "n"},  {"pause", "n"},        {"resume", "n"},
     {"terminate", "n"},   {"empty", "n"}, {"tear", "n"},   {"limit-files", "nb"}, {"slow-disk", "nm"},
     {"cut", "nt"},        {"mute", "n"},  {"deafen", "n"}, {"isolate", "n"},      {"shape", "ntMBS"},
     {"reset-links", "n"}, {"heal", ""},   {"steer", "s"},  {"settle", ""}};
-constexpr std::int64_t kLongestMs = 600'000;  // of one step: a script is not to hang for ever
+constexpr std::int64_t kMaxStepMs = 600'000;  // of one step, so that a script cannot hang forever
 
-const std::map<char, const char*> kKeys = {{'n', "node"},  {'t', "to"},    {'m', "ms"},
-                                           {'b', "bytes"}, {'s', "steer"}, {'S', "stall_after"}};
+const std::map<char, const char*> kParameterKeys = {{'n', "node"},  {'t', "to"},    {'m', "ms"},
+                                                    {'b', "bytes"}, {'s', "steer"}, {'S', "stall_after"}};
 
 }  // namespace
 
@@ -40,19 +40,20 @@
       auto fail = [&](const std::string& why) {
         throw std::runtime_error(fmt::format("script: fault {}, step {}: {}", f + 1, i + 1, why));
       };
-      if (!j.is_object() || !j.contains("do") || !j.at("do").is_string()) fail("no object with 'do'");
+      if (!j.is_object() || !j.contains("do") || !j.at("do").is_string()) fail("not an object with 'do'");
       Step step;
-      step.what = j.at("do").get<std::string>();
-      auto kind = kSteps.find(step.what);
-      if (kind == kSteps.end()) fail(fmt::format("'{}' is not known", step.what));
-      std::set<std::string> may{"do"};
+      step.action = j.at("do").get<std::string>();
+      auto kind = kStepParameters.find(step.action);
+      if (kind == kStepParameters.end()) fail(fmt::format("'{}' is not known", step.action));
+      std::set<std::string> allowed{"do"};
       for (char c : kind->second) {
-        auto known = kKeys.find(c);
-        bool must = c >= 'a' && c <= 'z';
-        auto* key = known != kKeys.end() ? known->second : kKeys.at(static_cast<char>(c - 'A' + 'a'));
-        may.insert(key);
+        auto known = kParameterKeys.find(c);
+        bool is_required = c >= 'a' && c <= 'z';
+        auto* key = known != kParameterKeys.end() ? known->second
+                                                  : kParameterKeys.at(static_cast<char>(c - 'A' + 'a'));
+        allowed.insert(key);
         if (!j.contains(key)) {
-          if (must) fail(fmt::format("'{}' needs '{}'", step.what, key));
+          if (is_required) fail(fmt::format("'{}' needs '{}'", step.action, key));
           continue;
         }
         auto& value = j.at(key);
@@ -61,22 +62,22 @@
             fail(fmt::format("'{}' is no whole number from 0", key));
           return value.get<std::int64_t>();
         };
-        auto word = [&] {
+        auto name = [&] {
           if (!value.is_string() || value.get<std::string>().empty())
-            fail(fmt::format("'{}' is no name", key));
+            fail(fmt::format("'{}' is not a non-empty string", key));
           return value.get<std::string>();
         };
         std::string k = key;
-        if (k == "node") step.node = word();
-        if (k == "to") step.to = word();
+        if (k == "node") step.node = name();
+        if (k == "to") step.to = name();
         if (k == "ms") step.ms = number();
         if (k == "bytes") step.bytes = number();
         if (k == "stall_after") step.stall_after = number();
-        if (k == "steer") step.steer = value;
+        if (k == "steer") step.control_command = value;
       }
       for (auto& [key, value] : j.items())
-        if (!may.count(key)) fail(fmt::format("'{}' has no '{}'", step.what, key));
-      if (step.ms > kLongestMs) fail(fmt::format("more than {} ms", kLongestMs));
+        if (!allowed.count(key)) fail(fmt::format("'{}' has no '{}'", step.action, key));
+      if (step.ms > kMaxStepMs) fail(fmt::format("more than {} ms", kMaxStepMs));
       fault.push_back(std::move(step));
     }
     script.push_back(std::move(fault));
@@ -92,18 +93,18 @@
   return parse_script(text);
 }
 
-std::string play(Rig& rig, const Fault& fault, std::string* victim) {
-  std::string first, words;
-  auto all = rig.all();
-  auto who = [&](const std::string& name) {
+std::string run_fault(FaultHarness& harness, const Fault& fault, std::string* victim) {
+  std::string first, description;
+  auto all = harness.all();
+  auto resolve_node = [&](const std::string& name) {
     std::string found = name;
-    if (name == "leader") found = rig.leader();
-    if (name.starts_with("owner ")) found = rig.owner(name.substr(6));
+    if (name == "leader") found = harness.leader();
+    if (name.starts_with("owner ")) found = harness.lease_holder(name.substr(6));
     if (name == "victim") found = first;
     if (name == "other") {
       found.clear();
-      auto leader = rig.leader();
-      for (auto& voter : rig.voters())
+      auto leader = harness.leader();
+      for (auto& voter : harness.voters())
         if (voter != first && (found.empty() || found == leader)) found = voter;
     }
     if (!std::count(all.begin(), all.end(), found))
@@ -111,38 +112,39 @@
     return found;
   };
   for (auto& s : fault) {
-    auto node = s.node.empty() ? "" : who(s.node), to = s.to.empty() ? "" : who(s.to);
+    auto node = s.node.empty() ? "" : resolve_node(s.node), to = s.to.empty() ? "" : resolve_node(s.to);
     if (first.empty()) first = node;
-    words += fmt::format("{}{}{}", words.empty() ? "" : ", ", s.what, s.node.empty() ? "" : " " + s.node);
-    if (s.what == "wait") std::this_thread::sleep_for(std::chrono::milliseconds(s.ms));
-    if (s.what == "kill") rig.kill(node);
-    if (s.what == "start") rig.start(node);
-    if (s.what == "pause") rig.pause(node);
-    if (s.what == "resume") rig.resume(node);
-    if (s.what == "terminate") rig.terminate(node);
-    if (s.what == "empty") rig.empty_directory(node);
-    if (s.what == "tear") rig.tear_directory(node);
-    if (s.what == "limit-files") rig.limit_files(node, static_cast<std::uint64_t>(s.bytes));
-    if (s.what == "slow-disk") rig.slow_disk(node, static_cast<int>(s.ms));
-    if (s.what == "cut") rig.cut(node, to);
-    if (s.what == "mute") rig.mute(node);
-    if (s.what == "deafen") rig.deafen(node);
-    if (s.what == "isolate") rig.isolate(node);
-    if (s.what == "reset-links") rig.reset_links(node);
-    if (s.what == "heal") rig.heal();
-    if (s.what == "steer") rig.stand_in().steer(s.steer);
-    if (s.what == "settle" && !rig.soon([&] { return !rig.leader().empty(); }))
+    description +=
+        fmt::format("{}{}{}", description.empty() ? "" : ", ", s.action, s.node.empty() ? "" : " " + s.node);
+    if (s.action == "wait") std::this_thread::sleep_for(std::chrono::milliseconds(s.ms));
+    if (s.action == "kill") harness.kill(node);
+    if (s.action == "start") harness.start(node);
+    if (s.action == "pause") harness.pause(node);
+    if (s.action == "resume") harness.resume(node);
+    if (s.action == "terminate") harness.terminate(node);
+    if (s.action == "empty") harness.empty_directory(node);
+    if (s.action == "tear") harness.corrupt_store(node);
+    if (s.action == "limit-files") harness.limit_file_size(node, static_cast<std::uint64_t>(s.bytes));
+    if (s.action == "slow-disk") harness.set_sync_delay(node, static_cast<int>(s.ms));
+    if (s.action == "cut") harness.cut(node, to);
+    if (s.action == "mute") harness.block_outgoing(node);
+    if (s.action == "deafen") harness.block_incoming(node);
+    if (s.action == "isolate") harness.isolate(node);
+    if (s.action == "reset-links") harness.reset_links(node);
+    if (s.action == "heal") harness.heal();
+    if (s.action == "steer") harness.fake_servers().steer(s.control_command);
+    if (s.action == "settle" && !harness.wait_until([&] { return !harness.leader().empty(); }))
       throw std::runtime_error("script: no leader was elected");
-    if (s.what == "shape") {
+    if (s.action == "shape") {
       LinkState state;
       state.delay = Micros(s.ms * 1000);
       state.bytes_per_second = s.bytes;
       state.stall_after = s.stall_after;
-      rig.shape(node, to, state);
+      harness.shape(node, to, state);
     }
   }
   if (victim && !first.empty()) *victim = first;
-  return words;
+  return description;
 }
 
 }  // namespace database_proxy::testbench::faults
--- a/src/testbench/fault_injection/slow_sync.cpp
+++ b/src/testbench/fault_injection/slow_sync.cpp
@@ -1,5 +1,6 @@
-// Loaded into a daemon by the fault rig (LD_PRELOAD): each sync of a file takes as many milliseconds longer
-// as the file named by DATABASE_PROXY_SLOW_SYNC says then. The daemon itself knows nothing of it.
+// Library that the fault harness preloads into a process (LD_PRELOAD). Delays each sync of a file by the
+// number of milliseconds that the file named by DATABASE_PROXY_SLOW_SYNC holds at that time. The process
+// needs no support for it.
 #include <dlfcn.h>
 #include <fcntl.h>
 #include <time.h>
@@ -9,7 +10,7 @@
 
 namespace {
 
-void wait_a_while() {
+void delay_sync() {
   const char* path = getenv("DATABASE_PROXY_SLOW_SYNC");
   if (!path) return;
   int fd = open(path, O_RDONLY | O_CLOEXEC);
@@ -28,12 +29,12 @@
 
 extern "C" int fsync(int fd) {
   static auto real = reinterpret_cast<Sync>(dlsym(RTLD_NEXT, "fsync"));
-  wait_a_while();
+  delay_sync();
   return real(fd);
 }
 
 extern "C" int fdatasync(int fd) {
   static auto real = reinterpret_cast<Sync>(dlsym(RTLD_NEXT, "fdatasync"));
-  wait_a_while();
+  delay_sync();
   return real(fd);
 }
