--- a/src/testbench/fault_injection/operator_calls.cpp
+++ b/src/testbench/fault_injection/operator_calls.cpp
@@ -39,7 +39,7 @@
 }
 
 void OperatorCalls::make(const PlannedCall& call) {
-  if (call.kind == CallKind::kConfirmReturn) return confirm_return(call);
+  if (call.kind == CallKind::kRepeatUncordon) return confirm_return(call);
   bool is_cordon = call.kind == CallKind::kCordon;
   if (!is_cordon && call.is_known) checker_.on_uncordoning(net::monotonic_now(), node_, call.server);
   auto answer = answer_to(call);
--- a/src/testbench/fault_injection/soak.cpp
+++ b/src/testbench/fault_injection/soak.cpp
@@ -30,9 +30,9 @@
 
 constexpr int kConnections = 24;              // of each node's clients
 constexpr int kRatePerNode = 150;             // requests a second
-constexpr int kCrowd = 120;                   // idle connections, where there is a crowd
-constexpr int kTurnedBackPerUpgrade = 1;      // where there is none
-constexpr auto kUseAfterReturn = seconds(5);  // of a server that was put back, as the operators' page has it
+constexpr int kIdleConnections = 120;                   // idle connections, where there is a crowd
+constexpr int kClosedUnreadPerUpgrade = 1;      // where there is none
+constexpr auto kMaxTimeToUseAfterUncordon = seconds(5);  // of a server that was put back, as the operators' page has it
 
 struct SoakOptions {
   std::string program;
@@ -45,16 +45,16 @@
 // What one seed gave.
 struct SoakResult {
   LoadFigures load;
-  std::uint64_t turned_back = 0;
+  std::uint64_t closed_unread = 0;
   SoakNodeFigures nodes;
   std::vector<std::string> violations;
 };
 
 // Idle clients that connect again as often as they are closed, until told to end.
-class IdleCrowd {
+class IdleClients {
  public:
-  IdleCrowd(int port, int size) : thread_([this, port, size] { run(port, size); }) {}
-  ~IdleCrowd() {
+  IdleClients(int port, int size) : thread_([this, port, size] { run(port, size); }) {}
+  ~IdleClients() {
     ends_ = true;
     thread_.join();
   }
@@ -96,13 +96,13 @@
   sum->longest_start_s = std::max(sum->longest_start_s, node.longest_start_s);
   sum->longest_exit_s = std::max(sum->longest_exit_s, node.longest_exit_s);
   sum->longest_call_s = std::max(sum->longest_call_s, node.longest_call_s);
-  sum->most_descriptors = std::max(sum->most_descriptors, node.most_descriptors);
-  sum->most_memory_mb = std::max(sum->most_memory_mb, node.most_memory_mb);
+  sum->max_descriptors = std::max(sum->max_descriptors, node.max_descriptors);
+  sum->max_memory_mb = std::max(sum->max_memory_mb, node.max_memory_mb);
   sum->violations.insert(sum->violations.end(), node.violations.begin(), node.violations.end());
 }
 
 // Where a serving process is killed, what it had goes the way of a crash.
-void judge_node(const SoakScript& script, const SoakOptions& options, const SoakNodeOptions& limits,
+void check_node(const SoakScript& script, const SoakOptions& options, const SoakNodeOptions& limits,
                 const SoakNodeFigures& node, const LoadFigures& load, SoakResult* result) {
   auto violation = [&](const std::string& what) {
     result->violations.push_back(fmt::format("{}: {}", limits.folder, what));
@@ -111,16 +111,16 @@
   if (load.lost > excused)
     violation(fmt::format("{} requests lost, {} excused: {}", load.lost, excused,
                           fmt::join(load.unanswered_requests, "; ")));
-  auto turned_back = load.unanswered - load.lost - load.unsent;
-  auto allowed = excused + static_cast<std::uint64_t>(node.upgrades * kTurnedBackPerUpgrade);
-  if (!script.has_crowd && turned_back > allowed)
-    violation(fmt::format("{} requests turned back unheard, {} allowed: {}", turned_back, allowed,
+  auto closed_unread = load.unanswered - load.lost - load.unsent;
+  auto allowed = excused + static_cast<std::uint64_t>(node.upgrades * kClosedUnreadPerUpgrade);
+  if (!script.has_idle_clients && closed_unread > allowed)
+    violation(fmt::format("{} requests turned back unheard, {} allowed: {}", closed_unread, allowed,
                           fmt::join(load.unanswered_requests, "; ")));
-  result->turned_back += turned_back;
-  if (node.most_descriptors > static_cast<int>(limits.sockets))
-    violation(fmt::format("{} descriptors of {}", node.most_descriptors, limits.sockets));
-  if (options.checks_memory && node.most_memory_mb > static_cast<double>(limits.memory_mb))
-    violation(fmt::format("{:.1f} MB of {}", node.most_memory_mb, limits.memory_mb));
+  result->closed_unread += closed_unread;
+  if (node.max_descriptors > static_cast<int>(limits.sockets))
+    violation(fmt::format("{} descriptors of {}", node.max_descriptors, limits.sockets));
+  if (options.checks_memory && node.max_memory_mb > static_cast<double>(limits.memory_mb))
+    violation(fmt::format("{:.1f} MB of {}", node.max_memory_mb, limits.memory_mb));
   if (load.served == 0) violation("nothing was served");
 }
 
@@ -148,7 +148,7 @@
   }
   std::vector<LoadFigures> loads(nodes.size());
   std::vector<std::thread> threads;
-  std::vector<std::unique_ptr<IdleCrowd>> crowds;
+  std::vector<std::unique_ptr<IdleClients>> crowds;
   for (std::size_t i = 0; i < nodes.size(); ++i) {
     threads.emplace_back([&nodes, i] { nodes[i]->run(); });
     threads.emplace_back([&, i] {
@@ -162,12 +162,12 @@
       load.prefix = fmt::format("n{}c", i);
       loads[i] = run_load(load);
     });
-    if (script.has_crowd) crowds.push_back(std::make_unique<IdleCrowd>(nodes[i]->port(), kCrowd));
+    if (script.has_idle_clients) crowds.push_back(std::make_unique<IdleClients>(nodes[i]->port(), kIdleConnections));
   }
   play_actions(servers, script, began);
   std::this_thread::sleep_until(began + seconds(script.seconds));
   auto unused = servers.rules().withdrawals().unused_since_return(net::monotonic_now(),
-                                                                  servers.servers().front(), kUseAfterReturn);
+                                                                  servers.servers().front(), kMaxTimeToUseAfterUncordon);
   crowds.clear();
   for (auto& thread : threads) thread.join();
   SoakResult result;
@@ -175,7 +175,7 @@
   for (std::size_t i = 0; i < nodes.size(); ++i) {
     result.load.add(loads[i]);
     add_figures(nodes[i]->figures(), &result.nodes);
-    judge_node(script, options, node_options[i], nodes[i]->figures(), loads[i], &result);
+    check_node(script, options, node_options[i], nodes[i]->figures(), loads[i], &result);
   }
   for (auto& breach : servers.rules().breaches())
     result.violations.push_back(
@@ -192,10 +192,10 @@
       "{}, "
       "turned back {}; yes after {:.2f} s, exit after {:.2f} s, call {:.2f} s at most; {} descriptors, "
       "{:.0f} MB; {} violations\n",
-      script.seed, script.has_crowd ? " (crowd)" : "", nodes.processes, nodes.upgrades, nodes.crashes,
+      script.seed, script.has_idle_clients ? " (crowd)" : "", nodes.processes, nodes.upgrades, nodes.crashes,
       result.load.asked, result.load.served, result.load.refused, result.load.failed, result.load.lost,
-      result.turned_back, nodes.longest_start_s, nodes.longest_exit_s, nodes.longest_call_s,
-      nodes.most_descriptors, nodes.most_memory_mb, result.violations.size());
+      result.closed_unread, nodes.longest_start_s, nodes.longest_exit_s, nodes.longest_call_s,
+      nodes.max_descriptors, nodes.max_memory_mb, result.violations.size());
   for (auto& violation : result.violations) std::cout << "  VIOLATION " << violation << "\n";
   std::cout.flush();
 }
@@ -229,7 +229,7 @@
   auto replicas = servers.servers();
   auto primary = replicas.front();
   replicas.erase(replicas.begin());
-  if (!script) script = draw_script(seed, options.nodes, options.seconds, primary, replicas);
+  if (!script) script = generate_script(seed, options.nodes, options.seconds, primary, replicas);
   if (options.prints_script) std::cout << script_to_json(*script).dump() << "\n";
   std::optional<TemporaryDirectory> temporary;
   if (keep.empty()) temporary.emplace();
--- a/src/testbench/fault_injection/soak_node.cpp
+++ b/src/testbench/fault_injection/soak_node.cpp
@@ -85,8 +85,8 @@
     descriptors += usage.descriptors;
     memory_mb += usage.rss_mb;
   }
-  figures_.most_descriptors = std::max(figures_.most_descriptors, descriptors);
-  figures_.most_memory_mb = std::max(figures_.most_memory_mb, memory_mb);
+  figures_.max_descriptors = std::max(figures_.max_descriptors, descriptors);
+  figures_.max_memory_mb = std::max(figures_.max_memory_mb, memory_mb);
 }
 
 // An answer, of whatever kind, is owed within a second.
@@ -96,7 +96,7 @@
   auto taken = seconds_since(asked_at);
   figures_.longest_call_s = std::max(figures_.longest_call_s, taken);
   bool was_reached = taken > 0.5;
-  if (was_reached && answer.empty() && !process.is_disturbed)
+  if (was_reached && answer.empty() && !process.was_stopped)
     violation(process, "health is not answered in 1 s");
   return answer.starts_with("YES");
 }
@@ -106,7 +106,7 @@
   while (Clock::now() - began < kLongestStart) {
     sample_usage();
     if (is_healthy(process)) {
-      if (!process.is_disturbed)
+      if (!process.was_stopped)
         figures_.longest_start_s = std::max(figures_.longest_start_s, seconds_since(began));
       return true;
     }
@@ -116,12 +116,12 @@
     }
     std::this_thread::sleep_for(kPollInterval);
   }
-  if (!process.is_disturbed) violation(process, "it is not healthy after 6 s: " + process.process->log());
+  if (!process.was_stopped) violation(process, "it is not healthy after 6 s: " + process.process->log());
   return false;
 }
 
 void SoakNode::stop_for(Process& process, int milliseconds_stopped) {
-  process.is_disturbed = true;
+  process.was_stopped = true;
   options_.withdrawals->on_stopped(options_.name);
   process.process->signal(SIGSTOP);
   std::this_thread::sleep_for(milliseconds(milliseconds_stopped));
@@ -145,12 +145,12 @@
 }
 
 // As the platform does it: SIGTERM, and SIGKILL at the earliest moment that the pages allow.
-void SoakNode::end_process(Process& process, int terms) {
-  auto told_at = Clock::now();
-  for (int i = 0; i < terms; ++i) process.process->signal(SIGTERM);
+void SoakNode::end_process(Process& process, int sigterms) {
+  auto signalled_at = Clock::now();
+  for (int i = 0; i < sigterms; ++i) process.process->signal(SIGTERM);
   while (process.process->running()) {
-    if (Clock::now() - told_at > kShutdownLimit) {
-      if (!process.is_disturbed) violation(process, "it still runs when the platform kills it");
+    if (Clock::now() - signalled_at > kShutdownLimit) {
+      if (!process.was_stopped) violation(process, "it still runs when the platform kills it");
       return kill_process(process);
     }
     sample_usage();
@@ -158,7 +158,7 @@
   }
   std::erase(running_, process.process.get());
   forget(process.process.get());
-  figures_.longest_exit_s = std::max(figures_.longest_exit_s, seconds_since(told_at));
+  figures_.longest_exit_s = std::max(figures_.longest_exit_s, seconds_since(signalled_at));
   if (process.process->exit_code() != 0)
     violation(process,
               fmt::format("it ended with {}: {}", process.process->exit_code(), process.process->log()));
@@ -166,7 +166,7 @@
 }
 
 // True: the successor is to be given up.
-bool SoakNode::hit_successor(const PlannedUpgrade& plan, Process& successor) {
+bool SoakNode::inject_successor_fault(const PlannedUpgrade& plan, Process& successor) {
   if (plan.successor == ProcessFault::kNone) return false;
   std::this_thread::sleep_for(milliseconds(plan.successor_fault_after_ms));
   if (plan.successor == ProcessFault::kKilled) {
@@ -177,7 +177,7 @@
   return false;
 }
 
-void SoakNode::hit_old_process(const PlannedUpgrade& plan) {
+void SoakNode::inject_old_process_fault(const PlannedUpgrade& plan) {
   if (plan.old_process == ProcessFault::kStopped) stop_for(serving_, plan.stopped_ms);
   if (plan.old_process == ProcessFault::kKilled) kill_process(serving_);
 }
@@ -185,23 +185,23 @@
 void SoakNode::upgrade(const PlannedUpgrade& plan) {
   ++figures_.upgrades;
   auto successor = start(plan);
-  if (plan.has_twin) twin_ = start(plan);
-  bool is_given_up = hit_successor(plan, successor);
-  if (is_given_up && twin_.process) std::swap(successor, twin_);
-  if (is_given_up && !successor.process->running()) return;
+  if (plan.has_second_successor) second_successor_ = start(plan);
+  bool is_abandoned = inject_successor_fault(plan, successor);
+  if (is_abandoned && second_successor_.process) std::swap(successor, second_successor_);
+  if (is_abandoned && !successor.process->running()) return;
   if (!becomes_healthy(successor)) return kill_process(successor);
   successor.faults->control().wall_clock_offset_us = plan.wall_clock_step_us;
-  for (int i = 0; i < plan.hups; ++i) {
+  for (int i = 0; i < plan.sighups; ++i) {
     serving_.process->signal(SIGHUP);
     successor.process->signal(SIGHUP);
   }
-  hit_old_process(plan);
-  if (serving_.process->running()) end_process(serving_, plan.terms);
+  inject_old_process_fault(plan);
+  if (serving_.process->running()) end_process(serving_, plan.sigterms);
   serving_ = std::move(successor);
-  if (!is_given_up && twin_.process) {
-    if (becomes_healthy(twin_)) end_process(serving_, 1), serving_ = std::move(twin_);
+  if (!is_abandoned && second_successor_.process) {
+    if (becomes_healthy(second_successor_)) end_process(serving_, 1), serving_ = std::move(second_successor_);
   }
-  twin_ = {};
+  second_successor_ = {};
 }
 
 void SoakNode::forget(const ProcessUnderTest* process) {
--- a/src/testbench/fault_injection/soak_node.h
+++ b/src/testbench/fault_injection/soak_node.h
@@ -35,8 +35,8 @@
 struct SoakNodeFigures {
   int upgrades = 0, processes = 0, crashes = 0;  // crashes: killed while serving
   double longest_start_s = 0, longest_exit_s = 0, longest_call_s = 0;
-  int most_descriptors = 0;
-  double most_memory_mb = 0;
+  int max_descriptors = 0;
+  double max_memory_mb = 0;
   std::vector<std::string> violations;
 };
 
@@ -54,27 +54,27 @@
     std::unique_ptr<CallFaults> faults;
     std::unique_ptr<ProcessUnderTest> process;
     int number = 0;
-    bool is_disturbed = false;  // it was stopped: its times do not count
+    bool was_stopped = false;  // it was stopped: its times do not count
   };
 
   std::string operator_address(bool newest);
   void play_upgrades();
   Process start(const PlannedUpgrade& plan);
   void upgrade(const PlannedUpgrade& plan);
-  bool hit_successor(const PlannedUpgrade& plan, Process& successor);
-  void hit_old_process(const PlannedUpgrade& plan);
+  bool inject_successor_fault(const PlannedUpgrade& plan, Process& successor);
+  void inject_old_process_fault(const PlannedUpgrade& plan);
   bool becomes_healthy(Process& process);
   bool is_healthy(Process& process);
   void stop_for(Process& process, int milliseconds);
   void kill_process(Process& process);
-  void end_process(Process& process, int terms);
+  void end_process(Process& process, int sigterms);
   void check_log(const Process& process);
   void sample_usage();
   void violation(const Process& process, const std::string& what);
 
   SoakNodeOptions options_;
   net::Fd listening_socket_;
-  Process serving_, twin_;
+  Process serving_, second_successor_;
   std::vector<const ProcessUnderTest*> running_;
   std::mutex mutex_;                                          // of what follows
   std::map<const ProcessUnderTest*, std::string> addresses_;  // the operators', of those that run
--- a/src/testbench/fault_injection/soak_script.cpp
+++ b/src/testbench/fault_injection/soak_script.cpp
@@ -10,7 +10,7 @@
 using nlohmann::json;
 
 // Faults that a process serves through without losing a request, with their highest rates.
-constexpr CallFaultRate kDrawnFaults[] = {
+constexpr CallFaultRate kCallFaultChoices[] = {
     {CallFault::kShortRead, 4},
     {CallFault::kShortWrite, 4},
     {CallFault::kInterrupted, 4},
@@ -26,9 +26,9 @@
 
 constexpr std::int64_t kHourUs = 3'600'000'000, kSecondUs = 1'000'000;
 
-class Drawer {
+class ScriptGenerator {
  public:
-  explicit Drawer(std::uint64_t seed) : random_(seed) {}
+  explicit ScriptGenerator(std::uint64_t seed) : random_(seed) {}
 
   int between(int least, int most) { return std::uniform_int_distribution<int>(least, most)(random_); }
   bool one_in(int count) { return between(1, count) == 1; }
@@ -43,14 +43,14 @@
     plan.pause_ms = between(50, 900);
     plan.successor = process_fault();
     plan.successor_fault_after_ms = between(0, 400);
-    plan.has_twin = one_in(5);
+    plan.has_second_successor = one_in(5);
     if (plan.successor == ProcessFault::kNone) plan.old_process = process_fault();
     plan.stopped_ms = between(100, 900);
-    plan.terms = one_in(4) ? 2 : 1;
-    plan.hups = one_in(3) ? between(1, 8) : 0;
+    plan.sigterms = one_in(4) ? 2 : 1;
+    plan.sighups = one_in(3) ? between(1, 8) : 0;
     int faults = between(0, 2);
     for (int i = 0; i < faults; ++i) {
-      auto fault = kDrawnFaults[between(0, static_cast<int>(std::size(kDrawnFaults)) - 1)];
+      auto fault = kCallFaultChoices[between(0, static_cast<int>(std::size(kCallFaultChoices)) - 1)];
       fault.one_in *= static_cast<std::uint32_t>(between(1, 4));
       plan.call_faults.push_back(fault);
     }
@@ -64,7 +64,7 @@
     auto add = [&](int at_ms, CallKind kind, const std::string& id, bool is_known) {
       calls->push_back({at_ms, kind, id, is_known, one_in(2)});
     };
-    constexpr int kHoldsEverywhereAfterMs = 1200;
+    constexpr int kUncordonPropagationMs = 1200;
     for (int at = between(200, 2500); at < length_ms;) {
       add(at, CallKind::kCordon, server, true);
       if (one_in(3)) add(at + between(1, 300), CallKind::kCordon, server, true);
@@ -72,8 +72,8 @@
       at += between(900, 3000);
       add(at, CallKind::kUncordon, server, true);
       int pause_ms = between(600, 3000);
-      if (pause_ms > kHoldsEverywhereAfterMs)
-        add(at + kHoldsEverywhereAfterMs, CallKind::kConfirmReturn, server, true);
+      if (pause_ms > kUncordonPropagationMs)
+        add(at + kUncordonPropagationMs, CallKind::kRepeatUncordon, server, true);
       at += pause_ms;
     }
   }
@@ -109,11 +109,11 @@
   return {{"pause_ms", plan.pause_ms},
           {"successor", static_cast<int>(plan.successor)},
           {"successor_fault_after_ms", plan.successor_fault_after_ms},
-          {"has_twin", plan.has_twin},
+          {"has_twin", plan.has_second_successor},
           {"old_process", static_cast<int>(plan.old_process)},
           {"stopped_ms", plan.stopped_ms},
-          {"terms", plan.terms},
-          {"hups", plan.hups},
+          {"terms", plan.sigterms},
+          {"hups", plan.sighups},
           {"call_faults", faults},
           {"wall_clock_step_us", plan.wall_clock_step_us}};
 }
@@ -123,11 +123,11 @@
   plan.pause_ms = value.at("pause_ms");
   plan.successor = static_cast<ProcessFault>(value.at("successor").get<int>());
   plan.successor_fault_after_ms = value.at("successor_fault_after_ms");
-  plan.has_twin = value.at("has_twin");
+  plan.has_second_successor = value.at("has_twin");
   plan.old_process = static_cast<ProcessFault>(value.at("old_process").get<int>());
   plan.stopped_ms = value.at("stopped_ms");
-  plan.terms = value.at("terms");
-  plan.hups = value.at("hups");
+  plan.sigterms = value.at("terms");
+  plan.sighups = value.at("hups");
   for (auto& fault : value.at("call_faults"))
     plan.call_faults.push_back({static_cast<CallFault>(fault.at(0).get<int>()), fault.at(1)});
   plan.wall_clock_step_us = value.at("wall_clock_step_us");
@@ -136,46 +136,46 @@
 
 }  // namespace
 
-SoakScript draw_script(std::uint64_t seed, int nodes, int seconds, const std::string& primary,
+SoakScript generate_script(std::uint64_t seed, int nodes, int seconds, const std::string& primary,
                        const std::vector<std::string>& replicas) {
-  constexpr int kMostUpgrades = 40;  // of a node: more than fit into the time
+  constexpr int kMaxUpgrades = 40;  // of a node: more than fit into the time
   constexpr int kMillisPerSecond = 1000;
-  Drawer drawer(seed);
+  ScriptGenerator generator(seed);
   SoakScript script;
   script.seed = seed;
   script.seconds = seconds;
-  script.has_crowd = drawer.one_in(4);
+  script.has_idle_clients = generator.one_in(4);
   for (int node = 0; node < nodes; ++node) {
     auto& plans = script.nodes.emplace_back();
-    for (int i = 0; i < kMostUpgrades; ++i) plans.push_back(drawer.upgrade());
+    for (int i = 0; i < kMaxUpgrades; ++i) plans.push_back(generator.upgrade());
   }
   // A server that starts cold while discovery is down may be overrun by proxies that cannot know it, which
   // the rules allow and the fake servers cannot tell: each seed has one of the two.
-  bool has_outages = drawer.one_in(2);
+  bool has_outages = generator.one_in(2);
   int length_ms = seconds * kMillisPerSecond;
   // Faults of one server must not overlap each other, or one would end another's.
   for (auto& server : replicas)
-    for (int at = drawer.between(300, 3000); at < length_ms - 2500; at += drawer.between(2000, 5000))
-      drawer.server_fault(server, at, !has_outages, &script.actions);
-  for (int at = drawer.between(500, 4000); has_outages && at < length_ms - 3000;
-       at += drawer.between(4000, 8000)) {
+    for (int at = generator.between(300, 3000); at < length_ms - 2500; at += generator.between(2000, 5000))
+      generator.server_fault(server, at, !has_outages, &script.actions);
+  for (int at = generator.between(500, 4000); has_outages && at < length_ms - 3000;
+       at += generator.between(4000, 8000)) {
     script.actions.push_back({at, {{"do", "discovery"}, {"mute", true}}});
-    script.actions.push_back({at + drawer.between(300, 2500), {{"do", "discovery"}, {"mute", false}}});
+    script.actions.push_back({at + generator.between(300, 2500), {{"do", "discovery"}, {"mute", false}}});
   }
   // One replica stays as discovery has it, so that reads have a place to go to.
   std::vector<std::string> withdrawn{primary};
   withdrawn.insert(withdrawn.end(), replicas.begin() + 1, replicas.end());
   auto drained =
-      withdrawn[static_cast<std::size_t>(drawer.between(0, static_cast<int>(withdrawn.size()) - 1))];
-  for (int at = drawer.between(300, 3000); at < length_ms - 1500; at += drawer.between(800, 3000)) {
+      withdrawn[static_cast<std::size_t>(generator.between(0, static_cast<int>(withdrawn.size()) - 1))];
+  for (int at = generator.between(300, 3000); at < length_ms - 1500; at += generator.between(800, 3000)) {
     script.actions.push_back({at, {{"do", "drain"}, {"server", drained}}});
-    at += drawer.between(500, 2500);
+    at += generator.between(500, 2500);
     script.actions.push_back({at, {{"do", "list-up"}, {"server", drained}}});
   }
   for (int node = 0; node < nodes; ++node) {
     auto& calls = script.calls.emplace_back();
     for (auto& server : withdrawn)
-      if (drawer.one_in(2)) drawer.cordons(server, length_ms, &calls);
+      if (generator.one_in(2)) generator.cordons(server, length_ms, &calls);
     std::stable_sort(calls.begin(), calls.end(),
                      [](auto& left, auto& right) { return left.at_ms < right.at_ms; });
   }
@@ -198,7 +198,7 @@
   }
   for (auto& action : script.actions) actions.push_back({{"at_ms", action.at_ms}, {"action", action.action}});
   return {
-      {"seed", script.seed}, {"seconds", script.seconds}, {"has_crowd", script.has_crowd}, {"nodes", nodes},
+      {"seed", script.seed}, {"seconds", script.seconds}, {"has_crowd", script.has_idle_clients}, {"nodes", nodes},
       {"calls", calls},      {"actions", actions}};
 }
 
@@ -206,7 +206,7 @@
   SoakScript script;
   script.seed = json.at("seed");
   script.seconds = json.at("seconds");
-  script.has_crowd = json.at("has_crowd");
+  script.has_idle_clients = json.at("has_crowd");
   for (auto& node : json.at("nodes")) {
     auto& plans = script.nodes.emplace_back();
     for (auto& plan : node) plans.push_back(upgrade_from(plan));
--- a/src/testbench/fault_injection/soak_script.h
+++ b/src/testbench/fault_injection/soak_script.h
@@ -24,11 +24,11 @@
   int pause_ms = 0;  // behind the one before
   ProcessFault successor = ProcessFault::kNone;
   int successor_fault_after_ms = 0;                // from its start
-  bool has_twin = false;                           // a second successor is started at the same time
+  bool has_second_successor = false;                           // a second successor is started at the same time
   ProcessFault old_process = ProcessFault::kNone;  // in the overlap
   int stopped_ms = 0;
-  int terms = 1;                           // SIGTERMs that the old process gets
-  int hups = 0;                            // SIGHUPs that both get in the overlap
+  int sigterms = 1;                           // SIGTERMs that the old process gets
+  int sighups = 0;                            // SIGHUPs that both get in the overlap
   std::vector<CallFaultRate> call_faults;  // of the successor, for all its life
   std::int64_t wall_clock_step_us = 0;     // at the successor, in the overlap
 };
@@ -37,7 +37,7 @@
 enum class CallKind {
   kCordon,
   kUncordon,
-  kConfirmReturn  // puts back once more what was put back over a second ago: it must not be cordoned
+  kRepeatUncordon  // puts back once more what was put back over a second ago: it must not be cordoned
 };
 struct PlannedCall {
   int at_ms = 0;
@@ -56,14 +56,14 @@
 struct SoakScript {
   std::uint64_t seed = 1;
   int seconds = 8;
-  bool has_crowd = false;
+  bool has_idle_clients = false;
   std::vector<std::vector<PlannedUpgrade>> nodes;
   std::vector<std::vector<PlannedCall>> calls;  // by node
   std::vector<PlannedAction> actions;
 };
 
 // `replicas` may be hit by faults; they and the primary are drained, cordoned and put back.
-SoakScript draw_script(std::uint64_t seed, int nodes, int seconds, const std::string& primary,
+SoakScript generate_script(std::uint64_t seed, int nodes, int seconds, const std::string& primary,
                        const std::vector<std::string>& replicas);
 
 nlohmann::json script_to_json(const SoakScript& script);
