--- a/src/testbench/fault_injection/coldstart.cpp
+++ b/src/testbench/fault_injection/coldstart.cpp
@@ -16,7 +16,7 @@
 using namespace std::chrono_literals;
 
 constexpr int kProcesses = 300;
-constexpr Micros kWatched = 30s, kSample = 100ms;
+constexpr Micros kLoadDuration = 30s, kSampleInterval = 100ms;
 constexpr double kRateEach = 1;  // requests a second at each proxy
 constexpr Micros kWarmUp = 10s;
 
@@ -72,7 +72,7 @@
     for (auto& [id, f] : rig.stand_in().figures()) opened[id] = f.opened, probed[id] = f.probes;
     auto first = probed;
     while (!stop) {
-      std::this_thread::sleep_for(kSample);
+      std::this_thread::sleep_for(kSampleInterval);
       auto figures = rig.stand_in().figures();
       for (auto& [id, f] : figures) {
         handshakes = std::max(handshakes, static_cast<double>(f.opened - opened[id]));
@@ -96,7 +96,7 @@
       l.target = *net::parse_address(fmt::format("127.0.0.1:{}", rig.port(names[i])));
       l.connections = 2;
       l.rate = kRateEach;
-      l.length = kWatched;
+      l.length = kLoadDuration;
       l.warm_up = Micros(0);
       l.sets = {1, 2, 3, 4};
       l.seed = options.seed * 1000 + i;
@@ -144,17 +144,17 @@
   double drain = -1;
   for (auto& [name, ms] : rig.stand_in().rules().drain_last_send_ms()) drain = std::max(drain, ms);
   if (!options.history.empty()) rig.history().write(options.history);
-  auto grown = [&](const char* key) {
+  auto increase_of = [&](const char* key) {
     return report.at(key).get<std::uint64_t>() - before.at(key).get<std::uint64_t>();
   };
   return {{"mode", mode},
           {"list", service.name},
           {"seed", options.seed},
           {"processes", names.size()},
-          {"whole_list_calls", grown("whole_list_calls")},
+          {"whole_list_calls", increase_of("whole_list_calls")},
           {"list_calls", calls},
           {"list_calls_peak_per_s", peak},
-          {"list_refused", grown("list_refused")},
+          {"list_refused", increase_of("list_refused")},
           {"handshakes_peak_per_server_per_100ms", handshakes},
           {"probes_per_server_first_5s", probes},
           {"cold_falls", falls},
--- a/src/testbench/fault_injection/commands.cpp
+++ b/src/testbench/fault_injection/commands.cpp
@@ -258,7 +258,7 @@
     options.history = given["history"].as<std::string>();
     options.script = script;
     if (given.count("quick") && given["faults"].defaulted()) options.faults = 5;
-    options.only = given["fault"].as<std::string>();
+    options.zone_fault = given["fault"].as<std::string>();
     if (given.count("before")) options.before = given["before"].as<std::string>();
     if (name == "coldstart") {
       for (auto& row : run_coldstart(options)) rows.push_back(row);
--- a/src/testbench/fault_injection/experiments.cpp
+++ b/src/testbench/fault_injection/experiments.cpp
@@ -21,41 +21,41 @@
 
 constexpr int kClients = 4, kRegisters = 8;
 // A client turns to the next node after that: it is the grain of the times without a leader.
-constexpr int kClientPatienceMs = 200;
+constexpr int kClientTimeoutMs = 200;
 // Calls on one register before the next one is taken: the search for an order of them stays short.
-constexpr int kCallsOfRegister = 60;
-constexpr Micros kSettled{30'000'000};  // after the last fault, by when all must agree
+constexpr int kCallsPerRegister = 60;
+constexpr Micros kConvergenceTimeout{30'000'000};  // after the last fault, by when all must agree
 
 void pause_for(Micros span) { std::this_thread::sleep_for(span); }
 
 // Clients of the group's registers, each call told to the history.
-class Registers {
+class RegisterClients {
  public:
-  Registers(Rig& rig, std::uint64_t seed) : rig_(rig), seed_(seed) {
+  RegisterClients(Rig& rig, std::uint64_t seed) : rig_(rig), seed_(seed) {
     for (int i = 0; i < kClients; ++i) threads_.emplace_back([this, i] { run(i); });
   }
-  ~Registers() { stop(); }
+  ~RegisterClients() { stop(); }
   void stop() {
     stop_ = true;
     for (auto& t : threads_)
       if (t.joinable()) t.join();
   }
   // The first write that was called after this moment and acknowledged: when; waits for it.
-  std::optional<Micros> first_after(Micros when, Micros patience) {
-    auto end = net::monotonic_now() + patience;
+  std::optional<Micros> first_write_after(Micros when, Micros timeout) {
+    auto end = net::monotonic_now() + timeout;
     while (net::monotonic_now() < end) {
       {
         std::lock_guard lock(mutex_);
         for (auto it = acks_.rbegin(); it != acks_.rend() && it->second >= when; ++it)
-          if (it->first >= when) best_ = best_ ? std::min(*best_, it->second) : it->second;
-        if (best_) return std::exchange(best_, std::nullopt);
+          if (it->first >= when) earliest_ack_ = earliest_ack_ ? std::min(*earliest_ack_, it->second) : it->second;
+        if (earliest_ack_) return std::exchange(earliest_ack_, std::nullopt);
       }
       pause_for(5ms);
     }
     return std::nullopt;
   }
   // The last word on each register closes its history: an acknowledged write that is gone shows there.
-  void last_words() {
+  void read_final_values() {
     for (auto& key : std::set<std::string>(keys_)) {
       json answer;
       Operation o;
@@ -70,12 +70,12 @@
       });
       o.value = answer.value("value", "");
       o.answered = rig_.history().now();
-      tell(-1, key, o, true);
+      record_call(-1, key, o, true);
     }
   }
 
  private:
-  void tell(int client, const std::string& key, const Operation& o, bool last = false) {
+  void record_call(int client, const std::string& key, const Operation& o, bool last = false) {
     json e = {{"client", client},
               {"key", key},
               {"write", o.write},
@@ -97,7 +97,7 @@
       std::uint64_t round;
       {
         std::lock_guard lock(mutex_);
-        round = calls_++ / (kCallsOfRegister * kRegisters);
+        round = calls_++ / (kCallsPerRegister * kRegisters);
       }
       auto key = fmt::format("r{}-{}", random() % kRegisters, round);
       if (o.write) o.value = fmt::format("{}.{}", number, n);
@@ -105,14 +105,14 @@
       try {
         if (!call)
           call = std::make_unique<app::FleetConnection>(rig_.address(rig_.voters()[at]), "lab",
-                                                        kClientPatienceMs);
+                                                        kClientTimeoutMs);
         auto answer = call->send_request(o.write ? json{{"do", "put"}, {"key", key}, {"value", o.value}}
                                                  : json{{"do", "get"}, {"key", key}});
         auto now = rig_.history().now();
         bool ok = answer.value("ok", false), unknown = answer.value("why", "").starts_with("unknown");
         if (!o.write) o.value = answer.value("value", "");
         if (ok) o.answered = now;
-        if (ok || (o.write && unknown)) tell(number, key, o);
+        if (ok || (o.write && unknown)) record_call(number, key, o);
         if (!ok) {  // this node knows no leader: another may
           call.reset();
           at = (at + 1) % rig_.voters().size();
@@ -124,7 +124,7 @@
       } catch (const std::runtime_error&) {
         call.reset();
         at = (at + 1) % rig_.voters().size();
-        if (o.write) tell(number, key, o);  // it may have happened, or may yet
+        if (o.write) record_call(number, key, o);  // it may have happened, or may yet
         pause_for(5ms);
       }
       pause_for(Micros(static_cast<std::int64_t>(2000 + random() % 6000)));
@@ -136,7 +136,7 @@
   std::atomic<bool> stop_{false};
   std::mutex mutex_;
   std::uint64_t calls_ = 0;
-  std::optional<Micros> best_;
+  std::optional<Micros> earliest_ack_;
   std::vector<std::pair<Micros, Micros>> acks_;  // called, answered
   std::set<std::string> keys_;
   std::vector<std::thread> threads_;
@@ -159,7 +159,7 @@
  private:
   void run(const std::string& name) {
     std::unique_ptr<app::FleetConnection> call;
-    bool anew = true;  // it may have come back with an earlier state that it then catches up from
+    bool is_reconnected = true;  // it may have come back with an earlier state that it then catches up from
     while (!stop_) {
       try {
         if (!call) call = std::make_unique<app::FleetConnection>(rig_.address(name), "lab", 30'000);
@@ -171,11 +171,11 @@
                   {"published", json::array()}};
         if (s.value("role", "") == "leader") e["leads"] = s.at("term");
         for (auto& o : owners) e["published"].push_back({o.at("job"), o.at("published_by")});
-        if (std::exchange(anew, false)) e["anew"] = true;
+        if (std::exchange(is_reconnected, false)) e["anew"] = true;
         rig_.history().add("sample", std::move(e));
       } catch (const std::exception&) {
         call.reset();
-        anew = true;
+        is_reconnected = true;
       }
       pause_for(20ms);
     }
@@ -198,7 +198,7 @@
   return n;
 }
 
-struct Draw {
+struct RandomChoices {
   std::mt19937_64 random;
   std::uint64_t below(std::uint64_t n) { return random() % n; }
   Micros span(int least_ms, int most_ms) {
@@ -209,7 +209,7 @@
 };
 
 // One fault on `victim`, over when this returns. What hits it is undone here.
-std::string one_fault(Rig& rig, Draw& draw, const std::string& victim, bool jobs) {
+std::string inject_fault(Rig& rig, RandomChoices& draw, const std::string& victim, bool jobs) {
   auto& voters = rig.voters();
   auto other = victim;
   while (other == victim) other = draw.of(voters);
@@ -319,7 +319,7 @@
 }
 
 // All links well, all processes up: waits until the nodes have the same state and one leader.
-bool settled(Rig& rig) {
+bool wait_until_converged(Rig& rig) {
   return rig.soon(
       [&] {
         std::set<std::uint64_t> applied;
@@ -331,7 +331,7 @@
         }
         return applied.size() == 1 && !rig.leader().empty();
       },
-      kSettled);
+      kConvergenceTimeout);
 }
 
 }  // namespace
@@ -344,20 +344,20 @@
   o.seed = options.seed;
   o.group = {{"jobs", json::array()}};
   Rig rig(o);
-  Registers clients(rig, options.seed);
+  RegisterClients clients(rig, options.seed);
   Sampler sampler(rig);
-  Draw draw{std::mt19937_64(options.seed)};
+  RandomChoices draw{std::mt19937_64(options.seed)};
   std::vector<double> leaderless;
   std::uint64_t stuck = 0;
-  clients.first_after(rig.history().now(), 10s);
+  clients.first_write_after(rig.history().now(), 10s);
   const int faults = options.script.empty() ? options.faults : static_cast<int>(options.script.size());
   for (int i = 0; i < faults; ++i) {
     auto leader = rig.leader();
     auto victim = !leader.empty() && draw.below(3) < 2 ? leader : draw.of(rig.voters());
     auto at = rig.history().now();
     std::optional<Micros> again;
-    std::thread watch([&] { again = clients.first_after(at + 1ms, 30s); });
-    auto what = options.script.empty() ? one_fault(rig, draw, victim, false)
+    std::thread watch([&] { again = clients.first_write_after(at + 1ms, 30s); });
+    auto what = options.script.empty() ? inject_fault(rig, draw, victim, false)
                                        : play(rig, options.script[static_cast<std::size_t>(i)], &victim);
     watch.join();
     // What lost the majority or slowed the disk lasts as long as it is made to: that is no election's time.
@@ -367,12 +367,12 @@
     if (counted && again) leaderless.push_back(ms);
     rig.history().add("fault over",
                       {{"fault", what}, {"node", victim}, {"led", victim == leader}, {"until_write_ms", ms}});
-    if (!rig.soon([&] { return !rig.leader().empty(); }, kSettled)) ++stuck;
+    if (!rig.soon([&] { return !rig.leader().empty(); }, kConvergenceTimeout)) ++stuck;
   }
   clients.stop();
-  bool agreed = settled(rig);
+  bool agreed = wait_until_converged(rig);
   sampler.stop();
-  clients.last_words();
+  clients.read_final_values();
   std::uint64_t elections = 0;
   for (auto& name : rig.voters()) elections += count_in(rig.log(name), "group: leader in term");
   if (!options.history.empty()) rig.history().write(options.history);
@@ -437,8 +437,8 @@
         }
       }
     });
-  Draw draw{std::mt19937_64(options.seed)};
-  std::uint64_t taken_over_late = 0;
+  RandomChoices draw{std::mt19937_64(options.seed)};
+  std::uint64_t not_reacquired = 0;
   std::vector<double> until_owned;
   double drain_ms = -1;
   const int faults = options.script.empty() ? options.faults : static_cast<int>(options.script.size());
@@ -447,10 +447,10 @@
     auto victim = rig.owner(job);
     if (victim.empty() || !std::count(rig.voters().begin(), rig.voters().end(), victim))
       victim = draw.of(rig.voters());
-    auto what = options.script.empty() ? one_fault(rig, draw, victim, true)
+    auto what = options.script.empty() ? inject_fault(rig, draw, victim, true)
                                        : play(rig, options.script[static_cast<std::size_t>(i)], &victim);
     auto at = net::monotonic_now();
-    if (!rig.soon([&] { return !rig.leader().empty() && all_owned(); }, kSettled)) ++taken_over_late;
+    if (!rig.soon([&] { return !rig.leader().empty() && all_owned(); }, kConvergenceTimeout)) ++not_reacquired;
     until_owned.push_back(static_cast<double>((net::monotonic_now() - at).count()) / 1000);
     rig.history().add("fault over", {{"fault", what}, {"node", victim}, {"job", job}});
     if (i % 10 == 9) {
@@ -476,7 +476,7 @@
   }
   stop = true;
   for (auto& t : loads) t.join();
-  bool agreed = settled(rig);
+  bool agreed = wait_until_converged(rig);
   sampler.stop();
   std::uint64_t attempted = 0, elections = 0, moves = 0;
   for (auto& name : rig.voters()) {
@@ -504,7 +504,7 @@
           {"stale_effects_accepted", verdict.stale_effects_accepted},
           {"elections", elections},
           {"grants_seen_by_n1", moves},
-          {"not_owned_again", taken_over_late},
+          {"not_owned_again", not_reacquired},
           {"until_owned_ms_p50", percentile_of(until_owned, 0.5)},
           {"until_owned_ms_p99", percentile_of(until_owned, 0.99)},
           {"agreed_at_end", agreed},
@@ -648,17 +648,17 @@
         auto s = rig.status(behind, 5000);
         return s && s->at("applied").get<std::uint64_t>() >= applied;
       },
-      kSettled);
+      kConvergenceTimeout);
   auto caught_up_ms = since(began);
   began = net::monotonic_now();
   for (auto& name : rig.followers()) rig.resume(name);
-  auto fed = [&] {
+  auto all_followers_connected = [&] {
     std::uint64_t count = 0;
     for (auto& name : rig.voters())
       if (auto s = rig.status(name, 5000)) count += s->at("followers").get<std::uint64_t>();
     return count == rig.followers().size();
   };
-  bool all = rig.soon(fed, kSettled);
+  bool all = rig.soon(all_followers_connected, kConvergenceTimeout);
   auto all_ms = since(began);
   auto s = rig.status(leader, 5000);
   return {{"seed", options.seed},
--- a/src/testbench/fault_injection/experiments.h
+++ b/src/testbench/fault_injection/experiments.h
@@ -20,7 +20,7 @@
   int lag_ms = 0;       // savings: of replicas that do not check the age themselves; 0: they check
   std::string history;  // write it to this file; empty: not
   std::string before;   // coldstart: the program of an earlier commit
-  std::string only;     // zones: this fault alone; empty: all
+  std::string zone_fault;     // zones: this fault alone; empty: all
   Script script;        // group, owner: these faults, in place of drawn ones; empty: drawn
 };
 
--- a/src/testbench/fault_injection/zones.cpp
+++ b/src/testbench/fault_injection/zones.cpp
@@ -16,20 +16,20 @@
 
 using namespace std::chrono_literals;
 
-constexpr Micros kBin{500'000};
-constexpr std::int64_t kWorst = 20;  // bins: ten seconds
+constexpr Micros kBinWidth{500'000};
+constexpr std::int64_t kWorstWindowBins = 20;  // bins: ten seconds
 // A zone's own part: reads that a server bears are known to the plan a little below what it does bear.
 constexpr double kServiceUs = 4000, kPerWeight = 240;
 constexpr Micros kWarmUp{8'000'000};  // of servers that come back, so that a run is not all waiting
-constexpr double kMoved = 0.95;       // of the share served in calm: by then a loss is over
+constexpr double kRecoveredShare = 0.95;       // of the share served in calm: by then a loss is over
 
-struct Loss {
+struct ZoneFault {
   std::string name;
   std::function<void(Rig&)> begin, end;
   double load = 1;  // of the usual, while it lasts
 };
 
-void steer_zone(Rig& rig, const char* what, const std::string& zone, json more = json::object()) {
+void control_zone(Rig& rig, const char* what, const std::string& zone, json more = json::object()) {
   more["do"] = what;
   more["zone"] = zone;
   rig.stand_in().steer(more);
@@ -37,27 +37,27 @@
 }
 
 // The zones are a and b in the north, c in the south; b is the one that is lost. The primary stands in a.
-const std::vector<Loss>& losses() {
-  static const std::vector<Loss> all{
-      {"dies", [](Rig& r) { steer_zone(r, "kill", "b"); }, [](Rig& r) { steer_zone(r, "start", "b"); }},
-      {"hangs", [](Rig& r) { steer_zone(r, "silence", "b"); }, [](Rig& r) { steer_zone(r, "speak", "b"); }},
+const std::vector<ZoneFault>& zone_faults() {
+  static const std::vector<ZoneFault> all{
+      {"dies", [](Rig& r) { control_zone(r, "kill", "b"); }, [](Rig& r) { control_zone(r, "start", "b"); }},
+      {"hangs", [](Rig& r) { control_zone(r, "silence", "b"); }, [](Rig& r) { control_zone(r, "speak", "b"); }},
       {"slow",
        [](Rig& r) {
-         steer_zone(r, "slow", "b", {{"times", 10}});
+         control_zone(r, "slow", "b", {{"times", 10}});
        },
        [](Rig& r) {
-         steer_zone(r, "slow", "b", {{"times", 1}});
+         control_zone(r, "slow", "b", {{"times", 1}});
        }},
       {"fails",
        [](Rig& r) {
-         steer_zone(r, "fail", "b", {{"share", 0.2}});
+         control_zone(r, "fail", "b", {{"share", 0.2}});
        },
        [](Rig& r) {
-         steer_zone(r, "fail", "b", {{"share", 0}});
+         control_zone(r, "fail", "b", {{"share", 0}});
        }},
       {"cut", [](Rig& r) { r.isolate_zone("b"); }, [](Rig& r) { r.heal(); }},
-      {"dies, half as much load again", [](Rig& r) { steer_zone(r, "kill", "b"); },
-       [](Rig& r) { steer_zone(r, "start", "b"); }, 1.5}};
+      {"dies, half as much load again", [](Rig& r) { control_zone(r, "kill", "b"); },
+       [](Rig& r) { control_zone(r, "start", "b"); }, 1.5}};
   return all;
 }
 
@@ -66,7 +66,7 @@
   double far = 0, all = 0;  // bytes between proxies and servers since the last one
 };
 
-json run_one(const ExperimentOptions& options, const Loss& loss, bool common, int index) {
+json run_one(const ExperimentOptions& options, const ZoneFault& loss, bool common, int index) {
   RigOptions o;
   o.program = options.program;
   o.folder = fmt::format("{}/{}-{}", options.folder, index, common ? "common" : "alone");
@@ -140,7 +140,7 @@
         }
       samples.push_back({net::monotonic_now(), now_far - far, now_all - all});
       far = now_far, all = now_all;
-      std::this_thread::sleep_for(kBin);
+      std::this_thread::sleep_for(kBinWidth);
     }
   });
   auto plan_of = [&](const std::string& name) {
@@ -160,7 +160,7 @@
   auto changes = plan_of("n1") - number;
 
   // What the series say.
-  auto bin_of = [](Micros at) { return at / kBin; };
+  auto bin_of = [](Micros at) { return at / kBinWidth; };
   auto share = [&](std::int64_t from, std::int64_t to) {
     double asked = 0, served = 0;
     for (auto& [at, n] : sum.series)
@@ -171,11 +171,11 @@
   auto first = bin_of(begun) + 2, faulty = bin_of(fault_at), healed = bin_of(heal_at),
        last = bin_of(begun + calm + lost + after) - 5;
   double calm_share = share(first, faulty), worst = 1;
-  for (auto at = faulty - kWorst + 1; at + kWorst <= last; ++at)
-    worst = std::min(worst, share(at, at + kWorst));
+  for (auto at = faulty - kWorstWindowBins + 1; at + kWorstWindowBins <= last; ++at)
+    worst = std::min(worst, share(at, at + kWorstWindowBins));
   std::int64_t moved = faulty;
   for (auto at = faulty; at < healed; ++at)
-    if (share(at, at + 1) < calm_share * kMoved) moved = at + 1;
+    if (share(at, at + 1) < calm_share * kRecoveredShare) moved = at + 1;
   auto far = [&](Micros from, Micros to) {
     double far = 0, all = 0;
     for (auto& s : samples)
@@ -194,7 +194,7 @@
   for (auto& b : rig.stand_in().rules().breaches()) stale += b.rule == Rule::kStale ? b.count : 0;
   json series = json::array();
   for (auto& [at, n] : sum.series)
-    series.push_back({static_cast<double>((at - faulty) * (kBin / Micros(1000))) / 1000, n.first, n.second});
+    series.push_back({static_cast<double>((at - faulty) * (kBinWidth / Micros(1000))) / 1000, n.first, n.second});
   if (!options.history.empty()) rig.history().write(options.history);
   return {
       {"fault", loss.name},
@@ -207,7 +207,7 @@
       {"served_share_worst_10s", worst},
       {"far_share_calm", far_calm},
       {"far_share_during", far(fault_at, heal_at)},
-      {"time_to_move_ms", (moved - faulty) * (kBin / Micros(1000))},
+      {"time_to_move_ms", (moved - faulty) * (kBinWidth / Micros(1000))},
       {"time_to_return_ms", static_cast<double>((returned - heal_at).count()) / 1000},
       {"plan_changes", changes},
       {"cold_falls", falls},
@@ -224,12 +224,12 @@
 json run_zones(const ExperimentOptions& options) {
   json rows = json::array();
   int index = 0;
-  for (auto& loss : losses()) {
-    if (!options.only.empty() && loss.name != options.only) continue;
+  for (auto& loss : zone_faults()) {
+    if (!options.zone_fault.empty() && loss.name != options.zone_fault) continue;
     ++index;
     for (bool common : {false, true}) rows.push_back(run_one(options, loss, common, index));
   }
-  if (rows.empty()) throw std::runtime_error(fmt::format("faults zones knows no fault '{}'", options.only));
+  if (rows.empty()) throw std::runtime_error(fmt::format("faults zones knows no fault '{}'", options.zone_fault));
   return rows;
 }
 
