--- a/src/testbench/fault_injection/coldstart.cpp
+++ b/src/testbench/fault_injection/coldstart.cpp
@@ -115,7 +115,7 @@
   stop = true;
   sampler.join();
   std::sort(first_served.begin(), first_served.end());
-  auto of = [&](double share) {
+  auto first_served_percentile = [&](double share) {
     if (first_served.empty()) return -1.0;
     return std::max(
         0.0, first_served[static_cast<std::size_t>(share * static_cast<double>(first_served.size() - 1))]);
@@ -159,8 +159,8 @@
           {"probes_per_server_first_5s", probes},
           {"cold_falls", falls},
           {"proxies_that_served", first_served.size()},
-          {"time_to_first_served_ms_p50", of(0.5)},
-          {"time_to_first_served_ms_p99", of(0.99)},
+          {"time_to_first_served_ms_p50", first_served_percentile(0.5)},
+          {"time_to_first_served_ms_p99", first_served_percentile(0.99)},
           {"time_to_99_percent_service_s", service_s},
           {"served_share_first_30s", asked > 0 ? served / asked : 0},
           {"wrong_routes", wrong},
--- a/src/testbench/fault_injection/commands.cpp
+++ b/src/testbench/fault_injection/commands.cpp
@@ -29,9 +29,9 @@
 // JSON, a table and a chart of the rows, beside the command that made them.
 void write_folder(const std::string& name, json rows, const std::string& folder, const std::string& command) {
   std::filesystem::create_directories(folder);
-  auto kept = rows;
-  for (auto& row : kept) row.erase("series");  // the charts have it
-  json result = {{"command", command}, {"machine", machine()}, {"rows", kept}};
+  auto rows_without_series = rows;
+  for (auto& row : rows_without_series) row.erase("series");  // the charts have it
+  json result = {{"command", command}, {"machine", machine()}, {"rows", rows_without_series}};
   write_whole(folder + "/" + name + ".json", result.dump(1) + "\n");
   for (auto& row : rows)
     for (auto& [key, value] : row.items())
@@ -231,7 +231,7 @@
   }
   auto seeds = std::clamp(given["seeds"].as<int>(), 1, 1000);
   json rows = json::array();
-  std::uint64_t bad = 0;
+  std::uint64_t violations = 0;
   std::string command = "proxy-testbench faults";
   if (given.count("from")) {
     for (auto& path : given["from"].as<std::vector<std::string>>()) {
@@ -280,17 +280,17 @@
     }
     for (auto& row : rows)
       if (row.value("seed", std::uint64_t{0}) == options.seed && rows.back() != row)
-        bad += row.value("rule_breaches", std::uint64_t{0});
+        violations += row.value("rule_breaches", std::uint64_t{0});
     for (auto key :
          {"lost", "two_leaders_in_a_term", "owners_overlapping", "stale_effects_accepted", "rule_breaches"})
-      bad += rows.back().value(key, std::uint64_t{0});
-    bad += !rows.back().value("linearizable", true);
+      violations += rows.back().value(key, std::uint64_t{0});
+    violations += !rows.back().value("linearizable", true);
   }
   if (given.count("json")) write_whole(given["json"].as<std::string>(), rows.dump(1) + "\n");
   if (given.count("folder")) write_folder(name, rows, given["folder"].as<std::string>(), command);
   for (auto& row : rows) row.erase("series");
   std::cout << rows.dump(1) << "\n";
-  return bad == 0 ? 0 : 2;
+  return violations == 0 ? 0 : 2;
 }
 
 }  // namespace database_proxy::testbench::faults
--- a/src/testbench/fault_injection/experiments.cpp
+++ b/src/testbench/fault_injection/experiments.cpp
@@ -89,7 +89,7 @@
   }
   void run(int number) {
     std::mt19937_64 random(seed_ * 977 + static_cast<std::uint64_t>(number));
-    std::unique_ptr<app::FleetConnection> call;
+    std::unique_ptr<app::FleetConnection> connection;
     std::size_t at = random() % rig_.voters().size();
     for (std::uint64_t n = 0; !stop_; ++n) {
       Operation o;
@@ -103,10 +103,10 @@
       if (o.write) o.value = fmt::format("{}.{}", number, n);
       o.called = rig_.history().now();
       try {
-        if (!call)
-          call = std::make_unique<app::FleetConnection>(rig_.address(rig_.voters()[at]), "lab",
+        if (!connection)
+          connection = std::make_unique<app::FleetConnection>(rig_.address(rig_.voters()[at]), "lab",
                                                         kClientTimeoutMs);
-        auto answer = call->send_request(o.write ? json{{"do", "put"}, {"key", key}, {"value", o.value}}
+        auto answer = connection->send_request(o.write ? json{{"do", "put"}, {"key", key}, {"value", o.value}}
                                                  : json{{"do", "get"}, {"key", key}});
         auto now = rig_.history().now();
         bool ok = answer.value("ok", false), unknown = answer.value("why", "").starts_with("unknown");
@@ -114,7 +114,7 @@
         if (ok) o.answered = now;
         if (ok || (o.write && unknown)) record_call(number, key, o);
         if (!ok) {  // this node knows no leader: another may
-          call.reset();
+          connection.reset();
           at = (at + 1) % rig_.voters().size();
         }
         if (ok && o.write) {
@@ -122,7 +122,7 @@
           acks_.emplace_back(o.called, now);
         }
       } catch (const std::runtime_error&) {
-        call.reset();
+        connection.reset();
         at = (at + 1) % rig_.voters().size();
         if (o.write) record_call(number, key, o);  // it may have happened, or may yet
         pause_for(5ms);
@@ -158,13 +158,13 @@
 
  private:
   void run(const std::string& name) {
-    std::unique_ptr<app::FleetConnection> call;
+    std::unique_ptr<app::FleetConnection> connection;
     bool is_reconnected = true;  // it may have come back with an earlier state that it then catches up from
     while (!stop_) {
       try {
-        if (!call) call = std::make_unique<app::FleetConnection>(rig_.address(name), "lab", 30'000);
-        auto s = call->send_request({{"do", "status"}}).at("status");
-        auto owners = call->send_request({{"do", "owners"}}).at("owners");
+        if (!connection) connection = std::make_unique<app::FleetConnection>(rig_.address(name), "lab", 30'000);
+        auto s = connection->send_request({{"do", "status"}}).at("status");
+        auto owners = connection->send_request({{"do", "owners"}}).at("owners");
         json e = {{"node", name},
                   {"clock_us", s.at("clock_us")},
                   {"holds", s.at("holds")},
@@ -174,7 +174,7 @@
         if (std::exchange(is_reconnected, false)) e["anew"] = true;
         rig_.history().add("sample", std::move(e));
       } catch (const std::exception&) {
-        call.reset();
+        connection.reset();
         is_reconnected = true;
       }
       pause_for(20ms);
@@ -192,7 +192,7 @@
   return values[std::min(at, values.size() - 1)];
 }
 
-std::uint64_t count_in(const std::string& text, const std::string& what) {
+std::uint64_t count_occurrences(const std::string& text, const std::string& what) {
   std::uint64_t n = 0;
   for (auto at = text.find(what); at != std::string::npos; at = text.find(what, at + 1)) ++n;
   return n;
@@ -201,23 +201,23 @@
 struct RandomChoices {
   std::mt19937_64 random;
   std::uint64_t below(std::uint64_t n) { return random() % n; }
-  Micros span(int least_ms, int most_ms) {
+  Micros duration(int least_ms, int most_ms) {
     return Micros(1000 * (least_ms + static_cast<std::int64_t>(
                                          below(static_cast<std::uint64_t>(most_ms - least_ms + 1)))));
   }
-  const std::string& of(const std::vector<std::string>& names) { return names[below(names.size())]; }
+  const std::string& pick(const std::vector<std::string>& names) { return names[below(names.size())]; }
 };
 
 // One fault on `victim`, over when this returns. What hits it is undone here.
 std::string inject_fault(Rig& rig, RandomChoices& draw, const std::string& victim, bool jobs) {
   auto& voters = rig.voters();
   auto other = victim;
-  while (other == victim) other = draw.of(voters);
+  while (other == victim) other = draw.pick(voters);
   switch (draw.below(jobs ? 12 : 13)) {
     case 0:
     case 1:
       rig.kill(victim);
-      pause_for(draw.span(0, 2000));
+      pause_for(draw.duration(0, 2000));
       rig.start(victim);
       return "killed";
     case 2:
@@ -232,17 +232,17 @@
       return "stopped for 2 s";
     case 4:
       rig.mute(victim);
-      pause_for(draw.span(1000, jobs ? 4500 : 2500));
+      pause_for(draw.duration(1000, jobs ? 4500 : 2500));
       rig.heal();
       return "heard by none";
     case 5:
       rig.deafen(victim);
-      pause_for(draw.span(1000, 2500));
+      pause_for(draw.duration(1000, 2500));
       rig.heal();
       return "hears none";
     case 6:
       rig.isolate(victim);
-      pause_for(draw.span(800, jobs ? 4500 : 2500));
+      pause_for(draw.duration(800, jobs ? 4500 : 2500));
       rig.heal();
       return "cut off";
     case 7:
@@ -257,7 +257,7 @@
       LinkState s;
       s.stall_after = static_cast<std::int64_t>(draw.below(400));
       rig.shape(victim, other, s);
-      pause_for(draw.span(500, 1500));
+      pause_for(draw.duration(500, 1500));
       rig.reset_links(victim);
       rig.heal();
       return "a message stalls in its middle, then resets";
@@ -268,10 +268,10 @@
       return "restarted";
     case 10: {
       LinkState s;
-      s.delay = draw.span(20, 120);
+      s.delay = draw.duration(20, 120);
       for (auto& to : voters)
         if (to != victim) rig.shape(victim, to, s);
-      pause_for(draw.span(500, 1500));
+      pause_for(draw.duration(500, 1500));
       rig.heal();
       return "slow links";
     }
@@ -299,7 +299,7 @@
         return "effects come late";
       }
       rig.slow_disk(victim, 1000);
-      pause_for(draw.span(1000, 2500));
+      pause_for(draw.duration(1000, 2500));
       rig.slow_disk(victim, 0);
       return "slow disk";
     }
@@ -307,11 +307,11 @@
       // The majority goes and comes back.
       std::vector<std::string> down{victim};
       while (down.size() <= voters.size() / 2) {
-        auto& next = draw.of(voters);
+        auto& next = draw.pick(voters);
         if (!std::count(down.begin(), down.end(), next)) down.push_back(next);
       }
       for (auto& n : down) rig.kill(n);
-      pause_for(draw.span(500, 1500));
+      pause_for(draw.duration(500, 1500));
       for (auto& n : down) rig.start(n);
       return "majority killed";
     }
@@ -353,18 +353,18 @@
   const int faults = options.script.empty() ? options.faults : static_cast<int>(options.script.size());
   for (int i = 0; i < faults; ++i) {
     auto leader = rig.leader();
-    auto victim = !leader.empty() && draw.below(3) < 2 ? leader : draw.of(rig.voters());
+    auto victim = !leader.empty() && draw.below(3) < 2 ? leader : draw.pick(rig.voters());
     auto at = rig.history().now();
-    std::optional<Micros> again;
-    std::thread watch([&] { again = clients.first_write_after(at + 1ms, 30s); });
+    std::optional<Micros> next_write_at;
+    std::thread watch([&] { next_write_at = clients.first_write_after(at + 1ms, 30s); });
     auto what = options.script.empty() ? inject_fault(rig, draw, victim, false)
                                        : play(rig, options.script[static_cast<std::size_t>(i)], &victim);
     watch.join();
     // What lost the majority or slowed the disk lasts as long as it is made to: that is no election's time.
     bool counted = victim == leader && what != "majority killed" && what != "slow disk";
-    double ms = again ? static_cast<double>((*again - at).count()) / 1000 : -1;
-    if (!again) ++stuck;
-    if (counted && again) leaderless.push_back(ms);
+    double ms = next_write_at ? static_cast<double>((*next_write_at - at).count()) / 1000 : -1;
+    if (!next_write_at) ++stuck;
+    if (counted && next_write_at) leaderless.push_back(ms);
     rig.history().add("fault over",
                       {{"fault", what}, {"node", victim}, {"led", victim == leader}, {"until_write_ms", ms}});
     if (!rig.soon([&] { return !rig.leader().empty(); }, kConvergenceTimeout)) ++stuck;
@@ -374,7 +374,7 @@
   sampler.stop();
   clients.read_final_values();
   std::uint64_t elections = 0;
-  for (auto& name : rig.voters()) elections += count_in(rig.log(name), "group: leader in term");
+  for (auto& name : rig.voters()) elections += count_occurrences(rig.log(name), "group: leader in term");
   if (!options.history.empty()) rig.history().write(options.history);
   auto row = to_json(judge(rig.history().events()));
   row.update({{"seed", options.seed},
@@ -443,10 +443,10 @@
   double drain_ms = -1;
   const int faults = options.script.empty() ? options.faults : static_cast<int>(options.script.size());
   for (int i = 0; i < faults; ++i) {
-    auto job = draw.of(jobs);
+    auto job = draw.pick(jobs);
     auto victim = rig.owner(job);
     if (victim.empty() || !std::count(rig.voters().begin(), rig.voters().end(), victim))
-      victim = draw.of(rig.voters());
+      victim = draw.pick(rig.voters());
     auto what = options.script.empty() ? inject_fault(rig, draw, victim, true)
                                        : play(rig, options.script[static_cast<std::size_t>(i)], &victim);
     auto at = net::monotonic_now();
@@ -481,10 +481,10 @@
   std::uint64_t attempted = 0, elections = 0, moves = 0;
   for (auto& name : rig.voters()) {
     if (auto s = rig.status(name)) attempted += s->value("stale_effects", std::uint64_t{0});
-    elections += count_in(rig.log(name), "group: leader in term");
+    elections += count_occurrences(rig.log(name), "group: leader in term");
   }
-  for (auto& name : rig.all()) attempted += count_in(rig.log(name), "turned down");
-  moves = count_in(rig.log("n1"), "is granted to");
+  for (auto& name : rig.all()) attempted += count_occurrences(rig.log(name), "turned down");
+  moves = count_occurrences(rig.log("n1"), "is granted to");
   auto report = rig.stand_in().report();
   double seconds = static_cast<double>(rig.history().now().count()) / 1e6, probes = 0;
   for (auto& [id, s] : report.at("servers").items()) probes += s.at("probes").get<double>();
@@ -628,9 +628,9 @@
   for (int w = 0; w < 64; ++w)
     writers.emplace_back([&, w] {
       try {
-        app::FleetConnection call(rig.address(leader), "lab", 10'000);
+        app::FleetConnection connection(rig.address(leader), "lab", 10'000);
         while (left-- > 0)
-          if (!call.send_request(
+          if (!connection.send_request(
                        {{"do", "put"}, {"key", fmt::format("k{}", w)}, {"value", std::string(100, 'x')}})
                    .value("ok", false))
             ++refused;
--- a/src/testbench/fault_injection/soak.cpp
+++ b/src/testbench/fault_injection/soak.cpp
@@ -31,7 +31,7 @@
 constexpr int kConnections = 24;              // of each node's clients
 constexpr int kRatePerNode = 150;             // requests a second
 constexpr int kIdleConnections = 120;                   // idle connections, where there is a crowd
-constexpr int kClosedUnreadPerUpgrade = 1;      // where there is none
+constexpr int kDroppedBeforeAttemptPerUpgrade = 1;      // where there is none
 constexpr auto kMaxTimeToUseAfterUncordon = seconds(5);  // of a server that was put back, as the operators' page has it
 
 struct SoakOptions {
@@ -45,7 +45,7 @@
 // What one seed gave.
 struct SoakResult {
   LoadFigures load;
-  std::uint64_t closed_unread = 0;
+  std::uint64_t dropped_before_attempt = 0;
   SoakNodeFigures nodes;
   std::vector<std::string> violations;
 };
@@ -111,12 +111,12 @@
   if (load.lost > excused)
     violation(fmt::format("{} requests lost, {} excused: {}", load.lost, excused,
                           fmt::join(load.unanswered_requests, "; ")));
-  auto closed_unread = load.unanswered - load.lost - load.unsent;
-  auto allowed = excused + static_cast<std::uint64_t>(node.upgrades * kClosedUnreadPerUpgrade);
-  if (!script.has_idle_clients && closed_unread > allowed)
-    violation(fmt::format("{} requests turned back unheard, {} allowed: {}", closed_unread, allowed,
+  auto dropped_before_attempt = load.unanswered - load.lost - load.unsent;
+  auto allowed = excused + static_cast<std::uint64_t>(node.upgrades * kDroppedBeforeAttemptPerUpgrade);
+  if (!script.has_idle_clients && dropped_before_attempt > allowed)
+    violation(fmt::format("{} requests turned back unheard, {} allowed: {}", dropped_before_attempt, allowed,
                           fmt::join(load.unanswered_requests, "; ")));
-  result->closed_unread += closed_unread;
+  result->dropped_before_attempt += dropped_before_attempt;
   if (node.max_descriptors > static_cast<int>(limits.sockets))
     violation(fmt::format("{} descriptors of {}", node.max_descriptors, limits.sockets));
   if (options.checks_memory && node.max_memory_mb > static_cast<double>(limits.memory_mb))
@@ -194,7 +194,7 @@
       "{:.0f} MB; {} violations\n",
       script.seed, script.has_idle_clients ? " (crowd)" : "", nodes.processes, nodes.upgrades, nodes.crashes,
       result.load.asked, result.load.served, result.load.refused, result.load.failed, result.load.lost,
-      result.closed_unread, nodes.longest_start_s, nodes.longest_exit_s, nodes.longest_call_s,
+      result.dropped_before_attempt, nodes.longest_start_s, nodes.longest_exit_s, nodes.longest_call_s,
       nodes.max_descriptors, nodes.max_memory_mb, result.violations.size());
   for (auto& violation : result.violations) std::cout << "  VIOLATION " << violation << "\n";
   std::cout.flush();
--- a/src/testbench/fault_injection/soak_node.cpp
+++ b/src/testbench/fault_injection/soak_node.cpp
@@ -91,9 +91,9 @@
 
 // An answer, of whatever kind, is owed within a second.
 bool SoakNode::is_healthy(Process& process) {
-  auto asked_at = Clock::now();
+  auto requested_at = Clock::now();
   auto answer = process.process->operator_call("health", milliseconds(kLongestCall));
-  auto taken = seconds_since(asked_at);
+  auto taken = seconds_since(requested_at);
   figures_.longest_call_s = std::max(figures_.longest_call_s, taken);
   bool was_reached = taken > 0.5;
   if (was_reached && answer.empty() && !process.was_stopped)
@@ -133,7 +133,7 @@
   if (process.process->ready()) ++figures_.crashes;
   process.process->signal(SIGKILL);
   std::erase(running_, process.process.get());
-  forget(process.process.get());
+  remove_address(process.process.get());
   process.process->wait();
   check_log(process);
 }
@@ -157,7 +157,7 @@
     std::this_thread::sleep_for(kPollInterval);
   }
   std::erase(running_, process.process.get());
-  forget(process.process.get());
+  remove_address(process.process.get());
   figures_.longest_exit_s = std::max(figures_.longest_exit_s, seconds_since(signalled_at));
   if (process.process->exit_code() != 0)
     violation(process,
@@ -204,7 +204,7 @@
   second_successor_ = {};
 }
 
-void SoakNode::forget(const ProcessUnderTest* process) {
+void SoakNode::remove_address(const ProcessUnderTest* process) {
   std::lock_guard lock(mutex_);
   addresses_.erase(process);
   std::erase(by_age_, process);
--- a/src/testbench/fault_injection/soak_node.h
+++ b/src/testbench/fault_injection/soak_node.h
@@ -79,7 +79,7 @@
   std::mutex mutex_;                                          // of what follows
   std::map<const ProcessUnderTest*, std::string> addresses_;  // the operators', of those that run
   std::vector<const ProcessUnderTest*> by_age_;
-  void forget(const ProcessUnderTest* process);
+  void remove_address(const ProcessUnderTest* process);
   int started_ = 0;
   SoakNodeFigures figures_;
 };
--- a/src/testbench/fault_injection/soak_script.cpp
+++ b/src/testbench/fault_injection/soak_script.cpp
@@ -163,10 +163,10 @@
     script.actions.push_back({at + generator.between(300, 2500), {{"do", "discovery"}, {"mute", false}}});
   }
   // One replica stays as discovery has it, so that reads have a place to go to.
-  std::vector<std::string> withdrawn{primary};
-  withdrawn.insert(withdrawn.end(), replicas.begin() + 1, replicas.end());
+  std::vector<std::string> cordonable{primary};
+  cordonable.insert(cordonable.end(), replicas.begin() + 1, replicas.end());
   auto drained =
-      withdrawn[static_cast<std::size_t>(generator.between(0, static_cast<int>(withdrawn.size()) - 1))];
+      cordonable[static_cast<std::size_t>(generator.between(0, static_cast<int>(cordonable.size()) - 1))];
   for (int at = generator.between(300, 3000); at < length_ms - 1500; at += generator.between(800, 3000)) {
     script.actions.push_back({at, {{"do", "drain"}, {"server", drained}}});
     at += generator.between(500, 2500);
@@ -174,7 +174,7 @@
   }
   for (int node = 0; node < nodes; ++node) {
     auto& calls = script.calls.emplace_back();
-    for (auto& server : withdrawn)
+    for (auto& server : cordonable)
       if (generator.one_in(2)) generator.cordons(server, length_ms, &calls);
     std::stable_sort(calls.begin(), calls.end(),
                      [](auto& left, auto& right) { return left.at_ms < right.at_ms; });
--- a/src/testbench/fault_injection/zones.cpp
+++ b/src/testbench/fault_injection/zones.cpp
@@ -63,10 +63,10 @@
 
 struct Sample {
   Micros at{0};
-  double far = 0, all = 0;  // bytes between proxies and servers since the last one
+  double cross_zone = 0, all = 0;  // bytes between proxies and servers since the last one
 };
 
-json run_one(const ExperimentOptions& options, const ZoneFault& loss, bool common, int index) {
+json run_one(const ExperimentOptions& options, const ZoneFault& fault, bool common, int index) {
   RigOptions o;
   o.program = options.program;
   o.folder = fmt::format("{}/{}-{}", options.folder, index, common ? "common" : "alone");
@@ -99,7 +99,7 @@
   // Load at every proxy, all the time, in one series.
   const auto names = rig.all();
   const double rate = options.rate > 0 ? options.rate : 1000;  // requests a second in all
-  const Micros calm = 8s, lost = 12s, after = 25s;
+  const Micros calm = 8s, fault_length = 12s, after = 25s;
   std::mutex mutex;
   LoadFigures sum;
   std::vector<std::thread> loads;
@@ -123,23 +123,23 @@
     });
   };
   for (std::size_t i = 0; i < names.size(); ++i) {
-    load(i, 1, Micros(0), calm + lost + after);
-    if (loss.load > 1) load(i, loss.load - 1, calm, lost);
+    load(i, 1, Micros(0), calm + fault_length + after);
+    if (fault.load > 1) load(i, fault.load - 1, calm, fault_length);
   }
   std::atomic<bool> stop{false};
   std::vector<Sample> samples;
   std::thread sampler([&] {
-    double far = 0, all = 0;
+    double cross_zone = 0, all = 0;
     while (!stop) {
-      double now_far = 0, now_all = 0;
+      double now_cross_zone = 0, now_all = 0;
       for (auto& a : o.zones)
         for (auto& b : o.zones) {
           auto bytes = static_cast<double>(rig.passed(a.name, b.name));
           now_all += bytes;
-          if (a.name != b.name) now_far += bytes;
+          if (a.name != b.name) now_cross_zone += bytes;
         }
-      samples.push_back({net::monotonic_now(), now_far - far, now_all - all});
-      far = now_far, all = now_all;
+      samples.push_back({net::monotonic_now(), now_cross_zone - cross_zone, now_all - all});
+      cross_zone = now_cross_zone, all = now_all;
       std::this_thread::sleep_for(kBinWidth);
     }
   });
@@ -148,16 +148,16 @@
     return s ? s->value("plan", std::uint64_t{0}) : 0;
   };
   std::this_thread::sleep_until(std::chrono::steady_clock::time_point(begun + calm));
-  auto number = plan_of("n1");
+  auto plan_before = plan_of("n1");
   auto fault_at = net::monotonic_now();
-  loss.begin(rig);
-  std::this_thread::sleep_until(std::chrono::steady_clock::time_point(begun + calm + lost));
+  fault.begin(rig);
+  std::this_thread::sleep_until(std::chrono::steady_clock::time_point(begun + calm + fault_length));
   auto heal_at = net::monotonic_now();
-  loss.end(rig);
+  fault.end(rig);
   for (auto& t : loads) t.join();
   stop = true;
   sampler.join();
-  auto changes = plan_of("n1") - number;
+  auto changes = plan_of("n1") - plan_before;
 
   // What the series say.
   auto bin_of = [](Micros at) { return at / kBinWidth; };
@@ -168,25 +168,25 @@
         asked += static_cast<double>(n.first), served += static_cast<double>(n.second);
     return asked > 0 ? served / asked : 1;
   };
-  auto first = bin_of(begun) + 2, faulty = bin_of(fault_at), healed = bin_of(heal_at),
-       last = bin_of(begun + calm + lost + after) - 5;
-  double calm_share = share(first, faulty), worst = 1;
-  for (auto at = faulty - kWorstWindowBins + 1; at + kWorstWindowBins <= last; ++at)
+  auto first = bin_of(begun) + 2, fault_bin = bin_of(fault_at), healed_bin = bin_of(heal_at),
+       last = bin_of(begun + calm + fault_length + after) - 5;
+  double calm_share = share(first, fault_bin), worst = 1;
+  for (auto at = fault_bin - kWorstWindowBins + 1; at + kWorstWindowBins <= last; ++at)
     worst = std::min(worst, share(at, at + kWorstWindowBins));
-  std::int64_t moved = faulty;
-  for (auto at = faulty; at < healed; ++at)
+  std::int64_t moved = fault_bin;
+  for (auto at = fault_bin; at < healed_bin; ++at)
     if (share(at, at + 1) < calm_share * kRecoveredShare) moved = at + 1;
-  auto far = [&](Micros from, Micros to) {
-    double far = 0, all = 0;
+  auto cross_zone = [&](Micros from, Micros to) {
+    double cross_zone = 0, all = 0;
     for (auto& s : samples)
-      if (s.at > from && s.at <= to) far += s.far, all += s.all;
-    return all > 0 ? far / all : 0;
+      if (s.at > from && s.at <= to) cross_zone += s.cross_zone, all += s.all;
+    return all > 0 ? cross_zone / all : 0;
   };
-  double far_calm = far(begun + 2s, fault_at);
+  double cross_zone_calm = cross_zone(begun + 2s, fault_at);
   Micros returned = heal_at;
   for (std::size_t i = 0; i < samples.size(); ++i)
     if (samples[i].at > heal_at && samples[i].all > 0 &&
-        far(samples[i].at - 1s, samples[i].at) > far_calm + 0.03)
+        cross_zone(samples[i].at - 1s, samples[i].at) > cross_zone_calm + 0.03)
       returned = samples[i].at;
   int falls = 0;
   for (auto& [id, f] : rig.stand_in().figures()) falls += f.falls;
@@ -194,10 +194,10 @@
   for (auto& b : rig.stand_in().rules().breaches()) stale += b.rule == Rule::kStale ? b.count : 0;
   json series = json::array();
   for (auto& [at, n] : sum.series)
-    series.push_back({static_cast<double>((at - faulty) * (kBinWidth / Micros(1000))) / 1000, n.first, n.second});
+    series.push_back({static_cast<double>((at - fault_bin) * (kBinWidth / Micros(1000))) / 1000, n.first, n.second});
   if (!options.history.empty()) rig.history().write(options.history);
   return {
-      {"fault", loss.name},
+      {"fault", fault.name},
       {"seed", options.seed},
       {"mode", common ? "common" : "alone"},
       {"processes", names.size()},
@@ -205,9 +205,9 @@
       {"served_share", share(first, last)},
       {"served_share_calm", calm_share},
       {"served_share_worst_10s", worst},
-      {"far_share_calm", far_calm},
-      {"far_share_during", far(fault_at, heal_at)},
-      {"time_to_move_ms", (moved - faulty) * (kBinWidth / Micros(1000))},
+      {"far_share_calm", cross_zone_calm},
+      {"far_share_during", cross_zone(fault_at, heal_at)},
+      {"time_to_move_ms", (moved - fault_bin) * (kBinWidth / Micros(1000))},
       {"time_to_return_ms", static_cast<double>((returned - heal_at).count()) / 1000},
       {"plan_changes", changes},
       {"cold_falls", falls},
@@ -224,10 +224,10 @@
 json run_zones(const ExperimentOptions& options) {
   json rows = json::array();
   int index = 0;
-  for (auto& loss : zone_faults()) {
-    if (!options.zone_fault.empty() && loss.name != options.zone_fault) continue;
+  for (auto& fault : zone_faults()) {
+    if (!options.zone_fault.empty() && fault.name != options.zone_fault) continue;
     ++index;
-    for (bool common : {false, true}) rows.push_back(run_one(options, loss, common, index));
+    for (bool common : {false, true}) rows.push_back(run_one(options, fault, common, index));
   }
   if (rows.empty()) throw std::runtime_error(fmt::format("faults zones knows no fault '{}'", options.zone_fault));
   return rows;
