--- a/src/testbench/fault_injection/coldstart.cpp
+++ b/src/testbench/fault_injection/coldstart.cpp
@@ -1,4 +1,4 @@
-// The experiment `coldstart`: everything was off and starts at once.
+// The experiment `coldstart`: the whole installation was switched off and starts at once.
 #include <fmt/format.h>
 
 #include <algorithm>
@@ -20,7 +20,8 @@
 constexpr double kRateEach = 1;  // requests a second at each proxy
 constexpr Micros kWarmUp = 10s;
 
-// A list service that is strong, or that takes 50 ms a call with 20 in line and says 503 beyond.
+// A list service: `strong` without a limit, or `weak` with 50 ms per call and a queue of 20 calls, beyond
+// which it answers 503.
 struct ListService {
   const char* name;
   Micros cost;
@@ -49,7 +50,7 @@
   o.settings = {{"Guarantees", {{"WarmUpMs", static_cast<double>(kWarmUp.count()) / 1000}}}};
   o.start = false;
   Rig rig(o);
-  // A group is made once in the life of an installation; then everything is switched off.
+  // A group is bootstrapped once in an installation's lifetime; then all its processes are killed.
   if (o.grouped) {
     for (auto& name : rig.voters()) rig.start(name);
     json ids = json::array();
@@ -58,7 +59,7 @@
     if (!rig.soon([&] { return !rig.leader().empty(); })) throw std::runtime_error("no leader was elected");
     for (auto& name : rig.voters()) rig.kill(name);
   }
-  for (auto& id : rig.stand_in().servers()) {  // cold, and the list says so
+  for (auto& id : rig.stand_in().servers()) {  // warming up, and the endpoint list shows it
     rig.stand_in().steer({{"do", "kill"}, {"server", id}});
     rig.stand_in().steer({{"do", "start"}, {"server", id}});
   }
@@ -129,7 +130,7 @@
   double asked = 0, served = 0, service_s = -1;
   for (auto& [at, n] : sum.series)
     asked += static_cast<double>(n.first), served += static_cast<double>(n.second);
-  // From then on at least 99 of 100 are served in time.
+  // service_s: the start of the period in which at least 99 % of requests are served in time until the end.
   double later_asked = 0, later_served = 0;
   for (auto it = sum.series.rbegin(); it != sum.series.rend(); ++it) {
     later_asked += static_cast<double>(it->second.first);
--- a/src/testbench/fault_injection/commands.cpp
+++ b/src/testbench/fault_injection/commands.cpp
@@ -26,11 +26,11 @@
 
 namespace {
 
-// JSON, a table and a chart of the rows, beside the command that made them.
+// Writes the rows as JSON, a table and charts, with the command that produced them.
 void write_folder(const std::string& name, json rows, const std::string& folder, const std::string& command) {
   std::filesystem::create_directories(folder);
   auto rows_without_series = rows;
-  for (auto& row : rows_without_series) row.erase("series");  // the charts have it
+  for (auto& row : rows_without_series) row.erase("series");  // only the charts use it
   json result = {{"command", command}, {"machine", machine()}, {"rows", rows_without_series}};
   write_whole(folder + "/" + name + ".json", result.dump(1) + "\n");
   for (auto& row : rows)
@@ -137,7 +137,7 @@
                           row.at(key).get<double>());
     series.push_back(std::move(s));
   };
-  if (name == "zones") {  // one chart a fault: the share served in time, mean of all seeds
+  if (name == "zones") {  // one chart per fault: share served in time over all seeds
     std::map<std::string, std::map<std::string, std::map<double, std::pair<double, double>>>> sums;
     for (auto& row : rows)
       for (auto& p : row.value("series", json::array())) {
@@ -253,7 +253,7 @@
     options.seed = given["seed"].as<std::uint64_t>() + static_cast<std::uint64_t>(i);
     options.faults = std::clamp(given["faults"].as<int>(), 1, 10000);
     options.rate = std::clamp(given["rate"].as<double>(), 0.0, 1e5);
-    if (name.starts_with("zones") && given["rate"].defaulted()) options.rate = 0;  // the experiment's own
+    if (name.starts_with("zones") && given["rate"].defaulted()) options.rate = 0;  // the experiment's default
     options.lag_ms = std::clamp(given["lag-ms"].as<int>(), 0, 10000);
     options.history = given["history"].as<std::string>();
     options.script = script;
--- a/src/testbench/fault_injection/experiments.cpp
+++ b/src/testbench/fault_injection/experiments.cpp
@@ -20,15 +20,15 @@
 using namespace std::chrono_literals;
 
 constexpr int kClients = 4, kRegisters = 8;
-// A client turns to the next node after that: it is the grain of the times without a leader.
+// Time after which a client switches to the next node; the resolution of the measured times without a leader.
 constexpr int kClientTimeoutMs = 200;
-// Calls on one register before the next one is taken: the search for an order of them stays short.
+// Calls on one register before the next one is used; bounds the search for a linear order of the calls.
 constexpr int kCallsPerRegister = 60;
-constexpr Micros kConvergenceTimeout{30'000'000};  // after the last fault, by when all must agree
+constexpr Micros kConvergenceTimeout{30'000'000};  // after a fault
 
 void pause_for(Micros span) { std::this_thread::sleep_for(span); }
 
-// Clients of the group's registers, each call told to the history.
+// Clients of the group's registers. Each call is recorded in the history.
 class RegisterClients {
  public:
   RegisterClients(Rig& rig, std::uint64_t seed) : rig_(rig), seed_(seed) {
@@ -40,21 +40,23 @@
     for (auto& t : threads_)
       if (t.joinable()) t.join();
   }
-  // The first write that was called after this moment and acknowledged: when; waits for it.
+  // Waits for a write that was called at or after `when` to be acknowledged. Returns the time of the earliest
+  // acknowledgement, or nothing on a time-out.
   std::optional<Micros> first_write_after(Micros when, Micros timeout) {
     auto end = net::monotonic_now() + timeout;
     while (net::monotonic_now() < end) {
       {
         std::lock_guard lock(mutex_);
         for (auto it = acks_.rbegin(); it != acks_.rend() && it->second >= when; ++it)
-          if (it->first >= when) earliest_ack_ = earliest_ack_ ? std::min(*earliest_ack_, it->second) : it->second;
+          if (it->first >= when)
+            earliest_ack_ = earliest_ack_ ? std::min(*earliest_ack_, it->second) : it->second;
         if (earliest_ack_) return std::exchange(earliest_ack_, std::nullopt);
       }
       pause_for(5ms);
     }
     return std::nullopt;
   }
-  // The last word on each register closes its history: an acknowledged write that is gone shows there.
+  // Reads the final value of each register, which closes its history and reveals a lost acknowledged write.
   void read_final_values() {
     for (auto& key : std::set<std::string>(keys_)) {
       json answer;
@@ -105,15 +107,15 @@
       try {
         if (!connection)
           connection = std::make_unique<app::FleetConnection>(rig_.address(rig_.voters()[at]), "lab",
-                                                        kClientTimeoutMs);
+                                                              kClientTimeoutMs);
         auto answer = connection->send_request(o.write ? json{{"do", "put"}, {"key", key}, {"value", o.value}}
-                                                 : json{{"do", "get"}, {"key", key}});
+                                                       : json{{"do", "get"}, {"key", key}});
         auto now = rig_.history().now();
         bool ok = answer.value("ok", false), unknown = answer.value("why", "").starts_with("unknown");
         if (!o.write) o.value = answer.value("value", "");
         if (ok) o.answered = now;
         if (ok || (o.write && unknown)) record_call(number, key, o);
-        if (!ok) {  // this node knows no leader: another may
+        if (!ok) {  // this node knows no leader; try another
           connection.reset();
           at = (at + 1) % rig_.voters().size();
         }
@@ -124,7 +126,8 @@
       } catch (const std::runtime_error&) {
         connection.reset();
         at = (at + 1) % rig_.voters().size();
-        if (o.write) record_call(number, key, o);  // it may have happened, or may yet
+        if (o.write)
+          record_call(number, key, o);  // outcome unknown: it may have been applied, or may still be
         pause_for(5ms);
       }
       pause_for(Micros(static_cast<std::int64_t>(2000 + random() % 6000)));
@@ -142,7 +145,7 @@
   std::vector<std::thread> threads_;
 };
 
-// Asks every process who it is and what it holds, all the time.
+// Continuously samples the role, leases and published leases of every process.
 class Sampler {
  public:
   explicit Sampler(Rig& rig) : rig_(rig) {
@@ -159,10 +162,11 @@
  private:
   void run(const std::string& name) {
     std::unique_ptr<app::FleetConnection> connection;
-    bool is_reconnected = true;  // it may have come back with an earlier state that it then catches up from
+    bool is_reconnected = true;  // it may have restarted with an earlier state and still be catching up
     while (!stop_) {
       try {
-        if (!connection) connection = std::make_unique<app::FleetConnection>(rig_.address(name), "lab", 30'000);
+        if (!connection)
+          connection = std::make_unique<app::FleetConnection>(rig_.address(name), "lab", 30'000);
         auto s = connection->send_request({{"do", "status"}}).at("status");
         auto owners = connection->send_request({{"do", "owners"}}).at("owners");
         json e = {{"node", name},
@@ -208,7 +212,7 @@
   const std::string& pick(const std::vector<std::string>& names) { return names[below(names.size())]; }
 };
 
-// One fault on `victim`, over when this returns. What hits it is undone here.
+// Injects one random fault into `victim` and undoes it before returning. Returns its name.
 std::string inject_fault(Rig& rig, RandomChoices& draw, const std::string& victim, bool jobs) {
   auto& voters = rig.voters();
   auto other = victim;
@@ -277,7 +281,7 @@
     }
     case 11: {
       if (jobs) {
-        // What the owner said to one of the others comes only once somebody else owns its jobs.
+        // Delays the lease holder's messages to one voter until another process holds its leases.
         auto owner = rig.owner("list"), leader = rig.leader();
         if (owner.empty() || !std::count(voters.begin(), voters.end(), owner)) owner = victim;
         std::string third;
@@ -304,7 +308,7 @@
       return "slow disk";
     }
     default: {
-      // The majority goes and comes back.
+      // Kills a majority and restarts it.
       std::vector<std::string> down{victim};
       while (down.size() <= voters.size() / 2) {
         auto& next = draw.pick(voters);
@@ -318,7 +322,8 @@
   }
 }
 
-// All links well, all processes up: waits until the nodes have the same state and one leader.
+// Waits, with all links healed and all processes running, until the nodes have the same applied index and a
+// leader. Returns false on a time-out.
 bool wait_until_converged(Rig& rig) {
   return rig.soon(
       [&] {
@@ -360,7 +365,8 @@
     auto what = options.script.empty() ? inject_fault(rig, draw, victim, false)
                                        : play(rig, options.script[static_cast<std::size_t>(i)], &victim);
     watch.join();
-    // What lost the majority or slowed the disk lasts as long as it is made to: that is no election's time.
+    // A lost majority or a slow disk lasts as long as the fault is applied, which does not measure an
+    // election.
     bool counted = victim == leader && what != "majority killed" && what != "slow disk";
     double ms = next_write_at ? static_cast<double>((*next_write_at - at).count()) / 1000 : -1;
     if (!next_write_at) ++stuck;
@@ -450,11 +456,13 @@
     auto what = options.script.empty() ? inject_fault(rig, draw, victim, true)
                                        : play(rig, options.script[static_cast<std::size_t>(i)], &victim);
     auto at = net::monotonic_now();
-    if (!rig.soon([&] { return !rig.leader().empty() && all_owned(); }, kConvergenceTimeout)) ++not_reacquired;
+    if (!rig.soon([&] { return !rig.leader().empty() && all_owned(); }, kConvergenceTimeout))
+      ++not_reacquired;
     until_owned.push_back(static_cast<double>((net::monotonic_now() - at).count()) / 1000);
     rig.history().add("fault over", {{"fault", what}, {"node", victim}, {"job", job}});
     if (i % 10 == 9) {
-      // A drain among the faults: no proxy sends there later than a second after any of them was told.
+      // Drains a server among the faults. No proxy may send to it more than 1 s after any proxy was notified
+      // of the drain.
       auto set = 1 + draw.below(3);
       auto server = fmt::format("s{}-{}", set, 3);
       auto generation = [&] {
@@ -530,7 +538,8 @@
     o.stand_in.sets = 3;
     o.stand_in.seed = options.seed;
     o.stand_in.threads = 2;
-    // Data servers that do not say whether a read was too old: only positions do, and probes bring them.
+    // Data servers that do not report whether a read was too old: only their positions show it, and probes
+    // carry the positions.
     if (options.lag_ms > 0) {
       o.stand_in.model.check_age = false;
       o.stand_in.model.lag = Micros(options.lag_ms * 1000);
@@ -550,7 +559,7 @@
     auto began = net::monotonic_now();
     LoadFigures sum;
     std::mutex mutex;
-    // Few threads give all proxies their load: a little to each, at the same time.
+    // Applies a low load to all proxies at the same time.
     std::vector<std::thread> loads;
     auto names = rig.all();
     for (std::size_t i = 0; i < names.size(); ++i)
@@ -630,7 +639,8 @@
       try {
         app::FleetConnection connection(rig.address(leader), "lab", 10'000);
         while (left-- > 0)
-          if (!connection.send_request(
+          if (!connection
+                   .send_request(
                        {{"do", "put"}, {"key", fmt::format("k{}", w)}, {"value", std::string(100, 'x')}})
                    .value("ok", false))
             ++refused;
--- a/src/testbench/fault_injection/experiments.h
+++ b/src/testbench/fault_injection/experiments.h
@@ -1,5 +1,5 @@
-// The experiments of the fault rig: many faults drawn from a printed seed between many processes, and rows of
-// what the checkers found. docs/operations/group.md and docs/lab.md tell how to read them.
+// The fault injection experiments: many random faults, drawn from a printed seed, between many processes, and
+// result rows with the findings of the checkers. docs/operations/group.md and docs/lab.md explain the rows.
 #pragma once
 
 #include <cstdint>
@@ -13,41 +13,44 @@
 
 struct ExperimentOptions {
   std::string program, folder;
-  int processes = 0;  // 0: the experiment's own number
+  int processes = 0;  // 0: the experiment's default
   std::uint64_t seed = 1;
-  int faults = 50;      // of one seed
-  double rate = 10;     // savings: requests a second at each proxy
-  int lag_ms = 0;       // savings: of replicas that do not check the age themselves; 0: they check
-  std::string history;  // write it to this file; empty: not
-  std::string before;   // coldstart: the program of an earlier commit
-  std::string zone_fault;     // zones: this fault alone; empty: all
-  Script script;        // group, owner: these faults, in place of drawn ones; empty: drawn
+  int faults = 50;         // per seed
+  double rate = 10;        // savings: requests a second at each proxy
+  int lag_ms = 0;          // savings: lag of replicas that do not check the age of reads; 0: they check
+  std::string history;     // file to write the events to; empty: none
+  std::string before;      // coldstart: path of the program of an earlier commit
+  std::string zone_fault;  // zones: run only this fault; empty: all
+  Script script;           // group, owner: faults to inject; empty: random faults
 };
 
-// Elections, members and the log under faults, with clients that write and read registers of the group.
+// Tests elections, membership and the log under faults, with clients that write and read registers of the
+// group.
 nlohmann::json run_group(const ExperimentOptions& options);
-// Jobs and their owners under faults, with load at the proxies.
+// Tests jobs and their lease holders under faults, with load at the proxies.
 nlohmann::json run_owner(const ExperimentOptions& options);
-// What owned jobs save: proxies each for itself, then with the jobs owned, in one run; a row each.
+// Measures what jobs with a lease holder save: first each proxy polls and probes for itself, then lease
+// holders do it for all. Returns one row for each mode.
 nlohmann::json run_savings(const ExperimentOptions& options);
 
-// Zones of data servers lost under load, each proxy alone and by a common plan; a row for each fault and
-// mode.
+// Measures the loss of a zone of data servers under load, with each proxy deciding alone and with a common
+// placement plan. Returns one row for each fault and mode.
 nlohmann::json run_zones(const ExperimentOptions& options);
 
-// What observing and planning costs: many proxies, servers and sets, without the plan and with it; a row
-// each.
+// Measures the cost of zone observation and placement planning with many proxies, servers and shard groups,
+// without and with the plan. Returns one row for each mode.
 nlohmann::json run_zones_cost(const ExperimentOptions& options);
 
-// Everything was off and starts at once: hundreds of proxies that know nothing, a weak list service, data
-// servers that are cold. A row each for the program of before (`before`: its path; empty: not played), for
-// each proxy by itself, and for the group.
+// Measures a cold start of the whole installation: hundreds of proxies without an endpoint list, a strong or
+// weak list service, and data servers that are warming up. Returns, for each list service, one row for the
+// earlier program (`before`; skipped if empty), one for proxies without a group and one for the group.
 nlohmann::json run_coldstart(const ExperimentOptions& options);
 
-// All followers come back at once, and a voter that is `entries` behind.
+// Measures the return of all followers (proxy nodes without a vote) at once, and of a voter that is `entries`
+// log entries behind.
 nlohmann::json run_return(const ExperimentOptions& options);
 
-// `proxy-testbench faults NAME ...`
+// Runs `proxy-testbench faults NAME ...`. Returns the exit code: 0, or 2 if a check failed.
 int run(const std::vector<std::string>& arguments);
 
 }  // namespace database_proxy::testbench::faults
--- a/src/testbench/fault_injection/soak.cpp
+++ b/src/testbench/fault_injection/soak.cpp
@@ -28,21 +28,21 @@
 using nlohmann::json;
 using std::chrono::milliseconds, std::chrono::seconds, std::chrono::steady_clock;
 
-constexpr int kConnections = 24;              // of each node's clients
-constexpr int kRatePerNode = 150;             // requests a second
-constexpr int kIdleConnections = 120;                   // idle connections, where there is a crowd
-constexpr int kDroppedBeforeAttemptPerUpgrade = 1;      // where there is none
-constexpr auto kMaxTimeToUseAfterUncordon = seconds(5);  // of a server that was put back, as the operators' page has it
+constexpr int kConnections = 24;                         // of each node's clients
+constexpr int kRatePerNode = 150;                        // requests a second
+constexpr int kIdleConnections = 120;                    // of each node, in scripts with idle clients
+constexpr int kDroppedBeforeAttemptPerUpgrade = 1;       // allowed without idle clients
+constexpr auto kMaxTimeToUseAfterUncordon = seconds(5);  // after an uncordon, as the operators' page states
 
 struct SoakOptions {
   std::string program;
   int nodes = 5, seconds = 8;
   bool prints_script = false;
   bool checks_memory = true;
-  std::vector<std::string> known_red;  // a violation that holds one of these is printed and passed over
+  std::vector<std::string> known_red;  // violations that contain one of these texts are printed, not counted
 };
 
-// What one seed gave.
+// The result of one seed.
 struct SoakResult {
   LoadFigures load;
   std::uint64_t dropped_before_attempt = 0;
@@ -50,7 +50,7 @@
   std::vector<std::string> violations;
 };
 
-// Idle clients that connect again as often as they are closed, until told to end.
+// Idle clients that reconnect whenever the proxy closes their connection, until destruction.
 class IdleClients {
  public:
   IdleClients(int port, int size) : thread_([this, port, size] { run(port, size); }) {}
@@ -101,7 +101,8 @@
   sum->violations.insert(sum->violations.end(), node.violations.begin(), node.violations.end());
 }
 
-// Where a serving process is killed, what it had goes the way of a crash.
+// Checks the limits of one node. Each kill of a serving process excuses as many requests as the node's
+// clients have connections.
 void check_node(const SoakScript& script, const SoakOptions& options, const SoakNodeOptions& limits,
                 const SoakNodeFigures& node, const LoadFigures& load, SoakResult* result) {
   auto violation = [&](const std::string& what) {
@@ -158,16 +159,17 @@
       load.rate = kRatePerNode;
       load.length = seconds(script.seconds);
       load.rules = &servers.rules();
-      load.seed = script.seed * script.nodes.size() + i;  // no two nodes draw the same keys
+      load.seed = script.seed * script.nodes.size() + i;  // distinct keys for each node
       load.prefix = fmt::format("n{}c", i);
       loads[i] = run_load(load);
     });
-    if (script.has_idle_clients) crowds.push_back(std::make_unique<IdleClients>(nodes[i]->port(), kIdleConnections));
+    if (script.has_idle_clients)
+      crowds.push_back(std::make_unique<IdleClients>(nodes[i]->port(), kIdleConnections));
   }
   play_actions(servers, script, began);
   std::this_thread::sleep_until(began + seconds(script.seconds));
-  auto unused = servers.rules().withdrawals().unused_since_return(net::monotonic_now(),
-                                                                  servers.servers().front(), kMaxTimeToUseAfterUncordon);
+  auto unused = servers.rules().withdrawals().unused_since_return(
+      net::monotonic_now(), servers.servers().front(), kMaxTimeToUseAfterUncordon);
   crowds.clear();
   for (auto& thread : threads) thread.join();
   SoakResult result;
@@ -200,7 +202,7 @@
   std::cout.flush();
 }
 
-// "3" or "1..50".
+// Parses "3" or "1..50" to the first and last seed.
 std::pair<std::uint64_t, std::uint64_t> parse_seeds(const std::string& text) {
   auto dots = text.find("..");
   auto number = [&](std::string_view part) {
@@ -215,7 +217,7 @@
   return {number(view.substr(0, dots)), number(view.substr(dots + 2))};
 }
 
-// True: all holds.
+// Runs one seed. Returns true if no invariant was violated.
 bool play_seed(std::optional<SoakScript> script, std::uint64_t seed, const SoakOptions& options,
                const std::string& keep) {
   FakeServersOptions sets;
--- a/src/testbench/fault_injection/soak.h
+++ b/src/testbench/fault_injection/soak.h
@@ -1,5 +1,5 @@
-// The soak: some dozens of real processes of a few nodes, upgraded in place again and again under faults that
-// overlap, with clients that use their connections to the end. What must hold is the oracle.
+// The soak test: some dozens of real proxy processes on a few nodes are upgraded in place repeatedly under
+// overlapping faults, while clients use their connections until the end. The invariants are the test oracle.
 #pragma once
 
 #include <string>
@@ -7,7 +7,7 @@
 
 namespace database_proxy::testbench {
 
-// The sub-command `soak`. 0: all holds; 2: something does not.
+// Runs the subcommand `soak`. Returns 0 if no invariant was violated, 2 otherwise.
 int run_soak(const std::vector<std::string>& arguments);
 
 }  // namespace database_proxy::testbench
--- a/src/testbench/fault_injection/soak_node.cpp
+++ b/src/testbench/fault_injection/soak_node.cpp
@@ -18,10 +18,10 @@
 using namespace std::chrono_literals;
 using std::chrono::duration, std::chrono::milliseconds;
 
-// As the operators' page has them.
+// Limits that the operators' page states.
 constexpr auto kLongestStart = 6s;
 constexpr auto kLongestCall = 1s;
-constexpr auto kShutdownLimit = 3700ms;  // the lab's longest deadline counts as 3 s, and 0.7 s
+constexpr auto kShutdownLimit = 3700ms;  // the testbench's longest deadline counts as 3 s, plus 0.7 s
 constexpr auto kPollInterval = 20ms;
 
 double seconds_since(std::chrono::steady_clock::time_point then) {
@@ -80,7 +80,7 @@
   int descriptors = 0;
   double memory_mb = 0;
   for (auto* process : running_) {
-    if (process->log().empty()) continue;  // until it is the program, it holds what the test bench does
+    if (process->log().empty()) continue;  // before exec, it has the testbench's descriptors
     auto usage = process->usage();
     descriptors += usage.descriptors;
     memory_mb += usage.rss_mb;
@@ -89,7 +89,7 @@
   figures_.max_memory_mb = std::max(figures_.max_memory_mb, memory_mb);
 }
 
-// An answer, of whatever kind, is owed within a second.
+// Returns whether the process reports itself healthy. Any answer must arrive within 1 s.
 bool SoakNode::is_healthy(Process& process) {
   auto requested_at = Clock::now();
   auto answer = process.process->operator_call("health", milliseconds(kLongestCall));
@@ -144,7 +144,8 @@
   if (at != std::string::npos) violation(process, log.substr(at, log.find('\n', at) - at));
 }
 
-// As the platform does it: SIGTERM, and SIGKILL at the earliest moment that the pages allow.
+// Ends a process as the platform does: SIGTERM, then SIGKILL at the earliest time that the operators' pages
+// allow.
 void SoakNode::end_process(Process& process, int sigterms) {
   auto signalled_at = Clock::now();
   for (int i = 0; i < sigterms; ++i) process.process->signal(SIGTERM);
@@ -165,7 +166,7 @@
   check_log(process);
 }
 
-// True: the successor is to be given up.
+// Injects the planned fault into the successor. Returns true if the successor is to be abandoned.
 bool SoakNode::inject_successor_fault(const PlannedUpgrade& plan, Process& successor) {
   if (plan.successor == ProcessFault::kNone) return false;
   std::this_thread::sleep_for(milliseconds(plan.successor_fault_after_ms));
@@ -242,7 +243,7 @@
       return;
     }
   }
-  // Clients have had their answers by then.
+  // Gives the clients time to receive their answers.
   std::this_thread::sleep_until(options_.until + 3s);
   end_process(serving_, 1);
 }
--- a/src/testbench/fault_injection/soak_node.h
+++ b/src/testbench/fault_injection/soak_node.h
@@ -1,5 +1,5 @@
-// One node of a soak: the platform's part (it holds the listening socket, starts processes, asks for their
-// health, ends them), the processes, and what was seen of them.
+// One node of a soak test. Acts as the platform (holds the listening socket; starts, health-checks and ends
+// processes), owns the processes, and records measurements and violations.
 #pragma once
 
 #include <atomic>
@@ -23,8 +23,8 @@
   nlohmann::json known;
   std::uint64_t seed = 1;
   std::size_t sockets = 256, memory_mb = 64;
-  int connections = 0;  // that the node's clients hold: as many requests may be lost where it crashes
-  std::string name;     // its requests' ids begin with it
+  int connections = 0;  // of the node's clients: a crash may lose that many requests
+  std::string name;     // prefix of its requests' ids
   std::vector<PlannedUpgrade> upgrades;
   std::vector<PlannedCall> calls;
   WithdrawalChecker* withdrawals = nullptr;
@@ -33,7 +33,7 @@
 };
 
 struct SoakNodeFigures {
-  int upgrades = 0, processes = 0, crashes = 0;  // crashes: killed while serving
+  int upgrades = 0, processes = 0, crashes = 0;  // crashes: processes killed while serving
   double longest_start_s = 0, longest_exit_s = 0, longest_call_s = 0;
   int max_descriptors = 0;
   double max_memory_mb = 0;
@@ -44,7 +44,7 @@
  public:
   explicit SoakNode(SoakNodeOptions options);
   int port() const;
-  // Plays the upgrades until the time is over, then ends what runs. In a thread of its own.
+  // Runs the upgrades until the time is over, then ends the processes. To be called in a thread of its own.
   void run();
   const SoakNodeFigures& figures() const { return figures_; }
 
@@ -54,7 +54,7 @@
     std::unique_ptr<CallFaults> faults;
     std::unique_ptr<ProcessUnderTest> process;
     int number = 0;
-    bool was_stopped = false;  // it was stopped: its times do not count
+    bool was_stopped = false;  // by SIGSTOP: its time limits are not checked
   };
 
   std::string operator_address(bool newest);
@@ -76,8 +76,8 @@
   net::Fd listening_socket_;
   Process serving_, second_successor_;
   std::vector<const ProcessUnderTest*> running_;
-  std::mutex mutex_;                                          // of what follows
-  std::map<const ProcessUnderTest*, std::string> addresses_;  // the operators', of those that run
+  std::mutex mutex_;                                          // guards addresses_ and by_age_
+  std::map<const ProcessUnderTest*, std::string> addresses_;  // operators' addresses of running processes
   std::vector<const ProcessUnderTest*> by_age_;
   void remove_address(const ProcessUnderTest* process);
   int started_ = 0;
--- a/src/testbench/fault_injection/soak_script.cpp
+++ b/src/testbench/fault_injection/soak_script.cpp
@@ -9,7 +9,7 @@
 
 using nlohmann::json;
 
-// Faults that a process serves through without losing a request, with their highest rates.
+// Call faults that a process must survive without losing a request, with their highest rates.
 constexpr CallFaultRate kCallFaultChoices[] = {
     {CallFault::kShortRead, 4},
     {CallFault::kShortWrite, 4},
@@ -59,7 +59,8 @@
     return plan;
   }
 
-  // A server is taken out and put back, again and again; now and then by two calls, or one that cannot be.
+  // Cordons and uncordons a server repeatedly, sometimes with a duplicate cordon or a cordon of an unknown
+  // server.
   void cordons(const std::string& server, int length_ms, std::vector<PlannedCall>* calls) {
     auto add = [&](int at_ms, CallKind kind, const std::string& id, bool is_known) {
       calls->push_back({at_ms, kind, id, is_known, one_in(2)});
@@ -78,7 +79,7 @@
     }
   }
 
-  // What is done to one of the servers, and what ends it.
+  // Adds one random fault of a server and the action that ends it.
   void server_fault(const std::string& server, int at_ms, bool may_restart,
                     std::vector<PlannedAction>* actions) {
     int until_ms = at_ms + between(200, 1500);
@@ -137,8 +138,8 @@
 }  // namespace
 
 SoakScript generate_script(std::uint64_t seed, int nodes, int seconds, const std::string& primary,
-                       const std::vector<std::string>& replicas) {
-  constexpr int kMaxUpgrades = 40;  // of a node: more than fit into the time
+                           const std::vector<std::string>& replicas) {
+  constexpr int kMaxUpgrades = 40;  // of one node: more than fit into the run time
   constexpr int kMillisPerSecond = 1000;
   ScriptGenerator generator(seed);
   SoakScript script;
@@ -149,11 +150,12 @@
     auto& plans = script.nodes.emplace_back();
     for (int i = 0; i < kMaxUpgrades; ++i) plans.push_back(generator.upgrade());
   }
-  // A server that starts cold while discovery is down may be overrun by proxies that cannot know it, which
-  // the rules allow and the fake servers cannot tell: each seed has one of the two.
+  // A server that restarts while discovery is down may be overloaded by proxies that cannot know that it is
+  // warming up. The rules allow that, but the fake servers cannot detect the case. Each seed therefore has
+  // either server restarts or discovery outages.
   bool has_outages = generator.one_in(2);
   int length_ms = seconds * kMillisPerSecond;
-  // Faults of one server must not overlap each other, or one would end another's.
+  // Faults of one server must not overlap: the end of one would also end the other.
   for (auto& server : replicas)
     for (int at = generator.between(300, 3000); at < length_ms - 2500; at += generator.between(2000, 5000))
       generator.server_fault(server, at, !has_outages, &script.actions);
@@ -162,7 +164,7 @@
     script.actions.push_back({at, {{"do", "discovery"}, {"mute", true}}});
     script.actions.push_back({at + generator.between(300, 2500), {{"do", "discovery"}, {"mute", false}}});
   }
-  // One replica stays as discovery has it, so that reads have a place to go to.
+  // The first replica is never drained or cordoned, so that reads always have a server.
   std::vector<std::string> cordonable{primary};
   cordonable.insert(cordonable.end(), replicas.begin() + 1, replicas.end());
   auto drained =
@@ -197,9 +199,12 @@
       node.push_back({call.at_ms, static_cast<int>(call.kind), call.server, call.is_known, call.at_newest});
   }
   for (auto& action : script.actions) actions.push_back({{"at_ms", action.at_ms}, {"action", action.action}});
-  return {
-      {"seed", script.seed}, {"seconds", script.seconds}, {"has_crowd", script.has_idle_clients}, {"nodes", nodes},
-      {"calls", calls},      {"actions", actions}};
+  return {{"seed", script.seed},
+          {"seconds", script.seconds},
+          {"has_crowd", script.has_idle_clients},
+          {"nodes", nodes},
+          {"calls", calls},
+          {"actions", actions}};
 }
 
 SoakScript script_from_json(const json& json) {
--- a/src/testbench/fault_injection/soak_script.h
+++ b/src/testbench/fault_injection/soak_script.h
@@ -1,5 +1,6 @@
-// What a soak plays, drawn from a seed: upgrades of each node with faults of their own, and faults of what
-// stands around the nodes. Pure: the same seed gives the same script, and a script can be stored and read.
+// The script of a soak test, generated from a seed: upgrades of each node with their faults, and faults of
+// the data servers and discovery. Deterministic: the same seed gives the same script. A script can be stored
+// as JSON and read back.
 #pragma once
 
 #include <cstdint>
@@ -11,7 +12,7 @@
 
 namespace database_proxy::testbench {
 
-// What happens to a process while another one takes its place.
+// A fault of a process during an upgrade in place.
 enum class ProcessFault { kNone, kKilled, kStopped };
 
 struct CallFaultRate {
@@ -19,35 +20,35 @@
   std::uint32_t one_in = 0;
 };
 
-// One upgrade in place of one node.
+// One upgrade in place of one node: a successor process takes over from the old one.
 struct PlannedUpgrade {
-  int pause_ms = 0;  // behind the one before
+  int pause_ms = 0;  // after the previous upgrade
   ProcessFault successor = ProcessFault::kNone;
-  int successor_fault_after_ms = 0;                // from its start
-  bool has_second_successor = false;                           // a second successor is started at the same time
-  ProcessFault old_process = ProcessFault::kNone;  // in the overlap
+  int successor_fault_after_ms = 0;                // since the start of the successor
+  bool has_second_successor = false;               // a second successor starts at the same time
+  ProcessFault old_process = ProcessFault::kNone;  // while both processes run
   int stopped_ms = 0;
-  int sigterms = 1;                           // SIGTERMs that the old process gets
-  int sighups = 0;                            // SIGHUPs that both get in the overlap
-  std::vector<CallFaultRate> call_faults;  // of the successor, for all its life
-  std::int64_t wall_clock_step_us = 0;     // at the successor, in the overlap
+  int sigterms = 1;                        // number of SIGTERMs sent to the old process
+  int sighups = 0;                         // number of SIGHUPs sent to both while both run
+  std::vector<CallFaultRate> call_faults;  // of the successor, for its whole lifetime
+  std::int64_t wall_clock_step_us = 0;     // of the successor, while both run
 };
 
-// A call of an operator at a node. Calls of one node are made one after another.
+// An operator's call to a node. Calls to one node are made one after another.
 enum class CallKind {
   kCordon,
   kUncordon,
-  kRepeatUncordon  // puts back once more what was put back over a second ago: it must not be cordoned
+  kRepeatUncordon  // uncordons again a server uncordoned over 1 s ago: it must not be cordoned
 };
 struct PlannedCall {
   int at_ms = 0;
   CallKind kind = CallKind::kCordon;
   std::string server;
   bool is_known = true;    // false: no server has this id
-  bool at_newest = false;  // at the newest process of the node, else at the oldest
+  bool at_newest = false;  // sent to the newest process of the node, else to the oldest
 };
 
-// An action of the fake servers (docs/lab.md), so long after the start.
+// An action of the fake servers (docs/lab.md), at a time since the start.
 struct PlannedAction {
   int at_ms = 0;
   nlohmann::json action;
@@ -62,9 +63,10 @@
   std::vector<PlannedAction> actions;
 };
 
-// `replicas` may be hit by faults; they and the primary are drained, cordoned and put back.
+// Generates a script for a seed. Faults are injected into `replicas` only; drains and cordons, with their
+// reversal, apply to the primary and the replicas.
 SoakScript generate_script(std::uint64_t seed, int nodes, int seconds, const std::string& primary,
-                       const std::vector<std::string>& replicas);
+                           const std::vector<std::string>& replicas);
 
 nlohmann::json script_to_json(const SoakScript& script);
 SoakScript script_from_json(const nlohmann::json& json);
--- a/src/testbench/fault_injection/zones.cpp
+++ b/src/testbench/fault_injection/zones.cpp
@@ -1,5 +1,5 @@
-// The experiment `zones`: the same losses of zones of data servers under the same load, with each proxy
-// deciding alone and with a common plan. Three zones in two regions.
+// The experiment `zones`: the same faults of a zone of data servers under the same load, first with each
+// proxy deciding alone, then with a common placement plan. There are three zones in two regions.
 #include <fmt/format.h>
 
 #include <algorithm>
@@ -17,16 +17,17 @@
 using namespace std::chrono_literals;
 
 constexpr Micros kBinWidth{500'000};
-constexpr std::int64_t kWorstWindowBins = 20;  // bins: ten seconds
-// A zone's own part: reads that a server bears are known to the plan a little below what it does bear.
+constexpr std::int64_t kWorstWindowBins = 20;  // 10 s
+// Capacity of a server as the plan knows it: a little below the capacity that it has (1 / kServiceUs).
 constexpr double kServiceUs = 4000, kPerWeight = 240;
-constexpr Micros kWarmUp{8'000'000};  // of servers that come back, so that a run is not all waiting
-constexpr double kRecoveredShare = 0.95;       // of the share served in calm: by then a loss is over
+constexpr Micros kWarmUp{8'000'000};  // of restarted servers; short, to limit the waiting time of a run
+constexpr double kRecoveredShare =
+    0.95;  // of the share served before the fault, from which the fault counts as handled
 
 struct ZoneFault {
   std::string name;
   std::function<void(Rig&)> begin, end;
-  double load = 1;  // of the usual, while it lasts
+  double load = 1;  // multiple of the usual load during the fault
 };
 
 void control_zone(Rig& rig, const char* what, const std::string& zone, json more = json::object()) {
@@ -36,11 +37,12 @@
   rig.history().add("servers", more);
 }
 
-// The zones are a and b in the north, c in the south; b is the one that is lost. The primary stands in a.
+// Zones a and b are in the region north, c in south. Faults affect zone b; the primary is in zone a.
 const std::vector<ZoneFault>& zone_faults() {
   static const std::vector<ZoneFault> all{
       {"dies", [](Rig& r) { control_zone(r, "kill", "b"); }, [](Rig& r) { control_zone(r, "start", "b"); }},
-      {"hangs", [](Rig& r) { control_zone(r, "silence", "b"); }, [](Rig& r) { control_zone(r, "speak", "b"); }},
+      {"hangs", [](Rig& r) { control_zone(r, "silence", "b"); },
+       [](Rig& r) { control_zone(r, "speak", "b"); }},
       {"slow",
        [](Rig& r) {
          control_zone(r, "slow", "b", {{"times", 10}});
@@ -63,7 +65,7 @@
 
 struct Sample {
   Micros at{0};
-  double cross_zone = 0, all = 0;  // bytes between proxies and servers since the last one
+  double cross_zone = 0, all = 0;  // bytes between proxies and servers since the previous sample
 };
 
 json run_one(const ExperimentOptions& options, const ZoneFault& fault, bool common, int index) {
@@ -96,7 +98,7 @@
       }))
     throw std::runtime_error("the jobs found no owners");
 
-  // Load at every proxy, all the time, in one series.
+  // Applies load to every proxy for the whole run and collects the results in one series.
   const auto names = rig.all();
   const double rate = options.rate > 0 ? options.rate : 1000;  // requests a second in all
   const Micros calm = 8s, fault_length = 12s, after = 25s;
@@ -159,7 +161,7 @@
   sampler.join();
   auto changes = plan_of("n1") - plan_before;
 
-  // What the series say.
+  // Evaluates the series.
   auto bin_of = [](Micros at) { return at / kBinWidth; };
   auto share = [&](std::int64_t from, std::int64_t to) {
     double asked = 0, served = 0;
@@ -194,7 +196,8 @@
   for (auto& b : rig.stand_in().rules().breaches()) stale += b.rule == Rule::kStale ? b.count : 0;
   json series = json::array();
   for (auto& [at, n] : sum.series)
-    series.push_back({static_cast<double>((at - fault_bin) * (kBinWidth / Micros(1000))) / 1000, n.first, n.second});
+    series.push_back(
+        {static_cast<double>((at - fault_bin) * (kBinWidth / Micros(1000))) / 1000, n.first, n.second});
   if (!options.history.empty()) rig.history().write(options.history);
   return {
       {"fault", fault.name},
@@ -229,7 +232,8 @@
     ++index;
     for (bool common : {false, true}) rows.push_back(run_one(options, fault, common, index));
   }
-  if (rows.empty()) throw std::runtime_error(fmt::format("faults zones knows no fault '{}'", options.zone_fault));
+  if (rows.empty())
+    throw std::runtime_error(fmt::format("faults zones knows no fault '{}'", options.zone_fault));
   return rows;
 }
 
@@ -286,7 +290,7 @@
         std::lock_guard lock(mutex);
         sum.add(f);
       });
-    std::this_thread::sleep_for(2s);  // what a start brings is over
+    std::this_thread::sleep_for(2s);  // the start-up work is over by then
     auto before = read();
     auto began = net::monotonic_now();
     std::this_thread::sleep_for(std::chrono::seconds(std::max(4, options.faults - 4)));
