--- a/src/testbench/fault_injection/commands.cpp
+++ b/src/testbench/fault_injection/commands.cpp
@@ -177,25 +177,25 @@
   o.add_options()("name", po::value<std::string>()->default_value(""),
                   "group, owner, savings, return, zones or check")(
       "program", po::value<std::string>()->default_value(daemon_beside()), "the daemon")(
-      "quick", "few faults of one seed")("seed", po::value<std::uint64_t>()->default_value(1), "the first")(
-      "seeds", po::value<int>()->default_value(1), "how many, one after another")(
-      "processes", po::value<int>()->default_value(0), "0: the experiment's own number")(
+      "quick", "only a few faults")("seed", po::value<std::uint64_t>()->default_value(1), "first seed")(
+      "seeds", po::value<int>()->default_value(1), "number of seeds, run one after another")(
+      "processes", po::value<int>()->default_value(0), "number of processes; 0: the experiment's default")(
       "faults", po::value<int>()->default_value(50),
-      "of one seed; savings: seconds of load; return: hundreds of entries")(
+      "faults per seed; savings: seconds of load; return: hundreds of log entries")(
       "history", po::value<std::string>()->default_value(""),
       "write the events of the last seed to this file")(
       "rate", po::value<double>()->default_value(10),
-      "savings: requests a second at each proxy (0: closed loop); zones: at all together")(
+      "requests a second; savings: at each proxy (0: closed loop); zones: at all proxies together")(
       "lag-ms", po::value<int>()->default_value(0),
-      "savings: replicas so far behind that do not check the age themselves")(
+      "savings: lag of replicas that do not check the age of reads themselves")(
       "script", po::value<std::string>(),
-      "group, owner: the faults of this file (JSON), in place of drawn ones")(
-      "before", po::value<std::string>(), "coldstart: the daemon of an earlier commit, to compare")(
-      "fault", po::value<std::string>()->default_value(""), "zones: this fault alone")(
+      "group, owner: inject the faults of this file (JSON) instead of random ones")(
+      "before", po::value<std::string>(), "coldstart: the daemon of an earlier commit, for comparison")(
+      "fault", po::value<std::string>()->default_value(""), "zones: run only this fault")(
       "json", po::value<std::string>(), "write the rows to this file")(
       "folder", po::value<std::string>(), "write JSON, table and chart into this folder")(
       "from", po::value<std::vector<std::string>>()->multitoken(),
-      "rows of earlier runs (--json) to write there, in place of a run")("help", "this text");
+      "write rows of earlier runs (--json) there instead of running")("help", "show this text");
   po::positional_options_description positions;
   positions.add("name", 1);
   po::variables_map given;
@@ -221,12 +221,14 @@
   }
   if (name != "group" && name != "owner" && name != "savings" && name != "return" && name != "zones" &&
       name != "zones-cost" && name != "coldstart")
-    throw std::runtime_error(fmt::format(
-        "faults knows group, owner, savings, return, zones, zones-cost, coldstart and check, not '{}'",
-        name));
+    throw std::runtime_error(
+        fmt::format("unknown experiment '{}': expected group, owner, savings, return, zones, zones-cost, "
+                    "coldstart or check",
+                    name));
   Script script;
   if (given.count("script")) {
-    if (name != "group" && name != "owner") throw std::runtime_error("--script goes with group and owner");
+    if (name != "group" && name != "owner")
+      throw std::runtime_error("--script is only valid for group and owner");
     script = read_script(given["script"].as<std::string>());
   }
   auto seeds = std::clamp(given["seeds"].as<int>(), 1, 1000);
--- a/src/testbench/fault_injection/experiments.cpp
+++ b/src/testbench/fault_injection/experiments.cpp
@@ -24,7 +24,8 @@
 constexpr int kClientTimeoutMs = 200;
 // Calls on one register before the next one is used; bounds the search for a linear order of the calls.
 constexpr int kCallsPerRegister = 60;
-constexpr Micros kConvergenceTimeout{30'000'000};  // after a fault
+constexpr Micros kConvergenceTimeout{
+    30'000'000};  // limit after a fault, and after the last, by when all nodes must agree
 
 void pause_for(Micros span) { std::this_thread::sleep_for(span); }
 
@@ -414,7 +415,7 @@
                          [&](auto& x) { return x.at("job") == job && x.value("owner", "") != ""; });
     });
   };
-  if (!rig.soon(all_owned)) throw std::runtime_error("the jobs found no owners");
+  if (!rig.soon(all_owned)) throw std::runtime_error("not all jobs got a lease holder in time");
   Sampler sampler(rig);
   std::vector<std::thread> loads;
   std::atomic<bool> stop{false};
@@ -547,7 +548,7 @@
     }
     Rig rig(o);
     if (grouped && !rig.soon([&] { return rig.owners().size() >= 4; }))
-      throw std::runtime_error("the jobs found no owners");
+      throw std::runtime_error("not all jobs got a lease holder in time");
     pause_for(2s);
     auto before = rig.stand_in().report();
     auto cpu = [&] {
--- a/src/testbench/fault_injection/soak.cpp
+++ b/src/testbench/fault_injection/soak.cpp
@@ -115,14 +115,14 @@
   auto dropped_before_attempt = load.unanswered - load.lost - load.unsent;
   auto allowed = excused + static_cast<std::uint64_t>(node.upgrades * kDroppedBeforeAttemptPerUpgrade);
   if (!script.has_idle_clients && dropped_before_attempt > allowed)
-    violation(fmt::format("{} requests turned back unheard, {} allowed: {}", dropped_before_attempt, allowed,
-                          fmt::join(load.unanswered_requests, "; ")));
+    violation(fmt::format("{} requests dropped before an attempt, {} allowed: {}", dropped_before_attempt,
+                          allowed, fmt::join(load.unanswered_requests, "; ")));
   result->dropped_before_attempt += dropped_before_attempt;
   if (node.max_descriptors > static_cast<int>(limits.sockets))
-    violation(fmt::format("{} descriptors of {}", node.max_descriptors, limits.sockets));
+    violation(fmt::format("{} file descriptors used, {} allowed", node.max_descriptors, limits.sockets));
   if (options.checks_memory && node.max_memory_mb > static_cast<double>(limits.memory_mb))
-    violation(fmt::format("{:.1f} MB of {}", node.max_memory_mb, limits.memory_mb));
-  if (load.served == 0) violation("nothing was served");
+    violation(fmt::format("{:.1f} MB of memory used, {} allowed", node.max_memory_mb, limits.memory_mb));
+  if (load.served == 0) violation("no request was served");
 }
 
 SoakResult play(const SoakScript& script, const SoakOptions& options, FakeServers& servers,
@@ -192,7 +192,7 @@
   std::cout << fmt::format(
       "seed {}{}: {} processes, {} upgrades, {} crashes; asked {}, served {}, refused {}, failed {}, lost "
       "{}, "
-      "turned back {}; yes after {:.2f} s, exit after {:.2f} s, call {:.2f} s at most; {} descriptors, "
+      "dropped before an attempt {}; longest start {:.2f} s, exit {:.2f} s, call {:.2f} s; {} descriptors, "
       "{:.0f} MB; {} violations\n",
       script.seed, script.has_idle_clients ? " (crowd)" : "", nodes.processes, nodes.upgrades, nodes.crashes,
       result.load.asked, result.load.served, result.load.refused, result.load.failed, result.load.lost,
@@ -209,7 +209,7 @@
     std::uint64_t value = 0;
     auto [end, error] = std::from_chars(part.data(), part.data() + part.size(), value);
     if (error != std::errc() || end != part.data() + part.size())
-      throw std::runtime_error("seeds are a number or A..B: " + text);
+      throw std::runtime_error("invalid --seeds, expected a number or A..B: " + text);
     return value;
   };
   std::string_view view = text;
@@ -255,13 +255,13 @@
   described.add_options()("help,h", "show this text")("seeds", po::value<std::string>()->default_value("1"),
                                                       "a number, or A..B")(
       "nodes", po::value<int>(&options.nodes)->default_value(5), "nodes, each with two to four processes")(
-      "seconds", po::value<int>(&options.seconds)->default_value(8), "of each seed")(
+      "seconds", po::value<int>(&options.seconds)->default_value(8), "duration of each seed in seconds")(
       "print-script", "print the script of each seed as JSON")("script", po::value<std::string>(),
                                                                "play the script in this file instead")(
       "keep", po::value<std::string>()->default_value(""), "keep files and logs in this folder")(
       "known-red", po::value<std::vector<std::string>>(&options.known_red),
-      "pass over violations that hold this text, and print them (KNOWN-RED.txt)")(
-      "no-memory-limit", "for a program with sanitizers, which takes more")(
+      "do not count violations that contain this text, but print them (KNOWN-RED.txt)")(
+      "no-memory-limit", "do not check memory, for a program with sanitizers, which uses more")(
       "program", po::value<std::string>()->default_value(daemon_beside()), "the database-proxy to run");
   po::variables_map given;
   po::store(po::command_line_parser(arguments).options(described).run(), given);
--- a/src/testbench/fault_injection/soak_node.cpp
+++ b/src/testbench/fault_injection/soak_node.cpp
@@ -34,7 +34,7 @@
   std::filesystem::create_directories(options_.folder + "/tmp");
   int error = 0;
   listening_socket_ = net::listen_on(*net::parse_address(fmt::format("127.0.0.1:{}", free_port())), &error);
-  if (!listening_socket_) throw std::runtime_error("a node cannot listen: " + net::message_of(error));
+  if (!listening_socket_) throw std::runtime_error("the soak node cannot listen: " + net::message_of(error));
 }
 
 int SoakNode::port() const { return net::local_port(listening_socket_.get()); }
@@ -80,7 +80,7 @@
   int descriptors = 0;
   double memory_mb = 0;
   for (auto* process : running_) {
-    if (process->log().empty()) continue;  // before exec, it has the testbench's descriptors
+    if (process->log().empty()) continue;  // not started yet: still has the testbench's usage
     auto usage = process->usage();
     descriptors += usage.descriptors;
     memory_mb += usage.rss_mb;
@@ -97,7 +97,7 @@
   figures_.longest_call_s = std::max(figures_.longest_call_s, taken);
   bool was_reached = taken > 0.5;
   if (was_reached && answer.empty() && !process.was_stopped)
-    violation(process, "health is not answered in 1 s");
+    violation(process, "health call not answered within 1 s");
   return answer.starts_with("YES");
 }
 
@@ -111,12 +111,12 @@
       return true;
     }
     if (!process.process->running()) {
-      violation(process, "it ended before it was healthy: " + process.process->log());
+      violation(process, "process ended before it was healthy: " + process.process->log());
       return false;
     }
     std::this_thread::sleep_for(kPollInterval);
   }
-  if (!process.was_stopped) violation(process, "it is not healthy after 6 s: " + process.process->log());
+  if (!process.was_stopped) violation(process, "process not healthy after 6 s: " + process.process->log());
   return false;
 }
 
@@ -151,7 +151,7 @@
   for (int i = 0; i < sigterms; ++i) process.process->signal(SIGTERM);
   while (process.process->running()) {
     if (Clock::now() - signalled_at > kShutdownLimit) {
-      if (!process.was_stopped) violation(process, "it still runs when the platform kills it");
+      if (!process.was_stopped) violation(process, "process still running at the shutdown limit");
       return kill_process(process);
     }
     sample_usage();
@@ -161,8 +161,8 @@
   remove_address(process.process.get());
   figures_.longest_exit_s = std::max(figures_.longest_exit_s, seconds_since(signalled_at));
   if (process.process->exit_code() != 0)
-    violation(process,
-              fmt::format("it ended with {}: {}", process.process->exit_code(), process.process->log()));
+    violation(process, fmt::format("process ended with exit code {}: {}", process.process->exit_code(),
+                                   process.process->log()));
   check_log(process);
 }
 
@@ -239,7 +239,7 @@
     if (Clock::now() > options_.until) break;
     upgrade(plan);
     if (!serving_.process->running()) {
-      violation(serving_, "it has ended unasked: " + serving_.process->log());
+      violation(serving_, "process exited unexpectedly: " + serving_.process->log());
       return;
     }
   }
--- a/src/testbench/fault_injection/soak_script.cpp
+++ b/src/testbench/fault_injection/soak_script.cpp
@@ -164,7 +164,7 @@
     script.actions.push_back({at, {{"do", "discovery"}, {"mute", true}}});
     script.actions.push_back({at + generator.between(300, 2500), {{"do", "discovery"}, {"mute", false}}});
   }
-  // The first replica is never drained or cordoned, so that reads always have a server.
+  // The first replica is never drained or cordoned, so that reads have a server to go to.
   std::vector<std::string> cordonable{primary};
   cordonable.insert(cordonable.end(), replicas.begin() + 1, replicas.end());
   auto drained =
--- a/src/testbench/fault_injection/soak_script.h
+++ b/src/testbench/fault_injection/soak_script.h
@@ -63,8 +63,8 @@
   std::vector<PlannedAction> actions;
 };
 
-// Generates a script for a seed. Faults are injected into `replicas` only; drains and cordons, with their
-// reversal, apply to the primary and the replicas.
+// Generates a script for a seed. Faults are injected into `replicas` only. The primary and all replicas but
+// the first may be drained, cordoned and returned to service.
 SoakScript generate_script(std::uint64_t seed, int nodes, int seconds, const std::string& primary,
                            const std::vector<std::string>& replicas);
 
--- a/src/testbench/fault_injection/zones.cpp
+++ b/src/testbench/fault_injection/zones.cpp
@@ -18,11 +18,12 @@
 
 constexpr Micros kBinWidth{500'000};
 constexpr std::int64_t kWorstWindowBins = 20;  // 10 s
-// Capacity of a server as the plan knows it: a little below the capacity that it has (1 / kServiceUs).
-constexpr double kServiceUs = 4000, kPerWeight = 240;
+// kRequestsPerWeight: requests a second that the plan assumes for a server, a little below its real capacity,
+// 1 / kServiceUs.
+constexpr double kServiceUs = 4000, kRequestsPerWeight = 240;
 constexpr Micros kWarmUp{8'000'000};  // of restarted servers; short, to limit the waiting time of a run
-constexpr double kRecoveredShare =
-    0.95;  // of the share served before the fault, from which the fault counts as handled
+// Fraction of the share served before the fault; from there on the fault counts as handled.
+constexpr double kRecoveredShare = 0.95;
 
 struct ZoneFault {
   std::string name;
@@ -77,7 +78,7 @@
   o.seed = options.seed;
   o.zones = {{"a", "north"}, {"b", "north"}, {"c", "south"}};
   o.placement = common;
-  o.per_weight = kPerWeight;
+  o.per_weight = kRequestsPerWeight;
   o.stand_in.sets = 1;
   o.stand_in.replicas = 8;
   o.stand_in.seed = options.seed;
@@ -96,7 +97,7 @@
         };
         return owned("list") && (!common || owned("placement"));
       }))
-    throw std::runtime_error("the jobs found no owners");
+    throw std::runtime_error("not all jobs got a lease holder in time");
 
   // Applies load to every proxy for the whole run and collects the results in one series.
   const auto names = rig.all();
@@ -233,7 +234,7 @@
     for (bool common : {false, true}) rows.push_back(run_one(options, fault, common, index));
   }
   if (rows.empty())
-    throw std::runtime_error(fmt::format("faults zones knows no fault '{}'", options.zone_fault));
+    throw std::runtime_error(fmt::format("unknown fault '{}' for faults zones", options.zone_fault));
   return rows;
 }
 
@@ -249,13 +250,13 @@
     o.zones = {{"a", "north"}, {"b", "north"}, {"c", "south"}};
     o.near_delay = o.far_delay = Micros(0);
     o.placement = planned;
-    o.per_weight = kPerWeight;
+    o.per_weight = kRequestsPerWeight;
     o.stand_in.sets = 20;
     o.stand_in.replicas = 5;
     o.stand_in.seed = options.seed;
     Rig rig(o);
     if (!rig.soon([&] { return rig.owners().size() >= (planned ? 22u : 21u); }))
-      throw std::runtime_error("the jobs found no owners");
+      throw std::runtime_error("not all jobs got a lease holder in time");
     const auto names = rig.all();
     const double rate = options.rate > 0 ? options.rate : 2;
     std::vector<std::thread> loads;
