--- a/src/testbench/fault_injection/experiments.cpp
+++ b/src/testbench/fault_injection/experiments.cpp
@@ -24,8 +24,7 @@
 constexpr int kClientTimeoutMs = 200;
 // Calls on one register before the next one is used; bounds the search for a linear order of the calls.
 constexpr int kCallsPerRegister = 60;
-constexpr Micros kConvergenceTimeout{
-    30'000'000};  // limit after a fault, and after the last, by when all nodes must agree
+constexpr Micros kConvergenceTimeout{30'000'000};  // limit for the nodes to agree after a fault
 
 void pause_for(Micros span) { std::this_thread::sleep_for(span); }
 
--- a/src/testbench/fault_injection/soak_node.h
+++ b/src/testbench/fault_injection/soak_node.h
@@ -54,7 +54,7 @@
     std::unique_ptr<CallFaults> faults;
     std::unique_ptr<ProcessUnderTest> process;
     int number = 0;
-    bool was_stopped = false;  // by SIGSTOP: its time limits are not checked
+    bool was_stopped = false;  // by SIGSTOP: its times are not checked
   };
 
   std::string operator_address(bool newest);
--- a/src/testbench/fault_injection/zones.cpp
+++ b/src/testbench/fault_injection/zones.cpp
@@ -22,7 +22,7 @@
 // 1 / kServiceUs.
 constexpr double kServiceUs = 4000, kRequestsPerWeight = 240;
 constexpr Micros kWarmUp{8'000'000};  // of restarted servers; short, to limit the waiting time of a run
-// Fraction of the share served before the fault; from there on the fault counts as handled.
+// A fault counts as handled once the share served is back to this fraction of the share before the fault.
 constexpr double kRecoveredShare = 0.95;
 
 struct ZoneFault {
