--- a/src/testbench/fault_injection/coldstart.cpp
+++ b/src/testbench/fault_injection/coldstart.cpp
@@ -1,4 +1,4 @@
-// The experiment `coldstart`: everything was off and starts at once.
+// The experiment `coldstart`: the whole installation was switched off and starts at once.
 #include <fmt/format.h>
 
 #include <algorithm>
@@ -16,11 +16,12 @@
 using namespace std::chrono_literals;
 
 constexpr int kProcesses = 300;
-constexpr Micros kWatched = 30s, kSample = 100ms;
+constexpr Micros kLoadDuration = 30s, kSampleInterval = 100ms;
 constexpr double kRateEach = 1;  // requests a second at each proxy
 constexpr Micros kWarmUp = 10s;
 
-// A list service that is strong, or that takes 50 ms a call with 20 in line and says 503 beyond.
+// A list service: `strong` without a limit, or `weak` with 50 ms per call and a queue of 20 calls, beyond
+// which it answers 503.
 struct ListService {
   const char* name;
   Micros cost;
@@ -49,7 +50,7 @@
   o.settings = {{"Guarantees", {{"WarmUpMs", static_cast<double>(kWarmUp.count()) / 1000}}}};
   o.start = false;
   FaultHarness rig(o);
-  // A group is made once in the life of an installation; then everything is switched off.
+  // A group is bootstrapped once in an installation's lifetime; then all its processes are killed.
   if (o.grouped) {
     for (auto& name : rig.voters()) rig.start(name);
     json ids = json::array();
@@ -58,7 +59,7 @@
     if (!rig.wait_until([&] { return !rig.leader().empty(); })) throw std::runtime_error("no leader was elected");
     for (auto& name : rig.voters()) rig.kill(name);
   }
-  for (auto& id : rig.fake_servers().servers()) {  // cold, and the list says so
+  for (auto& id : rig.fake_servers().servers()) {  // warming up, and the endpoint list shows it
     rig.fake_servers().steer({{"do", "kill"}, {"server", id}});
     rig.fake_servers().steer({{"do", "start"}, {"server", id}});
   }
@@ -72,7 +73,7 @@
     for (auto& [id, f] : rig.fake_servers().figures()) opened[id] = f.opened, probed[id] = f.probes;
     auto first = probed;
     while (!stop) {
-      std::this_thread::sleep_for(kSample);
+      std::this_thread::sleep_for(kSampleInterval);
       auto figures = rig.fake_servers().figures();
       for (auto& [id, f] : figures) {
         handshakes = std::max(handshakes, static_cast<double>(f.opened - opened[id]));
@@ -96,7 +97,7 @@
       l.target = *net::parse_address(fmt::format("127.0.0.1:{}", rig.port(names[i])));
       l.connections = 2;
       l.rate = kRateEach;
-      l.length = kWatched;
+      l.length = kLoadDuration;
       l.warm_up = Micros(0);
       l.sets = {1, 2, 3, 4};
       l.seed = options.seed * 1000 + i;
@@ -115,7 +116,7 @@
   stop = true;
   sampler.join();
   std::sort(first_served.begin(), first_served.end());
-  auto of = [&](double share) {
+  auto first_served_percentile = [&](double share) {
     if (first_served.empty()) return -1.0;
     return std::max(
         0.0, first_served[static_cast<std::size_t>(share * static_cast<double>(first_served.size() - 1))]);
@@ -129,7 +130,7 @@
   double asked = 0, served = 0, service_s = -1;
   for (auto& [at, n] : sum.series)
     asked += static_cast<double>(n.first), served += static_cast<double>(n.second);
-  // From then on at least 99 of 100 are served in time.
+  // service_s: the start of the period in which at least 99 % of requests are served in time until the end.
   double later_asked = 0, later_served = 0;
   for (auto it = sum.series.rbegin(); it != sum.series.rend(); ++it) {
     later_asked += static_cast<double>(it->second.first);
@@ -144,23 +145,23 @@
   double drain = -1;
   for (auto& [name, ms] : rig.fake_servers().rules().drain_last_send_ms()) drain = std::max(drain, ms);
   if (!options.history.empty()) rig.history().write(options.history);
-  auto grown = [&](const char* key) {
+  auto increase_of = [&](const char* key) {
     return report.at(key).get<std::uint64_t>() - before.at(key).get<std::uint64_t>();
   };
   return {{"mode", mode},
           {"list", service.name},
           {"seed", options.seed},
           {"processes", names.size()},
-          {"whole_list_calls", grown("whole_list_calls")},
+          {"whole_list_calls", increase_of("whole_list_calls")},
           {"list_calls", calls},
           {"list_calls_peak_per_s", peak},
-          {"list_refused", grown("list_refused")},
+          {"list_refused", increase_of("list_refused")},
           {"handshakes_peak_per_server_per_100ms", handshakes},
           {"probes_per_server_first_5s", probes},
           {"cold_falls", falls},
           {"proxies_that_served", first_served.size()},
-          {"time_to_first_served_ms_p50", of(0.5)},
-          {"time_to_first_served_ms_p99", of(0.99)},
+          {"time_to_first_served_ms_p50", first_served_percentile(0.5)},
+          {"time_to_first_served_ms_p99", first_served_percentile(0.99)},
           {"time_to_99_percent_service_s", service_s},
           {"served_share_first_30s", asked > 0 ? served / asked : 0},
           {"wrong_routes", wrong},
--- a/src/testbench/fault_injection/commands.cpp
+++ b/src/testbench/fault_injection/commands.cpp
@@ -26,12 +26,12 @@
 
 namespace {
 
-// JSON, a table and a chart of the rows, beside the command that made them.
+// Writes the rows as JSON, a table and charts, with the command that produced them.
 void write_folder(const std::string& name, json rows, const std::string& folder, const std::string& command) {
   std::filesystem::create_directories(folder);
-  auto kept = rows;
-  for (auto& row : kept) row.erase("series");  // the charts have it
-  json result = {{"command", command}, {"machine", machine()}, {"rows", kept}};
+  auto rows_without_series = rows;
+  for (auto& row : rows_without_series) row.erase("series");  // only the charts use it
+  json result = {{"command", command}, {"machine", machine()}, {"rows", rows_without_series}};
   write_whole(folder + "/" + name + ".json", result.dump(1) + "\n");
   for (auto& row : rows)
     for (auto& [key, value] : row.items())
@@ -137,7 +137,7 @@
                           row.at(key).get<double>());
     series.push_back(std::move(s));
   };
-  if (name == "zones") {  // one chart a fault: the share served in time, mean of all seeds
+  if (name == "zones") {  // one chart per fault: share served in time over all seeds
     std::map<std::string, std::map<std::string, std::map<double, std::pair<double, double>>>> sums;
     for (auto& row : rows)
       for (auto& p : row.value("series", json::array())) {
@@ -177,25 +177,25 @@
   o.add_options()("name", po::value<std::string>()->default_value(""),
                   "group, owner, savings, return, zones or check")(
       "program", po::value<std::string>()->default_value(daemon_beside()), "the daemon")(
-      "quick", "few faults of one seed")("seed", po::value<std::uint64_t>()->default_value(1), "the first")(
-      "seeds", po::value<int>()->default_value(1), "how many, one after another")(
-      "processes", po::value<int>()->default_value(0), "0: the experiment's own number")(
+      "quick", "only a few faults")("seed", po::value<std::uint64_t>()->default_value(1), "first seed")(
+      "seeds", po::value<int>()->default_value(1), "number of seeds, run one after another")(
+      "processes", po::value<int>()->default_value(0), "number of processes; 0: the experiment's default")(
       "faults", po::value<int>()->default_value(50),
-      "of one seed; savings: seconds of load; return: hundreds of entries")(
+      "faults per seed; savings: seconds of load; return: hundreds of log entries")(
       "history", po::value<std::string>()->default_value(""),
       "write the events of the last seed to this file")(
       "rate", po::value<double>()->default_value(10),
-      "savings: requests a second at each proxy (0: closed loop); zones: at all together")(
+      "requests a second; savings: at each proxy (0: closed loop); zones: at all proxies together")(
       "lag-ms", po::value<int>()->default_value(0),
-      "savings: replicas so far behind that do not check the age themselves")(
+      "savings: lag of replicas that do not check the age of reads themselves")(
       "script", po::value<std::string>(),
-      "group, owner: the faults of this file (JSON), in place of drawn ones")(
-      "before", po::value<std::string>(), "coldstart: the daemon of an earlier commit, to compare")(
-      "fault", po::value<std::string>()->default_value(""), "zones: this fault alone")(
+      "group, owner: inject the faults of this file (JSON) instead of random ones")(
+      "before", po::value<std::string>(), "coldstart: the daemon of an earlier commit, for comparison")(
+      "fault", po::value<std::string>()->default_value(""), "zones: run only this fault")(
       "json", po::value<std::string>(), "write the rows to this file")(
       "folder", po::value<std::string>(), "write JSON, table and chart into this folder")(
       "from", po::value<std::vector<std::string>>()->multitoken(),
-      "rows of earlier runs (--json) to write there, in place of a run")("help", "this text");
+      "write rows of earlier runs (--json) there instead of running")("help", "show this text");
   po::positional_options_description positions;
   positions.add("name", 1);
   po::variables_map given;
@@ -221,17 +221,19 @@
   }
   if (name != "group" && name != "owner" && name != "savings" && name != "return" && name != "zones" &&
       name != "zones-cost" && name != "coldstart")
-    throw std::runtime_error(fmt::format(
-        "faults knows group, owner, savings, return, zones, zones-cost, coldstart and check, not '{}'",
-        name));
+    throw std::runtime_error(
+        fmt::format("unknown experiment '{}': expected group, owner, savings, return, zones, zones-cost, "
+                    "coldstart or check",
+                    name));
   Script script;
   if (given.count("script")) {
-    if (name != "group" && name != "owner") throw std::runtime_error("--script goes with group and owner");
+    if (name != "group" && name != "owner")
+      throw std::runtime_error("--script is only valid for group and owner");
     script = read_script(given["script"].as<std::string>());
   }
   auto seeds = std::clamp(given["seeds"].as<int>(), 1, 1000);
   json rows = json::array();
-  std::uint64_t bad = 0;
+  std::uint64_t violations = 0;
   std::string command = "proxy-testbench faults";
   if (given.count("from")) {
     for (auto& path : given["from"].as<std::vector<std::string>>()) {
@@ -253,12 +255,12 @@
     options.seed = given["seed"].as<std::uint64_t>() + static_cast<std::uint64_t>(i);
     options.faults = std::clamp(given["faults"].as<int>(), 1, 10000);
     options.rate = std::clamp(given["rate"].as<double>(), 0.0, 1e5);
-    if (name.starts_with("zones") && given["rate"].defaulted()) options.rate = 0;  // the experiment's own
+    if (name.starts_with("zones") && given["rate"].defaulted()) options.rate = 0;  // the experiment's default
     options.lag_ms = std::clamp(given["lag-ms"].as<int>(), 0, 10000);
     options.history = given["history"].as<std::string>();
     options.script = script;
     if (given.count("quick") && given["faults"].defaulted()) options.faults = 5;
-    options.only = given["fault"].as<std::string>();
+    options.zone_fault = given["fault"].as<std::string>();
     if (given.count("before")) options.before = given["before"].as<std::string>();
     if (name == "coldstart") {
       for (auto& row : run_coldstart(options)) rows.push_back(row);
@@ -280,17 +282,17 @@
     }
     for (auto& row : rows)
       if (row.value("seed", std::uint64_t{0}) == options.seed && rows.back() != row)
-        bad += row.value("rule_breaches", std::uint64_t{0});
+        violations += row.value("rule_breaches", std::uint64_t{0});
     for (auto key :
          {"lost", "two_leaders_in_a_term", "owners_overlapping", "stale_effects_accepted", "rule_breaches"})
-      bad += rows.back().value(key, std::uint64_t{0});
-    bad += !rows.back().value("linearizable", true);
+      violations += rows.back().value(key, std::uint64_t{0});
+    violations += !rows.back().value("linearizable", true);
   }
   if (given.count("json")) write_whole(given["json"].as<std::string>(), rows.dump(1) + "\n");
   if (given.count("folder")) write_folder(name, rows, given["folder"].as<std::string>(), command);
   for (auto& row : rows) row.erase("series");
   std::cout << rows.dump(1) << "\n";
-  return bad == 0 ? 0 : 2;
+  return violations == 0 ? 0 : 2;
 }
 
 }  // namespace database_proxy::testbench::faults
--- a/src/testbench/fault_injection/experiments.cpp
+++ b/src/testbench/fault_injection/experiments.cpp
@@ -20,42 +20,44 @@
 using namespace std::chrono_literals;
 
 constexpr int kClients = 4, kRegisters = 8;
-// A client turns to the next node after that: it is the grain of the times without a leader.
-constexpr int kClientPatienceMs = 200;
-// Calls on one register before the next one is taken: the search for an order of them stays short.
-constexpr int kCallsOfRegister = 60;
-constexpr Micros kSettled{30'000'000};  // after the last fault, by when all must agree
+// Time after which a client switches to the next node; the resolution of the measured times without a leader.
+constexpr int kClientTimeoutMs = 200;
+// Calls on one register before the next one is used; bounds the search for a linear order of the calls.
+constexpr int kCallsPerRegister = 60;
+constexpr Micros kConvergenceTimeout{30'000'000};  // limit for the nodes to agree after a fault
 
 void pause_for(Micros span) { std::this_thread::sleep_for(span); }
 
-// Clients of the group's registers, each call told to the history.
-class Registers {
+// Clients of the group's registers. Each call is recorded in the history.
+class RegisterClients {
  public:
-  Registers(FaultHarness& rig, std::uint64_t seed) : rig_(rig), seed_(seed) {
+  RegisterClients(FaultHarness& rig, std::uint64_t seed) : rig_(rig), seed_(seed) {
     for (int i = 0; i < kClients; ++i) threads_.emplace_back([this, i] { run(i); });
   }
-  ~Registers() { stop(); }
+  ~RegisterClients() { stop(); }
   void stop() {
     stop_ = true;
     for (auto& t : threads_)
       if (t.joinable()) t.join();
   }
-  // The first write that was called after this moment and acknowledged: when; waits for it.
-  std::optional<Micros> first_after(Micros when, Micros patience) {
-    auto end = net::monotonic_now() + patience;
+  // Waits for a write that was called at or after `when` to be acknowledged. Returns the time of the earliest
+  // acknowledgement, or nothing on a time-out.
+  std::optional<Micros> first_write_after(Micros when, Micros timeout) {
+    auto end = net::monotonic_now() + timeout;
     while (net::monotonic_now() < end) {
       {
         std::lock_guard lock(mutex_);
         for (auto it = acks_.rbegin(); it != acks_.rend() && it->second >= when; ++it)
-          if (it->first >= when) best_ = best_ ? std::min(*best_, it->second) : it->second;
-        if (best_) return std::exchange(best_, std::nullopt);
+          if (it->first >= when)
+            earliest_ack_ = earliest_ack_ ? std::min(*earliest_ack_, it->second) : it->second;
+        if (earliest_ack_) return std::exchange(earliest_ack_, std::nullopt);
       }
       pause_for(5ms);
     }
     return std::nullopt;
   }
-  // The last word on each register closes its history: an acknowledged write that is gone shows there.
-  void last_words() {
+  // Reads the final value of each register, which closes its history and reveals a lost acknowledged write.
+  void read_final_values() {
     for (auto& key : std::set<std::string>(keys_)) {
       json answer;
       Operation o;
@@ -70,12 +72,12 @@
       });
       o.value = answer.value("value", "");
       o.answered = rig_.history().now();
-      tell(-1, key, o, true);
+      record_call(-1, key, o, true);
     }
   }
 
  private:
-  void tell(int client, const std::string& key, const Operation& o, bool last = false) {
+  void record_call(int client, const std::string& key, const Operation& o, bool last = false) {
     json e = {{"client", client},
               {"key", key},
               {"write", o.write},
@@ -89,7 +91,7 @@
   }
   void run(int number) {
     std::mt19937_64 random(seed_ * 977 + static_cast<std::uint64_t>(number));
-    std::unique_ptr<app::FleetConnection> call;
+    std::unique_ptr<app::FleetConnection> connection;
     std::size_t at = random() % rig_.voters().size();
     for (std::uint64_t n = 0; !stop_; ++n) {
       Operation o;
@@ -97,24 +99,24 @@
       std::uint64_t round;
       {
         std::lock_guard lock(mutex_);
-        round = calls_++ / (kCallsOfRegister * kRegisters);
+        round = calls_++ / (kCallsPerRegister * kRegisters);
       }
       auto key = fmt::format("r{}-{}", random() % kRegisters, round);
       if (o.write) o.value = fmt::format("{}.{}", number, n);
       o.called = rig_.history().now();
       try {
-        if (!call)
-          call = std::make_unique<app::FleetConnection>(rig_.address(rig_.voters()[at]), "lab",
-                                                        kClientPatienceMs);
-        auto answer = call->send_request(o.write ? json{{"do", "put"}, {"key", key}, {"value", o.value}}
-                                                 : json{{"do", "get"}, {"key", key}});
+        if (!connection)
+          connection = std::make_unique<app::FleetConnection>(rig_.address(rig_.voters()[at]), "lab",
+                                                              kClientTimeoutMs);
+        auto answer = connection->send_request(o.write ? json{{"do", "put"}, {"key", key}, {"value", o.value}}
+                                                       : json{{"do", "get"}, {"key", key}});
         auto now = rig_.history().now();
         bool ok = answer.value("ok", false), unknown = answer.value("why", "").starts_with("unknown");
         if (!o.write) o.value = answer.value("value", "");
         if (ok) o.answered = now;
-        if (ok || (o.write && unknown)) tell(number, key, o);
-        if (!ok) {  // this node knows no leader: another may
-          call.reset();
+        if (ok || (o.write && unknown)) record_call(number, key, o);
+        if (!ok) {  // this node knows no leader; try another
+          connection.reset();
           at = (at + 1) % rig_.voters().size();
         }
         if (ok && o.write) {
@@ -122,9 +124,10 @@
           acks_.emplace_back(o.called, now);
         }
       } catch (const std::runtime_error&) {
-        call.reset();
+        connection.reset();
         at = (at + 1) % rig_.voters().size();
-        if (o.write) tell(number, key, o);  // it may have happened, or may yet
+        if (o.write)
+          record_call(number, key, o);  // outcome unknown: it may have been applied, or may still be
         pause_for(5ms);
       }
       pause_for(Micros(static_cast<std::int64_t>(2000 + random() % 6000)));
@@ -136,13 +139,13 @@
   std::atomic<bool> stop_{false};
   std::mutex mutex_;
   std::uint64_t calls_ = 0;
-  std::optional<Micros> best_;
+  std::optional<Micros> earliest_ack_;
   std::vector<std::pair<Micros, Micros>> acks_;  // called, answered
   std::set<std::string> keys_;
   std::vector<std::thread> threads_;
 };
 
-// Asks every process who it is and what it holds, all the time.
+// Continuously samples the role, leases and published leases of every process.
 class Sampler {
  public:
   explicit Sampler(FaultHarness& rig) : rig_(rig) {
@@ -158,24 +161,25 @@
 
  private:
   void run(const std::string& name) {
-    std::unique_ptr<app::FleetConnection> call;
-    bool anew = true;  // it may have come back with an earlier state that it then catches up from
+    std::unique_ptr<app::FleetConnection> connection;
+    bool is_reconnected = true;  // it may have restarted with an earlier state and still be catching up
     while (!stop_) {
       try {
-        if (!call) call = std::make_unique<app::FleetConnection>(rig_.address(name), "lab", 30'000);
-        auto s = call->send_request({{"do", "status"}}).at("status");
-        auto owners = call->send_request({{"do", "owners"}}).at("owners");
+        if (!connection)
+          connection = std::make_unique<app::FleetConnection>(rig_.address(name), "lab", 30'000);
+        auto s = connection->send_request({{"do", "status"}}).at("status");
+        auto owners = connection->send_request({{"do", "owners"}}).at("owners");
         json e = {{"node", name},
                   {"clock_us", s.at("clock_us")},
                   {"holds", s.at("holds")},
                   {"published", json::array()}};
         if (s.value("role", "") == "leader") e["leads"] = s.at("term");
         for (auto& o : owners) e["published"].push_back({o.at("job"), o.at("published_by")});
-        if (std::exchange(anew, false)) e["anew"] = true;
+        if (std::exchange(is_reconnected, false)) e["anew"] = true;
         rig_.history().add("sample", std::move(e));
       } catch (const std::exception&) {
-        call.reset();
-        anew = true;
+        connection.reset();
+        is_reconnected = true;
       }
       pause_for(20ms);
     }
@@ -192,32 +196,32 @@
   return values[std::min(at, values.size() - 1)];
 }
 
-std::uint64_t count_in(const std::string& text, const std::string& what) {
+std::uint64_t count_occurrences(const std::string& text, const std::string& what) {
   std::uint64_t n = 0;
   for (auto at = text.find(what); at != std::string::npos; at = text.find(what, at + 1)) ++n;
   return n;
 }
 
-struct Draw {
+struct RandomChoices {
   std::mt19937_64 random;
   std::uint64_t below(std::uint64_t n) { return random() % n; }
-  Micros span(int least_ms, int most_ms) {
+  Micros duration(int least_ms, int most_ms) {
     return Micros(1000 * (least_ms + static_cast<std::int64_t>(
                                          below(static_cast<std::uint64_t>(most_ms - least_ms + 1)))));
   }
-  const std::string& of(const std::vector<std::string>& names) { return names[below(names.size())]; }
+  const std::string& pick(const std::vector<std::string>& names) { return names[below(names.size())]; }
 };
 
-// One fault on `victim`, over when this returns. What hits it is undone here.
-std::string one_fault(FaultHarness& rig, Draw& draw, const std::string& victim, bool jobs) {
+// Injects one random fault into `victim` and undoes it before returning. Returns its name.
+std::string inject_fault(FaultHarness& rig, RandomChoices& draw, const std::string& victim, bool jobs) {
   auto& voters = rig.voters();
   auto other = victim;
-  while (other == victim) other = draw.of(voters);
+  while (other == victim) other = draw.pick(voters);
   switch (draw.below(jobs ? 12 : 13)) {
     case 0:
     case 1:
       rig.kill(victim);
-      pause_for(draw.span(0, 2000));
+      pause_for(draw.duration(0, 2000));
       rig.start(victim);
       return "killed";
     case 2:
@@ -232,17 +236,17 @@
       return "stopped for 2 s";
     case 4:
       rig.block_outgoing(victim);
-      pause_for(draw.span(1000, jobs ? 4500 : 2500));
+      pause_for(draw.duration(1000, jobs ? 4500 : 2500));
       rig.heal();
       return "heard by none";
     case 5:
       rig.block_incoming(victim);
-      pause_for(draw.span(1000, 2500));
+      pause_for(draw.duration(1000, 2500));
       rig.heal();
       return "hears none";
     case 6:
       rig.isolate(victim);
-      pause_for(draw.span(800, jobs ? 4500 : 2500));
+      pause_for(draw.duration(800, jobs ? 4500 : 2500));
       rig.heal();
       return "cut off";
     case 7:
@@ -257,7 +261,7 @@
       LinkState s;
       s.stall_after = static_cast<std::int64_t>(draw.below(400));
       rig.shape(victim, other, s);
-      pause_for(draw.span(500, 1500));
+      pause_for(draw.duration(500, 1500));
       rig.reset_links(victim);
       rig.heal();
       return "a message stalls in its middle, then resets";
@@ -268,16 +272,16 @@
       return "restarted";
     case 10: {
       LinkState s;
-      s.delay = draw.span(20, 120);
+      s.delay = draw.duration(20, 120);
       for (auto& to : voters)
         if (to != victim) rig.shape(victim, to, s);
-      pause_for(draw.span(500, 1500));
+      pause_for(draw.duration(500, 1500));
       rig.heal();
       return "slow links";
     }
     case 11: {
       if (jobs) {
-        // What the owner said to one of the others comes only once somebody else owns its jobs.
+        // Delays the lease holder's messages to one voter until another process holds its leases.
         auto owner = rig.lease_holder("list"), leader = rig.leader();
         if (owner.empty() || !std::count(voters.begin(), voters.end(), owner)) owner = victim;
         std::string third;
@@ -299,27 +303,28 @@
         return "effects come late";
       }
       rig.set_sync_delay(victim, 1000);
-      pause_for(draw.span(1000, 2500));
+      pause_for(draw.duration(1000, 2500));
       rig.set_sync_delay(victim, 0);
       return "slow disk";
     }
     default: {
-      // The majority goes and comes back.
+      // Kills a majority and restarts it.
       std::vector<std::string> down{victim};
       while (down.size() <= voters.size() / 2) {
-        auto& next = draw.of(voters);
+        auto& next = draw.pick(voters);
         if (!std::count(down.begin(), down.end(), next)) down.push_back(next);
       }
       for (auto& n : down) rig.kill(n);
-      pause_for(draw.span(500, 1500));
+      pause_for(draw.duration(500, 1500));
       for (auto& n : down) rig.start(n);
       return "majority killed";
     }
   }
 }
 
-// All links well, all processes up: waits until the nodes have the same state and one leader.
-bool settled(FaultHarness& rig) {
+// Waits, with all links healed and all processes running, until the nodes have the same applied index and a
+// leader. Returns false on a time-out.
+bool wait_until_converged(FaultHarness& rig) {
   return rig.wait_until(
       [&] {
         std::set<std::uint64_t> applied;
@@ -331,7 +336,7 @@
         }
         return applied.size() == 1 && !rig.leader().empty();
       },
-      kSettled);
+      kConvergenceTimeout);
 }
 
 }  // namespace
@@ -344,37 +349,38 @@
   o.seed = options.seed;
   o.group = {{"jobs", json::array()}};
   FaultHarness rig(o);
-  Registers clients(rig, options.seed);
+  RegisterClients clients(rig, options.seed);
   Sampler sampler(rig);
-  Draw draw{std::mt19937_64(options.seed)};
+  RandomChoices draw{std::mt19937_64(options.seed)};
   std::vector<double> leaderless;
   std::uint64_t stuck = 0;
-  clients.first_after(rig.history().now(), 10s);
+  clients.first_write_after(rig.history().now(), 10s);
   const int faults = options.script.empty() ? options.faults : static_cast<int>(options.script.size());
   for (int i = 0; i < faults; ++i) {
     auto leader = rig.leader();
-    auto victim = !leader.empty() && draw.below(3) < 2 ? leader : draw.of(rig.voters());
+    auto victim = !leader.empty() && draw.below(3) < 2 ? leader : draw.pick(rig.voters());
     auto at = rig.history().now();
-    std::optional<Micros> again;
-    std::thread watch([&] { again = clients.first_after(at + 1ms, 30s); });
-    auto what = options.script.empty() ? one_fault(rig, draw, victim, false)
+    std::optional<Micros> next_write_at;
+    std::thread watch([&] { next_write_at = clients.first_write_after(at + 1ms, 30s); });
+    auto what = options.script.empty() ? inject_fault(rig, draw, victim, false)
                                        : run_fault(rig, options.script[static_cast<std::size_t>(i)], &victim);
     watch.join();
-    // What lost the majority or slowed the disk lasts as long as it is made to: that is no election's time.
+    // A lost majority or a slow disk lasts as long as the fault is applied, which does not measure an
+    // election.
     bool counted = victim == leader && what != "majority killed" && what != "slow disk";
-    double ms = again ? static_cast<double>((*again - at).count()) / 1000 : -1;
-    if (!again) ++stuck;
-    if (counted && again) leaderless.push_back(ms);
+    double ms = next_write_at ? static_cast<double>((*next_write_at - at).count()) / 1000 : -1;
+    if (!next_write_at) ++stuck;
+    if (counted && next_write_at) leaderless.push_back(ms);
     rig.history().add("fault over",
                       {{"fault", what}, {"node", victim}, {"led", victim == leader}, {"until_write_ms", ms}});
-    if (!rig.wait_until([&] { return !rig.leader().empty(); }, kSettled)) ++stuck;
+    if (!rig.wait_until([&] { return !rig.leader().empty(); }, kConvergenceTimeout)) ++stuck;
   }
   clients.stop();
-  bool agreed = settled(rig);
+  bool agreed = wait_until_converged(rig);
   sampler.stop();
-  clients.last_words();
+  clients.read_final_values();
   std::uint64_t elections = 0;
-  for (auto& name : rig.voters()) elections += count_in(rig.log(name), "group: leader in term");
+  for (auto& name : rig.voters()) elections += count_occurrences(rig.log(name), "group: leader in term");
   if (!options.history.empty()) rig.history().write(options.history);
   auto row = to_json(check_history(rig.history().events()));
   row.update({{"seed", options.seed},
@@ -408,7 +414,7 @@
                          [&](auto& x) { return x.at("job") == job && x.value("owner", "") != ""; });
     });
   };
-  if (!rig.wait_until(all_owned)) throw std::runtime_error("the jobs found no owners");
+  if (!rig.wait_until(all_owned)) throw std::runtime_error("not all jobs got a lease holder in time");
   Sampler sampler(rig);
   std::vector<std::thread> loads;
   std::atomic<bool> stop{false};
@@ -437,24 +443,26 @@
         }
       }
     });
-  Draw draw{std::mt19937_64(options.seed)};
-  std::uint64_t taken_over_late = 0;
+  RandomChoices draw{std::mt19937_64(options.seed)};
+  std::uint64_t not_reacquired = 0;
   std::vector<double> until_owned;
   double drain_ms = -1;
   const int faults = options.script.empty() ? options.faults : static_cast<int>(options.script.size());
   for (int i = 0; i < faults; ++i) {
-    auto job = draw.of(jobs);
+    auto job = draw.pick(jobs);
     auto victim = rig.lease_holder(job);
     if (victim.empty() || !std::count(rig.voters().begin(), rig.voters().end(), victim))
-      victim = draw.of(rig.voters());
-    auto what = options.script.empty() ? one_fault(rig, draw, victim, true)
+      victim = draw.pick(rig.voters());
+    auto what = options.script.empty() ? inject_fault(rig, draw, victim, true)
                                        : run_fault(rig, options.script[static_cast<std::size_t>(i)], &victim);
     auto at = net::monotonic_now();
-    if (!rig.wait_until([&] { return !rig.leader().empty() && all_owned(); }, kSettled)) ++taken_over_late;
+    if (!rig.wait_until([&] { return !rig.leader().empty() && all_owned(); }, kConvergenceTimeout))
+      ++not_reacquired;
     until_owned.push_back(static_cast<double>((net::monotonic_now() - at).count()) / 1000);
     rig.history().add("fault over", {{"fault", what}, {"node", victim}, {"job", job}});
     if (i % 10 == 9) {
-      // A drain among the faults: no proxy sends there later than a second after any of them was told.
+      // Drains a server among the faults. No proxy may send to it more than 1 s after any proxy was notified
+      // of the drain.
       auto set = 1 + draw.below(3);
       auto server = fmt::format("s{}-{}", set, 3);
       auto generation = [&] {
@@ -476,15 +484,15 @@
   }
   stop = true;
   for (auto& t : loads) t.join();
-  bool agreed = settled(rig);
+  bool agreed = wait_until_converged(rig);
   sampler.stop();
   std::uint64_t attempted = 0, elections = 0, moves = 0;
   for (auto& name : rig.voters()) {
     if (auto s = rig.status(name)) attempted += s->value("stale_effects", std::uint64_t{0});
-    elections += count_in(rig.log(name), "group: leader in term");
+    elections += count_occurrences(rig.log(name), "group: leader in term");
   }
-  for (auto& name : rig.all()) attempted += count_in(rig.log(name), "turned down");
-  moves = count_in(rig.log("n1"), "is granted to");
+  for (auto& name : rig.all()) attempted += count_occurrences(rig.log(name), "turned down");
+  moves = count_occurrences(rig.log("n1"), "is granted to");
   auto report = rig.fake_servers().report();
   double seconds = static_cast<double>(rig.history().now().count()) / 1e6, probes = 0;
   for (auto& [id, s] : report.at("servers").items()) probes += s.at("probes").get<double>();
@@ -504,7 +512,7 @@
           {"stale_effects_accepted", verdict.stale_effects_accepted},
           {"elections", elections},
           {"grants_seen_by_n1", moves},
-          {"not_owned_again", taken_over_late},
+          {"not_owned_again", not_reacquired},
           {"until_owned_ms_p50", percentile_of(until_owned, 0.5)},
           {"until_owned_ms_p99", percentile_of(until_owned, 0.99)},
           {"agreed_at_end", agreed},
@@ -530,7 +538,8 @@
     o.fake_servers.sets = 3;
     o.fake_servers.seed = options.seed;
     o.fake_servers.threads = 2;
-    // Data servers that do not say whether a read was too old: only positions do, and probes bring them.
+    // Data servers that do not report whether a read was too old: only their positions show it, and probes
+    // carry the positions.
     if (options.lag_ms > 0) {
       o.fake_servers.model.check_age = false;
       o.fake_servers.model.lag = Micros(options.lag_ms * 1000);
@@ -538,7 +547,7 @@
     }
     FaultHarness rig(o);
     if (grouped && !rig.wait_until([&] { return rig.lease_holders().size() >= 4; }))
-      throw std::runtime_error("the jobs found no owners");
+      throw std::runtime_error("not all jobs got a lease holder in time");
     pause_for(2s);
     auto before = rig.fake_servers().report();
     auto cpu = [&] {
@@ -550,7 +559,7 @@
     auto began = net::monotonic_now();
     LoadFigures sum;
     std::mutex mutex;
-    // Few threads give all proxies their load: a little to each, at the same time.
+    // Applies a low load to all proxies at the same time.
     std::vector<std::thread> loads;
     auto names = rig.all();
     for (std::size_t i = 0; i < names.size(); ++i)
@@ -628,9 +637,10 @@
   for (int w = 0; w < 64; ++w)
     writers.emplace_back([&, w] {
       try {
-        app::FleetConnection call(rig.address(leader), "lab", 10'000);
+        app::FleetConnection connection(rig.address(leader), "lab", 10'000);
         while (left-- > 0)
-          if (!call.send_request(
+          if (!connection
+                   .send_request(
                        {{"do", "put"}, {"key", fmt::format("k{}", w)}, {"value", std::string(100, 'x')}})
                    .value("ok", false))
             ++refused;
@@ -648,17 +658,17 @@
         auto s = rig.status(behind, 5000);
         return s && s->at("applied").get<std::uint64_t>() >= applied;
       },
-      kSettled);
+      kConvergenceTimeout);
   auto caught_up_ms = since(began);
   began = net::monotonic_now();
   for (auto& name : rig.followers()) rig.resume(name);
-  auto fed = [&] {
+  auto all_followers_connected = [&] {
     std::uint64_t count = 0;
     for (auto& name : rig.voters())
       if (auto s = rig.status(name, 5000)) count += s->at("followers").get<std::uint64_t>();
     return count == rig.followers().size();
   };
-  bool all = rig.wait_until(fed, kSettled);
+  bool all = rig.wait_until(all_followers_connected, kConvergenceTimeout);
   auto all_ms = since(began);
   auto s = rig.status(leader, 5000);
   return {{"seed", options.seed},
--- a/src/testbench/fault_injection/operator_calls.cpp
+++ b/src/testbench/fault_injection/operator_calls.cpp
@@ -39,7 +39,7 @@
 }
 
 void OperatorCalls::execute(const PlannedCall& call) {
-  if (call.kind == CallKind::kConfirmReturn) return confirm_uncordoned(call);
+  if (call.kind == CallKind::kRepeatUncordon) return confirm_uncordoned(call);
   bool is_cordon = call.kind == CallKind::kCordon;
   if (!is_cordon && call.is_known) checker_.on_uncordoning(net::monotonic_now(), node_, call.server);
   auto answer = send_with_retries(call);
--- a/src/testbench/fault_injection/soak.cpp
+++ b/src/testbench/fault_injection/soak.cpp
@@ -28,33 +28,33 @@
 using nlohmann::json;
 using std::chrono::milliseconds, std::chrono::seconds, std::chrono::steady_clock;
 
-constexpr int kConnections = 24;              // of each node's clients
-constexpr int kRatePerNode = 150;             // requests a second
-constexpr int kCrowd = 120;                   // idle connections, where there is a crowd
-constexpr int kTurnedBackPerUpgrade = 1;      // where there is none
-constexpr auto kUseAfterReturn = seconds(5);  // of a server that was put back, as the operators' page has it
+constexpr int kConnections = 24;                         // of each node's clients
+constexpr int kRatePerNode = 150;                        // requests a second
+constexpr int kIdleConnections = 120;                    // of each node, in scripts with idle clients
+constexpr int kDroppedBeforeAttemptPerUpgrade = 1;       // allowed without idle clients
+constexpr auto kMaxTimeToUseAfterUncordon = seconds(5);  // after an uncordon, as the operators' page states
 
 struct SoakOptions {
   std::string program;
   int nodes = 5, seconds = 8;
   bool prints_script = false;
   bool checks_memory = true;
-  std::vector<std::string> known_red;  // a violation that holds one of these is printed and passed over
+  std::vector<std::string> known_red;  // violations that contain one of these texts are printed, not counted
 };
 
-// What one seed gave.
+// The result of one seed.
 struct SoakResult {
   LoadFigures load;
-  std::uint64_t turned_back = 0;
+  std::uint64_t dropped_before_attempt = 0;
   SoakNodeFigures nodes;
   std::vector<std::string> violations;
 };
 
-// Idle clients that connect again as often as they are closed, until told to end.
-class IdleCrowd {
+// Idle clients that reconnect whenever the proxy closes their connection, until destruction.
+class IdleClients {
  public:
-  IdleCrowd(int port, int size) : thread_([this, port, size] { run(port, size); }) {}
-  ~IdleCrowd() {
+  IdleClients(int port, int size) : thread_([this, port, size] { run(port, size); }) {}
+  ~IdleClients() {
     ends_ = true;
     thread_.join();
   }
@@ -96,13 +96,14 @@
   sum->longest_start_s = std::max(sum->longest_start_s, node.longest_start_s);
   sum->longest_exit_s = std::max(sum->longest_exit_s, node.longest_exit_s);
   sum->longest_call_s = std::max(sum->longest_call_s, node.longest_call_s);
-  sum->most_descriptors = std::max(sum->most_descriptors, node.most_descriptors);
-  sum->most_memory_mb = std::max(sum->most_memory_mb, node.most_memory_mb);
+  sum->max_descriptors = std::max(sum->max_descriptors, node.max_descriptors);
+  sum->max_memory_mb = std::max(sum->max_memory_mb, node.max_memory_mb);
   sum->violations.insert(sum->violations.end(), node.violations.begin(), node.violations.end());
 }
 
-// Where a serving process is killed, what it had goes the way of a crash.
-void judge_node(const SoakScript& script, const SoakOptions& options, const SoakNodeOptions& limits,
+// Checks the limits of one node. Each kill of a serving process excuses as many requests as the node's
+// clients have connections.
+void check_node(const SoakScript& script, const SoakOptions& options, const SoakNodeOptions& limits,
                 const SoakNodeFigures& node, const LoadFigures& load, SoakResult* result) {
   auto violation = [&](const std::string& what) {
     result->violations.push_back(fmt::format("{}: {}", limits.folder, what));
@@ -111,17 +112,17 @@
   if (load.lost > excused)
     violation(fmt::format("{} requests lost, {} excused: {}", load.lost, excused,
                           fmt::join(load.unanswered_requests, "; ")));
-  auto turned_back = load.unanswered - load.lost - load.unsent;
-  auto allowed = excused + static_cast<std::uint64_t>(node.upgrades * kTurnedBackPerUpgrade);
-  if (!script.has_crowd && turned_back > allowed)
-    violation(fmt::format("{} requests turned back unheard, {} allowed: {}", turned_back, allowed,
-                          fmt::join(load.unanswered_requests, "; ")));
-  result->turned_back += turned_back;
-  if (node.most_descriptors > static_cast<int>(limits.sockets))
-    violation(fmt::format("{} descriptors of {}", node.most_descriptors, limits.sockets));
-  if (options.checks_memory && node.most_memory_mb > static_cast<double>(limits.memory_mb))
-    violation(fmt::format("{:.1f} MB of {}", node.most_memory_mb, limits.memory_mb));
-  if (load.served == 0) violation("nothing was served");
+  auto dropped_before_attempt = load.unanswered - load.lost - load.unsent;
+  auto allowed = excused + static_cast<std::uint64_t>(node.upgrades * kDroppedBeforeAttemptPerUpgrade);
+  if (!script.has_idle_clients && dropped_before_attempt > allowed)
+    violation(fmt::format("{} requests dropped before an attempt, {} allowed: {}", dropped_before_attempt,
+                          allowed, fmt::join(load.unanswered_requests, "; ")));
+  result->dropped_before_attempt += dropped_before_attempt;
+  if (node.max_descriptors > static_cast<int>(limits.sockets))
+    violation(fmt::format("{} file descriptors used, {} allowed", node.max_descriptors, limits.sockets));
+  if (options.checks_memory && node.max_memory_mb > static_cast<double>(limits.memory_mb))
+    violation(fmt::format("{:.1f} MB of memory used, {} allowed", node.max_memory_mb, limits.memory_mb));
+  if (load.served == 0) violation("no request was served");
 }
 
 SoakResult play(const SoakScript& script, const SoakOptions& options, FakeServers& servers,
@@ -148,7 +149,7 @@
   }
   std::vector<LoadFigures> loads(nodes.size());
   std::vector<std::thread> threads;
-  std::vector<std::unique_ptr<IdleCrowd>> crowds;
+  std::vector<std::unique_ptr<IdleClients>> crowds;
   for (std::size_t i = 0; i < nodes.size(); ++i) {
     threads.emplace_back([&nodes, i] { nodes[i]->run(); });
     threads.emplace_back([&, i] {
@@ -158,16 +159,17 @@
       load.rate = kRatePerNode;
       load.length = seconds(script.seconds);
       load.rules = &servers.rules();
-      load.seed = script.seed * script.nodes.size() + i;  // no two nodes draw the same keys
+      load.seed = script.seed * script.nodes.size() + i;  // distinct keys for each node
       load.prefix = fmt::format("n{}c", i);
       loads[i] = run_load(load);
     });
-    if (script.has_crowd) crowds.push_back(std::make_unique<IdleCrowd>(nodes[i]->port(), kCrowd));
+    if (script.has_idle_clients)
+      crowds.push_back(std::make_unique<IdleClients>(nodes[i]->port(), kIdleConnections));
   }
   play_actions(servers, script, began);
   std::this_thread::sleep_until(began + seconds(script.seconds));
-  auto unused = servers.rules().withdrawals().unused_since_return(net::monotonic_now(),
-                                                                  servers.servers().front(), kUseAfterReturn);
+  auto unused = servers.rules().withdrawals().unused_since_return(
+      net::monotonic_now(), servers.servers().front(), kMaxTimeToUseAfterUncordon);
   crowds.clear();
   for (auto& thread : threads) thread.join();
   SoakResult result;
@@ -175,7 +177,7 @@
   for (std::size_t i = 0; i < nodes.size(); ++i) {
     result.load.add(loads[i]);
     add_figures(nodes[i]->figures(), &result.nodes);
-    judge_node(script, options, node_options[i], nodes[i]->figures(), loads[i], &result);
+    check_node(script, options, node_options[i], nodes[i]->figures(), loads[i], &result);
   }
   for (auto& breach : servers.rules().breaches())
     result.violations.push_back(
@@ -190,24 +192,24 @@
   std::cout << fmt::format(
       "seed {}{}: {} processes, {} upgrades, {} crashes; asked {}, served {}, refused {}, failed {}, lost "
       "{}, "
-      "turned back {}; yes after {:.2f} s, exit after {:.2f} s, call {:.2f} s at most; {} descriptors, "
+      "dropped before an attempt {}; longest start {:.2f} s, exit {:.2f} s, call {:.2f} s; {} descriptors, "
       "{:.0f} MB; {} violations\n",
-      script.seed, script.has_crowd ? " (crowd)" : "", nodes.processes, nodes.upgrades, nodes.crashes,
+      script.seed, script.has_idle_clients ? " (crowd)" : "", nodes.processes, nodes.upgrades, nodes.crashes,
       result.load.asked, result.load.served, result.load.refused, result.load.failed, result.load.lost,
-      result.turned_back, nodes.longest_start_s, nodes.longest_exit_s, nodes.longest_call_s,
-      nodes.most_descriptors, nodes.most_memory_mb, result.violations.size());
+      result.dropped_before_attempt, nodes.longest_start_s, nodes.longest_exit_s, nodes.longest_call_s,
+      nodes.max_descriptors, nodes.max_memory_mb, result.violations.size());
   for (auto& violation : result.violations) std::cout << "  VIOLATION " << violation << "\n";
   std::cout.flush();
 }
 
-// "3" or "1..50".
+// Parses "3" or "1..50" to the first and last seed.
 std::pair<std::uint64_t, std::uint64_t> parse_seeds(const std::string& text) {
   auto dots = text.find("..");
   auto number = [&](std::string_view part) {
     std::uint64_t value = 0;
     auto [end, error] = std::from_chars(part.data(), part.data() + part.size(), value);
     if (error != std::errc() || end != part.data() + part.size())
-      throw std::runtime_error("seeds are a number or A..B: " + text);
+      throw std::runtime_error("invalid --seeds, expected a number or A..B: " + text);
     return value;
   };
   std::string_view view = text;
@@ -215,7 +217,7 @@
   return {number(view.substr(0, dots)), number(view.substr(dots + 2))};
 }
 
-// True: all holds.
+// Runs one seed. Returns true if no invariant was violated.
 bool play_seed(std::optional<SoakScript> script, std::uint64_t seed, const SoakOptions& options,
                const std::string& keep) {
   FakeServersOptions sets;
@@ -229,7 +231,7 @@
   auto replicas = servers.servers();
   auto primary = replicas.front();
   replicas.erase(replicas.begin());
-  if (!script) script = draw_script(seed, options.nodes, options.seconds, primary, replicas);
+  if (!script) script = generate_script(seed, options.nodes, options.seconds, primary, replicas);
   if (options.prints_script) std::cout << script_to_json(*script).dump() << "\n";
   std::optional<TemporaryDirectory> temporary;
   if (keep.empty()) temporary.emplace();
@@ -253,13 +255,13 @@
   described.add_options()("help,h", "show this text")("seeds", po::value<std::string>()->default_value("1"),
                                                       "a number, or A..B")(
       "nodes", po::value<int>(&options.nodes)->default_value(5), "nodes, each with two to four processes")(
-      "seconds", po::value<int>(&options.seconds)->default_value(8), "of each seed")(
+      "seconds", po::value<int>(&options.seconds)->default_value(8), "duration of each seed in seconds")(
       "print-script", "print the script of each seed as JSON")("script", po::value<std::string>(),
                                                                "play the script in this file instead")(
       "keep", po::value<std::string>()->default_value(""), "keep files and logs in this folder")(
       "known-red", po::value<std::vector<std::string>>(&options.known_red),
-      "pass over violations that hold this text, and print them (KNOWN-RED.txt)")(
-      "no-memory-limit", "for a program with sanitizers, which takes more")(
+      "do not count violations that contain this text, but print them (KNOWN-RED.txt)")(
+      "no-memory-limit", "do not check memory, for a program with sanitizers, which uses more")(
       "program", po::value<std::string>()->default_value(daemon_beside()), "the database-proxy to run");
   po::variables_map given;
   po::store(po::command_line_parser(arguments).options(described).run(), given);
--- a/src/testbench/fault_injection/soak_node.cpp
+++ b/src/testbench/fault_injection/soak_node.cpp
@@ -18,10 +18,10 @@
 using namespace std::chrono_literals;
 using std::chrono::duration, std::chrono::milliseconds;
 
-// As the operators' page has them.
+// Limits that the operators' page states.
 constexpr auto kLongestStart = 6s;
 constexpr auto kLongestCall = 1s;
-constexpr auto kShutdownLimit = 3700ms;  // the lab's longest deadline counts as 3 s, and 0.7 s
+constexpr auto kShutdownLimit = 3700ms;  // the testbench's longest deadline counts as 3 s, plus 0.7 s
 constexpr auto kPollInterval = 20ms;
 
 double seconds_since(std::chrono::steady_clock::time_point then) {
@@ -34,7 +34,7 @@
   std::filesystem::create_directories(options_.folder + "/tmp");
   int error = 0;
   listening_socket_ = net::listen_on(*net::parse_address(fmt::format("127.0.0.1:{}", free_port())), &error);
-  if (!listening_socket_) throw std::runtime_error("a node cannot listen: " + net::message_of(error));
+  if (!listening_socket_) throw std::runtime_error("the soak node cannot listen: " + net::message_of(error));
 }
 
 int SoakNode::port() const { return net::local_port(listening_socket_.get()); }
@@ -80,24 +80,24 @@
   int descriptors = 0;
   double memory_mb = 0;
   for (auto* process : running_) {
-    if (process->log().empty()) continue;  // until it is the program, it holds what the test bench does
+    if (process->log().empty()) continue;  // not started yet: still has the testbench's usage
     auto usage = process->usage();
     descriptors += usage.descriptors;
     memory_mb += usage.rss_mb;
   }
-  figures_.most_descriptors = std::max(figures_.most_descriptors, descriptors);
-  figures_.most_memory_mb = std::max(figures_.most_memory_mb, memory_mb);
+  figures_.max_descriptors = std::max(figures_.max_descriptors, descriptors);
+  figures_.max_memory_mb = std::max(figures_.max_memory_mb, memory_mb);
 }
 
-// An answer, of whatever kind, is owed within a second.
+// Returns whether the process reports itself healthy. Any answer must arrive within 1 s.
 bool SoakNode::is_healthy(Process& process) {
-  auto asked_at = Clock::now();
+  auto requested_at = Clock::now();
   auto answer = process.process->operator_call("health", milliseconds(kLongestCall));
-  auto taken = seconds_since(asked_at);
+  auto taken = seconds_since(requested_at);
   figures_.longest_call_s = std::max(figures_.longest_call_s, taken);
   bool was_reached = taken > 0.5;
-  if (was_reached && answer.empty() && !process.is_disturbed)
-    violation(process, "health is not answered in 1 s");
+  if (was_reached && answer.empty() && !process.was_stopped)
+    violation(process, "health call not answered within 1 s");
   return answer.starts_with("YES");
 }
 
@@ -106,22 +106,22 @@
   while (Clock::now() - began < kLongestStart) {
     sample_usage();
     if (is_healthy(process)) {
-      if (!process.is_disturbed)
+      if (!process.was_stopped)
         figures_.longest_start_s = std::max(figures_.longest_start_s, seconds_since(began));
       return true;
     }
     if (!process.process->running()) {
-      violation(process, "it ended before it was healthy: " + process.process->log());
+      violation(process, "process ended before it was healthy: " + process.process->log());
       return false;
     }
     std::this_thread::sleep_for(kPollInterval);
   }
-  if (!process.is_disturbed) violation(process, "it is not healthy after 6 s: " + process.process->log());
+  if (!process.was_stopped) violation(process, "process not healthy after 6 s: " + process.process->log());
   return false;
 }
 
 void SoakNode::stop_for(Process& process, int milliseconds_stopped) {
-  process.is_disturbed = true;
+  process.was_stopped = true;
   options_.withdrawals->on_stopped(options_.name);
   process.process->signal(SIGSTOP);
   std::this_thread::sleep_for(milliseconds(milliseconds_stopped));
@@ -133,7 +133,7 @@
   if (process.process->ready()) ++figures_.crashes;
   process.process->signal(SIGKILL);
   std::erase(running_, process.process.get());
-  forget(process.process.get());
+  remove_address(process.process.get());
   process.process->wait();
   check_log(process);
 }
@@ -144,29 +144,30 @@
   if (at != std::string::npos) violation(process, log.substr(at, log.find('\n', at) - at));
 }
 
-// As the platform does it: SIGTERM, and SIGKILL at the earliest moment that the pages allow.
-void SoakNode::end_process(Process& process, int terms) {
-  auto told_at = Clock::now();
-  for (int i = 0; i < terms; ++i) process.process->signal(SIGTERM);
+// Ends a process as the platform does: SIGTERM, then SIGKILL at the earliest time that the operators' pages
+// allow.
+void SoakNode::end_process(Process& process, int sigterms) {
+  auto signalled_at = Clock::now();
+  for (int i = 0; i < sigterms; ++i) process.process->signal(SIGTERM);
   while (process.process->running()) {
-    if (Clock::now() - told_at > kShutdownLimit) {
-      if (!process.is_disturbed) violation(process, "it still runs when the platform kills it");
+    if (Clock::now() - signalled_at > kShutdownLimit) {
+      if (!process.was_stopped) violation(process, "process still running at the shutdown limit");
       return kill_process(process);
     }
     sample_usage();
     std::this_thread::sleep_for(kPollInterval);
   }
   std::erase(running_, process.process.get());
-  forget(process.process.get());
-  figures_.longest_exit_s = std::max(figures_.longest_exit_s, seconds_since(told_at));
+  remove_address(process.process.get());
+  figures_.longest_exit_s = std::max(figures_.longest_exit_s, seconds_since(signalled_at));
   if (process.process->exit_code() != 0)
-    violation(process,
-              fmt::format("it ended with {}: {}", process.process->exit_code(), process.process->log()));
+    violation(process, fmt::format("process ended with exit code {}: {}", process.process->exit_code(),
+                                   process.process->log()));
   check_log(process);
 }
 
-// True: the successor is to be given up.
-bool SoakNode::hit_successor(const PlannedUpgrade& plan, Process& successor) {
+// Injects the planned fault into the successor. Returns true if the successor is to be abandoned.
+bool SoakNode::inject_successor_fault(const PlannedUpgrade& plan, Process& successor) {
   if (plan.successor == ProcessFault::kNone) return false;
   std::this_thread::sleep_for(milliseconds(plan.successor_fault_after_ms));
   if (plan.successor == ProcessFault::kKilled) {
@@ -177,7 +178,7 @@
   return false;
 }
 
-void SoakNode::hit_old_process(const PlannedUpgrade& plan) {
+void SoakNode::inject_old_process_fault(const PlannedUpgrade& plan) {
   if (plan.old_process == ProcessFault::kStopped) stop_for(serving_, plan.stopped_ms);
   if (plan.old_process == ProcessFault::kKilled) kill_process(serving_);
 }
@@ -185,26 +186,26 @@
 void SoakNode::upgrade(const PlannedUpgrade& plan) {
   ++figures_.upgrades;
   auto successor = start(plan);
-  if (plan.has_twin) twin_ = start(plan);
-  bool is_given_up = hit_successor(plan, successor);
-  if (is_given_up && twin_.process) std::swap(successor, twin_);
-  if (is_given_up && !successor.process->running()) return;
+  if (plan.has_second_successor) second_successor_ = start(plan);
+  bool is_abandoned = inject_successor_fault(plan, successor);
+  if (is_abandoned && second_successor_.process) std::swap(successor, second_successor_);
+  if (is_abandoned && !successor.process->running()) return;
   if (!becomes_healthy(successor)) return kill_process(successor);
   successor.faults->control().wall_clock_offset_us = plan.wall_clock_step_us;
-  for (int i = 0; i < plan.hups; ++i) {
+  for (int i = 0; i < plan.sighups; ++i) {
     serving_.process->signal(SIGHUP);
     successor.process->signal(SIGHUP);
   }
-  hit_old_process(plan);
-  if (serving_.process->running()) end_process(serving_, plan.terms);
+  inject_old_process_fault(plan);
+  if (serving_.process->running()) end_process(serving_, plan.sigterms);
   serving_ = std::move(successor);
-  if (!is_given_up && twin_.process) {
-    if (becomes_healthy(twin_)) end_process(serving_, 1), serving_ = std::move(twin_);
+  if (!is_abandoned && second_successor_.process) {
+    if (becomes_healthy(second_successor_)) end_process(serving_, 1), serving_ = std::move(second_successor_);
   }
-  twin_ = {};
+  second_successor_ = {};
 }
 
-void SoakNode::forget(const ProcessUnderTest* process) {
+void SoakNode::remove_address(const ProcessUnderTest* process) {
   std::lock_guard lock(mutex_);
   addresses_.erase(process);
   std::erase(by_age_, process);
@@ -238,11 +239,11 @@
     if (Clock::now() > options_.until) break;
     upgrade(plan);
     if (!serving_.process->running()) {
-      violation(serving_, "it has ended unasked: " + serving_.process->log());
+      violation(serving_, "process exited unexpectedly: " + serving_.process->log());
       return;
     }
   }
-  // Clients have had their answers by then.
+  // Gives the clients time to receive their answers.
   std::this_thread::sleep_until(options_.until + 3s);
   end_process(serving_, 1);
 }
--- a/src/testbench/fault_injection/zones.cpp
+++ b/src/testbench/fault_injection/zones.cpp
@@ -1,5 +1,5 @@
-// The experiment `zones`: the same losses of zones of data servers under the same load, with each proxy
-// deciding alone and with a common plan. Three zones in two regions.
+// The experiment `zones`: the same faults of a zone of data servers under the same load, first with each
+// proxy deciding alone, then with a common placement plan. There are three zones in two regions.
 #include <fmt/format.h>
 
 #include <algorithm>
@@ -16,57 +16,60 @@
 
 using namespace std::chrono_literals;
 
-constexpr Micros kBin{500'000};
-constexpr std::int64_t kWorst = 20;  // bins: ten seconds
-// A zone's own part: reads that a server bears are known to the plan a little below what it does bear.
-constexpr double kServiceUs = 4000, kPerWeight = 240;
-constexpr Micros kWarmUp{8'000'000};  // of servers that come back, so that a run is not all waiting
-constexpr double kMoved = 0.95;       // of the share served in calm: by then a loss is over
+constexpr Micros kBinWidth{500'000};
+constexpr std::int64_t kWorstWindowBins = 20;  // 10 s
+// kRequestsPerWeight: requests a second that the plan assumes for a server, a little below its real capacity,
+// 1 / kServiceUs.
+constexpr double kServiceUs = 4000, kRequestsPerWeight = 240;
+constexpr Micros kWarmUp{8'000'000};  // of restarted servers; short, to limit the waiting time of a run
+// A fault counts as handled once the share served is back to this fraction of the share before the fault.
+constexpr double kRecoveredShare = 0.95;
 
-struct Loss {
+struct ZoneFault {
   std::string name;
   std::function<void(FaultHarness&)> begin, end;
-  double load = 1;  // of the usual, while it lasts
+  double load = 1;  // multiple of the usual load during the fault
 };
 
-void steer_zone(FaultHarness& rig, const char* what, const std::string& zone, json more = json::object()) {
+void control_zone(FaultHarness& rig, const char* what, const std::string& zone, json more = json::object()) {
   more["do"] = what;
   more["zone"] = zone;
   rig.fake_servers().steer(more);
   rig.history().add("servers", more);
 }
 
-// The zones are a and b in the north, c in the south; b is the one that is lost. The primary stands in a.
-const std::vector<Loss>& losses() {
-  static const std::vector<Loss> all{
-      {"dies", [](FaultHarness& r) { steer_zone(r, "kill", "b"); }, [](FaultHarness& r) { steer_zone(r, "start", "b"); }},
-      {"hangs", [](FaultHarness& r) { steer_zone(r, "silence", "b"); }, [](FaultHarness& r) { steer_zone(r, "speak", "b"); }},
+// Zones a and b are in the region north, c in south. Faults affect zone b; the primary is in zone a.
+const std::vector<ZoneFault>& zone_faults() {
+  static const std::vector<ZoneFault> all{
+      {"dies", [](FaultHarness& r) { control_zone(r, "kill", "b"); }, [](FaultHarness& r) { control_zone(r, "start", "b"); }},
+      {"hangs", [](FaultHarness& r) { control_zone(r, "silence", "b"); },
+       [](FaultHarness& r) { control_zone(r, "speak", "b"); }},
       {"slow",
        [](FaultHarness& r) {
-         steer_zone(r, "slow", "b", {{"times", 10}});
+         control_zone(r, "slow", "b", {{"times", 10}});
        },
        [](FaultHarness& r) {
-         steer_zone(r, "slow", "b", {{"times", 1}});
+         control_zone(r, "slow", "b", {{"times", 1}});
        }},
       {"fails",
        [](FaultHarness& r) {
-         steer_zone(r, "fail", "b", {{"share", 0.2}});
+         control_zone(r, "fail", "b", {{"share", 0.2}});
        },
        [](FaultHarness& r) {
-         steer_zone(r, "fail", "b", {{"share", 0}});
+         control_zone(r, "fail", "b", {{"share", 0}});
        }},
       {"cut", [](FaultHarness& r) { r.isolate_zone("b"); }, [](FaultHarness& r) { r.heal(); }},
-      {"dies, half as much load again", [](FaultHarness& r) { steer_zone(r, "kill", "b"); },
-       [](FaultHarness& r) { steer_zone(r, "start", "b"); }, 1.5}};
+      {"dies, half as much load again", [](FaultHarness& r) { control_zone(r, "kill", "b"); },
+       [](FaultHarness& r) { control_zone(r, "start", "b"); }, 1.5}};
   return all;
 }
 
 struct Sample {
   Micros at{0};
-  double far = 0, all = 0;  // bytes between proxies and servers since the last one
+  double cross_zone = 0, all = 0;  // bytes between proxies and servers since the previous sample
 };
 
-json run_one(const ExperimentOptions& options, const Loss& loss, bool common, int index) {
+json run_one(const ExperimentOptions& options, const ZoneFault& fault, bool common, int index) {
   FaultHarnessOptions o;
   o.program = options.program;
   o.folder = fmt::format("{}/{}-{}", options.folder, index, common ? "common" : "alone");
@@ -75,7 +78,7 @@
   o.seed = options.seed;
   o.zones = {{"a", "north"}, {"b", "north"}, {"c", "south"}};
   o.placement = common;
-  o.requests_per_weight = kPerWeight;
+  o.requests_per_weight = kRequestsPerWeight;
   o.fake_servers.sets = 1;
   o.fake_servers.replicas = 8;
   o.fake_servers.seed = options.seed;
@@ -94,12 +97,12 @@
         };
         return owned("list") && (!common || owned("placement"));
       }))
-    throw std::runtime_error("the jobs found no owners");
+    throw std::runtime_error("not all jobs got a lease holder in time");
 
-  // Load at every proxy, all the time, in one series.
+  // Applies load to every proxy for the whole run and collects the results in one series.
   const auto names = rig.all();
   const double rate = options.rate > 0 ? options.rate : 1000;  // requests a second in all
-  const Micros calm = 8s, lost = 12s, after = 25s;
+  const Micros calm = 8s, fault_length = 12s, after = 25s;
   std::mutex mutex;
   LoadFigures sum;
   std::vector<std::thread> loads;
@@ -123,24 +126,24 @@
     });
   };
   for (std::size_t i = 0; i < names.size(); ++i) {
-    load(i, 1, Micros(0), calm + lost + after);
-    if (loss.load > 1) load(i, loss.load - 1, calm, lost);
+    load(i, 1, Micros(0), calm + fault_length + after);
+    if (fault.load > 1) load(i, fault.load - 1, calm, fault_length);
   }
   std::atomic<bool> stop{false};
   std::vector<Sample> samples;
   std::thread sampler([&] {
-    double far = 0, all = 0;
+    double cross_zone = 0, all = 0;
     while (!stop) {
-      double now_far = 0, now_all = 0;
+      double now_cross_zone = 0, now_all = 0;
       for (auto& a : o.zones)
         for (auto& b : o.zones) {
           auto bytes = static_cast<double>(rig.bytes_forwarded(a.name, b.name));
           now_all += bytes;
-          if (a.name != b.name) now_far += bytes;
+          if (a.name != b.name) now_cross_zone += bytes;
         }
-      samples.push_back({net::monotonic_now(), now_far - far, now_all - all});
-      far = now_far, all = now_all;
-      std::this_thread::sleep_for(kBin);
+      samples.push_back({net::monotonic_now(), now_cross_zone - cross_zone, now_all - all});
+      cross_zone = now_cross_zone, all = now_all;
+      std::this_thread::sleep_for(kBinWidth);
     }
   });
   auto plan_of = [&](const std::string& name) {
@@ -148,19 +151,19 @@
     return s ? s->value("plan", std::uint64_t{0}) : 0;
   };
   std::this_thread::sleep_until(std::chrono::steady_clock::time_point(begun + calm));
-  auto number = plan_of("n1");
+  auto plan_before = plan_of("n1");
   auto fault_at = net::monotonic_now();
-  loss.begin(rig);
-  std::this_thread::sleep_until(std::chrono::steady_clock::time_point(begun + calm + lost));
+  fault.begin(rig);
+  std::this_thread::sleep_until(std::chrono::steady_clock::time_point(begun + calm + fault_length));
   auto heal_at = net::monotonic_now();
-  loss.end(rig);
+  fault.end(rig);
   for (auto& t : loads) t.join();
   stop = true;
   sampler.join();
-  auto changes = plan_of("n1") - number;
+  auto changes = plan_of("n1") - plan_before;
 
-  // What the series say.
-  auto bin_of = [](Micros at) { return at / kBin; };
+  // Evaluates the series.
+  auto bin_of = [](Micros at) { return at / kBinWidth; };
   auto share = [&](std::int64_t from, std::int64_t to) {
     double asked = 0, served = 0;
     for (auto& [at, n] : sum.series)
@@ -168,25 +171,25 @@
         asked += static_cast<double>(n.first), served += static_cast<double>(n.second);
     return asked > 0 ? served / asked : 1;
   };
-  auto first = bin_of(begun) + 2, faulty = bin_of(fault_at), healed = bin_of(heal_at),
-       last = bin_of(begun + calm + lost + after) - 5;
-  double calm_share = share(first, faulty), worst = 1;
-  for (auto at = faulty - kWorst + 1; at + kWorst <= last; ++at)
-    worst = std::min(worst, share(at, at + kWorst));
-  std::int64_t moved = faulty;
-  for (auto at = faulty; at < healed; ++at)
-    if (share(at, at + 1) < calm_share * kMoved) moved = at + 1;
-  auto far = [&](Micros from, Micros to) {
-    double far = 0, all = 0;
+  auto first = bin_of(begun) + 2, fault_bin = bin_of(fault_at), healed_bin = bin_of(heal_at),
+       last = bin_of(begun + calm + fault_length + after) - 5;
+  double calm_share = share(first, fault_bin), worst = 1;
+  for (auto at = fault_bin - kWorstWindowBins + 1; at + kWorstWindowBins <= last; ++at)
+    worst = std::min(worst, share(at, at + kWorstWindowBins));
+  std::int64_t moved = fault_bin;
+  for (auto at = fault_bin; at < healed_bin; ++at)
+    if (share(at, at + 1) < calm_share * kRecoveredShare) moved = at + 1;
+  auto cross_zone = [&](Micros from, Micros to) {
+    double cross_zone = 0, all = 0;
     for (auto& s : samples)
-      if (s.at > from && s.at <= to) far += s.far, all += s.all;
-    return all > 0 ? far / all : 0;
+      if (s.at > from && s.at <= to) cross_zone += s.cross_zone, all += s.all;
+    return all > 0 ? cross_zone / all : 0;
   };
-  double far_calm = far(begun + 2s, fault_at);
+  double cross_zone_calm = cross_zone(begun + 2s, fault_at);
   Micros returned = heal_at;
   for (std::size_t i = 0; i < samples.size(); ++i)
     if (samples[i].at > heal_at && samples[i].all > 0 &&
-        far(samples[i].at - 1s, samples[i].at) > far_calm + 0.03)
+        cross_zone(samples[i].at - 1s, samples[i].at) > cross_zone_calm + 0.03)
       returned = samples[i].at;
   int falls = 0;
   for (auto& [id, f] : rig.fake_servers().figures()) falls += f.falls;
@@ -194,10 +197,11 @@
   for (auto& b : rig.fake_servers().rules().breaches()) stale += b.rule == Rule::kStale ? b.count : 0;
   json series = json::array();
   for (auto& [at, n] : sum.series)
-    series.push_back({static_cast<double>((at - faulty) * (kBin / Micros(1000))) / 1000, n.first, n.second});
+    series.push_back(
+        {static_cast<double>((at - fault_bin) * (kBinWidth / Micros(1000))) / 1000, n.first, n.second});
   if (!options.history.empty()) rig.history().write(options.history);
   return {
-      {"fault", loss.name},
+      {"fault", fault.name},
       {"seed", options.seed},
       {"mode", common ? "common" : "alone"},
       {"processes", names.size()},
@@ -205,9 +209,9 @@
       {"served_share", share(first, last)},
       {"served_share_calm", calm_share},
       {"served_share_worst_10s", worst},
-      {"far_share_calm", far_calm},
-      {"far_share_during", far(fault_at, heal_at)},
-      {"time_to_move_ms", (moved - faulty) * (kBin / Micros(1000))},
+      {"far_share_calm", cross_zone_calm},
+      {"far_share_during", cross_zone(fault_at, heal_at)},
+      {"time_to_move_ms", (moved - fault_bin) * (kBinWidth / Micros(1000))},
       {"time_to_return_ms", static_cast<double>((returned - heal_at).count()) / 1000},
       {"plan_changes", changes},
       {"cold_falls", falls},
@@ -224,12 +228,13 @@
 json run_zones(const ExperimentOptions& options) {
   json rows = json::array();
   int index = 0;
-  for (auto& loss : losses()) {
-    if (!options.only.empty() && loss.name != options.only) continue;
+  for (auto& fault : zone_faults()) {
+    if (!options.zone_fault.empty() && fault.name != options.zone_fault) continue;
     ++index;
-    for (bool common : {false, true}) rows.push_back(run_one(options, loss, common, index));
+    for (bool common : {false, true}) rows.push_back(run_one(options, fault, common, index));
   }
-  if (rows.empty()) throw std::runtime_error(fmt::format("faults zones knows no fault '{}'", options.only));
+  if (rows.empty())
+    throw std::runtime_error(fmt::format("unknown fault '{}' for faults zones", options.zone_fault));
   return rows;
 }
 
@@ -245,13 +250,13 @@
     o.zones = {{"a", "north"}, {"b", "north"}, {"c", "south"}};
     o.intra_region_delay = o.inter_region_delay = Micros(0);
     o.placement = planned;
-    o.requests_per_weight = kPerWeight;
+    o.requests_per_weight = kRequestsPerWeight;
     o.fake_servers.sets = 20;
     o.fake_servers.replicas = 5;
     o.fake_servers.seed = options.seed;
     FaultHarness rig(o);
     if (!rig.wait_until([&] { return rig.lease_holders().size() >= (planned ? 22u : 21u); }))
-      throw std::runtime_error("the jobs found no owners");
+      throw std::runtime_error("not all jobs got a lease holder in time");
     const auto names = rig.all();
     const double rate = options.rate > 0 ? options.rate : 2;
     std::vector<std::thread> loads;
@@ -286,7 +291,7 @@
         std::lock_guard lock(mutex);
         sum.add(f);
       });
-    std::this_thread::sleep_for(2s);  // what a start brings is over
+    std::this_thread::sleep_for(2s);  // the start-up work is over by then
     auto before = read();
     auto began = net::monotonic_now();
     std::this_thread::sleep_for(std::chrono::seconds(std::max(4, options.faults - 4)));
