--- a/src/testbench/fault_injection/coldstart.cpp
+++ b/src/testbench/fault_injection/coldstart.cpp
@@ -54,9 +54,11 @@
   if (o.grouped) {
     for (auto& name : rig.voters()) rig.start(name);
     json ids = json::array();
-    for (auto& name : rig.voters()) ids.push_back(rig.send_command(name, {{"do", "identify"}}, 5000).at("id"));
+    for (auto& name : rig.voters())
+      ids.push_back(rig.send_command(name, {{"do", "identify"}}, 5000).at("id"));
     for (auto& name : rig.voters()) rig.send_command(name, {{"do", "bootstrap"}, {"voters", ids}}, 5000);
-    if (!rig.wait_until([&] { return !rig.leader().empty(); })) throw std::runtime_error("no leader was elected");
+    if (!rig.wait_until([&] { return !rig.leader().empty(); }))
+      throw std::runtime_error("no leader was elected");
     for (auto& name : rig.voters()) rig.kill(name);
   }
   for (auto& id : rig.fake_servers().servers()) {  // warming up, and the endpoint list shows it
--- a/src/testbench/fault_injection/experiments.cpp
+++ b/src/testbench/fault_injection/experiments.cpp
@@ -477,7 +477,8 @@
       rig.history().add("drain", {{"server", server}});
       rig.wait_until([&] { return generation() > list; });
       pause_for(1500ms);
-      for (auto& [name, ms] : rig.fake_servers().rules().drain_last_send_ms()) drain_ms = std::max(drain_ms, ms);
+      for (auto& [name, ms] : rig.fake_servers().rules().drain_last_send_ms())
+        drain_ms = std::max(drain_ms, ms);
       rig.fake_servers().steer({{"do", "up"}, {"server", server}});
       rig.wait_until([&] { return generation() > list + 1; });
     }
--- a/src/testbench/fault_injection/soak_script.cpp
+++ b/src/testbench/fault_injection/soak_script.cpp
@@ -11,17 +11,10 @@
 
 // Call faults that a process must survive without losing a request, with their highest rates.
 constexpr CallFaultRate kCallFaultChoices[] = {
-    {CallFault::kShortRead, 4},
-    {CallFault::kShortWrite, 4},
-    {CallFault::kInterrupted, 4},
-    {CallFault::kAccept, 4},
-    {CallFault::kSocket, 8},
-    {CallFault::kConnect, 20},
-    {CallFault::kDelayedWrite, 500},
-    {CallFault::kDiskFull, 2},
-    {CallFault::kFileError, 2},
-    {CallFault::kTruncatedWrite, 4},
-    {CallFault::kSlowOpen, 20},
+    {CallFault::kShortRead, 4},      {CallFault::kShortWrite, 4}, {CallFault::kInterrupted, 4},
+    {CallFault::kAccept, 4},         {CallFault::kSocket, 8},     {CallFault::kConnect, 20},
+    {CallFault::kDelayedWrite, 500}, {CallFault::kDiskFull, 2},   {CallFault::kFileError, 2},
+    {CallFault::kTruncatedWrite, 4}, {CallFault::kSlowOpen, 20},
 };
 
 constexpr std::int64_t kHourUs = 3'600'000'000, kSecondUs = 1'000'000;
--- a/src/testbench/fault_injection/zones.cpp
+++ b/src/testbench/fault_injection/zones.cpp
@@ -41,7 +41,8 @@
 // Zones a and b are in the region north, c in south. Faults affect zone b; the primary is in zone a.
 const std::vector<ZoneFault>& zone_faults() {
   static const std::vector<ZoneFault> all{
-      {"dies", [](FaultHarness& r) { control_zone(r, "kill", "b"); }, [](FaultHarness& r) { control_zone(r, "start", "b"); }},
+      {"dies", [](FaultHarness& r) { control_zone(r, "kill", "b"); },
+       [](FaultHarness& r) { control_zone(r, "start", "b"); }},
       {"hangs", [](FaultHarness& r) { control_zone(r, "silence", "b"); },
        [](FaultHarness& r) { control_zone(r, "speak", "b"); }},
       {"slow",
--- a/tests/group/processes_test.cpp
+++ b/tests/group/processes_test.cpp
@@ -34,7 +34,8 @@
   bool put(const std::string& key, const std::string& value) {
     return rig->wait_until([&] {
       try {
-        return rig->send_command(rig->leader(), {{"do", "put"}, {"key", key}, {"value", value}}).value("ok", false);
+        return rig->send_command(rig->leader(), {{"do", "put"}, {"key", key}, {"value", value}})
+            .value("ok", false);
       } catch (const std::exception&) {
         return false;
       }
@@ -275,7 +276,8 @@
   CHECK(f->wait_until([&] { return !f.holds(one, "list") && !f.holds(one, "probe 1"); }));
   CHECK(f->wait_until([&] { return f->status(one) && f->status(one)->value("role", "") != "leader"; }));
   // It asks the list service for itself and for the proxy below it.
-  CHECK(f->wait_until([&] { return f->log(one).find("asks the list service for all") != std::string::npos; }));
+  CHECK(
+      f->wait_until([&] { return f->log(one).find("asks the list service for all") != std::string::npos; }));
   CHECK(f->wait_until([&] { return f->fake_servers().report().at("list_calls").get<int>() > 0; }));
   auto granted = times(f->log(one), "is granted to");
   LoadOptions load;
@@ -323,10 +325,12 @@
       if (name != victim && name != f->leader()) third = name;
     auto leader = f->leader();
     f->kill(third);
-    CHECK(f->wait_until([&] { return f->status(leader) && f->status(leader)->value("role", "") != "leader"; }));
+    CHECK(
+        f->wait_until([&] { return f->status(leader) && f->status(leader)->value("role", "") != "leader"; }));
     bool taken = true;
     try {
-      taken = f->send_command(leader, {{"do", "put"}, {"key", "k"}, {"value", "never"}}, 1500).value("ok", false);
+      taken =
+          f->send_command(leader, {{"do", "put"}, {"key", "k"}, {"value", "never"}}, 1500).value("ok", false);
     } catch (const std::runtime_error&) {
       taken = false;
     }
@@ -335,13 +339,16 @@
     REQUIRE(f->wait_until([&] { return !f->leader().empty(); }));
     // The operator takes the old one out and the new one in.
     REQUIRE(f->wait_until([&] {
-      return f->send_command(f->leader(), {{"do", "remove"}, {"name", victim}, {"id", id}}).value("ok", false);
+      return f->send_command(f->leader(), {{"do", "remove"}, {"name", victim}, {"id", id}})
+          .value("ok", false);
     }));
     REQUIRE(f->wait_until([&] {
-      return f->send_command(f->leader(), {{"do", "add"}, {"name", victim}, {"id", fresh}}).value("ok", false);
+      return f->send_command(f->leader(), {{"do", "add"}, {"name", victim}, {"id", fresh}})
+          .value("ok", false);
     }));
     REQUIRE(f->wait_until([&] {
-      return f->send_command(f->leader(), {{"do", "promote"}, {"name", victim}, {"id", fresh}}).value("ok", false);
+      return f->send_command(f->leader(), {{"do", "promote"}, {"name", victim}, {"id", fresh}})
+          .value("ok", false);
     }));
     CHECK(f->wait_until([&] { return f.number(victim, "applied") == f.number(f->leader(), "applied"); }));
     CHECK(f.get("k") == "kept");
@@ -568,7 +575,8 @@
     return n;
   };
   REQUIRE(f->wait_until([&] { return f.number(f->leader(), "list_generation") < 1000; }));
-  REQUIRE(f->wait_until([&] { return alone() == back(); }));  // some may have begun before the group had an owner
+  REQUIRE(
+      f->wait_until([&] { return alone() == back(); }));  // some may have begun before the group had an owner
   for (auto& name : f->followers()) f->pause(name);
   auto before = alone();
   auto paused = net::monotonic_now();
@@ -680,7 +688,8 @@
   auto grown = [&](const char* key) {
     return f->fake_servers().report().at(key).get<std::uint64_t>() - before.at(key).get<std::uint64_t>();
   };
-  CHECK(f->wait_until([&] { return f->log("n1").find("asks the list service for all") != std::string::npos; }));
+  CHECK(
+      f->wait_until([&] { return f->log("n1").find("asks the list service for all") != std::string::npos; }));
   CHECK(f->wait_until([&] {
     std::size_t asking = 0;
     for (auto& name : f->followers())
@@ -853,7 +862,8 @@
   file["group"]["nodes"].erase(2);
   f->daemon("n1")->write_operator_file(file);
   f->daemon("n1")->signal(SIGHUP);
-  CHECK(f->wait_until([&] { return f->log("n1").find("the configuration in force stays") != std::string::npos; }));
+  CHECK(f->wait_until(
+      [&] { return f->log("n1").find("the configuration in force stays") != std::string::npos; }));
   CHECK(f.put("k", "on"));
 }
 
--- a/tests/group/zones_test.cpp
+++ b/tests/group/zones_test.cpp
@@ -37,8 +37,9 @@
     o.settings = {{"Guarantees", {{"WarmUpMs", 4000.0}}}};
     change(o);
     rig = std::make_unique<FaultHarness>(o);
-    REQUIRE(rig->wait_until([&] { return !rig->lease_holder("placement").empty() && !rig->lease_holder("list").empty(); },
-                      kPatience));
+    REQUIRE(rig->wait_until(
+        [&] { return !rig->lease_holder("placement").empty() && !rig->lease_holder("list").empty(); },
+        kPatience));
   }
   // Shorter than shipped, so that a test is not all waiting.
   static json quick() { return {{"dwell_ms", 3000}, {"open_after_ms", 1500}, {"step_ms", 500}}; }
@@ -257,14 +258,16 @@
   z->isolate_zone("b");
   // By its own eyes b is well; the others' ways there are closed, or the zone.
   CHECK(z.rig->wait_until([&] { return z->log("n2").find("this proxy goes on alone") != std::string::npos; },
-                    kPatience));
-  CHECK(z.rig->wait_until([&] { return !z->lease_holder("placement").empty() && z->lease_holder("placement") != "n2"; },
-                    kPatience));
+                          kPatience));
+  CHECK(z.rig->wait_until(
+      [&] { return !z->lease_holder("placement").empty() && z->lease_holder("placement") != "n2"; },
+      kPatience));
   auto before = z.requests("b");
-  CHECK(z.rig->wait_until([&] { return z.requests("b") > before + 50; }));  // its own clients are served there
+  CHECK(
+      z.rig->wait_until([&] { return z.requests("b") > before + 50; }));  // its own clients are served there
   z->heal();
   CHECK(z.rig->wait_until([&] { return z->log("n2").find("this proxy follows plan") != std::string::npos; },
-                    kPatience));
+                          kPatience));
   CHECK(z.becomes("b", "open"));
   CHECK(z.all_follow(z->voters()));
   z.nothing_broken();
@@ -298,8 +301,9 @@
   // Its servers die and its processes stop, together.
   z.servers("kill", zone);
   for (auto& name : z->in_zone(zone)) z->pause(name);
-  CHECK(z.rig->wait_until([&] { return !z->lease_holder("placement").empty() && z->lease_holder("placement") != owner; },
-                    kPatience));
+  CHECK(z.rig->wait_until(
+      [&] { return !z->lease_holder("placement").empty() && z->lease_holder("placement") != owner; },
+      kPatience));
   CHECK(z.becomes(zone, "closed"));
   auto then = z.plan().number;
   CHECK(then > number);
@@ -313,7 +317,7 @@
   for (auto& name : z->voters())
     if (name != left) z->kill(name);
   CHECK(z.rig->wait_until([&] { return z->log(left).find("this proxy goes on alone") != std::string::npos; },
-                    kPatience));
+                          kPatience));
   CHECK(z.following(left) == 0);
   for (auto& name : z->voters())
     if (name != left) z->start(name);
@@ -407,8 +411,9 @@
   CHECK(answer.value("takes_ms", 0) >= 1000);
   REQUIRE(z.becomes("c", "evacuating"));
   z->pause(owner);
-  CHECK(z.rig->wait_until([&] { return !z->lease_holder("placement").empty() && z->lease_holder("placement") != owner; },
-                    kPatience));
+  CHECK(z.rig->wait_until(
+      [&] { return !z->lease_holder("placement").empty() && z->lease_holder("placement") != owner; },
+      kPatience));
   CHECK(z.becomes("c", "evacuated"));
   auto number = z.plan().number;
   z->resume(owner);
@@ -487,8 +492,8 @@
   auto written = [&] { return z->fake_servers().figures().at("s1-3").requests; };
   auto before = written();
   CHECK(z.rig->wait_until([&] { return written() > before + 20; }, kPatience));
-  CHECK(z.rig->wait_until([&] { return z->log("p1").find("linked with") != std::string::npos && z.rests("b"); },
-                    kPatience));
+  CHECK(z.rig->wait_until(
+      [&] { return z->log("p1").find("linked with") != std::string::npos && z.rests("b"); }, kPatience));
   z.servers("start", "b");
   CHECK(z.becomes("b", "open"));
   z.nothing_broken();
