--- a/src/testbench/commands.cpp
+++ b/src/testbench/commands.cpp
@@ -191,7 +191,7 @@
   options.seed = g["seed"].as<std::uint64_t>();
   options.sets.clear();
   for (int i = 1; i <= std::clamp(g["sets"].as<int>(), 1, 1000); ++i) options.sets.push_back(i);
-  RuleChecker rules;
+  InvariantChecker rules;
   options.rules = &rules;
   auto f = run_load(options);
   json result = {{"asked", f.asked},
--- a/src/testbench/cores.cpp
+++ b/src/testbench/cores.cpp
@@ -95,7 +95,7 @@
   load.warm_up = Micros(static_cast<std::int64_t>(o.warm_up * 1e6));
   load.length = Micros(static_cast<std::int64_t>(o.seconds * 1e6));
   load.seed = seed;
-  load.rules = &stand_in.rules();
+  load.rules = &stand_in.invariants();
   load.sets.clear();
   for (int i = 1; i <= o.sets; ++i) load.sets.push_back(i);
 
@@ -150,10 +150,10 @@
   for (std::size_t i = 0; i < rig_after.size(); ++i)
     rig_free = std::min(rig_free, 1 - (rig_after[i] - rig_before[i]) / seconds);
   for (double used : figures.cpu_seconds) load_free = std::min(load_free, 1 - used / figures.seconds);
-  auto drains = stand_in.rules().drain_last_send_ms();
+  auto drains = stand_in.invariants().drain_last_send_ms();
   json breaches = json::array();
-  for (auto& b : stand_in.rules().breaches())
-    breaches.push_back({{"rule", name_of(b.rule)}, {"count", b.count}, {"first", b.first}});
+  for (auto& b : stand_in.invariants().violations())
+    breaches.push_back({{"rule", name_of(b.invariant)}, {"count", b.count}, {"first", b.first}});
   return {{"way", way.name},
           {"workers", way.workers},
           {"decisions", way.decisions},
@@ -166,7 +166,7 @@
           {"probes_per_server_per_s", probes / count / seconds},
           {"connections_per_server", connections / count},
           {"drain_last_send_ms", drains.empty() ? -1 : drains.begin()->second},
-          {"rule_breaches", stand_in.rules().total()},
+          {"rule_breaches", stand_in.invariants().total()},
           {"refused", figures.refused},
           {"failed", figures.failed},
           {"unanswered", figures.unanswered},
--- a/src/testbench/fake_servers.cpp
+++ b/src/testbench/fake_servers.cpp
@@ -253,7 +253,7 @@
 void FakeServers::Connection::end_attempt() {
   server_.thread.loop().cancel(&done_);
   if (std::exchange(inside_, false)) server_.model.leave();
-  if (!request_.empty()) server_.testbench.rules_.ended(std::exchange(request_, {}));
+  if (!request_.empty()) server_.testbench.invariants_.on_attempt_end(std::exchange(request_, {}));
 }
 
 void FakeServers::Connection::on_ready(std::uint32_t events) {
@@ -328,8 +328,8 @@
   auto now = server_.now();
   auto& f = server_.figures;
   ++f.requests;
-  testbench.rules_.attempt(now, begun_, s.id, server_.id);
-  testbench.rules_.share(now, server_.set, server_.id, server_.model.speed(now));
+  testbench.invariants_.on_attempt(now, begun_, s.id, server_.id);
+  testbench.invariants_.on_request(now, server_.set, server_.id, server_.model.speed(now));
   request_ = s.id;
   Job job;
   job.kind = s.kind == pg::StatementKind::kWrite ? Kind::kWrite
@@ -361,14 +361,14 @@
     auto needed = job.kind == Kind::kBounded ? unix_now - testbench.options_.model.bound / Micros(1000)
                                              : job.after_unix_ms;
     if (position < needed)
-      testbench.rules_.breach(
-          Rule::kStale, fmt::format("request {} at {}, {} ms too old", s.id, server_.id, needed - position));
+      testbench.invariants_.record_violation(
+          Invariant::kStaleRead, fmt::format("request {} at {}, {} ms too old", s.id, server_.id, needed - position));
   }
   if (job.kind == Kind::kWrite && s.idempotency_key) {
     auto& store = server_.thread.keys.try_emplace(std::to_string(server_.set), testbench.options_.key_window)
                       .first->second;
     if (store.apply(now, std::hash<std::string_view>{}(*s.idempotency_key)) == KeyStore::Applied::kTwice)
-      testbench.rules_.breach(Rule::kKey, fmt::format("key {} at {}", *s.idempotency_key, server_.id));
+      testbench.invariants_.record_violation(Invariant::kExpiredIdempotencyKey, fmt::format("key {} at {}", *s.idempotency_key, server_.id));
   }
   if (admitted.done <= now) return answer(row(s.id), true);
   done_ = server_.thread.loop().at(admitted.done, [this] {
@@ -504,13 +504,13 @@
           "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: {}\r\n\r\n", body.size());
       auto now = net::monotonic_now();
       if (!out_.write(fd_.get(), {head, body})) return end();
-      auto& rules = owner_.lab_.rules_;
+      auto& invariants = owner_.lab_.invariants_;
       for (auto& e : list.at("instances")) {
         bool takes_work = e.at("lifecycle") == "up";
         if (node_.empty())
-          rules.told(now, e.at("instanceId"), takes_work);
+          invariants.on_listed(now, e.at("instanceId"), takes_work);
         else
-          rules.withdrawals().on_listed(now, node_, e.at("instanceId"), takes_work);
+          invariants.withdrawals().on_listed(now, node_, e.at("instanceId"), takes_work);
       }
     }
     void end() {
@@ -662,7 +662,7 @@
 // ---- the whole
 // ----------------------------------------------------------------------------------------------
 
-FakeServers::FakeServers(FakeServersOptions options) : options_(std::move(options)), rules_(options_.limits) {
+FakeServers::FakeServers(FakeServersOptions options) : options_(std::move(options)), invariants_(options_.limits) {
   std::stable_sort(options_.script.begin(), options_.script.end(),
                    [](auto& a, auto& b) { return a.at < b.at; });
   unix_ms_at(Micros(0));
@@ -893,13 +893,13 @@
                    {"too_old", f.too_old},         {"malformed", f.malformed},
                    {"connections", f.connections}, {"most_connections", f.most_connections},
                    {"opened", f.opened},           {"falls", f.falls}};
-  for (auto& b : rules_.breaches())
-    breaches.push_back({{"rule", name_of(b.rule)}, {"count", b.count}, {"first", b.first}});
+  for (auto& b : invariants_.violations())
+    breaches.push_back({{"rule", name_of(b.invariant)}, {"count", b.count}, {"first", b.first}});
   std::uint64_t calls = 0, whole = 0, refused = 0;
   discovery_->call(
       [&] { calls = discovery_->calls, whole = discovery_->whole, refused = discovery_->refused; });
   return {
-      {"servers", servers},  {"breaches", breaches},      {"drain_last_send_ms", rules_.drain_last_send_ms()},
+      {"servers", servers},  {"breaches", breaches},      {"drain_last_send_ms", invariants_.drain_last_send_ms()},
       {"list_calls", calls}, {"whole_list_calls", whole}, {"list_refused", refused}};
 }
 
--- a/src/testbench/fake_servers.h
+++ b/src/testbench/fake_servers.h
@@ -34,7 +34,7 @@
   int discovery_port = 0, steer_port = 0;  // 0: the system picks one
   std::uint64_t seed = 1;
   ModelOptions model;
-  RuleLimits limits;
+  InvariantLimits limits;
   // The list service: what a call costs it, one after another, and how many may wait; more are told 503.
   Micros list_cost{0};
   int list_cap = 0;  // 0: any number
@@ -64,7 +64,7 @@
   // Its address for one node, from 0; notices that go there are checked as the node's (WithdrawalChecker).
   std::string discovery_of(int node) const;
   std::string steering() const;  // takes a JSON object a line, answers each with one
-  RuleChecker& rules() { return rules_; }
+  InvariantChecker& invariants() { return invariants_; }
   std::vector<std::string> servers() const;
   // Carries out one action; throws std::invalid_argument for one that is unknown or names nothing known.
   void steer(const nlohmann::json& action);
@@ -92,7 +92,7 @@
   void in(const Place& place, const std::function<void()>& call) const;
 
   FakeServersOptions options_;
-  RuleChecker rules_;
+  InvariantChecker invariants_;
   std::vector<std::unique_ptr<SetThread>> threads_;
   std::unique_ptr<Discovery> discovery_;
   std::unique_ptr<Steering> steering_;
--- a/src/testbench/fault_injection/coldstart.cpp
+++ b/src/testbench/fault_injection/coldstart.cpp
@@ -101,7 +101,7 @@
       l.sets = {1, 2, 3, 4};
       l.seed = options.seed * 1000 + i;
       l.prefix = fmt::format("c{}-", i);
-      l.rules = &rig.stand_in().rules();
+      l.rules = &rig.stand_in().invariants();
       auto f = run_load(l);
       std::lock_guard lock(mutex);
       sum.add(f);
@@ -142,7 +142,7 @@
   std::uint64_t wrong = 0;
   for (auto& [id, f] : rig.stand_in().figures()) falls += f.falls, wrong += f.not_primary + f.too_old;
   double drain = -1;
-  for (auto& [name, ms] : rig.stand_in().rules().drain_last_send_ms()) drain = std::max(drain, ms);
+  for (auto& [name, ms] : rig.stand_in().invariants().drain_last_send_ms()) drain = std::max(drain, ms);
   if (!options.history.empty()) rig.history().write(options.history);
   auto grown = [&](const char* key) {
     return report.at(key).get<std::uint64_t>() - before.at(key).get<std::uint64_t>();
@@ -165,7 +165,7 @@
           {"served_share_first_30s", asked > 0 ? served / asked : 0},
           {"wrong_routes", wrong},
           {"drain_last_send_ms", drain},
-          {"rule_breaches", rig.stand_in().rules().total()},
+          {"rule_breaches", rig.stand_in().invariants().total()},
           {"breaches", report.at("breaches")}};
 }
 
--- a/src/testbench/fault_injection/experiments.cpp
+++ b/src/testbench/fault_injection/experiments.cpp
@@ -426,7 +426,7 @@
         l.warm_up = Micros(0);
         l.sets = {1, 2, 3};
         l.seed = options.seed * 1000 + i * 100 + static_cast<std::uint64_t>(n);
-        l.rules = &rig.stand_in().rules();
+        l.rules = &rig.stand_in().invariants();
         l.prefix = fmt::format("o{}-{}-", i, n);
         try {
           auto f = run_load(l);
@@ -469,7 +469,7 @@
       rig.history().add("drain", {{"server", server}});
       rig.soon([&] { return generation() > list; });
       pause_for(1500ms);
-      for (auto& [name, ms] : rig.stand_in().rules().drain_last_send_ms()) drain_ms = std::max(drain_ms, ms);
+      for (auto& [name, ms] : rig.stand_in().invariants().drain_last_send_ms()) drain_ms = std::max(drain_ms, ms);
       rig.stand_in().steer({{"do", "up"}, {"server", server}});
       rig.soon([&] { return generation() > list + 1; });
     }
@@ -512,7 +512,7 @@
           {"whole_list_calls", report.at("whole_list_calls")},
           {"probes_per_server_per_s", probes / static_cast<double>(report.at("servers").size()) / seconds},
           {"drain_last_send_ms", drain_ms},
-          {"rule_breaches", rig.stand_in().rules().total()},
+          {"rule_breaches", rig.stand_in().invariants().total()},
           {"breaches", breaches}};
 }
 
@@ -563,7 +563,7 @@
         l.warm_up = Micros(0);
         l.sets = {1, 2, 3};
         l.seed = options.seed * 1000 + i;
-        l.rules = &rig.stand_in().rules();
+        l.rules = &rig.stand_in().invariants();
         l.prefix = fmt::format("s{}-", i);
         auto f = run_load(l);
         std::lock_guard lock(mutex);
@@ -596,7 +596,7 @@
          {"probes_per_server_per_s", probes / static_cast<double>(after.at("servers").size()) / seconds},
          {"cpu_seconds_all", cpu_after - cpu_before},
          {"rss_mb_most", rss},
-         {"rule_breaches", rig.stand_in().rules().total()}});
+         {"rule_breaches", rig.stand_in().invariants().total()}});
   }
   return rows;
 }
--- a/src/testbench/fault_injection/soak.cpp
+++ b/src/testbench/fault_injection/soak.cpp
@@ -136,7 +136,7 @@
     node.name = fmt::format("n{}", i);
     node.discovery = servers.discovery_of(static_cast<int>(i));
     node.calls = i < script.calls.size() ? script.calls[i] : std::vector<PlannedCall>{};
-    node.withdrawals = &servers.rules().withdrawals();
+    node.withdrawals = &servers.invariants().withdrawals();
     node.began = began;
     node.known = servers.members();
     node.seed = script.seed;
@@ -157,7 +157,7 @@
       load.connections = kConnections;
       load.rate = kRatePerNode;
       load.length = seconds(script.seconds);
-      load.rules = &servers.rules();
+      load.rules = &servers.invariants();
       load.seed = script.seed * script.nodes.size() + i;  // no two nodes draw the same keys
       load.prefix = fmt::format("n{}c", i);
       loads[i] = run_load(load);
@@ -166,7 +166,7 @@
   }
   play_actions(servers, script, began);
   std::this_thread::sleep_until(began + seconds(script.seconds));
-  auto unused = servers.rules().withdrawals().unused_since_return(net::monotonic_now(),
+  auto unused = servers.invariants().withdrawals().unused_since_return(net::monotonic_now(),
                                                                   servers.servers().front(), kUseAfterReturn);
   crowds.clear();
   for (auto& thread : threads) thread.join();
@@ -177,9 +177,9 @@
     add_figures(nodes[i]->figures(), &result.nodes);
     judge_node(script, options, node_options[i], nodes[i]->figures(), loads[i], &result);
   }
-  for (auto& breach : servers.rules().breaches())
+  for (auto& breach : servers.invariants().violations())
     result.violations.push_back(
-        fmt::format("{} times {}, first: {}", breach.count, name_of(breach.rule), breach.first));
+        fmt::format("{} times {}, first: {}", breach.count, name_of(breach.invariant), breach.first));
   result.violations.insert(result.violations.end(), result.nodes.violations.begin(),
                            result.nodes.violations.end());
   return result;
--- a/src/testbench/fault_injection/zones.cpp
+++ b/src/testbench/fault_injection/zones.cpp
@@ -115,7 +115,7 @@
       l.warm_up = Micros(0);
       l.book = 0.05;
       l.seed = options.seed * 1000 + i + (from.count() > 0 ? 500 : 0);
-      l.rules = &rig.stand_in().rules();
+      l.rules = &rig.stand_in().invariants();
       l.prefix = fmt::format("z{}-{}-", i, from.count() > 0 ? 2 : 1);
       auto f = run_load(l);
       std::lock_guard lock(mutex);
@@ -191,7 +191,7 @@
   int falls = 0;
   for (auto& [id, f] : rig.stand_in().figures()) falls += f.falls;
   std::uint64_t stale = 0;
-  for (auto& b : rig.stand_in().rules().breaches()) stale += b.rule == Rule::kStale ? b.count : 0;
+  for (auto& b : rig.stand_in().invariants().violations()) stale += b.invariant == Invariant::kStaleRead ? b.count : 0;
   json series = json::array();
   for (auto& [at, n] : sum.series)
     series.push_back({static_cast<double>((at - faulty) * (kBin / Micros(1000))) / 1000, n.first, n.second});
@@ -214,7 +214,7 @@
       {"stale_reads", stale},
       {"refused_share", sum.asked ? static_cast<double>(sum.refused) / static_cast<double>(sum.asked) : 0},
       {"p99_ms", percentile(sum.all, 0.99) / 1000},
-      {"rule_breaches", rig.stand_in().rules().total()},
+      {"rule_breaches", rig.stand_in().invariants().total()},
       {"breaches", rig.stand_in().report().at("breaches")},
       {"series", series}};
 }
--- a/src/testbench/load.h
+++ b/src/testbench/load.h
@@ -30,7 +30,7 @@
   bool retry = true;  // comes back after a refusal, when told to, marked as a retry
   int most_retries = 3;
   std::uint64_t seed = 1;
-  RuleChecker* rules = nullptr;  // told of wrong values and of answers too many
+  InvariantChecker* rules = nullptr;  // told of wrong values and of answers too many
   std::string prefix = "c";      // of request ids: those of two loads against one daemon must differ
 };
 
--- a/tests/group/processes_test.cpp
+++ b/tests/group/processes_test.cpp
@@ -283,7 +283,7 @@
   load.connections = 4;
   load.rate = 50;
   load.length = 1s;
-  load.rules = &f->stand_in().rules();
+  load.rules = &f->stand_in().invariants();
   // A drain reaches it, though there is no owner.
   f->stand_in().steer({{"do", "drain"}, {"server", "s1-3"}});
   auto figures = run_load(load);
@@ -297,7 +297,7 @@
     if (name != one) f->start(name);
   CHECK(f.owned("list"));
   CHECK(f->soon([&] { return f->log(one).find("heard of again") != std::string::npos; }));
-  CHECK(f->stand_in().rules().breaches_in_words() == "");
+  CHECK(f->stand_in().invariants().describe_violations() == "");
 }
 
 TEST_CASE(
@@ -605,7 +605,7 @@
       l.rate = 40;
       l.length = 1s;
       l.prefix = "r" + std::to_string(i) + "-";
-      l.rules = &f->stand_in().rules();
+      l.rules = &f->stand_in().invariants();
       sum.add(run_load(l));
     }
   });
@@ -630,7 +630,7 @@
   CHECK(f.get("k") == "kept");
   CHECK(sum.served == sum.asked);
   CHECK(sum.served > 0);
-  CHECK(f->stand_in().rules().breaches_in_words() == "");
+  CHECK(f->stand_in().invariants().describe_violations() == "");
 }
 
 TEST_CASE("group: faults from a script are played in order and found in the history") {
@@ -700,7 +700,7 @@
         l.rate = 20;
         l.length = 500ms;
         l.prefix = name + "-" + std::to_string(i) + "-";
-        l.rules = &f->stand_in().rules();
+        l.rules = &f->stand_in().invariants();
         run_load(l);
       }
     });
@@ -709,7 +709,7 @@
   f->soon([&] { return net::monotonic_now() - word > 1500ms; });
   stop = true;
   for (auto& t : loads) t.join();
-  CHECK(f->stand_in().rules().breaches_in_words() == "");
+  CHECK(f->stand_in().invariants().describe_violations() == "");
   // The others come back, and the group goes on from where it was.
   f->start("n2");
   f->start("n3");
@@ -748,7 +748,7 @@
         l.rate = 40;
         l.length = 700ms;
         l.prefix = name + "-" + std::to_string(i) + "-";
-        l.rules = &f->stand_in().rules();
+        l.rules = &f->stand_in().invariants();
         auto x = run_load(l);
         asked += x.asked;
         served += x.served;
@@ -761,8 +761,8 @@
   stop = true;
   for (auto& t : loads) t.join();
   CHECK(served == asked);
-  CHECK(f->stand_in().rules().breaches_in_words() == "");
-  CHECK(f->stand_in().rules().drain_last_send_ms().at("s1-2") < 1000);
+  CHECK(f->stand_in().invariants().describe_violations() == "");
+  CHECK(f->stand_in().invariants().drain_last_send_ms().at("s1-2") < 1000);
   CHECK(f->stand_in().report().at("list_calls").get<std::uint64_t>() - calls <= 3);
   for (auto& name : f->followers()) CHECK(f->log(name).find("asks by itself") == std::string::npos);
 }
--- a/tests/group/zones_test.cpp
+++ b/tests/group/zones_test.cpp
@@ -58,7 +58,7 @@
           l.book = 0.02;
           l.seed = std::hash<std::string>{}(name) + static_cast<std::uint64_t>(i);
           l.prefix = name + "-" + std::to_string(i) + "-";
-          l.rules = &rig->stand_in().rules();
+          l.rules = &rig->stand_in().invariants();
           try {
             auto f = run_load(l);
             std::lock_guard lock(mutex);
@@ -155,7 +155,7 @@
     end_load();
     auto report = rig->stand_in().report();
     INFO(report.at("breaches").dump());
-    CHECK(rig->stand_in().rules().breaches_in_words() == "");
+    CHECK(rig->stand_in().invariants().describe_violations() == "");
     CHECK(sum.served > 0);
   }
 
--- a/tests/testbench/lab_test.cpp
+++ b/tests/testbench/lab_test.cpp
@@ -10,9 +10,9 @@
 namespace database_proxy::testbench {
 namespace {
 
-std::uint64_t count(const RuleChecker& rules, Rule rule) {
-  for (auto& b : rules.breaches())
-    if (b.rule == rule) return b.count;
+std::uint64_t count(const InvariantChecker& rules, Invariant rule) {
+  for (auto& b : rules.violations())
+    if (b.invariant == rule) return b.count;
   return 0;
 }
 
@@ -21,65 +21,65 @@
 }  // namespace
 
 TEST_CASE("rules: each breach is seen, and what is allowed is none") {
-  RuleChecker rules;
+  InvariantChecker rules;
   // Two attempts of one request, one behind the other, then at once.
-  rules.attempt(ms(1), ms(1), "a", "s1");
-  rules.ended("a");
-  rules.attempt(ms(2), ms(2), "a", "s2");
+  rules.on_attempt(ms(1), ms(1), "a", "s1");
+  rules.on_attempt_end("a");
+  rules.on_attempt(ms(2), ms(2), "a", "s2");
   CHECK(rules.total() == 0);
-  rules.attempt(ms(3), ms(3), "a", "s1");
-  CHECK(count(rules, Rule::kTwoOut) == 1);
+  rules.on_attempt(ms(3), ms(3), "a", "s1");
+  CHECK(count(rules, Invariant::kConcurrentAttempts) == 1);
   // Eight attempts are allowed, the ninth is not.
   for (int i = 0; i < 8; ++i) {
-    rules.attempt(ms(4), ms(4), "b", "s1");
-    rules.ended("b");
+    rules.on_attempt(ms(4), ms(4), "b", "s1");
+    rules.on_attempt_end("b");
   }
-  CHECK(count(rules, Rule::kTooMany) == 0);
-  rules.attempt(ms(4), ms(4), "b", "s1");
-  CHECK(count(rules, Rule::kTooMany) == 1);
+  CHECK(count(rules, Invariant::kTooManyAttempts) == 0);
+  rules.on_attempt(ms(4), ms(4), "b", "s1");
+  CHECK(count(rules, Invariant::kTooManyAttempts) == 1);
   // A drain: the first byte counts, up to the grace; up again opens.
-  rules.told(ms(1000), "s1", false);
-  rules.attempt(ms(2060), ms(2040), "c", "s1");
-  CHECK(count(rules, Rule::kDrained) == 0);
+  rules.on_listed(ms(1000), "s1", false);
+  rules.on_attempt(ms(2060), ms(2040), "c", "s1");
+  CHECK(count(rules, Invariant::kSentAfterDrain) == 0);
   CHECK(rules.drain_last_send_ms().at("s1") == Approx(1040));
-  rules.told(ms(2050), "s1", false);  // the same word again changes nothing
-  rules.attempt(ms(2070), ms(2070), "d", "s1");
-  CHECK(count(rules, Rule::kDrained) == 1);
-  rules.told(ms(2080), "s1", true);
-  rules.attempt(ms(4000), ms(4000), "e", "s1");
-  CHECK(count(rules, Rule::kDrained) == 1);
+  rules.on_listed(ms(2050), "s1", false);  // the same word again changes nothing
+  rules.on_attempt(ms(2070), ms(2070), "d", "s1");
+  CHECK(count(rules, Invariant::kSentAfterDrain) == 1);
+  rules.on_listed(ms(2080), "s1", true);
+  rules.on_attempt(ms(4000), ms(4000), "e", "s1");
+  CHECK(count(rules, Invariant::kSentAfterDrain) == 1);
 }
 
 TEST_CASE("rules: a cold member may have its multiple of what its age allows, and no more") {
   auto play = [](int cold) {
-    RuleChecker rules;
-    for (int i = 0; i < 300; ++i) rules.share(ms(i), 1, i % 2 ? "w1" : "w2", 1);
-    for (int i = 0; i < cold; ++i) rules.share(ms(i), 1, "c", 0.2);
-    rules.share(ms(1100), 1, "w1", 1);  // the window ends
-    return count(rules, Rule::kCold);
+    InvariantChecker rules;
+    for (int i = 0; i < 300; ++i) rules.on_request(ms(i), 1, i % 2 ? "w1" : "w2", 1);
+    for (int i = 0; i < cold; ++i) rules.on_request(ms(i), 1, "c", 0.2);
+    rules.on_request(ms(1100), 1, "w1", 1);  // the window ends
+    return count(rules, Invariant::kSlowStartOverload);
   };
   // Before any cold member is seen nothing is counted: the first 300 are, once one is.
-  RuleChecker rules;
-  rules.share(ms(0), 1, "c", 0.2);
-  for (int i = 0; i < 300; ++i) rules.share(ms(i), 1, i % 2 ? "w1" : "w2", 1);
-  for (int i = 0; i < 80; ++i) rules.share(ms(i), 1, "c", 0.2);
-  rules.share(ms(1100), 1, "w1", 1);
-  CHECK(count(rules, Rule::kCold) == 0);  // 81 of an equal 150: within 3 times 0.2
-  for (int i = 0; i < 300; ++i) rules.share(ms(1200 + i), 1, i % 2 ? "w1" : "w2", 1);
-  for (int i = 0; i < 120; ++i) rules.share(ms(1200 + i), 1, "c", 0.2);
-  rules.share(ms(2300), 1, "w1", 1);
-  CHECK(count(rules, Rule::kCold) == 1);
+  InvariantChecker rules;
+  rules.on_request(ms(0), 1, "c", 0.2);
+  for (int i = 0; i < 300; ++i) rules.on_request(ms(i), 1, i % 2 ? "w1" : "w2", 1);
+  for (int i = 0; i < 80; ++i) rules.on_request(ms(i), 1, "c", 0.2);
+  rules.on_request(ms(1100), 1, "w1", 1);
+  CHECK(count(rules, Invariant::kSlowStartOverload) == 0);  // 81 of an equal 150: within 3 times 0.2
+  for (int i = 0; i < 300; ++i) rules.on_request(ms(1200 + i), 1, i % 2 ? "w1" : "w2", 1);
+  for (int i = 0; i < 120; ++i) rules.on_request(ms(1200 + i), 1, "c", 0.2);
+  rules.on_request(ms(2300), 1, "w1", 1);
+  CHECK(count(rules, Invariant::kSlowStartOverload) == 1);
   CHECK(play(0) == 0);
 }
 
 TEST_CASE("rules: few requests at a cold member are judged too, with the slack that few are allowed") {
   auto breaches = [](int cold) {
-    RuleChecker rules;
-    rules.share(ms(0), 1, "c", 0.2);
-    for (int i = 0; i < 40; ++i) rules.share(ms(i), 1, i % 2 ? "w1" : "w2", 1);
-    for (int i = 1; i < cold; ++i) rules.share(ms(i), 1, "c", 0.2);
-    rules.share(ms(1100), 1, "w1", 1);
-    return count(rules, Rule::kCold);
+    InvariantChecker rules;
+    rules.on_request(ms(0), 1, "c", 0.2);
+    for (int i = 0; i < 40; ++i) rules.on_request(ms(i), 1, i % 2 ? "w1" : "w2", 1);
+    for (int i = 1; i < cold; ++i) rules.on_request(ms(i), 1, "c", 0.2);
+    rules.on_request(ms(1100), 1, "w1", 1);
+    return count(rules, Invariant::kSlowStartOverload);
   };
   CHECK(breaches(25) == 0);  // 3 times 0.2 of 20 are 12, with 3 times the root and 3 more 25.4
   CHECK(breaches(26) == 1);
@@ -87,13 +87,13 @@
 
 TEST_CASE("rules: where the usual load is known, a cold member's part is of that, whoever else is out") {
   auto breaches = [](int cold, int warm) {
-    RuleLimits limits;
+    InvariantLimits limits;
     limits.slow_start.usual_rate = 150;
-    RuleChecker rules(limits);
-    for (int i = 0; i < cold; ++i) rules.share(ms(i), 1, "c", 0.2);
-    for (int i = 0; i < warm; ++i) rules.share(ms(i), 1, "w", 1);
-    rules.share(ms(1100), 1, "w", 1);
-    return count(rules, Rule::kCold);
+    InvariantChecker rules(limits);
+    for (int i = 0; i < cold; ++i) rules.on_request(ms(i), 1, "c", 0.2);
+    for (int i = 0; i < warm; ++i) rules.on_request(ms(i), 1, "w", 1);
+    rules.on_request(ms(1100), 1, "w", 1);
+    return count(rules, Invariant::kSlowStartOverload);
   };
   CHECK(breaches(110, 10) == 0);  // 3 times 0.2 of 150 are 90, with twice the root and 2 more 111
   CHECK(breaches(112, 10) == 1);
@@ -154,15 +154,15 @@
            " */";
   };
   CHECK(replica.query(sql("a", "")).value == "a");
-  CHECK(stand_in.rules().breaches_in_words() == "");
+  CHECK(stand_in.invariants().describe_violations() == "");
   CHECK(replica.query(sql("b", ",after=" + std::to_string(test::unix_ms() + 5000))).row);
-  CHECK(count(stand_in.rules(), Rule::kStale) == 1);
+  CHECK(count(stand_in.invariants(), Invariant::kStaleRead) == 1);
   CHECK(primary.query(test::write_sql("w1")).row);
   CHECK(primary.query(test::write_sql("w2")).row);  // the same key within its window
-  CHECK(count(stand_in.rules(), Rule::kKey) == 0);
+  CHECK(count(stand_in.invariants(), Invariant::kExpiredIdempotencyKey) == 0);
   std::this_thread::sleep_for(std::chrono::milliseconds(80));
   CHECK(primary.query(test::write_sql("w3")).row);
-  CHECK(count(stand_in.rules(), Rule::kKey) == 1);
+  CHECK(count(stand_in.invariants(), Invariant::kExpiredIdempotencyKey) == 1);
   CHECK(replica.query(test::write_sql("w4")).code == "25006");
   CHECK(replica.query("DROP TABLE kv").code == "08P01");
   CHECK_THROWS_WITH(stand_in.steer({{"do", "explode"}}), Catch::Contains("explode"));
@@ -250,11 +250,11 @@
     load.prefix = prefix;
     CHECK(run_load(load).served > 0);
   }
-  CHECK(stand_in.rules().breaches_in_words() == "");
+  CHECK(stand_in.invariants().describe_violations() == "");
 }
 
 TEST_CASE("load: a value of another request is a breach, percentiles and medians are right") {
-  RuleChecker rules;
+  InvariantChecker rules;
   test::ProxyFixture rig;
   rig.primary.reply =
       rig.replica.reply = [](const std::string&) { return test::Reply{}; };  // "value", never the id
@@ -266,7 +266,7 @@
   load.rules = &rules;
   auto figures = run_load(load);
   CHECK(figures.served > 0);
-  CHECK(count(rules, Rule::kWrongValue) >= figures.served);
+  CHECK(count(rules, Invariant::kWrongValue) >= figures.served);
   auto h = make_latencies();
   for (int i = 1; i <= 1000; ++i) h(i);
   CHECK(percentile(h, 0.5) == Approx(500).epsilon(0.02));
--- a/tests/testbench/process_test.cpp
+++ b/tests/testbench/process_test.cpp
@@ -46,7 +46,7 @@
     load.connections = 16;
     load.depth = 4;
     load.length = Micros(1'500'000);
-    load.rules = &stand_in.rules();
+    load.rules = &stand_in.invariants();
     std::thread signals([&] {
       for (int i = 0; i < 10; ++i) {
         std::this_thread::sleep_for(std::chrono::milliseconds(40));
@@ -67,7 +67,7 @@
     INFO(log);
     CHECK(figures.served > 100);
     CHECK(figures.failed == 0);
-    CHECK(stand_in.rules().breaches_in_words() == "");
+    CHECK(stand_in.invariants().describe_violations() == "");
     CHECK(times(log, "configuration read again") >= 2);
     CHECK(times(log, "differs in the operator's file") >= 1);
     CHECK(times(log, "workers.count: Value type not permitted") >= 1);
--- a/tests/upgrade/call_faults_test.cpp
+++ b/tests/upgrade/call_faults_test.cpp
@@ -37,7 +37,7 @@
   auto figures = node.run_load(std::chrono::milliseconds(1500));
   CHECK(figures.served > 5000);
   CHECK(figures.failed + figures.unanswered == 0);
-  CHECK(node.servers.rules().breaches_in_words() == "");
+  CHECK(node.servers.invariants().describe_violations() == "");
 }
 
 TEST_CASE("calls: a start that meets temporary errors is retried until the process serves") {
@@ -166,7 +166,7 @@
     INFO(static_cast<int>(fault));
     CHECK(figures.served > 1000);
     CHECK(figures.unanswered == 0);
-    CHECK(node.servers.rules().breaches_in_words() == "");
+    CHECK(node.servers.invariants().describe_violations() == "");
   }
 }
 
@@ -192,7 +192,7 @@
       INFO(offset << " " << is_stepped_later << " served " << figures.served);
       CHECK(figures.served > 1000);
       CHECK(figures.failed + figures.unanswered == 0);
-      CHECK(node.servers.rules().breaches_in_words() == "");
+      CHECK(node.servers.invariants().describe_violations() == "");
     }
   }
 }
--- a/tests/upgrade/node.h
+++ b/tests/upgrade/node.h
@@ -66,7 +66,7 @@
     testbench::LoadOptions options;
     options.target = *net::parse_address(fmt::format("127.0.0.1:{}", port()));
     options.length = length;
-    options.rules = &servers.rules();
+    options.rules = &servers.invariants();
     return options;
   }
 
--- a/tests/upgrade/upgrade_test.cpp
+++ b/tests/upgrade/upgrade_test.cpp
@@ -99,7 +99,7 @@
     CHECK(figures.served > 1500);
     CHECK(figures.failed == 0);
     CHECK(figures.unanswered == 0);
-    CHECK(node.servers.rules().breaches_in_words() == "");
+    CHECK(node.servers.invariants().describe_violations() == "");
   }
 }
 
@@ -235,7 +235,7 @@
       return third->operator_call("uncordon " + victim, kCallTimeout) == "YES it was not cordoned\n";
     }));
     CHECK(eventually([&] { return requests_during(node, victim, [&] { send_reads(node, 50); }) > 0; }));
-    CHECK(node.servers.rules().breaches_in_words() == "");
+    CHECK(node.servers.invariants().describe_violations() == "");
   }
 }
 
--- a/tests/workers/worker_pool_test.cpp
+++ b/tests/workers/worker_pool_test.cpp
@@ -460,7 +460,7 @@
     load.connections = 24;
     load.depth = 4;
     load.length = testbench::Micros(1'200'000);
-    load.rules = &fake_servers.rules();
+    load.rules = &fake_servers.invariants();
     std::thread steering([&] {
       std::this_thread::sleep_for(400ms);
       fake_servers.steer({{"do", "drain"}, {"server", "s1-2"}});
@@ -469,8 +469,8 @@
     steering.join();
     CHECK(figures.served > 100);
     CHECK(figures.failed == 0);
-    for (auto& b : fake_servers.rules().breaches()) FAIL_CHECK(testbench::name_of(b.rule) << ": " << b.first);
-    auto last = fake_servers.rules().drain_last_send_ms();
+    for (auto& b : fake_servers.invariants().violations()) FAIL_CHECK(testbench::name_of(b.invariant) << ": " << b.first);
+    auto last = fake_servers.invariants().drain_last_send_ms();
     REQUIRE(last.count("s1-2"));
     CHECK(last["s1-2"] < 1000);  // the rule's limit; the objective itself is measured, not tested
   }
@@ -493,7 +493,7 @@
   load.rate = 1500;
   load.length = testbench::Micros(3'500'000);
   load.book = 0;
-  load.rules = &fake_servers.rules();
+  load.rules = &fake_servers.invariants();
   std::thread steering([&] {
     std::this_thread::sleep_for(300ms);
     fake_servers.steer({{"do", "add"}, {"set", 1}});
@@ -501,7 +501,7 @@
   auto figures = testbench::run_load(load);
   steering.join();
   CHECK(figures.served > 2000);
-  for (auto& b : fake_servers.rules().breaches()) FAIL_CHECK(testbench::name_of(b.rule) << ": " << b.first);
+  for (auto& b : fake_servers.invariants().violations()) FAIL_CHECK(testbench::name_of(b.invariant) << ": " << b.first);
   CHECK(fake_servers.figures()["s1-5"].requests > 0);
 }
 
