--- a/src/testbench/commands.cpp
+++ b/src/testbench/commands.cpp
@@ -95,7 +95,7 @@
     sigwait(&set, &number);
   }
   std::cout << testbench.report().dump(1) << "\n";
-  return testbench.rules().total() == 0 ? 0 : 2;
+  return testbench.invariants().total() == 0 ? 0 : 2;
 }
 
 // One request, in plain words: for a first look, and for scripts.
--- a/src/testbench/fake_servers.cpp
+++ b/src/testbench/fake_servers.cpp
@@ -109,12 +109,12 @@
   o.model.cores = number(j, "cores", o.model.cores, 1, 1024);
   o.model.service_us = number(j, "service_us", o.model.service_us, 0, 1e7);
   o.model.write_factor = number(j, "write_factor", o.model.write_factor, 0, 1000);
-  o.model.spread = number(j, "spread", o.model.spread, 0, 10);
+  o.model.service_variation = number(j, "spread", o.model.service_variation, 0, 10);
   o.model.lag = millis(j, "lag_ms", o.model.lag);
-  o.model.bound = millis(j, "bound_ms", o.model.bound);
+  o.model.staleness_bound = millis(j, "bound_ms", o.model.staleness_bound);
   o.model.warm_up = millis(j, "warm_up_ms", o.model.warm_up);
-  o.model.cold_share = number(j, "cold_share", o.model.cold_share, 0.01, 1);
-  o.model.check_age = j.value("check_age", o.model.check_age);
+  o.model.initial_speed = number(j, "cold_share", o.model.initial_speed, 0.01, 1);
+  o.model.check_staleness = j.value("check_age", o.model.check_staleness);
   o.zones = j.value("zones", o.zones);
   o.cpus = j.value("cpus", o.cpus);
   if (o.zones.empty()) throw std::invalid_argument("zones is empty");
@@ -132,7 +132,7 @@
  public:
   explicit SetThread(int cpu) : LoopThread(cpu, [this] { closed.clear(); }) {}
   std::vector<std::unique_ptr<net::Handler>> closed;  // until the end of the turn in which they were
-  std::unordered_map<std::string, KeyStore> keys;     // by set
+  std::unordered_map<std::string, IdempotencyKeyStore> keys;     // by set
 };
 
 class FakeServers::Connection : public net::Handler {
@@ -252,7 +252,7 @@
 // is in the model already.
 void FakeServers::Connection::end_attempt() {
   server_.thread.loop().cancel(&done_);
-  if (std::exchange(inside_, false)) server_.model.leave();
+  if (std::exchange(inside_, false)) server_.model.complete();
   if (!request_.empty()) server_.testbench.invariants_.on_attempt_end(std::exchange(request_, {}));
 }
 
@@ -262,7 +262,7 @@
   auto before = in_.view().size();
   auto end = in_.fill(fd_.get(), kReadCap);
   if (before == 0 && !in_.view().empty()) begun_ = server_.now();
-  if (server_.model.life() != Life::kSilent) take();
+  if (server_.model.state() != ServerState::kUnresponsive) take();
   if (fd_ && net::is_disconnected(end)) close();
 }
 
@@ -303,7 +303,7 @@
     auto& m = server_.model;
     auto usage =
         fmt::format("x0={:.3f},x1={},rif={}", static_cast<double>(m.position(server_.unix_ms())) / 1000,
-                    m.primary() ? 1 : 0, m.inside());
+                    m.primary() ? 1 : 0, m.in_flight());
     return answer(row(text == "SELECT 1" ? "1" : usage), false);
   }
   auto statement = pg::parse_statement(text);
@@ -331,49 +331,49 @@
   testbench.invariants_.on_attempt(now, begun_, s.id, server_.id);
   testbench.invariants_.on_request(now, server_.set, server_.id, server_.model.speed(now));
   request_ = s.id;
-  Job job;
-  job.kind = s.kind == pg::StatementKind::kWrite ? Kind::kWrite
-             : s.request_class == "browse"       ? Kind::kBounded
-                                                 : Kind::kOwn;
-  job.after_unix_ms = s.after_unix_ms.value_or(0);
+  ModelRequest model_request;
+  model_request.kind = s.kind == pg::StatementKind::kWrite ? RequestKind::kWrite
+             : s.request_class == "browse"       ? RequestKind::kBoundedStaleness
+                                                 : RequestKind::kReadYourWrites;
+  model_request.after_unix_ms = s.after_unix_ms.value_or(0);
   auto unix_now = server_.unix_ms();
-  auto admitted = server_.model.arrive(now, unix_now, job);
-  switch (admitted.verdict) {
-    case Verdict::kRun:
+  auto admitted = server_.model.admit(now, unix_now, model_request);
+  switch (admitted.result) {
+    case AdmissionResult::kRun:
       break;
-    case Verdict::kRejected:
+    case AdmissionResult::kRejected:
       ++f.turned_away;
       return error("53300");
-    case Verdict::kNotPrimary:
+    case AdmissionResult::kNotPrimary:
       ++f.not_primary;
       return error("25006");
-    case Verdict::kTooOld:
+    case AdmissionResult::kTooOld:
       ++f.too_old;
       return error("72000");
-    case Verdict::kFailed:
+    case AdmissionResult::kFailed:
       return error("XX000");
-    case Verdict::kNever:
+    case AdmissionResult::kNoAnswer:
       return;
   }
   inside_ = true;
   auto position = server_.model.position(unix_now);
-  if (!server_.model.primary() && job.kind != Kind::kWrite) {
-    auto needed = job.kind == Kind::kBounded ? unix_now - testbench.options_.model.bound / Micros(1000)
-                                             : job.after_unix_ms;
+  if (!server_.model.primary() && model_request.kind != RequestKind::kWrite) {
+    auto needed = model_request.kind == RequestKind::kBoundedStaleness ? unix_now - testbench.options_.model.staleness_bound / Micros(1000)
+                                             : model_request.after_unix_ms;
     if (position < needed)
       testbench.invariants_.record_violation(
           Invariant::kStaleRead, fmt::format("request {} at {}, {} ms too old", s.id, server_.id, needed - position));
   }
-  if (job.kind == Kind::kWrite && s.idempotency_key) {
+  if (model_request.kind == RequestKind::kWrite && s.idempotency_key) {
     auto& store = server_.thread.keys.try_emplace(std::to_string(server_.set), testbench.options_.key_window)
                       .first->second;
-    if (store.apply(now, std::hash<std::string_view>{}(*s.idempotency_key)) == KeyStore::Applied::kTwice)
+    if (store.apply(now, std::hash<std::string_view>{}(*s.idempotency_key)) == IdempotencyKeyStore::Applied::kTwice)
       testbench.invariants_.record_violation(Invariant::kExpiredIdempotencyKey, fmt::format("key {} at {}", *s.idempotency_key, server_.id));
   }
   if (admitted.done <= now) return answer(row(s.id), true);
   done_ = server_.thread.loop().at(admitted.done, [this] {
     done_ = net::Loop::kNoTimer;
-    if (server_.model.life() == Life::kSilent) return;
+    if (server_.model.state() == ServerState::kUnresponsive) return;
     answer(row(std::string(request_)), true);
     if (fd_) take();
   });
@@ -763,9 +763,9 @@
   }
   std::lock_guard lock(mutex_);
   auto what = action.value("do", "");
-  auto life = [&](Life to) {
+  auto life = [&](ServerState to) {
     auto& p = place(action);
-    in(p, [&] { p.server->model.set_life(to); });
+    in(p, [&] { p.server->model.set_state(to); });
   };
   auto listed = [&](const std::string& id, const std::string& lifecycle,
                     std::optional<std::int64_t> started = {}) {
@@ -781,9 +781,9 @@
     place(action);
     listed(id, "draining");
   } else if (what == "refuse") {
-    life(Life::kDraining);
+    life(ServerState::kDraining);
   } else if (what == "up") {
-    life(Life::kUp);
+    life(ServerState::kUp);
     listed(id, "up");
   } else if (what == "list-up") {  // the end of a drain; its life stays as it is
     place(action);
@@ -794,29 +794,29 @@
   } else if (what == "kill") {
     auto& p = place(action);
     in(p, [&] {
-      p.server->model.set_life(Life::kDown);
+      p.server->model.set_state(ServerState::kDown);
       p.server->shut();
     });
   } else if (what == "start") {  // after a kill: cold, at the same address
     auto& p = place(action);
     in(p, [&] {
-      p.server->model.set_life(Life::kUp);
+      p.server->model.set_state(ServerState::kUp);
       p.server->model.restart(p.server->now());
       p.server->listen(p.server->port);
     });
     listed(id, "up", unix_ms_at(net::monotonic_now()));
   } else if (what == "silence") {
-    life(Life::kSilent);
+    life(ServerState::kUnresponsive);
   } else if (what == "speak") {
-    life(Life::kUp);
+    life(ServerState::kUp);
   } else if (what == "slow") {
     auto& p = place(action);
     auto times = number(action, "times", 1.0, 0.01, 1e4);
-    in(p, [&] { p.server->model.set_slow(times); });
+    in(p, [&] { p.server->model.set_slowdown(times); });
   } else if (what == "fail") {
     auto& p = place(action);
     auto share = number(action, "share", 0.0, 0, 1);
-    in(p, [&] { p.server->model.set_failing(share); });
+    in(p, [&] { p.server->model.set_failure_rate(share); });
   } else if (what == "lag") {
     auto& p = place(action);
     auto lag = millis(action, "ms", Micros(0));
@@ -858,7 +858,7 @@
   for (auto& [id, p] : places_)
     in(p, [&, id = id, server = p.server] {
       all[id] = server->figures;
-      all[id].falls = server->model.falls();
+      all[id].falls = server->model.overloads();
     });
   return all;
 }
--- a/src/testbench/fault_injection/coldstart.cpp
+++ b/src/testbench/fault_injection/coldstart.cpp
@@ -45,7 +45,7 @@
   o.stand_in.model.cores = 2;
   o.stand_in.model.service_us = 1000;
   o.stand_in.model.warm_up = kWarmUp;
-  o.stand_in.model.fall_inside = 100;
+  o.stand_in.model.overload_in_flight = 100;
   o.settings = {{"Guarantees", {{"WarmUpMs", static_cast<double>(kWarmUp.count()) / 1000}}}};
   o.start = false;
   Rig rig(o);
--- a/src/testbench/fault_injection/experiments.cpp
+++ b/src/testbench/fault_injection/experiments.cpp
@@ -532,7 +532,7 @@
     o.stand_in.threads = 2;
     // Data servers that do not say whether a read was too old: only positions do, and probes bring them.
     if (options.lag_ms > 0) {
-      o.stand_in.model.check_age = false;
+      o.stand_in.model.check_staleness = false;
       o.stand_in.model.lag = Micros(options.lag_ms * 1000);
       o.settings = {{"FamilyInfo", {{"Behind", "off"}, {"Positions", false}}}};
     }
--- a/src/testbench/fault_injection/zones.cpp
+++ b/src/testbench/fault_injection/zones.cpp
@@ -81,9 +81,9 @@
   o.stand_in.seed = options.seed;
   o.stand_in.model.cores = 1;
   o.stand_in.model.service_us = kServiceUs;
-  o.stand_in.model.queue = 200;
+  o.stand_in.model.max_in_flight = 200;
   o.stand_in.model.warm_up = kWarmUp;
-  o.stand_in.model.fall_inside = 80;
+  o.stand_in.model.overload_in_flight = 80;
   o.settings = {{"Guarantees", {{"WarmUpMs", static_cast<double>(kWarmUp.count()) / 1000}}}};
   Rig rig(o);
   if (!rig.soon([&] {
--- a/src/testbench/rules.cpp
+++ b/src/testbench/rules.cpp
@@ -44,7 +44,7 @@
 }
 
 bool InvariantChecker::was_attempted(std::string_view request) {
-  auto& s = shard(request);
+  auto& s = stripe_of(request);
   std::lock_guard lock(s.mutex);
   std::string id(request);
   return s.recent.contains(id) || s.older.contains(id);
@@ -54,7 +54,7 @@
   bool is_concurrent = false;
   int attempts = 0;
   {
-    auto& s = shard(request);
+    auto& s = stripe_of(request);
     std::lock_guard lock(s.mutex);
     if (now - s.rotated_at > kRetention) {
       s.older = std::exchange(s.recent, {});
@@ -87,7 +87,7 @@
 }
 
 void InvariantChecker::on_attempt_end(std::string_view request) {
-  auto& s = shard(request);
+  auto& s = stripe_of(request);
   std::lock_guard lock(s.mutex);
   std::string id(request);
   auto it = s.recent.find(id);
--- a/src/testbench/rules.h
+++ b/src/testbench/rules.h
@@ -66,7 +66,7 @@
   struct RequestState {
     int attempts = 0, in_flight = 0;
   };
-  struct Shard {
+  struct LockStripe {
     std::mutex mutex;
     std::unordered_map<std::string, RequestState> recent, older;
     Micros rotated_at{0};
@@ -76,13 +76,13 @@
     bool takes_work = true;
     Micros last_attempt{-1};
   };
-  Shard& shard(std::string_view request) { return shards_[std::hash<std::string_view>{}(request) % kShards]; }
+  LockStripe& stripe_of(std::string_view request) { return stripes_[std::hash<std::string_view>{}(request) % kStripes]; }
 
-  static constexpr std::size_t kShards = 64;
+  static constexpr std::size_t kStripes = 64;
   InvariantLimits limits_;
   WithdrawalChecker withdrawals_;
   SlowStartChecker slow_start_;
-  std::array<Shard, kShards> shards_;
+  std::array<LockStripe, kStripes> stripes_;
   mutable std::mutex mutex_;  // of what follows
   std::unordered_map<std::string, ListedState> listed_states_;
   std::map<Invariant, Violation> violations_;
--- a/tests/group/zones_test.cpp
+++ b/tests/group/zones_test.cpp
@@ -352,7 +352,7 @@
 }
 
 TEST_CASE("zones: two lost in turn, the second while the first returns cold, and no cold server falls") {
-  Zones z([](RigOptions& o) { o.stand_in.model.fall_inside = 40; });
+  Zones z([](RigOptions& o) { o.stand_in.model.overload_in_flight = 40; });
   z.load(20);
   REQUIRE(z.ready());
   z.servers("kill", "b");
--- a/tests/testbench/lab_test.cpp
+++ b/tests/testbench/lab_test.cpp
@@ -106,33 +106,33 @@
   o.lag = ms(50);
   o.cores = 2;
   o.service_us = 1000;
-  o.spread = 0;
+  o.service_variation = 0;
   ServerModel primary(o, 1, true), replica(o, 2, false);
   CHECK(primary.position(10'000) == 10'000);
   CHECK(replica.position(10'000) == 9'950);
-  Job write{Kind::kWrite, 0}, browse{Kind::kBounded, 0}, own{Kind::kOwn, 9'990};
-  CHECK(replica.arrive(ms(1), 10'000, write).verdict == Verdict::kNotPrimary);
-  CHECK(replica.arrive(ms(1), 10'000, own).verdict == Verdict::kTooOld);
-  CHECK(replica.arrive(ms(1), 10'040, own).verdict == Verdict::kRun);
+  ModelRequest write{RequestKind::kWrite, 0}, browse{RequestKind::kBoundedStaleness, 0}, own{RequestKind::kReadYourWrites, 9'990};
+  CHECK(replica.admit(ms(1), 10'000, write).result == AdmissionResult::kNotPrimary);
+  CHECK(replica.admit(ms(1), 10'000, own).result == AdmissionResult::kTooOld);
+  CHECK(replica.admit(ms(1), 10'040, own).result == AdmissionResult::kRun);
   replica.set_lag(ms(400), 10'050);
   CHECK(replica.position(10'060) == 10'000);  // what was applied stays
-  CHECK(replica.arrive(ms(1), 10'301, browse).verdict == Verdict::kTooOld);
+  CHECK(replica.admit(ms(1), 10'301, browse).result == AdmissionResult::kTooOld);
   // Two cores: the third waits for the first to end.
-  CHECK(primary.arrive(ms(10), 0, browse).done == ms(11));
-  CHECK(primary.arrive(ms(10), 0, browse).done == ms(11));
-  CHECK(primary.arrive(ms(10), 0, browse).done == ms(12));
+  CHECK(primary.admit(ms(10), 0, browse).done == ms(11));
+  CHECK(primary.admit(ms(10), 0, browse).done == ms(11));
+  CHECK(primary.admit(ms(10), 0, browse).done == ms(12));
   primary.restart(ms(20));
   CHECK(primary.speed(ms(20)) == Approx(0.17));
-  CHECK(primary.arrive(ms(20), 0, browse).done > ms(25));
+  CHECK(primary.admit(ms(20), 0, browse).done > ms(25));
   CHECK(primary.speed(ms(20) + o.warm_up) == Approx(1));
-  primary.set_life(Life::kDraining);
-  CHECK(primary.arrive(ms(30), 0, browse).verdict == Verdict::kRejected);
-  primary.set_life(Life::kSilent);
-  CHECK(primary.arrive(ms(30), 0, browse).verdict == Verdict::kNever);
-  KeyStore keys(ms(5000));
-  CHECK(keys.apply(ms(0), 7) == KeyStore::Applied::kFirst);
-  CHECK(keys.apply(ms(5000), 7) == KeyStore::Applied::kRepeat);
-  CHECK(keys.apply(ms(5001), 7) == KeyStore::Applied::kTwice);
+  primary.set_state(ServerState::kDraining);
+  CHECK(primary.admit(ms(30), 0, browse).result == AdmissionResult::kRejected);
+  primary.set_state(ServerState::kUnresponsive);
+  CHECK(primary.admit(ms(30), 0, browse).result == AdmissionResult::kNoAnswer);
+  IdempotencyKeyStore keys(ms(5000));
+  CHECK(keys.apply(ms(0), 7) == IdempotencyKeyStore::Applied::kFirst);
+  CHECK(keys.apply(ms(5000), 7) == IdempotencyKeyStore::Applied::kRepeat);
+  CHECK(keys.apply(ms(5001), 7) == IdempotencyKeyStore::Applied::kTwice);
 }
 
 TEST_CASE(
@@ -140,7 +140,7 @@
   FakeServersOptions o;
   o.replicas = 1;
   o.key_window = ms(50);
-  o.model.check_age = false;
+  o.model.check_staleness = false;
   FakeServers stand_in(o);
   auto members = stand_in.members();
   REQUIRE(members.at("instances").size() == 2);
--- a/tests/upgrade/cordon_test.cpp
+++ b/tests/upgrade/cordon_test.cpp
@@ -191,7 +191,7 @@
 TEST_CASE("upgrade: a session's read at the successor sees what it wrote at the predecessor") {
   FakeServersOptions servers_options;
   servers_options.model.lag = testbench::Micros(8'000'000);
-  servers_options.model.check_age = false;
+  servers_options.model.check_staleness = false;
   Node node(servers_options);
   auto start = [&] {
     auto options = node.options();
--- a/tests/upgrade/upgrade_test.cpp
+++ b/tests/upgrade/upgrade_test.cpp
@@ -367,7 +367,7 @@
       INFO("workers " << workers << ", folder " << has_folder);
       FakeServersOptions servers_options;
       servers_options.model.service_us = 100'000;
-      servers_options.model.spread = 0;
+      servers_options.model.service_variation = 0;
       servers_options.model.write_factor = 6;
       Node node(servers_options);
       auto start = [&] {
--- a/tests/workers/worker_pool_test.cpp
+++ b/tests/workers/worker_pool_test.cpp
@@ -482,7 +482,7 @@
   servers.seed = 4;
   servers.model.cores = 1;
   servers.model.service_us = 1000;
-  servers.model.cold_share = 0.5;
+  servers.model.initial_speed = 0.5;
   testbench::FakeServers fake_servers(servers);
   auto config = app::parse_config(config_text(fake_servers.discovery(), fake_servers.members().dump()));
   config.sockets = 600;
