--- a/src/testbench/commands.cpp
+++ b/src/testbench/commands.cpp
@@ -84,7 +84,7 @@
                         .dump(1) +
                     "\n");
   std::cout << fmt::format("discovery {}\nsteering {}\nservers {}\n", testbench.discovery(),
-                           testbench.steering(), fmt::join(testbench.servers(), " "))
+                           testbench.control_address(), fmt::join(testbench.servers(), " "))
             << std::flush;
   auto seconds = (*given)["seconds"].as<double>();
   if (seconds > 0) {
@@ -223,7 +223,7 @@
 
 int cores(const Arguments& arguments) {
   po::options_description o;
-  o.add_options()("program", po::value<std::string>()->default_value(daemon_beside()), "the daemon")(
+  o.add_options()("program", po::value<std::string>()->default_value(daemon_path()), "the daemon")(
       "baseline", po::value<std::string>()->default_value(""), "an earlier build, measured beside it")(
       "quick", "one short round: ends within 50 s")("rounds", po::value<int>()->default_value(5), "rounds")(
       "seconds", po::value<double>()->default_value(3), "of each measurement")(
--- a/src/testbench/cores.cpp
+++ b/src/testbench/cores.cpp
@@ -65,7 +65,7 @@
   auto most = *std::max_element(o.workers.begin(), o.workers.end());
   auto layout = lay_out(o.cpus, way.workers, way.decisions == "shared", most);
   FakeServersOptions servers;
-  servers.sets = o.sets;
+  servers.shard_groups = o.sets;
   servers.replicas = o.replicas;
   servers.threads = static_cast<int>(layout.stand_in.size());
   servers.cpus = layout.stand_in;
@@ -101,7 +101,7 @@
 
   // Beside the load: what the daemon and the rig used from the warm-up to the end, and a drain in the middle.
   ProcessUnderTest::Usage before, after;
-  std::map<std::string, ServerFigures> servers_before, servers_after;
+  std::map<std::string, ServerCounters> servers_before, servers_after;
   std::vector<double> rig_before, rig_after;
   Stolen stolen;
   double stolen_share = 0;
@@ -113,17 +113,17 @@
     stolen.since_last();
     before = daemon.usage();
     rig_before = stand_in.thread_cpu_seconds();
-    servers_before = stand_in.figures();
+    servers_before = stand_in.counters();
     std::this_thread::sleep_for(seconds(o.seconds * 0.95));
     after = daemon.usage();
     rig_after = stand_in.thread_cpu_seconds();
-    servers_after = stand_in.figures();
+    servers_after = stand_in.counters();
     stolen_share = stolen.since_last();
     ended = std::chrono::steady_clock::now();
   });
   std::thread drainer([&] {
     std::this_thread::sleep_for(std::chrono::duration<double>(o.warm_up + o.seconds * 0.5));
-    stand_in.steer({{"do", "drain"}, {"server", "s1-2"}});
+    stand_in.control({{"do", "drain"}, {"server", "s1-2"}});
   });
   auto figures = run_load(load);
   observer.join();
@@ -133,7 +133,7 @@
   for (auto& [id, f] : servers_after) {
     requests += static_cast<double>(f.requests - servers_before[id].requests);
     probes += static_cast<double>(f.probes - servers_before[id].probes);
-    connections += f.most_connections;
+    connections += f.max_connections;
   }
   auto count = static_cast<double>(servers_after.size());
   double cpu = after.cpu_seconds - before.cpu_seconds;
--- a/src/testbench/fake_servers.cpp
+++ b/src/testbench/fake_servers.cpp
@@ -23,54 +23,54 @@
 
 using nlohmann::json;
 
-constexpr std::size_t kLongestMessage = 192 * 1024, kReadCap = 2 * kLongestMessage;
-constexpr Micros kLongestWatch{60'000'000};
+constexpr std::size_t kMaxMessageBytes = 192 * 1024, kReadLimitBytes = 2 * kMaxMessageBytes;
+constexpr Micros kMaxWatchDuration{60'000'000};
 
 std::int64_t unix_ms_at(Micros now) {
-  static const Micros distance = [] {
+  static const Micros offset = [] {
     auto wall = std::chrono::duration_cast<Micros>(std::chrono::system_clock::now().time_since_epoch());
     return wall - net::monotonic_now();
   }();
-  return (now + distance) / Micros(1000);
+  return (now + offset) / Micros(1000);
 }
 
-void big_endian(std::string& out, std::size_t value, int bytes) {
+void append_big_endian(std::string& out, std::size_t value, int bytes) {
   for (int shift = 8 * (bytes - 1); shift >= 0; shift -= 8)
     out.push_back(static_cast<char>(value >> shift & 0xff));
 }
 
-void message(std::string& out, char type, std::string_view body) {
+void append_message(std::string& out, char type, std::string_view body) {
   out.push_back(type);
-  big_endian(out, body.size() + 4, 4);
+  append_big_endian(out, body.size() + 4, 4);
   out.append(body);
 }
 
 // RowDescription of one bytea column, DataRow, CommandComplete.
-std::string row(std::string_view value) {
+std::string row_response(std::string_view value) {
   static const std::string description = [] {
     std::string column("\0\1content\0\0\0\0\0\0\0\0\0\0\x11\xff\xff\xff\xff\xff\xff\0\1", 28), all;
-    message(all, 'T', column);
+    append_message(all, 'T', column);
     return all;
   }();
   std::string out = description, body("\0\1", 2);
-  big_endian(body, value.size(), 4);
+  append_big_endian(body, value.size(), 4);
   body += value;
-  message(out, 'D', body);
-  message(out, 'C', std::string_view("SELECT 1\0", 9));
+  append_message(out, 'D', body);
+  append_message(out, 'C', std::string_view("SELECT 1\0", 9));
   return out;
 }
 
-std::string parameter(std::string_view name, std::string_view value) {
+std::string parameter_status(std::string_view name, std::string_view value) {
   std::string out, body(name);
   body.push_back('\0');
   body += value;
   body.push_back('\0');
-  message(out, 'S', body);
+  append_message(out, 'S', body);
   return out;
 }
 
 template <typename T>
-T number(const json& from, const char* key, T otherwise, double least, double most) {
+T read_number(const json& from, const char* key, T otherwise, double least, double most) {
   if (!from.contains(key)) return otherwise;
   if (!from.at(key).is_number()) throw std::invalid_argument(fmt::format("{} is no number", key));
   double value = from.at(key).get<double>();
@@ -79,9 +79,9 @@
   return static_cast<T>(value);
 }
 
-Micros millis(const json& from, const char* key, Micros otherwise) {
+Micros read_millis(const json& from, const char* key, Micros otherwise) {
   return Micros(static_cast<std::int64_t>(
-      number<double>(from, key, static_cast<double>(otherwise.count()) / 1000, 0, 3.6e6) * 1000));
+      read_number<double>(from, key, static_cast<double>(otherwise.count()) / 1000, 0, 3.6e6) * 1000));
 }
 
 }  // namespace
@@ -97,29 +97,29 @@
   for (auto& [key, value] : j.items())
     if (!known.count(key)) throw std::invalid_argument("unknown key '" + key + "'");
   FakeServersOptions o;
-  o.sets = number(j, "sets", o.sets, 1, 64);
-  o.replicas = number(j, "replicas", o.replicas, 0, 64);
-  o.connections = number(j, "connections", o.connections, 1, 1e5);
-  o.threads = number(j, "threads", o.threads, 1, 64);
-  o.seed = number(j, "seed", o.seed, 0, 1e15);
-  o.discovery_port = number(j, "discovery_port", 0, 0, 65535);
-  o.steer_port = number(j, "steer_port", 0, 0, 65535);
-  o.handover_gap = millis(j, "handover_gap_ms", o.handover_gap);
-  o.key_window = millis(j, "key_window_ms", o.key_window);
-  o.model.cores = number(j, "cores", o.model.cores, 1, 1024);
-  o.model.service_us = number(j, "service_us", o.model.service_us, 0, 1e7);
-  o.model.write_factor = number(j, "write_factor", o.model.write_factor, 0, 1000);
-  o.model.service_variation = number(j, "spread", o.model.service_variation, 0, 10);
-  o.model.lag = millis(j, "lag_ms", o.model.lag);
-  o.model.staleness_bound = millis(j, "bound_ms", o.model.staleness_bound);
-  o.model.warm_up = millis(j, "warm_up_ms", o.model.warm_up);
-  o.model.initial_speed = number(j, "cold_share", o.model.initial_speed, 0.01, 1);
+  o.shard_groups = read_number(j, "sets", o.shard_groups, 1, 64);
+  o.replicas = read_number(j, "replicas", o.replicas, 0, 64);
+  o.connections = read_number(j, "connections", o.connections, 1, 1e5);
+  o.threads = read_number(j, "threads", o.threads, 1, 64);
+  o.seed = read_number(j, "seed", o.seed, 0, 1e15);
+  o.discovery_port = read_number(j, "discovery_port", 0, 0, 65535);
+  o.control_port = read_number(j, "steer_port", 0, 0, 65535);
+  o.handover_gap = read_millis(j, "handover_gap_ms", o.handover_gap);
+  o.key_window = read_millis(j, "key_window_ms", o.key_window);
+  o.model.cores = read_number(j, "cores", o.model.cores, 1, 1024);
+  o.model.service_us = read_number(j, "service_us", o.model.service_us, 0, 1e7);
+  o.model.write_factor = read_number(j, "write_factor", o.model.write_factor, 0, 1000);
+  o.model.service_variation = read_number(j, "spread", o.model.service_variation, 0, 10);
+  o.model.lag = read_millis(j, "lag_ms", o.model.lag);
+  o.model.staleness_bound = read_millis(j, "bound_ms", o.model.staleness_bound);
+  o.model.warm_up = read_millis(j, "warm_up_ms", o.model.warm_up);
+  o.model.initial_speed = read_number(j, "cold_share", o.model.initial_speed, 0.01, 1);
   o.model.check_staleness = j.value("check_age", o.model.check_staleness);
   o.zones = j.value("zones", o.zones);
   o.cpus = j.value("cpus", o.cpus);
   if (o.zones.empty()) throw std::invalid_argument("zones is empty");
   for (auto& step : j.value("script", json::array()))
-    o.script.push_back({millis(step, "at_ms", Micros(0)), step});
+    o.script.push_back({read_millis(step, "at_ms", Micros(0)), step});
   return o;
 } catch (const json::exception& e) {
   throw std::invalid_argument(e.what());
@@ -128,9 +128,9 @@
 // ---- data servers
 // ------------------------------------------------------------------------------------------
 
-class FakeServers::SetThread : public LoopThread {
+class FakeServers::ShardGroupThread : public LoopThread {
  public:
-  explicit SetThread(int cpu) : LoopThread(cpu, [this] { closed.clear(); }) {}
+  explicit ShardGroupThread(int cpu) : LoopThread(cpu, [this] { closed.clear(); }) {}
   std::vector<std::unique_ptr<net::Handler>> closed;  // until the end of the turn in which they were
   std::unordered_map<std::string, IdempotencyKeyStore> keys;     // by set
 };
@@ -145,11 +145,11 @@
   void close(bool reset = false);
 
  private:
-  void take();
+  void process_input();
   void query(std::string_view text);
   void request(const pg::Statement& statement);
   void end_attempt();
-  void answer(std::string_view head, bool figures);
+  void answer(std::string_view head, bool with_position);
   void error(std::string_view code);
 
   DataServer& server_;
@@ -157,22 +157,22 @@
   net::Fd fd_;
   net::InBuffer in_;
   net::OutBuffer out_;
-  bool started_ = false, turned_away_ = false, inside_ = false;
-  Micros begun_{-1};     // when the first byte of what is unparsed came
-  std::string request_;  // that is out here
-  net::Loop::TimerId done_ = net::Loop::kNoTimer;
+  bool started_ = false, rejected_ = false, in_flight_ = false;
+  Micros first_byte_at_{-1};     // when the first byte of what is unparsed came
+  std::string request_id_;  // that is out here
+  net::Loop::TimerId answer_timer_ = net::Loop::kNoTimer;
 };
 
 class FakeServers::DataServer : public net::Handler {
  public:
-  DataServer(FakeServers& testbench, SetThread& thread, std::string id, int set, std::uint64_t seed,
+  DataServer(FakeServers& fake_servers, ShardGroupThread& thread, std::string id, int set, std::uint64_t seed,
              bool primary)
-      : testbench(testbench),
+      : fake_servers(fake_servers),
         thread(thread),
         id(std::move(id)),
         set(set),
-        model(testbench.options_.model, seed, primary) {}
-  ~DataServer() override { shut(true); }
+        model(fake_servers.options_.model, seed, primary) {}
+  ~DataServer() override { shut_down(true); }
 
   void listen(int at) {
     int error = 0;
@@ -187,37 +187,37 @@
     while (auto fd = net::accept_from(listener_.get(), &error)) {
       auto made = std::make_unique<Connection>(*this, thread.loop(), std::move(fd));
       auto* connection = made.get();
-      ++figures.opened;
-      figures.most_connections = std::max(figures.most_connections, ++figures.connections);
+      ++counters.opened;
+      counters.max_connections = std::max(counters.max_connections, ++counters.connections);
       connections_.emplace(connection, std::move(made));
       connection->start();
     }
   }
-  void gone(Connection* connection) {
+  void on_closed(Connection* connection) {
     auto it = connections_.find(connection);
     if (it == connections_.end()) return;
-    --figures.connections;
+    --counters.connections;
     thread.closed.push_back(std::move(it->second));
     connections_.erase(it);
   }
   // Its process ends: connections are reset, new ones refused.
-  void shut(bool quiet = false) {
+  void shut_down(bool discards_connections = false) {
     if (listener_) thread.loop().remove(listener_.get(), this);
     listener_.reset();
     std::vector<Connection*> all;
     for (auto& [connection, owned] : connections_) all.push_back(connection);
     for (auto* connection : all) connection->close(true);
-    if (quiet) connections_.clear();
+    if (discards_connections) connections_.clear();
   }
   Micros now() const { return thread.loop().now(); }
   std::int64_t unix_ms() const { return unix_ms_at(now()); }
 
-  FakeServers& testbench;
-  SetThread& thread;
+  FakeServers& fake_servers;
+  ShardGroupThread& thread;
   const std::string id;
   const int set;
   ServerModel model;
-  ServerFigures figures;
+  ServerCounters counters;
   int port = 0;
 
  private:
@@ -226,7 +226,7 @@
 };
 
 FakeServers::Connection::~Connection() {
-  loop_.cancel(&done_);
+  loop_.cancel(&answer_timer_);
   if (fd_) loop_.remove(fd_.get(), this);
 }
 
@@ -245,29 +245,29 @@
   }
   server_.thread.loop().remove(fd_.get(), this);
   fd_.reset();
-  server_.gone(this);
+  server_.on_closed(this);
 }
 
 // The attempt is over for the proxy. The server goes on with the work of one that was given up, but its time
 // is in the model already.
 void FakeServers::Connection::end_attempt() {
-  server_.thread.loop().cancel(&done_);
-  if (std::exchange(inside_, false)) server_.model.complete();
-  if (!request_.empty()) server_.testbench.invariants_.on_attempt_end(std::exchange(request_, {}));
+  server_.thread.loop().cancel(&answer_timer_);
+  if (std::exchange(in_flight_, false)) server_.model.complete();
+  if (!request_id_.empty()) server_.fake_servers.invariants_.on_attempt_end(std::exchange(request_id_, {}));
 }
 
 void FakeServers::Connection::on_ready(std::uint32_t events) {
   if ((events & EPOLLOUT) && !out_.flush(fd_.get())) return close();
   if (!(events & (EPOLLIN | EPOLLRDHUP | EPOLLHUP | EPOLLERR))) return;
   auto before = in_.view().size();
-  auto end = in_.fill(fd_.get(), kReadCap);
-  if (before == 0 && !in_.view().empty()) begun_ = server_.now();
-  if (server_.model.state() != ServerState::kUnresponsive) take();
+  auto end = in_.fill(fd_.get(), kReadLimitBytes);
+  if (before == 0 && !in_.view().empty()) first_byte_at_ = server_.now();
+  if (server_.model.state() != ServerState::kUnresponsive) process_input();
   if (fd_ && net::is_disconnected(end)) close();
 }
 
-void FakeServers::Connection::take() {
-  while (fd_ && request_.empty()) {
+void FakeServers::Connection::process_input() {
+  while (fd_ && request_id_.empty()) {
     if (!started_) {
       pg::FirstMessage first;
       auto parse = pg::parse_first_message(in_.view(), &first);
@@ -275,8 +275,8 @@
       if (parse == pg::ParseStatus::kMore) return;
       in_.consume(first.size);
       started_ = true;
-      if (server_.figures.connections > static_cast<int>(server_.testbench.options_.connections)) {
-        ++server_.figures.turned_away;
+      if (server_.counters.connections > static_cast<int>(server_.fake_servers.options_.connections)) {
+        ++server_.counters.rejected;
         out_.write(fd_.get(), {pg::error_response("FATAL", "53300", "too many connections")});
         return close();
       }
@@ -284,7 +284,7 @@
       continue;
     }
     pg::Frame frame;
-    auto parse = pg::parse_frame(in_.view(), kLongestMessage, &frame);
+    auto parse = pg::parse_frame(in_.view(), kMaxMessageBytes, &frame);
     if (parse == pg::ParseStatus::kMore) return;
     if (parse == pg::ParseStatus::kBad || frame.type != 'Q') return close();
     if (auto text = pg::query_text(frame.body))
@@ -293,18 +293,18 @@
       error("08P01");
     if (!fd_) return;
     in_.consume(frame.size);
-    if (!in_.view().empty()) begun_ = server_.now();
+    if (!in_.view().empty()) first_byte_at_ = server_.now();
   }
 }
 
 void FakeServers::Connection::query(std::string_view text) {
   if (text == "SHOW usage" || text == "SELECT 1") {
-    ++server_.figures.probes;
+    ++server_.counters.probes;
     auto& m = server_.model;
     auto usage =
         fmt::format("x0={:.3f},x1={},rif={}", static_cast<double>(m.position(server_.unix_ms())) / 1000,
                     m.primary() ? 1 : 0, m.in_flight());
-    return answer(row(text == "SELECT 1" ? "1" : usage), false);
+    return answer(row_response(text == "SELECT 1" ? "1" : usage), false);
   }
   auto statement = pg::parse_statement(text);
   switch (statement.kind) {
@@ -315,7 +315,7 @@
       out_.write(fd_.get(), {pg::command_complete(statement.tag), pg::ready_for_query()});
       return;
     case pg::StatementKind::kUnknown:
-      ++server_.figures.malformed;
+      ++server_.counters.malformed;
       return error("08P01");
     case pg::StatementKind::kRead:
     case pg::StatementKind::kWrite:
@@ -324,13 +324,13 @@
 }
 
 void FakeServers::Connection::request(const pg::Statement& s) {
-  auto& testbench = server_.testbench;
+  auto& fake_servers = server_.fake_servers;
   auto now = server_.now();
-  auto& f = server_.figures;
+  auto& f = server_.counters;
   ++f.requests;
-  testbench.invariants_.on_attempt(now, begun_, s.id, server_.id);
-  testbench.invariants_.on_request(now, server_.set, server_.id, server_.model.speed(now));
-  request_ = s.id;
+  fake_servers.invariants_.on_attempt(now, first_byte_at_, s.id, server_.id);
+  fake_servers.invariants_.on_request(now, server_.set, server_.id, server_.model.speed(now));
+  request_id_ = s.id;
   ModelRequest model_request;
   model_request.kind = s.kind == pg::StatementKind::kWrite ? RequestKind::kWrite
              : s.request_class == "browse"       ? RequestKind::kBoundedStaleness
@@ -342,7 +342,7 @@
     case AdmissionResult::kRun:
       break;
     case AdmissionResult::kRejected:
-      ++f.turned_away;
+      ++f.rejected;
       return error("53300");
     case AdmissionResult::kNotPrimary:
       ++f.not_primary;
@@ -355,40 +355,40 @@
     case AdmissionResult::kNoAnswer:
       return;
   }
-  inside_ = true;
+  in_flight_ = true;
   auto position = server_.model.position(unix_now);
   if (!server_.model.primary() && model_request.kind != RequestKind::kWrite) {
-    auto needed = model_request.kind == RequestKind::kBoundedStaleness ? unix_now - testbench.options_.model.staleness_bound / Micros(1000)
+    auto needed = model_request.kind == RequestKind::kBoundedStaleness ? unix_now - fake_servers.options_.model.staleness_bound / Micros(1000)
                                              : model_request.after_unix_ms;
     if (position < needed)
-      testbench.invariants_.record_violation(
+      fake_servers.invariants_.record_violation(
           Invariant::kStaleRead, fmt::format("request {} at {}, {} ms too old", s.id, server_.id, needed - position));
   }
   if (model_request.kind == RequestKind::kWrite && s.idempotency_key) {
-    auto& store = server_.thread.keys.try_emplace(std::to_string(server_.set), testbench.options_.key_window)
+    auto& store = server_.thread.keys.try_emplace(std::to_string(server_.set), fake_servers.options_.key_window)
                       .first->second;
     if (store.apply(now, std::hash<std::string_view>{}(*s.idempotency_key)) == IdempotencyKeyStore::Applied::kTwice)
-      testbench.invariants_.record_violation(Invariant::kExpiredIdempotencyKey, fmt::format("key {} at {}", *s.idempotency_key, server_.id));
+      fake_servers.invariants_.record_violation(Invariant::kExpiredIdempotencyKey, fmt::format("key {} at {}", *s.idempotency_key, server_.id));
   }
-  if (admitted.done <= now) return answer(row(s.id), true);
-  done_ = server_.thread.loop().at(admitted.done, [this] {
-    done_ = net::Loop::kNoTimer;
+  if (admitted.done <= now) return answer(row_response(s.id), true);
+  answer_timer_ = server_.thread.loop().at(admitted.done, [this] {
+    answer_timer_ = net::Loop::kNoTimer;
     if (server_.model.state() == ServerState::kUnresponsive) return;
-    answer(row(std::string(request_)), true);
-    if (fd_) take();
+    answer(row_response(std::string(request_id_)), true);
+    if (fd_) process_input();
   });
 }
 
 // `figures`: with role and position, as an answer to a request.
-void FakeServers::Connection::answer(std::string_view head, bool figures) {
+void FakeServers::Connection::answer(std::string_view head, bool with_position) {
   static const std::string ready = pg::ready_for_query();
   std::string tail;
-  if (figures) {
-    static const std::string writer = parameter("server_role", "writer"),
-                             reader = parameter("server_role", "reader");
+  if (with_position) {
+    static const std::string primary_role = parameter_status("server_role", "writer"),
+                             replica_role = parameter_status("server_role", "reader");
     auto& m = server_.model;
-    tail = m.primary() ? writer : reader;
-    tail += parameter("commit_clock", fmt::format_int(m.position(server_.unix_ms())).c_str());
+    tail = m.primary() ? primary_role : replica_role;
+    tail += parameter_status("commit_clock", fmt::format_int(m.position(server_.unix_ms())).c_str());
   }
   end_attempt();
   if (!out_.write(fd_.get(), {head, tail, ready})) close();
@@ -403,28 +403,28 @@
 
 class FakeServers::Discovery : public LoopThread {
  public:
-  Discovery(FakeServers& testbench, int port)
-      : LoopThread(-1, [this] { closed_.clear(); }), lab_(testbench), on_accept_(*this) {
+  Discovery(FakeServers& fake_servers, int port)
+      : LoopThread(-1, [this] { closed_.clear(); }), fake_servers_(fake_servers), on_accept_(*this) {
     int error = 0;
     listener_ = net::listen_on(*net::parse_address(fmt::format("127.0.0.1:{}", port)), &error);
     if (!listener_) throw std::runtime_error("discovery cannot listen: " + net::message_of(error));
     loop().add(listener_.get(), &on_accept_);
-    for (int node = 0; node < testbench.options_.nodes; ++node) listen_for(node);
+    for (int node = 0; node < fake_servers.options_.nodes; ++node) listen_for(node);
   }
   ~Discovery() { stop(); }
   int port() const { return net::local_port(listener_.get()); }
   int port_of(int node) const { return nodes_.at(static_cast<std::size_t>(node))->port(); }
 
   // In its thread: `entry` is as it stands from now on.
-  void set(json entry) {
+  void update(json entry) {
     ++generation_;
     for (auto& e : entries_)
       if (e.body.at("instanceId") == entry.at("instanceId")) {
         e = {generation_, std::move(entry)};
-        return tell();
+        return answer_waiting();
       }
     entries_.push_back({generation_, std::move(entry)});
-    tell();
+    answer_waiting();
   }
   json entry(const std::string& id) const {
     for (auto& e : entries_)
@@ -437,16 +437,16 @@
       if (after ? e.generation > *after : e.body.at("lifecycle") != "removed") instances.push_back(e.body);
     return {{"generation", generation_}, {"reset", !after}, {"instances", std::move(instances)}};
   }
-  bool mute = false;                                // it takes calls and answers none
-  std::uint64_t calls = 0, whole = 0, refused = 0;  // that came; of them for the whole list; told 503
-  std::map<std::int64_t, std::uint64_t> by_second;
+  bool is_unresponsive = false;                                // it takes calls and answers none
+  std::uint64_t calls = 0, full_list_calls = 0, rejected_calls = 0;  // that came; of them for the whole list; told 503
+  std::map<std::int64_t, std::uint64_t> calls_by_second;
 
   // When a call that comes now is through, each being work; nullopt: too many wait.
   std::optional<Micros> admit() {
-    auto now = loop().now(), cost = lab_.options_.list_cost;
+    auto now = loop().now(), cost = fake_servers_.options_.list_call_cost;
     if (cost.count() <= 0) return now;
     auto waiting = busy_until_ > now ? (busy_until_ - now) / cost : 0;
-    if (lab_.options_.list_cap > 0 && waiting >= lab_.options_.list_cap) return std::nullopt;
+    if (fake_servers_.options_.max_waiting_list_calls > 0 && waiting >= fake_servers_.options_.max_waiting_list_calls) return std::nullopt;
     return busy_until_ = std::max(now, busy_until_) + cost;
   }
 
@@ -455,48 +455,48 @@
     std::int64_t generation;
     json body;
   };
-  class Caller : public net::Handler {
+  class DiscoveryConnection : public net::Handler {
    public:
-    Caller(Discovery& owner, net::Fd fd, std::string node = "")
+    DiscoveryConnection(Discovery& owner, net::Fd fd, std::string node = "")
         : owner_(owner), fd_(std::move(fd)), node_(std::move(node)) {}
-    ~Caller() override { owner_.loop().cancel(&timer_); }
+    ~DiscoveryConnection() override { owner_.loop().cancel(&timer_); }
     void on_ready(std::uint32_t events) override {
       if ((events & EPOLLOUT) && !out_.flush(fd_.get())) return end();
       auto closed = net::is_disconnected(in_.fill(fd_.get(), 64 * 1024));
       auto head = in_.view().find("\r\n\r\n");
       if (head != std::string_view::npos) {
         auto line = in_.view().substr(0, in_.view().find("\r\n"));
-        after_ = whole(line, "after=");
-        auto wait = whole(line, "wait_ms=").value_or(0);
+        after_ = integer_parameter(line, "after=");
+        auto wait = integer_parameter(line, "wait_ms=").value_or(0);
         in_.consume(head + 4);
         waiting_ = true;
         ++owner_.calls;
-        ++owner_.by_second[owner_.loop().now() / Micros(1'000'000)];
-        owner_.whole += !after_;
+        ++owner_.calls_by_second[owner_.loop().now() / Micros(1'000'000)];
+        owner_.full_list_calls += !after_;
         owner_.loop().cancel(&timer_);
-        auto through = owner_.admit();
-        if (!through) {
-          ++owner_.refused;
+        auto ready_at = owner_.admit();
+        if (!ready_at) {
+          ++owner_.rejected_calls;
           waiting_ = false;
           if (!out_.write(fd_.get(), {"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"}))
             end();
         } else {
           // What the call costs first; then it waits for something new, as long as the caller would.
-          auto wait_for = std::min(Micros(wait * 1000), kLongestWatch);
-          auto look = [this, wait_for] {
+          auto wait_for = std::min(Micros(wait * 1000), kMaxWatchDuration);
+          auto answer_or_wait = [this, wait_for] {
             if (!after_ || owner_.generation_ > *after_ || wait_for.count() <= 0) return reply();
             timer_ = owner_.loop().at(owner_.loop().now() + wait_for, [this] { reply(); });
           };
-          if (*through > owner_.loop().now())
-            timer_ = owner_.loop().at(*through, look);
+          if (*ready_at > owner_.loop().now())
+            timer_ = owner_.loop().at(*ready_at, answer_or_wait);
           else
-            look();
+            answer_or_wait();
         }
       }
       if (closed) end();
     }
     void reply() {
-      if (!std::exchange(waiting_, false) || owner_.mute) return;
+      if (!std::exchange(waiting_, false) || owner_.is_unresponsive) return;
       owner_.loop().cancel(&timer_);
       auto list = owner_.list(after_);
       auto body = list.dump();
@@ -504,7 +504,7 @@
           "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: {}\r\n\r\n", body.size());
       auto now = net::monotonic_now();
       if (!out_.write(fd_.get(), {head, body})) return end();
-      auto& invariants = owner_.lab_.invariants_;
+      auto& invariants = owner_.fake_servers_.invariants_;
       for (auto& e : list.at("instances")) {
         bool takes_work = e.at("lifecycle") == "up";
         if (node_.empty())
@@ -517,16 +517,16 @@
       if (!fd_) return;
       owner_.loop().remove(fd_.get(), this);
       fd_.reset();
-      auto it = std::find_if(owner_.callers_.begin(), owner_.callers_.end(),
+      auto it = std::find_if(owner_.connections_.begin(), owner_.connections_.end(),
                              [&](auto& c) { return c.get() == this; });
-      if (it == owner_.callers_.end()) return;
+      if (it == owner_.connections_.end()) return;
       owner_.closed_.push_back(std::move(*it));
-      owner_.callers_.erase(it);
+      owner_.connections_.erase(it);
     }
     bool start() { return owner_.loop().add(fd_.get(), this); }
 
    private:
-    static std::optional<std::int64_t> whole(std::string_view line, std::string_view name) {
+    static std::optional<std::int64_t> integer_parameter(std::string_view line, std::string_view name) {
       auto at = line.find(name);
       if (at == std::string_view::npos) return std::nullopt;
       std::int64_t value = 0;
@@ -549,8 +549,8 @@
     void on_ready(std::uint32_t) override {
       int error = 0;
       while (auto fd = net::accept_from(owner_.listener_.get(), &error)) {
-        owner_.callers_.push_back(std::make_unique<Caller>(owner_, std::move(fd)));
-        owner_.callers_.back()->start();
+        owner_.connections_.push_back(std::make_unique<DiscoveryConnection>(owner_, std::move(fd)));
+        owner_.connections_.back()->start();
       }
     }
 
@@ -569,8 +569,8 @@
     void on_ready(std::uint32_t) override {
       int error = 0;
       while (auto fd = net::accept_from(listener_.get(), &error)) {
-        owner_.callers_.push_back(std::make_unique<Caller>(owner_, std::move(fd), node_));
-        owner_.callers_.back()->start();
+        owner_.connections_.push_back(std::make_unique<DiscoveryConnection>(owner_, std::move(fd), node_));
+        owner_.connections_.back()->start();
       }
     }
     int port() const { return net::local_port(listener_.get()); }
@@ -581,34 +581,34 @@
     net::Fd listener_;
   };
   void listen_for(int node) { nodes_.push_back(std::make_unique<NodeListener>(*this, node)); }
-  void tell() {
-    std::vector<Caller*> all;
-    for (auto& c : callers_) all.push_back(c.get());
+  void answer_waiting() {
+    std::vector<DiscoveryConnection*> all;
+    for (auto& c : connections_) all.push_back(c.get());
     for (auto* c : all) c->reply();
   }
 
-  FakeServers& lab_;
+  FakeServers& fake_servers_;
   OnAccept on_accept_;
   net::Fd listener_;
   std::int64_t generation_ = 1;
   Micros busy_until_{0};
   std::vector<Entry> entries_;
-  std::vector<std::unique_ptr<Caller>> callers_, closed_;
+  std::vector<std::unique_ptr<DiscoveryConnection>> connections_, closed_;
   std::vector<std::unique_ptr<NodeListener>> nodes_;
 };
 
 // ---- steering
 // -----------------------------------------------------------------------------------------------
 
-class FakeServers::Steering {
+class FakeServers::ControlServer {
  public:
-  Steering(FakeServers& testbench, int port) : lab_(testbench) {
+  ControlServer(FakeServers& fake_servers, int port) : fake_servers_(fake_servers) {
     int error = 0;
     listener_ = net::listen_on(*net::parse_address(fmt::format("127.0.0.1:{}", port)), &error);
     if (!listener_) throw std::runtime_error("steering cannot listen: " + net::message_of(error));
     thread_ = std::thread([this] { run(); });
   }
-  ~Steering() {
+  ~ControlServer() {
     stop_ = true;
     thread_.join();
   }
@@ -622,9 +622,9 @@
     net::Fd peer;
     std::string in;
     while (!stop_) {
-      auto& script = lab_.options_.script;
+      auto& script = fake_servers_.options_.script;
       while (next < script.size() && net::monotonic_now() - began >= script[next].at)
-        carry_out(script[next++].action);
+        execute(script[next++].action);
       std::this_thread::sleep_for(std::chrono::milliseconds(2));
       int error = 0;
       if (!peer) peer = net::accept_from(listener_.get(), &error);
@@ -640,20 +640,20 @@
       for (auto end = in.find('\n'); end != std::string::npos; end = in.find('\n')) {
         auto line = json::parse(in.substr(0, end), nullptr, false);
         in.erase(0, end + 1);
-        auto answer = carry_out(line).dump() + "\n";
+        auto answer = execute(line).dump() + "\n";
         [[maybe_unused]] auto sent = send(peer.get(), answer.data(), answer.size(), MSG_NOSIGNAL);
       }
     }
   }
-  json carry_out(const json& action) try {
+  json execute(const json& action) try {
     if (!action.is_object()) throw std::invalid_argument("this is no JSON object");
-    if (action.value("do", "") == "report") return lab_.report();
-    lab_.steer(action);
+    if (action.value("do", "") == "report") return fake_servers_.report();
+    fake_servers_.control(action);
     return {{"ok", true}};
   } catch (const std::exception& e) {
     return {{"ok", false}, {"why", e.what()}};
   }
-  FakeServers& lab_;
+  FakeServers& fake_servers_;
   net::Fd listener_;
   std::atomic<bool> stop_{false};
   std::thread thread_;
@@ -669,21 +669,21 @@
   for (int i = 0; i < options_.threads; ++i) {
     auto& cpus = options_.cpus;
     threads_.push_back(
-        std::make_unique<SetThread>(cpus.empty() ? -1 : cpus[static_cast<std::size_t>(i) % cpus.size()]));
+        std::make_unique<ShardGroupThread>(cpus.empty() ? -1 : cpus[static_cast<std::size_t>(i) % cpus.size()]));
     threads_.back()->start();
   }
   discovery_ = std::make_unique<Discovery>(*this, options_.discovery_port);
   discovery_->start();
-  for (int set = 1; set <= options_.sets; ++set)
-    for (int i = 0; i <= options_.replicas; ++i) add(set, i == 0, false);
-  for (int set = 1; set <= options_.sets; ++set) lag_by_distance(set);
-  steering_ = std::make_unique<Steering>(*this, options_.steer_port);
+  for (int set = 1; set <= options_.shard_groups; ++set)
+    for (int i = 0; i <= options_.replicas; ++i) add_server(set, i == 0, false);
+  for (int set = 1; set <= options_.shard_groups; ++set) apply_zone_lag(set);
+  control_server_ = std::make_unique<ControlServer>(*this, options_.control_port);
 }
 
 FakeServers::~FakeServers() {
-  steering_.reset();
+  control_server_.reset();
   discovery_->stop();
-  for (auto& [id, p] : places_) in(p, [server = p.server] { delete server; });
+  for (auto& [id, p] : locations_) run_in_thread(p, [server = p.server] { delete server; });
   for (auto& thread : threads_) thread->stop();
 }
 
@@ -691,65 +691,65 @@
 std::string FakeServers::discovery_of(int node) const {
   return fmt::format("127.0.0.1:{}", discovery_->port_of(node));
 }
-std::string FakeServers::steering() const { return fmt::format("127.0.0.1:{}", steering_->port()); }
+std::string FakeServers::control_address() const { return fmt::format("127.0.0.1:{}", control_server_->port()); }
 
-void FakeServers::in(const Place& place, const std::function<void()>& call) const {
-  place.thread->call(call);
+void FakeServers::run_in_thread(const ServerLocation& location, const std::function<void()>& call) const {
+  location.thread->call(call);
 }
 
-void FakeServers::add(int set, bool primary, bool cold, bool told) {
-  int number = ++numbered_[set];
+void FakeServers::add_server(int set, bool primary, bool is_warming_up, bool announces_start) {
+  int number = ++last_server_numbers_[set];
   auto id = fmt::format("s{}-{}", set, number);
-  Place p;
+  ServerLocation p;
   p.set = set;
   p.thread = threads_[static_cast<std::size_t>(set) % threads_.size()].get();
   auto seed =
       options_.seed * 1000003 + static_cast<std::uint64_t>(set) * 1009 + static_cast<std::uint64_t>(number);
   int port = 0;
-  in(p, [&] {
+  run_in_thread(p, [&] {
     p.server = new DataServer(*this, *p.thread, id, set, seed, primary);
-    if (cold) p.server->model.restart(p.thread->loop().now());
+    if (is_warming_up) p.server->model.restart(p.thread->loop().now());
     p.server->listen(free_port());  // it may come back to it, and nobody may have taken it meanwhile
     port = p.server->port;
   });
-  places_[id] = p;
+  locations_[id] = p;
   if (primary) primaries_[set] = id;
   auto zone = options_.zones[static_cast<std::size_t>(number - 1) % options_.zones.size()];
-  places_[id].zone = zone;
+  locations_[id].zone = zone;
   json entry = {{"instanceId", id},
-                {"hostPort", options_.front ? options_.front(zone, port) : fmt::format("127.0.0.1:{}", port)},
+                {"hostPort", options_.advertised_address ? options_.advertised_address(zone, port) : fmt::format("127.0.0.1:{}", port)},
                 {"zone", zone},
                 {"cell", set},
                 {"lifecycle", "up"},
                 {"weight", 1.0},
-                {"startedAtMs", cold && told ? unix_ms_at(net::monotonic_now()) : 0}};
-  discovery_->call([&] { discovery_->set(entry); });
+                {"startedAtMs", is_warming_up && announces_start ? unix_ms_at(net::monotonic_now()) : 0}};
+  discovery_->call([&] { discovery_->update(entry); });
 }
 
-const FakeServers::Place& FakeServers::place(const json& action) const {
+const FakeServers::ServerLocation& FakeServers::location_of(const json& action) const {
   auto id = action.value("server", "");
-  auto it = places_.find(id);
-  if (it == places_.end()) throw std::invalid_argument("no server is named '" + id + "'");
+  auto it = locations_.find(id);
+  if (it == locations_.end()) throw std::invalid_argument("no server is named '" + id + "'");
   return it->second;
 }
 
 // The log takes its time from zone to zone.
-void FakeServers::lag_by_distance(int set) {
+void FakeServers::apply_zone_lag(int set) {
   if (!options_.lag_between) return;
-  auto& primary = places_.at(primaries_.at(set));
-  for (auto& [id, p] : places_) {
+  auto& primary = locations_.at(primaries_.at(set));
+  for (auto& [id, p] : locations_) {
     if (p.set != set) continue;
     auto lag = options_.model.lag + options_.lag_between(primary.zone, p.zone);
-    in(p, [&, server = p.server] { server->model.set_lag(lag, server->unix_ms()); });
+    run_in_thread(p, [&, server = p.server] { server->model.set_lag(lag, server->unix_ms()); });
   }
 }
 
-void FakeServers::steer(const json& action) {
+void FakeServers::control(const json& action) {
   if (action.contains("zone") && !action.contains("server")) {  // all of a zone, one after another
     std::vector<std::string> all;
     {
       std::lock_guard lock(mutex_);
-      for (auto& [id, p] : places_)
+      for (auto& [id, p] : locations_)
         if (p.zone == action.at("zone")) all.push_back(id);
     }
     if (all.empty()) throw std::invalid_argument("no server stands in that zone");
@@ -757,15 +757,15 @@
       auto one = action;
       one.erase("zone");
       one["server"] = id;
-      steer(one);
+      control(one);
     }
     return;
   }
   std::lock_guard lock(mutex_);
   auto what = action.value("do", "");
   auto life = [&](ServerState to) {
-    auto& p = place(action);
-    in(p, [&] { p.server->model.set_state(to); });
+    auto& p = location_of(action);
+    run_in_thread(p, [&] { p.server->model.set_state(to); });
   };
   auto listed = [&](const std::string& id, const std::string& lifecycle,
                     std::optional<std::int64_t> started = {}) {
@@ -773,12 +773,12 @@
       auto entry = discovery_->entry(id);
       entry["lifecycle"] = lifecycle;
       if (started) entry["startedAtMs"] = *started;
-      discovery_->set(entry);
+      discovery_->update(entry);
     });
   };
   auto id = action.value("server", "");
   if (what == "drain") {  // it still finishes and still takes what comes within the grace
-    place(action);
+    location_of(action);
     listed(id, "draining");
   } else if (what == "refuse") {
     life(ServerState::kDraining);
@@ -786,20 +786,20 @@
     life(ServerState::kUp);
     listed(id, "up");
   } else if (what == "list-up") {  // the end of a drain; its life stays as it is
-    place(action);
+    location_of(action);
     listed(id, "up");
   } else if (what == "remove") {
-    place(action);
+    location_of(action);
     listed(id, "removed");
   } else if (what == "kill") {
-    auto& p = place(action);
-    in(p, [&] {
+    auto& p = location_of(action);
+    run_in_thread(p, [&] {
       p.server->model.set_state(ServerState::kDown);
-      p.server->shut();
+      p.server->shut_down();
     });
   } else if (what == "start") {  // after a kill: cold, at the same address
-    auto& p = place(action);
-    in(p, [&] {
+    auto& p = location_of(action);
+    run_in_thread(p, [&] {
       p.server->model.set_state(ServerState::kUp);
       p.server->model.restart(p.server->now());
       p.server->listen(p.server->port);
@@ -810,36 +810,36 @@
   } else if (what == "speak") {
     life(ServerState::kUp);
   } else if (what == "slow") {
-    auto& p = place(action);
-    auto times = number(action, "times", 1.0, 0.01, 1e4);
-    in(p, [&] { p.server->model.set_slowdown(times); });
+    auto& p = location_of(action);
+    auto times = read_number(action, "times", 1.0, 0.01, 1e4);
+    run_in_thread(p, [&] { p.server->model.set_slowdown(times); });
   } else if (what == "fail") {
-    auto& p = place(action);
-    auto share = number(action, "share", 0.0, 0, 1);
-    in(p, [&] { p.server->model.set_failure_rate(share); });
+    auto& p = location_of(action);
+    auto share = read_number(action, "share", 0.0, 0, 1);
+    run_in_thread(p, [&] { p.server->model.set_failure_rate(share); });
   } else if (what == "lag") {
-    auto& p = place(action);
-    auto lag = millis(action, "ms", Micros(0));
-    in(p, [&] { p.server->model.set_lag(lag, p.server->unix_ms()); });
+    auto& p = location_of(action);
+    auto lag = read_millis(action, "ms", Micros(0));
+    run_in_thread(p, [&] { p.server->model.set_lag(lag, p.server->unix_ms()); });
   } else if (what == "add") {
-    add(number(action, "set", 1, 1, options_.sets), false, action.value("cold", true),
+    add_server(read_number(action, "set", 1, 1, options_.shard_groups), false, action.value("cold", true),
         action.value("told", true));
   } else if (what == "handover") {
-    auto& to = place(action);
-    auto& from = places_.at(primaries_.at(to.set));
+    auto& to = location_of(action);
+    auto& from = locations_.at(primaries_.at(to.set));
     if (from.server == to.server) throw std::invalid_argument(id + " is the primary");
-    in(from, [&] { from.server->model.set_primary(false, from.server->unix_ms()); });
-    auto gap = millis(action, "gap_ms", options_.handover_gap);
-    in(to, [&] {
+    run_in_thread(from, [&] { from.server->model.set_primary(false, from.server->unix_ms()); });
+    auto gap = read_millis(action, "gap_ms", options_.handover_gap);
+    run_in_thread(to, [&] {
       auto* server = to.server;
       to.thread->loop().at(to.thread->loop().now() + gap,
                            [server] { server->model.set_primary(true, server->unix_ms()); });
     });
     primaries_[to.set] = id;
-    lag_by_distance(to.set);
+    apply_zone_lag(to.set);
   } else if (what == "discovery") {
-    bool mute = action.value("mute", false);
-    discovery_->call([&] { discovery_->mute = mute; });
+    bool is_unresponsive = action.value("mute", false);
+    discovery_->call([&] { discovery_->is_unresponsive = is_unresponsive; });
   } else {
     throw std::invalid_argument("unknown action '" + what + "'");
   }
@@ -848,17 +848,17 @@
 std::vector<std::string> FakeServers::servers() const {
   std::lock_guard lock(mutex_);
   std::vector<std::string> all;
-  for (auto& [id, p] : places_) all.push_back(id);
+  for (auto& [id, p] : locations_) all.push_back(id);
   return all;
 }
 
-std::map<std::string, ServerFigures> FakeServers::figures() {
+std::map<std::string, ServerCounters> FakeServers::counters() {
   std::lock_guard lock(mutex_);
-  std::map<std::string, ServerFigures> all;
-  for (auto& [id, p] : places_)
-    in(p, [&, id = id, server = p.server] {
-      all[id] = server->figures;
-      all[id].falls = server->model.overloads();
+  std::map<std::string, ServerCounters> all;
+  for (auto& [id, p] : locations_)
+    run_in_thread(p, [&, id = id, server = p.server] {
+      all[id] = server->counters;
+      all[id].overloads = server->model.overloads();
     });
   return all;
 }
@@ -875,7 +875,7 @@
 
 std::map<std::int64_t, std::uint64_t> FakeServers::list_calls_by_second() {
   std::map<std::int64_t, std::uint64_t> all;
-  discovery_->call([&] { all = discovery_->by_second; });
+  discovery_->call([&] { all = discovery_->calls_by_second; });
   return all;
 }
 
@@ -887,20 +887,20 @@
 
 json FakeServers::report() {
   json servers = json::object(), breaches = json::array();
-  for (auto& [id, f] : figures())
+  for (auto& [id, f] : counters())
     servers[id] = {{"requests", f.requests},       {"probes", f.probes},
-                   {"turned_away", f.turned_away}, {"not_primary", f.not_primary},
+                   {"turned_away", f.rejected}, {"not_primary", f.not_primary},
                    {"too_old", f.too_old},         {"malformed", f.malformed},
-                   {"connections", f.connections}, {"most_connections", f.most_connections},
-                   {"opened", f.opened},           {"falls", f.falls}};
+                   {"connections", f.connections}, {"most_connections", f.max_connections},
+                   {"opened", f.opened},           {"falls", f.overloads}};
   for (auto& b : invariants_.violations())
     breaches.push_back({{"rule", name_of(b.invariant)}, {"count", b.count}, {"first", b.first}});
-  std::uint64_t calls = 0, whole = 0, refused = 0;
+  std::uint64_t calls = 0, full_list_calls = 0, rejected_calls = 0;
   discovery_->call(
-      [&] { calls = discovery_->calls, whole = discovery_->whole, refused = discovery_->refused; });
+      [&] { calls = discovery_->calls, full_list_calls = discovery_->full_list_calls, rejected_calls = discovery_->rejected_calls; });
   return {
       {"servers", servers},  {"breaches", breaches},      {"drain_last_send_ms", invariants_.drain_last_send_ms()},
-      {"list_calls", calls}, {"whole_list_calls", whole}, {"list_refused", refused}};
+      {"list_calls", calls}, {"whole_list_calls", full_list_calls}, {"list_refused", rejected_calls}};
 }
 
 }  // namespace database_proxy::testbench
--- a/src/testbench/fake_servers.h
+++ b/src/testbench/fake_servers.h
@@ -17,13 +17,13 @@
 
 namespace database_proxy::testbench {
 
-struct Step {
+struct ScriptStep {
   Micros at{0};           // from the start
   nlohmann::json action;  // {"do":"drain","server":"s1-2"}
 };
 
 struct FakeServersOptions {
-  int sets = 1, replicas = 2;
+  int shard_groups = 1, replicas = 2;
   std::size_t connections = 2000;  // that one server takes; more are turned away with 53300
   int threads = 1;                 // sets are dealt out over them
   std::vector<int> cpus;           // threads are pinned to these, in turn; empty: not at all
@@ -31,16 +31,16 @@
   Micros handover_gap{300'000};  // without a primary
   Micros key_window{5'000'000};
   int nodes = 0;                           // that discovery tells apart: each has an address of it
-  int discovery_port = 0, steer_port = 0;  // 0: the system picks one
+  int discovery_port = 0, control_port = 0;  // 0: the system picks one
   std::uint64_t seed = 1;
   ModelOptions model;
   InvariantLimits limits;
   // The list service: what a call costs it, one after another, and how many may wait; more are told 503.
-  Micros list_cost{0};
-  int list_cap = 0;  // 0: any number
-  std::vector<Step> script;
+  Micros list_call_cost{0};
+  int max_waiting_list_calls = 0;  // 0: any number
+  std::vector<ScriptStep> script;
   // Where the list says that a server of this zone and port is to be reached; empty: where it is.
-  std::function<std::string(const std::string& zone, int port)> front;
+  std::function<std::string(const std::string& zone, int port)> advertised_address;
   // How much further behind a replica is whose primary stands in another zone; empty: no further.
   std::function<Micros(const std::string& primary, const std::string& zone)> lag_between;
 
@@ -48,10 +48,10 @@
   static FakeServersOptions parse(const nlohmann::json& json);
 };
 
-struct ServerFigures {
-  std::uint64_t requests = 0, probes = 0, turned_away = 0, not_primary = 0, too_old = 0, malformed = 0,
+struct ServerCounters {
+  std::uint64_t requests = 0, probes = 0, rejected = 0, not_primary = 0, too_old = 0, malformed = 0,
                 opened = 0;
-  int connections = 0, most_connections = 0, falls = 0;
+  int connections = 0, max_connections = 0, overloads = 0;
 };
 
 class FakeServers {
@@ -63,12 +63,12 @@
   std::string discovery() const;  // its address
   // Its address for one node, from 0; notices that go there are checked as the node's (WithdrawalChecker).
   std::string discovery_of(int node) const;
-  std::string steering() const;  // takes a JSON object a line, answers each with one
+  std::string control_address() const;  // takes a JSON object a line, answers each with one
   InvariantChecker& invariants() { return invariants_; }
   std::vector<std::string> servers() const;
   // Carries out one action; throws std::invalid_argument for one that is unknown or names nothing known.
-  void steer(const nlohmann::json& action);
-  std::map<std::string, ServerFigures> figures();
+  void control(const nlohmann::json& action);
+  std::map<std::string, ServerCounters> counters();
   nlohmann::json report();
   nlohmann::json members();  // the list as discovery gives it
   std::vector<double> thread_cpu_seconds();
@@ -77,30 +77,30 @@
 
  private:
   class Discovery;
-  class SetThread;
+  class ShardGroupThread;
   class DataServer;
   class Connection;
-  class Steering;
-  struct Place {
-    SetThread* thread = nullptr;
+  class ControlServer;
+  struct ServerLocation {
+    ShardGroupThread* thread = nullptr;
     DataServer* server = nullptr;
     int set = 0;
     std::string zone;
   };
-  const Place& place(const nlohmann::json& action) const;
-  void add(int set, bool primary, bool cold, bool told = true);
-  void in(const Place& place, const std::function<void()>& call) const;
+  const ServerLocation& location_of(const nlohmann::json& action) const;
+  void add_server(int set, bool primary, bool is_warming_up, bool announces_start = true);
+  void run_in_thread(const ServerLocation& location, const std::function<void()>& call) const;
 
   FakeServersOptions options_;
   InvariantChecker invariants_;
-  std::vector<std::unique_ptr<SetThread>> threads_;
+  std::vector<std::unique_ptr<ShardGroupThread>> threads_;
   std::unique_ptr<Discovery> discovery_;
-  std::unique_ptr<Steering> steering_;
+  std::unique_ptr<ControlServer> control_server_;
   mutable std::mutex mutex_;  // of steer() and what it changes
-  std::map<std::string, Place> places_;
-  std::map<int, int> numbered_;  // servers ever made, by set
+  std::map<std::string, ServerLocation> locations_;
+  std::map<int, int> last_server_numbers_;  // servers ever made, by set
   std::map<int, std::string> primaries_;
-  void lag_by_distance(int set);
+  void apply_zone_lag(int set);
 };
 
 }  // namespace database_proxy::testbench
--- a/src/testbench/fault_injection/coldstart.cpp
+++ b/src/testbench/fault_injection/coldstart.cpp
@@ -36,12 +36,12 @@
   o.followers = std::max(1, (options.processes > 0 ? options.processes : kProcesses) - o.voters);
   o.grouped = mode == "group";
   o.seed = options.seed;
-  o.stand_in.sets = 4;
+  o.stand_in.shard_groups = 4;
   o.stand_in.replicas = 2;
   o.stand_in.threads = 2;
   o.stand_in.seed = options.seed;
-  o.stand_in.list_cost = service.cost;
-  o.stand_in.list_cap = service.cap;
+  o.stand_in.list_call_cost = service.cost;
+  o.stand_in.max_waiting_list_calls = service.cap;
   o.stand_in.model.cores = 2;
   o.stand_in.model.service_us = 1000;
   o.stand_in.model.warm_up = kWarmUp;
@@ -59,8 +59,8 @@
     for (auto& name : rig.voters()) rig.kill(name);
   }
   for (auto& id : rig.stand_in().servers()) {  // cold, and the list says so
-    rig.stand_in().steer({{"do", "kill"}, {"server", id}});
-    rig.stand_in().steer({{"do", "start"}, {"server", id}});
+    rig.stand_in().control({{"do", "kill"}, {"server", id}});
+    rig.stand_in().control({{"do", "start"}, {"server", id}});
   }
   auto before = rig.stand_in().report();
   auto began = net::monotonic_now();
@@ -69,11 +69,11 @@
   double handshakes = 0, probes = 0;
   std::thread sampler([&] {
     std::map<std::string, std::uint64_t> opened, probed;
-    for (auto& [id, f] : rig.stand_in().figures()) opened[id] = f.opened, probed[id] = f.probes;
+    for (auto& [id, f] : rig.stand_in().counters()) opened[id] = f.opened, probed[id] = f.probes;
     auto first = probed;
     while (!stop) {
       std::this_thread::sleep_for(kSample);
-      auto figures = rig.stand_in().figures();
+      auto figures = rig.stand_in().counters();
       for (auto& [id, f] : figures) {
         handshakes = std::max(handshakes, static_cast<double>(f.opened - opened[id]));
         opened[id] = f.opened;
@@ -140,7 +140,7 @@
   auto report = rig.stand_in().report();
   int falls = 0;
   std::uint64_t wrong = 0;
-  for (auto& [id, f] : rig.stand_in().figures()) falls += f.falls, wrong += f.not_primary + f.too_old;
+  for (auto& [id, f] : rig.stand_in().counters()) falls += f.overloads, wrong += f.not_primary + f.too_old;
   double drain = -1;
   for (auto& [name, ms] : rig.stand_in().invariants().drain_last_send_ms()) drain = std::max(drain, ms);
   if (!options.history.empty()) rig.history().write(options.history);
--- a/src/testbench/fault_injection/commands.cpp
+++ b/src/testbench/fault_injection/commands.cpp
@@ -176,7 +176,7 @@
   po::options_description o;
   o.add_options()("name", po::value<std::string>()->default_value(""),
                   "group, owner, savings, return, zones or check")(
-      "program", po::value<std::string>()->default_value(daemon_beside()), "the daemon")(
+      "program", po::value<std::string>()->default_value(daemon_path()), "the daemon")(
       "quick", "few faults of one seed")("seed", po::value<std::uint64_t>()->default_value(1), "the first")(
       "seeds", po::value<int>()->default_value(1), "how many, one after another")(
       "processes", po::value<int>()->default_value(0), "0: the experiment's own number")(
--- a/src/testbench/fault_injection/experiments.cpp
+++ b/src/testbench/fault_injection/experiments.cpp
@@ -397,7 +397,7 @@
   o.voters = 3;
   o.followers = std::max(1, (options.processes > 0 ? options.processes : 9) - o.voters);
   o.seed = options.seed;
-  o.stand_in.sets = 3;
+  o.stand_in.shard_groups = 3;
   o.stand_in.seed = options.seed;
   Rig rig(o);
   const std::vector<std::string> jobs{"list", "probe 1", "probe 2", "probe 3"};
@@ -465,12 +465,12 @@
         return least;
       };
       auto list = rig.stand_in().members().at("generation").get<std::int64_t>();
-      rig.stand_in().steer({{"do", "drain"}, {"server", server}});
+      rig.stand_in().control({{"do", "drain"}, {"server", server}});
       rig.history().add("drain", {{"server", server}});
       rig.soon([&] { return generation() > list; });
       pause_for(1500ms);
       for (auto& [name, ms] : rig.stand_in().invariants().drain_last_send_ms()) drain_ms = std::max(drain_ms, ms);
-      rig.stand_in().steer({{"do", "up"}, {"server", server}});
+      rig.stand_in().control({{"do", "up"}, {"server", server}});
       rig.soon([&] { return generation() > list + 1; });
     }
   }
@@ -527,7 +527,7 @@
     o.followers = processes - 3;
     o.grouped = grouped;
     o.seed = options.seed;
-    o.stand_in.sets = 3;
+    o.stand_in.shard_groups = 3;
     o.stand_in.seed = options.seed;
     o.stand_in.threads = 2;
     // Data servers that do not say whether a read was too old: only positions do, and probes bring them.
--- a/src/testbench/fault_injection/rig.cpp
+++ b/src/testbench/fault_injection/rig.cpp
@@ -27,7 +27,7 @@
   if (!options_.zones.empty()) {
     options_.stand_in.zones.clear();
     for (auto& zone : options_.zones) options_.stand_in.zones.push_back(zone.name);
-    options_.stand_in.front = [this](const std::string& zone, int port) {
+    options_.stand_in.advertised_address = [this](const std::string& zone, int port) {
       return fmt::format("127.0.0.1:{}", links_->add_front(zone, fmt::format("127.0.0.1:{}", port)));
     };
     options_.stand_in.lag_between = [this](const std::string& a, const std::string& b) {
--- a/src/testbench/fault_injection/script.cpp
+++ b/src/testbench/fault_injection/script.cpp
@@ -130,7 +130,7 @@
     if (s.what == "isolate") rig.isolate(node);
     if (s.what == "reset-links") rig.reset_links(node);
     if (s.what == "heal") rig.heal();
-    if (s.what == "steer") rig.stand_in().steer(s.steer);
+    if (s.what == "steer") rig.stand_in().control(s.steer);
     if (s.what == "settle" && !rig.soon([&] { return !rig.leader().empty(); }))
       throw std::runtime_error("script: no leader was elected");
     if (s.what == "shape") {
--- a/src/testbench/fault_injection/soak.cpp
+++ b/src/testbench/fault_injection/soak.cpp
@@ -85,7 +85,7 @@
 void play_actions(FakeServers& servers, const SoakScript& script, steady_clock::time_point began) {
   for (auto& action : script.actions) {
     std::this_thread::sleep_until(began + milliseconds(action.at_ms));
-    servers.steer(action.action);
+    servers.control(action.action);
   }
 }
 
@@ -224,7 +224,7 @@
   sets.seed = seed;
   constexpr double kServiceUs = 2000;
   sets.model.service_us = kServiceUs;
-  sets.limits.slow_start.usual_rate = static_cast<double>(kRatePerNode * sets.nodes) / (sets.replicas + 1);
+  sets.limits.slow_start.nominal_rate = static_cast<double>(kRatePerNode * sets.nodes) / (sets.replicas + 1);
   FakeServers servers(sets);
   auto replicas = servers.servers();
   auto primary = replicas.front();
@@ -260,7 +260,7 @@
       "known-red", po::value<std::vector<std::string>>(&options.known_red),
       "pass over violations that hold this text, and print them (KNOWN-RED.txt)")(
       "no-memory-limit", "for a program with sanitizers, which takes more")(
-      "program", po::value<std::string>()->default_value(daemon_beside()), "the database-proxy to run");
+      "program", po::value<std::string>()->default_value(daemon_path()), "the database-proxy to run");
   po::variables_map given;
   po::store(po::command_line_parser(arguments).options(described).run(), given);
   po::notify(given);
--- a/src/testbench/fault_injection/zones.cpp
+++ b/src/testbench/fault_injection/zones.cpp
@@ -32,7 +32,7 @@
 void steer_zone(Rig& rig, const char* what, const std::string& zone, json more = json::object()) {
   more["do"] = what;
   more["zone"] = zone;
-  rig.stand_in().steer(more);
+  rig.stand_in().control(more);
   rig.history().add("servers", more);
 }
 
@@ -76,7 +76,7 @@
   o.zones = {{"a", "north"}, {"b", "north"}, {"c", "south"}};
   o.placement = common;
   o.per_weight = kPerWeight;
-  o.stand_in.sets = 1;
+  o.stand_in.shard_groups = 1;
   o.stand_in.replicas = 8;
   o.stand_in.seed = options.seed;
   o.stand_in.model.cores = 1;
@@ -189,7 +189,7 @@
         far(samples[i].at - 1s, samples[i].at) > far_calm + 0.03)
       returned = samples[i].at;
   int falls = 0;
-  for (auto& [id, f] : rig.stand_in().figures()) falls += f.falls;
+  for (auto& [id, f] : rig.stand_in().counters()) falls += f.overloads;
   std::uint64_t stale = 0;
   for (auto& b : rig.stand_in().invariants().violations()) stale += b.invariant == Invariant::kStaleRead ? b.count : 0;
   json series = json::array();
@@ -246,7 +246,7 @@
     o.near_delay = o.far_delay = Micros(0);
     o.placement = planned;
     o.per_weight = kPerWeight;
-    o.stand_in.sets = 20;
+    o.stand_in.shard_groups = 20;
     o.stand_in.replicas = 5;
     o.stand_in.seed = options.seed;
     Rig rig(o);
--- a/src/testbench/load.cpp
+++ b/src/testbench/load.cpp
@@ -92,7 +92,7 @@
   }
 
   void run() {
-    if (cpu_ >= 0) pin_to(cpu_);
+    if (cpu_ >= 0) pin_to_cpu(cpu_);
     loop.set_precise_sleep(true);
     for (auto& client : clients_) client->connect();
     auto began = net::monotonic_now();
--- a/src/testbench/loop_thread.cpp
+++ b/src/testbench/loop_thread.cpp
@@ -6,7 +6,7 @@
 
 namespace database_proxy::testbench {
 
-bool pin_to(int cpu) {
+bool pin_to_cpu(int cpu) {
   cpu_set_t set;
   CPU_ZERO(&set);
   CPU_SET(static_cast<std::size_t>(cpu), &set);
@@ -20,18 +20,18 @@
 }
 
 LoopThread::LoopThread(int cpu, std::function<void()> end_of_turn)
-    : mailbox_(loop_), end_of_turn_(std::move(end_of_turn)), cpu_(cpu) {
+    : tasks_(loop_), end_of_turn_(std::move(end_of_turn)), cpu_(cpu) {
   loop_.set_precise_sleep(true);
 }
 
 void LoopThread::start() {
   std::promise<void> started;
   thread_ = std::thread([this, &started] {
-    if (cpu_ >= 0) pin_to(cpu_);
+    if (cpu_ >= 0) pin_to_cpu(cpu_);
     id_ = std::this_thread::get_id();
     started.set_value();
     loop_.run([this] {
-      mailbox_.run_pending();
+      tasks_.run_pending();
       end_of_turn_();
     });
   });
@@ -44,11 +44,11 @@
   thread_.join();
 }
 
-void LoopThread::call(const std::function<void()>& what) {
-  if (std::this_thread::get_id() == id_ || !thread_.joinable()) return what();
+void LoopThread::call(const std::function<void()>& task) {
+  if (std::this_thread::get_id() == id_ || !thread_.joinable()) return task();
   std::promise<void> done;
   post([&] {
-    what();
+    task();
     done.set_value();
   });
   done.get_future().wait();
--- a/src/testbench/loop_thread.h
+++ b/src/testbench/loop_thread.h
@@ -10,7 +10,7 @@
 namespace database_proxy::testbench {
 
 // Pins the calling thread; false where the system does not let it.
-bool pin_to(int cpu);
+bool pin_to_cpu(int cpu);
 double thread_cpu_seconds();  // of the calling thread
 
 class LoopThread {
@@ -22,13 +22,13 @@
   net::Loop& loop() { return loop_; }
   void start();
   void stop();  // and joins; harmless when it has stopped
-  void post(std::function<void()> call) { mailbox_.post(std::move(call)); }
+  void post(std::function<void()> call) { tasks_.post(std::move(call)); }
   // Runs it in the thread and waits for it; in the thread itself, at once.
-  void call(const std::function<void()>& what);
+  void call(const std::function<void()>& task);
 
  private:
   net::Loop loop_;
-  net::TaskQueue mailbox_;
+  net::TaskQueue tasks_;
   std::function<void()> end_of_turn_;
   int cpu_;
   std::thread thread_;
--- a/src/testbench/slow_start_checker.cpp
+++ b/src/testbench/slow_start_checker.cpp
@@ -12,56 +12,56 @@
 
 // Requests do not arrive evenly: what the protocol page allows a server that is given `requests` in the mean.
 double with_slack(double requests) {
-  constexpr double kFew = 30;
+  constexpr double kSmallCount = 30;
   auto root = std::sqrt(requests);
-  return requests < kFew ? requests + 3 * root + 3 : requests + 2 * root + 2;
+  return requests < kSmallCount ? requests + 3 * root + 3 : requests + 2 * root + 2;
 }
 
 }  // namespace
 
 std::vector<std::string> SlowStartChecker::on_request(Micros now, std::int64_t set, const std::string& server,
                                                       double speed) {
-  if (speed < 1) has_seen_cold_.store(true, std::memory_order_release);
-  if (!has_seen_cold_.load(std::memory_order_acquire)) return {};
+  if (speed < 1) has_seen_warming_up_.store(true, std::memory_order_release);
+  if (!has_seen_warming_up_.load(std::memory_order_acquire)) return {};
   std::lock_guard lock(mutex_);
   std::vector<std::string> found;
   auto& window = windows_[set];
   if (now - window.begun >= limits_.window) {
-    found = overruns(window);
+    found = find_overloads(window);
     window = {now, {}};
   }
-  auto& given = window.given[server];
-  ++given.requests;
-  given.speed = std::max(given.speed, speed);
+  auto& received = window.by_server[server];
+  ++received.requests;
+  received.speed = std::max(received.speed, speed);
   return found;
 }
 
-std::vector<std::string> SlowStartChecker::overruns(const Window& window) const {
-  auto usual = usual_requests(window);
-  if (!usual) return {};
+std::vector<std::string> SlowStartChecker::find_overloads(const Window& window) const {
+  auto nominal = nominal_requests(window);
+  if (!nominal) return {};
   std::vector<std::string> all;
-  for (auto& [server, given] : window.given)
-    all.push_back(fmt::format("{}: {} at {:.2f}", server, given.requests, given.speed));
+  for (auto& [server, received] : window.by_server)
+    all.push_back(fmt::format("{}: {} at {:.2f}", server, received.requests, received.speed));
   std::vector<std::string> found;
-  for (auto& [server, given] : window.given) {
-    if (given.speed >= 1) continue;
-    double allowed = with_slack(limits_.overload_multiple * given.speed * *usual);
-    if (given.requests <= allowed) continue;
+  for (auto& [server, received] : window.by_server) {
+    if (received.speed >= 1) continue;
+    double allowed = with_slack(limits_.overload_multiple * received.speed * *nominal);
+    if (received.requests <= allowed) continue;
     found.push_back(fmt::format("{} got {} requests in {} ms at {:.2f} of its speed, {:.0f} allowed ({})",
-                                server, given.requests, limits_.window.count() / 1000, given.speed, allowed,
+                                server, received.requests, limits_.window.count() / 1000, received.speed, allowed,
                                 fmt::join(all, ", ")));
   }
   return found;
 }
 
-std::optional<double> SlowStartChecker::usual_requests(const Window& window) const {
-  if (limits_.usual_rate > 0)
-    return limits_.usual_rate * std::chrono::duration<double>(limits_.window).count();
+std::optional<double> SlowStartChecker::nominal_requests(const Window& window) const {
+  if (limits_.nominal_rate > 0)
+    return limits_.nominal_rate * std::chrono::duration<double>(limits_.window).count();
   int servers = 0, requests = 0;
-  for (auto& [server, given] : window.given) {
-    if (given.speed < 1) continue;
+  for (auto& [server, received] : window.by_server) {
+    if (received.speed < 1) continue;
     ++servers;
-    requests += given.requests;
+    requests += received.requests;
   }
   if (servers == 0) return std::nullopt;
   return static_cast<double>(requests) / servers;
--- a/src/testbench/slow_start_checker.h
+++ b/src/testbench/slow_start_checker.h
@@ -19,7 +19,7 @@
 struct SlowStartLimits {
   double overload_multiple = 3;  // of what a server can do at its age
   Micros window{1'000'000};
-  double usual_rate = 0;  // requests a second of a warm server; 0: what the warm ones get tells it
+  double nominal_rate = 0;  // requests a second of a warm server; 0: what the warm ones get tells it
 };
 
 class SlowStartChecker {
@@ -31,21 +31,21 @@
   std::vector<std::string> on_request(Micros now, std::int64_t set, const std::string& server, double speed);
 
  private:
-  struct Given {
+  struct ReceivedRequests {
     int requests = 0;
     double speed = 0;  // the largest
   };
   struct Window {
     Micros begun{0};
-    std::map<std::string, Given> given;  // by server
+    std::map<std::string, ReceivedRequests> by_server;  // by server
   };
 
-  std::vector<std::string> overruns(const Window& window) const;
+  std::vector<std::string> find_overloads(const Window& window) const;
   // What a warm server gets in a window; none: nothing tells it.
-  std::optional<double> usual_requests(const Window& window) const;
+  std::optional<double> nominal_requests(const Window& window) const;
 
   const SlowStartLimits limits_;
-  std::atomic<bool> has_seen_cold_{false};  // before that nothing is counted
+  std::atomic<bool> has_seen_warming_up_{false};  // before that nothing is counted
   std::mutex mutex_;
   std::map<std::int64_t, Window> windows_;  // by set
 };
--- a/src/testbench/temporary_directory.h
+++ b/src/testbench/temporary_directory.h
@@ -28,7 +28,7 @@
 };
 
 // The daemon that was built beside this program.
-inline std::string daemon_beside() {
+inline std::string daemon_path() {
   std::error_code none;
   auto own = std::filesystem::read_symlink("/proc/self/exe", none);
   return (own.parent_path() / "database-proxy").string();
--- a/src/testbench/withdrawal_checker.cpp
+++ b/src/testbench/withdrawal_checker.cpp
@@ -11,7 +11,7 @@
 using namespace std::chrono_literals;
 
 // What a process had under way when it was stopped has been written by then.
-constexpr Micros kAfterContinuing = 150ms;
+constexpr Micros kResumeGrace = 150ms;
 
 std::string node_of(std::string_view request) { return std::string(request.substr(0, request.find('c'))); }
 
@@ -59,10 +59,10 @@
   continued_at_[node] = now;
 }
 
-bool WithdrawalChecker::is_held_up(Micros begun, const std::string& node) const {
+bool WithdrawalChecker::is_suspended(Micros begun, const std::string& node) const {
   if (stopped_.contains(node)) return true;
   auto continued = continued_at_.find(node);
-  return continued != continued_at_.end() && begun < continued->second + kAfterContinuing;
+  return continued != continued_at_.end() && begun < continued->second + kResumeGrace;
 }
 
 std::optional<std::string> WithdrawalChecker::on_attempt(Micros begun, std::string_view request,
@@ -76,7 +76,7 @@
   if (withdrawal.returned_at && begun >= *withdrawal.returned_at) withdrawal.is_used_since_return = true;
   for (auto [since, what] :
        {std::pair(withdrawal.cordoned_at, "cordoned"), std::pair(withdrawal.drained_at, "draining")}) {
-    if (!since || begun - *since <= grace_ || is_held_up(begun, node)) continue;
+    if (!since || begun - *since <= grace_ || is_suspended(begun, node)) continue;
     return fmt::format("request {} at {}, {} for {} ms", request, server, what, (begun - *since) / 1ms);
   }
   return std::nullopt;
--- a/src/testbench/withdrawal_checker.h
+++ b/src/testbench/withdrawal_checker.h
@@ -48,7 +48,7 @@
   };
   using Key = std::pair<std::string, std::string>;  // node, server
 
-  bool is_held_up(Micros begun, const std::string& node) const;
+  bool is_suspended(Micros begun, const std::string& node) const;
 
   const Micros grace_;
   mutable std::mutex mutex_;
--- a/tests/group/processes_test.cpp
+++ b/tests/group/processes_test.cpp
@@ -285,7 +285,7 @@
   load.length = 1s;
   load.rules = &f->stand_in().invariants();
   // A drain reaches it, though there is no owner.
-  f->stand_in().steer({{"do", "drain"}, {"server", "s1-3"}});
+  f->stand_in().control({{"do", "drain"}, {"server", "s1-3"}});
   auto figures = run_load(load);
   // Where it had to look for a voter that lives, it may have begun to ask itself, and has stopped.
   CHECK(f->soon(
@@ -704,7 +704,7 @@
         run_load(l);
       }
     });
-  f->stand_in().steer({{"do", "drain"}, {"server", "s1-2"}});
+  f->stand_in().control({{"do", "drain"}, {"server", "s1-2"}});
   auto word = net::monotonic_now();
   f->soon([&] { return net::monotonic_now() - word > 1500ms; });
   stop = true;
@@ -721,12 +721,12 @@
   // The list service is out of reach of one process only: its owner hears nothing of it.
   Fleet f(3, 0, [](RigOptions& o) { o.group = {{"lease_ms", 1300}}; });
   REQUIRE(f.owned("list"));
-  f->stand_in().steer({{"do", "discovery"}, {"mute", true}});
+  f->stand_in().control({{"do", "discovery"}, {"mute", true}});
   auto owner = f->owner("list");
   CHECK(f->soon(
       [&] { return f->log(f->leader()).find("holds the lease but does no work") != std::string::npos; },
       Micros(40'000'000)));
-  f->stand_in().steer({{"do", "discovery"}, {"mute", false}});
+  f->stand_in().control({{"do", "discovery"}, {"mute", false}});
   CHECK(f.owned("list"));
   CHECK(f->soon([&] { return f->status(f->owner("list"))->value("list_generation", -1) >= 0; }));
 }
@@ -755,7 +755,7 @@
       }
     });
   f->soon([&] { return served > 100; });
-  f->stand_in().steer({{"do", "drain"}, {"server", "s1-2"}});
+  f->stand_in().control({{"do", "drain"}, {"server", "s1-2"}});
   auto word = net::monotonic_now();
   f->soon([&] { return net::monotonic_now() - word > 1300ms; });
   stop = true;
--- a/tests/group/zones_test.cpp
+++ b/tests/group/zones_test.cpp
@@ -129,12 +129,12 @@
   void servers(const std::string& what, const std::string& zone, json more = json::object()) {
     more["do"] = what;
     more["zone"] = zone;
-    rig->stand_in().steer(more);
+    rig->stand_in().control(more);
   }
   std::uint64_t requests(const std::string& zone) {
     std::uint64_t n = 0;
     auto members = rig->stand_in().members();
-    auto figures = rig->stand_in().figures();
+    auto figures = rig->stand_in().counters();
     for (auto& m : members.at("instances"))
       if (m.at("zone") == zone) n += figures[m.at("instanceId")].requests;
     return n;
@@ -364,7 +364,7 @@
   z.servers("start", "c");
   CHECK(z.becomes("b", "open"));
   CHECK(z.becomes("c", "open"));
-  for (auto& [id, f] : z->stand_in().figures()) CHECK(f.falls == 0);
+  for (auto& [id, f] : z->stand_in().counters()) CHECK(f.overloads == 0);
   z.nothing_broken();
 }
 
@@ -479,12 +479,12 @@
   REQUIRE(z.ready());
   z.servers("kill", "b");
   REQUIRE(z.becomes("b", "closed"));
-  z->stand_in().steer({{"do", "handover"}, {"server", "s1-3"}});  // into c, the other region
+  z->stand_in().control({{"do", "handover"}, {"server", "s1-3"}});  // into c, the other region
   for (auto& name : {"p1", "p2", "p3"}) {
     z->terminate(name);
     z->start(name);
   }
-  auto written = [&] { return z->stand_in().figures().at("s1-3").requests; };
+  auto written = [&] { return z->stand_in().counters().at("s1-3").requests; };
   auto before = written();
   CHECK(z.rig->soon([&] { return written() > before + 20; }, kPatience));
   CHECK(z.rig->soon([&] { return z->log("p1").find("linked with") != std::string::npos && z.rests("b"); },
--- a/tests/testbench/lab_test.cpp
+++ b/tests/testbench/lab_test.cpp
@@ -88,7 +88,7 @@
 TEST_CASE("rules: where the usual load is known, a cold member's part is of that, whoever else is out") {
   auto breaches = [](int cold, int warm) {
     InvariantLimits limits;
-    limits.slow_start.usual_rate = 150;
+    limits.slow_start.nominal_rate = 150;
     InvariantChecker rules(limits);
     for (int i = 0; i < cold; ++i) rules.on_request(ms(i), 1, "c", 0.2);
     for (int i = 0; i < warm; ++i) rules.on_request(ms(i), 1, "w", 1);
@@ -165,8 +165,8 @@
   CHECK(count(stand_in.invariants(), Invariant::kExpiredIdempotencyKey) == 1);
   CHECK(replica.query(test::write_sql("w4")).code == "25006");
   CHECK(replica.query("DROP TABLE kv").code == "08P01");
-  CHECK_THROWS_WITH(stand_in.steer({{"do", "explode"}}), Catch::Contains("explode"));
-  CHECK_THROWS_WITH(stand_in.steer({{"do", "drain"}, {"server", "s9-9"}}), Catch::Contains("s9-9"));
+  CHECK_THROWS_WITH(stand_in.control({{"do", "explode"}}), Catch::Contains("explode"));
+  CHECK_THROWS_WITH(stand_in.control({{"do", "drain"}, {"server", "s9-9"}}), Catch::Contains("s9-9"));
   CHECK_THROWS_WITH(FakeServersOptions::parse({{"sest", 1}}), Catch::Contains("sest"));
   CHECK_THROWS_WITH(FakeServersOptions::parse({{"sets", 0}}), Catch::Contains("sets"));
 }
@@ -177,7 +177,7 @@
   o.replicas = 1;
   o.handover_gap = ms(1);
   FakeServers stand_in(o);
-  auto address = stand_in.steering();
+  auto address = stand_in.control_address();
   test::Peer steering = test::Peer::connect_to(std::stoi(address.substr(address.rfind(':') + 1)));
   auto steer = [&](const std::string& line) {
     steering.send(line + "\n");
@@ -218,11 +218,11 @@
   load.book = 0;
   std::thread stall([&] {
     std::this_thread::sleep_for(std::chrono::milliseconds(200));
-    stand_in.steer({{"do", "silence"}, {"server", "s1-1"}});
+    stand_in.control({{"do", "silence"}, {"server", "s1-1"}});
     std::this_thread::sleep_for(std::chrono::milliseconds(300));
-    stand_in.steer({{"do", "speak"}, {"server", "s1-1"}});
-    stand_in.steer({{"do", "kill"}, {"server", "s1-1"}});
-    stand_in.steer({{"do", "start"}, {"server", "s1-1"}});
+    stand_in.control({{"do", "speak"}, {"server", "s1-1"}});
+    stand_in.control({{"do", "kill"}, {"server", "s1-1"}});
+    stand_in.control({{"do", "start"}, {"server", "s1-1"}});
   });
   auto figures = run_load(load);
   stall.join();
--- a/tests/upgrade/cordon_test.cpp
+++ b/tests/upgrade/cordon_test.cpp
@@ -22,7 +22,7 @@
 }
 
 std::uint64_t requests_at(Node& node, const std::string& server) {
-  return node.servers.figures()[server].requests;
+  return node.servers.counters()[server].requests;
 }
 
 // Runs clients that write or read for a while. Returns the number of requests that `server` received
@@ -96,13 +96,13 @@
   Node node;
   auto known = node.options().known;
   auto first = start_healthy(node);
-  node.servers.steer({{"do", action}, {"server", kPrimary}});
+  node.servers.control({{"do", action}, {"server", kPrimary}});
   REQUIRE(eventually([&] { return first->log().find("list version") != std::string::npos; }));
   std::this_thread::sleep_for(kGracePeriod);
   auto options = node.options();
   options.known = known;
   SECTION("discovery answers") {}
-  SECTION("discovery is silent") { node.servers.steer({{"do", "discovery"}, {"mute", true}}); }
+  SECTION("discovery is silent") { node.servers.control({{"do", "discovery"}, {"mute", true}}); }
   auto second = node.start(options);
   REQUIRE(becomes_healthy(*second));
   end_process(*first, SIGKILL);
@@ -177,7 +177,7 @@
   auto steer_and_await_list = [&](const std::string& action, const std::string& server) {
     auto lists_received = [&] { return lines_with(second->log(), "list version"); };
     auto before = lists_received();
-    node.servers.steer({{"do", action}, {"server", server}});
+    node.servers.control({{"do", action}, {"server", server}});
     REQUIRE(eventually([&] { return lists_received() > before; }));
   };
   steer_and_await_list("remove", kReplica);
--- a/tests/upgrade/upgrade_test.cpp
+++ b/tests/upgrade/upgrade_test.cpp
@@ -181,9 +181,9 @@
 // Returns the number of requests that a data server received while `call` ran.
 template <class Call>
 std::uint64_t requests_during(Node& node, const std::string& server, Call call) {
-  auto before = node.servers.figures()[server].requests;
+  auto before = node.servers.counters()[server].requests;
   call();
-  return node.servers.figures()[server].requests - before;
+  return node.servers.counters()[server].requests - before;
 }
 
 void send_reads(Node& node, int count = 200) {
@@ -386,7 +386,7 @@
       Client busy(node.port());
       remaining->signal(SIGCONT);
       busy.send(pg::simple_query(write_statement(1)));
-      REQUIRE(eventually([&] { return node.servers.figures().at("s1-1").requests == 1; }));
+      REQUIRE(eventually([&] { return node.servers.counters().at("s1-1").requests == 1; }));
       shutting_down->signal(SIGTERM);
       auto serves_line = fmt::format("process {} serves on the listening socket", remaining->pid());
       CHECK(eventually([&] { return shutting_down->log().find(serves_line) != std::string::npos; }));
--- a/tests/workers/worker_pool_test.cpp
+++ b/tests/workers/worker_pool_test.cpp
@@ -463,7 +463,7 @@
     load.rules = &fake_servers.invariants();
     std::thread steering([&] {
       std::this_thread::sleep_for(400ms);
-      fake_servers.steer({{"do", "drain"}, {"server", "s1-2"}});
+      fake_servers.control({{"do", "drain"}, {"server", "s1-2"}});
     });
     auto figures = testbench::run_load(load);
     steering.join();
@@ -496,13 +496,13 @@
   load.rules = &fake_servers.invariants();
   std::thread steering([&] {
     std::this_thread::sleep_for(300ms);
-    fake_servers.steer({{"do", "add"}, {"set", 1}});
+    fake_servers.control({{"do", "add"}, {"set", 1}});
   });
   auto figures = testbench::run_load(load);
   steering.join();
   CHECK(figures.served > 2000);
   for (auto& b : fake_servers.invariants().violations()) FAIL_CHECK(testbench::name_of(b.invariant) << ": " << b.first);
-  CHECK(fake_servers.figures()["s1-5"].requests > 0);
+  CHECK(fake_servers.counters()["s1-5"].requests > 0);
 }
 
 }  // namespace database_proxy::test
