--- a/src/testbench/fake_servers.cpp
+++ b/src/testbench/fake_servers.cpp
@@ -165,12 +165,12 @@
 
 class FakeServers::DataServer : public net::Handler {
  public:
-  DataServer(FakeServers& fake_servers, ShardGroupThread& thread, std::string id, int set, std::uint64_t seed,
+  DataServer(FakeServers& fake_servers, ShardGroupThread& thread, std::string id, int shard_group, std::uint64_t seed,
              bool primary)
       : fake_servers(fake_servers),
         thread(thread),
         id(std::move(id)),
-        set(set),
+        shard_group(shard_group),
         model(fake_servers.options_.model, seed, primary) {}
   ~DataServer() override { shut_down(true); }
 
@@ -215,7 +215,7 @@
   FakeServers& fake_servers;
   ShardGroupThread& thread;
   const std::string id;
-  const int set;
+  const int shard_group;
   ServerModel model;
   ServerCounters counters;
   int port = 0;
@@ -329,7 +329,7 @@
   auto& f = server_.counters;
   ++f.requests;
   fake_servers.invariants_.on_attempt(now, first_byte_at_, s.id, server_.id);
-  fake_servers.invariants_.on_request(now, server_.set, server_.id, server_.model.speed(now));
+  fake_servers.invariants_.on_request(now, server_.shard_group, server_.id, server_.model.speed(now));
   request_id_ = s.id;
   ModelRequest model_request;
   model_request.kind = s.kind == pg::StatementKind::kWrite ? RequestKind::kWrite
@@ -365,7 +365,7 @@
           Invariant::kStaleRead, fmt::format("request {} at {}, {} ms too old", s.id, server_.id, needed - position));
   }
   if (model_request.kind == RequestKind::kWrite && s.idempotency_key) {
-    auto& store = server_.thread.keys.try_emplace(std::to_string(server_.set), fake_servers.options_.key_window)
+    auto& store = server_.thread.keys.try_emplace(std::to_string(server_.shard_group), fake_servers.options_.key_window)
                       .first->second;
     if (store.apply(now, std::hash<std::string_view>{}(*s.idempotency_key)) == IdempotencyKeyStore::Applied::kTwice)
       fake_servers.invariants_.record_violation(Invariant::kExpiredIdempotencyKey, fmt::format("key {} at {}", *s.idempotency_key, server_.id));
@@ -674,9 +674,9 @@
   }
   discovery_ = std::make_unique<Discovery>(*this, options_.discovery_port);
   discovery_->start();
-  for (int set = 1; set <= options_.shard_groups; ++set)
-    for (int i = 0; i <= options_.replicas; ++i) add_server(set, i == 0, false);
-  for (int set = 1; set <= options_.shard_groups; ++set) apply_zone_lag(set);
+  for (int shard_group = 1; shard_group <= options_.shard_groups; ++shard_group)
+    for (int i = 0; i <= options_.replicas; ++i) add_server(shard_group, i == 0, false);
+  for (int shard_group = 1; shard_group <= options_.shard_groups; ++shard_group) apply_zone_lag(shard_group);
   control_server_ = std::make_unique<ControlServer>(*this, options_.control_port);
 }
 
@@ -697,29 +697,29 @@
   location.thread->call(call);
 }
 
-void FakeServers::add_server(int set, bool primary, bool is_warming_up, bool announces_start) {
-  int number = ++last_server_numbers_[set];
-  auto id = fmt::format("s{}-{}", set, number);
+void FakeServers::add_server(int shard_group, bool primary, bool is_warming_up, bool announces_start) {
+  int number = ++last_server_numbers_[shard_group];
+  auto id = fmt::format("s{}-{}", shard_group, number);
   ServerLocation p;
-  p.set = set;
-  p.thread = threads_[static_cast<std::size_t>(set) % threads_.size()].get();
+  p.shard_group = shard_group;
+  p.thread = threads_[static_cast<std::size_t>(shard_group) % threads_.size()].get();
   auto seed =
-      options_.seed * 1000003 + static_cast<std::uint64_t>(set) * 1009 + static_cast<std::uint64_t>(number);
+      options_.seed * 1000003 + static_cast<std::uint64_t>(shard_group) * 1009 + static_cast<std::uint64_t>(number);
   int port = 0;
   run_in_thread(p, [&] {
-    p.server = new DataServer(*this, *p.thread, id, set, seed, primary);
+    p.server = new DataServer(*this, *p.thread, id, shard_group, seed, primary);
     if (is_warming_up) p.server->model.restart(p.thread->loop().now());
     p.server->listen(free_port());  // it may come back to it, and nobody may have taken it meanwhile
     port = p.server->port;
   });
   locations_[id] = p;
-  if (primary) primaries_[set] = id;
+  if (primary) primaries_[shard_group] = id;
   auto zone = options_.zones[static_cast<std::size_t>(number - 1) % options_.zones.size()];
   locations_[id].zone = zone;
   json entry = {{"instanceId", id},
                 {"hostPort", options_.advertised_address ? options_.advertised_address(zone, port) : fmt::format("127.0.0.1:{}", port)},
                 {"zone", zone},
-                {"cell", set},
+                {"cell", shard_group},
                 {"lifecycle", "up"},
                 {"weight", 1.0},
                 {"startedAtMs", is_warming_up && announces_start ? unix_ms_at(net::monotonic_now()) : 0}};
@@ -734,11 +734,11 @@
 }
 
 // The log takes its time from zone to zone.
-void FakeServers::apply_zone_lag(int set) {
+void FakeServers::apply_zone_lag(int shard_group) {
   if (!options_.lag_between) return;
-  auto& primary = locations_.at(primaries_.at(set));
+  auto& primary = locations_.at(primaries_.at(shard_group));
   for (auto& [id, p] : locations_) {
-    if (p.set != set) continue;
+    if (p.shard_group != shard_group) continue;
     auto lag = options_.model.lag + options_.lag_between(primary.zone, p.zone);
     run_in_thread(p, [&, server = p.server] { server->model.set_lag(lag, server->unix_ms()); });
   }
@@ -763,11 +763,11 @@
   }
   std::lock_guard lock(mutex_);
   auto what = action.value("do", "");
-  auto life = [&](ServerState to) {
+  auto set_state = [&](ServerState to) {
     auto& p = location_of(action);
     run_in_thread(p, [&] { p.server->model.set_state(to); });
   };
-  auto listed = [&](const std::string& id, const std::string& lifecycle,
+  auto set_lifecycle = [&](const std::string& id, const std::string& lifecycle,
                     std::optional<std::int64_t> started = {}) {
     discovery_->call([&] {
       auto entry = discovery_->entry(id);
@@ -779,18 +779,18 @@
   auto id = action.value("server", "");
   if (what == "drain") {  // it still finishes and still takes what comes within the grace
     location_of(action);
-    listed(id, "draining");
+    set_lifecycle(id, "draining");
   } else if (what == "refuse") {
-    life(ServerState::kDraining);
+    set_state(ServerState::kDraining);
   } else if (what == "up") {
-    life(ServerState::kUp);
-    listed(id, "up");
+    set_state(ServerState::kUp);
+    set_lifecycle(id, "up");
   } else if (what == "list-up") {  // the end of a drain; its life stays as it is
     location_of(action);
-    listed(id, "up");
+    set_lifecycle(id, "up");
   } else if (what == "remove") {
     location_of(action);
-    listed(id, "removed");
+    set_lifecycle(id, "removed");
   } else if (what == "kill") {
     auto& p = location_of(action);
     run_in_thread(p, [&] {
@@ -804,11 +804,11 @@
       p.server->model.restart(p.server->now());
       p.server->listen(p.server->port);
     });
-    listed(id, "up", unix_ms_at(net::monotonic_now()));
+    set_lifecycle(id, "up", unix_ms_at(net::monotonic_now()));
   } else if (what == "silence") {
-    life(ServerState::kUnresponsive);
+    set_state(ServerState::kUnresponsive);
   } else if (what == "speak") {
-    life(ServerState::kUp);
+    set_state(ServerState::kUp);
   } else if (what == "slow") {
     auto& p = location_of(action);
     auto times = read_number(action, "times", 1.0, 0.01, 1e4);
@@ -826,7 +826,7 @@
         action.value("told", true));
   } else if (what == "handover") {
     auto& to = location_of(action);
-    auto& from = locations_.at(primaries_.at(to.set));
+    auto& from = locations_.at(primaries_.at(to.shard_group));
     if (from.server == to.server) throw std::invalid_argument(id + " is the primary");
     run_in_thread(from, [&] { from.server->model.set_primary(false, from.server->unix_ms()); });
     auto gap = read_millis(action, "gap_ms", options_.handover_gap);
@@ -835,8 +835,8 @@
       to.thread->loop().at(to.thread->loop().now() + gap,
                            [server] { server->model.set_primary(true, server->unix_ms()); });
     });
-    primaries_[to.set] = id;
-    apply_zone_lag(to.set);
+    primaries_[to.shard_group] = id;
+    apply_zone_lag(to.shard_group);
   } else if (what == "discovery") {
     bool is_unresponsive = action.value("mute", false);
     discovery_->call([&] { discovery_->is_unresponsive = is_unresponsive; });
--- a/src/testbench/fake_servers.h
+++ b/src/testbench/fake_servers.h
@@ -84,11 +84,11 @@
   struct ServerLocation {
     ShardGroupThread* thread = nullptr;
     DataServer* server = nullptr;
-    int set = 0;
+    int shard_group = 0;
     std::string zone;
   };
   const ServerLocation& location_of(const nlohmann::json& action) const;
-  void add_server(int set, bool primary, bool is_warming_up, bool announces_start = true);
+  void add_server(int shard_group, bool primary, bool is_warming_up, bool announces_start = true);
   void run_in_thread(const ServerLocation& location, const std::function<void()>& call) const;
 
   FakeServersOptions options_;
@@ -100,7 +100,7 @@
   std::map<std::string, ServerLocation> locations_;
   std::map<int, int> last_server_numbers_;  // servers ever made, by set
   std::map<int, std::string> primaries_;
-  void apply_zone_lag(int set);
+  void apply_zone_lag(int shard_group);
 };
 
 }  // namespace database_proxy::testbench
--- a/src/testbench/model.h
+++ b/src/testbench/model.h
@@ -57,7 +57,7 @@
   bool primary() const { return primary_; }
   void set_primary(bool primary, std::int64_t unix_ms);
   ServerState state() const { return state_; }
-  void set_state(ServerState state) { state_ = life; }
+  void set_state(ServerState state) { state_ = state; }
   void set_lag(Micros lag, std::int64_t unix_ms);
   void restart(Micros now) { started_ = now; }  // cold from now on
   Micros started() const { return started_; }   // 0: long ago
--- a/src/testbench/rules.cpp
+++ b/src/testbench/rules.cpp
@@ -105,8 +105,8 @@
   if (!takes_work) has_seen_drain_.store(true, std::memory_order_release);
 }
 
-void InvariantChecker::on_request(Micros now, std::int64_t set, const std::string& server, double speed) {
-  for (auto& what : slow_start_.on_request(now, set, server, speed)) record_violation(Invariant::kSlowStartOverload, what);
+void InvariantChecker::on_request(Micros now, std::int64_t shard_group, const std::string& server, double speed) {
+  for (auto& what : slow_start_.on_request(now, shard_group, server, speed)) record_violation(Invariant::kSlowStartOverload, what);
 }
 
 std::vector<InvariantChecker::Violation> InvariantChecker::violations() const {
--- a/src/testbench/rules.h
+++ b/src/testbench/rules.h
@@ -44,7 +44,7 @@
   // A change of the list was written to a proxy; `takes` says whether the server may be given new work.
   void on_listed(Micros now, const std::string& server, bool takes_work);
   // A member of `set` was given a request; `speed` is what its age leaves of its speed, 1 when warm.
-  void on_request(Micros now, std::int64_t set, const std::string& server, double speed);
+  void on_request(Micros now, std::int64_t shard_group, const std::string& server, double speed);
   void record_violation(Invariant invariant, const std::string& what);
   // The same of drains and of operators' commands, by node.
   WithdrawalChecker& withdrawals() { return withdrawals_; }
--- a/src/testbench/slow_start_checker.cpp
+++ b/src/testbench/slow_start_checker.cpp
@@ -19,13 +19,13 @@
 
 }  // namespace
 
-std::vector<std::string> SlowStartChecker::on_request(Micros now, std::int64_t set, const std::string& server,
+std::vector<std::string> SlowStartChecker::on_request(Micros now, std::int64_t shard_group, const std::string& server,
                                                       double speed) {
   if (speed < 1) has_seen_warming_up_.store(true, std::memory_order_release);
   if (!has_seen_warming_up_.load(std::memory_order_acquire)) return {};
   std::lock_guard lock(mutex_);
   std::vector<std::string> found;
-  auto& window = windows_[set];
+  auto& window = windows_[shard_group];
   if (now - window.begun >= limits_.window) {
     found = find_overloads(window);
     window = {now, {}};
--- a/src/testbench/slow_start_checker.h
+++ b/src/testbench/slow_start_checker.h
@@ -28,7 +28,7 @@
 
   // A server of `set` was given a request; `speed` is what its age leaves of its speed, 1 when warm. Returns,
   // in words, which servers got too much in the window that has ended with this request.
-  std::vector<std::string> on_request(Micros now, std::int64_t set, const std::string& server, double speed);
+  std::vector<std::string> on_request(Micros now, std::int64_t shard_group, const std::string& server, double speed);
 
  private:
   struct ReceivedRequests {
