--- a/src/testbench/fake_servers.cpp
+++ b/src/testbench/fake_servers.cpp
@@ -72,7 +72,7 @@
 template <typename T>
 T read_number(const json& from, const char* key, T otherwise, double least, double most) {
   if (!from.contains(key)) return otherwise;
-  if (!from.at(key).is_number()) throw std::invalid_argument(fmt::format("{} is no number", key));
+  if (!from.at(key).is_number()) throw std::invalid_argument(fmt::format("{} is not a number", key));
   double value = from.at(key).get<double>();
   if (!(value >= least && value <= most))
     throw std::invalid_argument(fmt::format("{} is not between {} and {}", key, least, most));
@@ -93,7 +93,7 @@
                                            "lag_ms",     "bound_ms",       "cold_share",      "warm_up_ms",
                                            "check_age",  "discovery_port", "steer_port",      "seed",
                                            "script"};
-  if (!j.is_object()) throw std::invalid_argument("this is no JSON object");
+  if (!j.is_object()) throw std::invalid_argument("not a JSON object");
   for (auto& [key, value] : j.items())
     if (!known.count(key)) throw std::invalid_argument("unknown key '" + key + "'");
   FakeServersOptions o;
@@ -117,7 +117,7 @@
   o.model.check_staleness = j.value("check_age", o.model.check_staleness);
   o.zones = j.value("zones", o.zones);
   o.cpus = j.value("cpus", o.cpus);
-  if (o.zones.empty()) throw std::invalid_argument("zones is empty");
+  if (o.zones.empty()) throw std::invalid_argument("zones must not be empty");
   for (auto& step : j.value("script", json::array()))
     o.script.push_back({read_millis(step, "at_ms", Micros(0)), step});
   return o;
@@ -131,8 +131,8 @@
 class FakeServers::ShardGroupThread : public LoopThread {
  public:
   explicit ShardGroupThread(int cpu) : LoopThread(cpu, [this] { closed.clear(); }) {}
-  std::vector<std::unique_ptr<net::Handler>> closed;  // until the end of the turn in which they were
-  std::unordered_map<std::string, IdempotencyKeyStore> keys;     // by set
+  std::vector<std::unique_ptr<net::Handler>> closed;  // until the end of the loop iteration that closed them
+  std::unordered_map<std::string, IdempotencyKeyStore> keys;  // by shard group
 };
 
 class FakeServers::Connection : public net::Handler {
@@ -158,15 +158,15 @@
   net::InBuffer in_;
   net::OutBuffer out_;
   bool started_ = false, rejected_ = false, in_flight_ = false;
-  Micros first_byte_at_{-1};     // when the first byte of what is unparsed came
-  std::string request_id_;  // that is out here
+  Micros first_byte_at_{-1};  // arrival of the first byte that is not yet parsed
+  std::string request_id_;    // of the attempt in flight on this connection
   net::Loop::TimerId answer_timer_ = net::Loop::kNoTimer;
 };
 
 class FakeServers::DataServer : public net::Handler {
  public:
-  DataServer(FakeServers& fake_servers, ShardGroupThread& thread, std::string id, int shard_group, std::uint64_t seed,
-             bool primary)
+  DataServer(FakeServers& fake_servers, ShardGroupThread& thread, std::string id, int shard_group,
+             std::uint64_t seed, bool primary)
       : fake_servers(fake_servers),
         thread(thread),
         id(std::move(id)),
@@ -200,7 +200,7 @@
     thread.closed.push_back(std::move(it->second));
     connections_.erase(it);
   }
-  // Its process ends: connections are reset, new ones refused.
+  // Simulates the end of the server's process: connections are reset and new ones refused.
   void shut_down(bool discards_connections = false) {
     if (listener_) thread.loop().remove(listener_.get(), this);
     listener_.reset();
@@ -248,8 +248,8 @@
   server_.on_closed(this);
 }
 
-// The attempt is over for the proxy. The server goes on with the work of one that was given up, but its time
-// is in the model already.
+// Ends the attempt for the proxy. The server continues to process an abandoned attempt; the model has already
+// accounted for its service time.
 void FakeServers::Connection::end_attempt() {
   server_.thread.loop().cancel(&answer_timer_);
   if (std::exchange(in_flight_, false)) server_.model.complete();
@@ -333,8 +333,8 @@
   request_id_ = s.id;
   ModelRequest model_request;
   model_request.kind = s.kind == pg::StatementKind::kWrite ? RequestKind::kWrite
-             : s.request_class == "browse"       ? RequestKind::kBoundedStaleness
-                                                 : RequestKind::kReadYourWrites;
+                       : s.request_class == "browse"       ? RequestKind::kBoundedStaleness
+                                                           : RequestKind::kReadYourWrites;
   model_request.after_unix_ms = s.after_unix_ms.value_or(0);
   auto unix_now = server_.unix_ms();
   auto admitted = server_.model.admit(now, unix_now, model_request);
@@ -358,17 +358,22 @@
   in_flight_ = true;
   auto position = server_.model.position(unix_now);
   if (!server_.model.primary() && model_request.kind != RequestKind::kWrite) {
-    auto needed = model_request.kind == RequestKind::kBoundedStaleness ? unix_now - fake_servers.options_.model.staleness_bound / Micros(1000)
-                                             : model_request.after_unix_ms;
+    auto needed = model_request.kind == RequestKind::kBoundedStaleness
+                      ? unix_now - fake_servers.options_.model.staleness_bound / Micros(1000)
+                      : model_request.after_unix_ms;
     if (position < needed)
       fake_servers.invariants_.record_violation(
-          Invariant::kStaleRead, fmt::format("request {} at {}, {} ms too old", s.id, server_.id, needed - position));
+          Invariant::kStaleRead,
+          fmt::format("request {} at {}, {} ms too old", s.id, server_.id, needed - position));
   }
   if (model_request.kind == RequestKind::kWrite && s.idempotency_key) {
-    auto& store = server_.thread.keys.try_emplace(std::to_string(server_.shard_group), fake_servers.options_.key_window)
-                      .first->second;
-    if (store.apply(now, std::hash<std::string_view>{}(*s.idempotency_key)) == IdempotencyKeyStore::Applied::kTwice)
-      fake_servers.invariants_.record_violation(Invariant::kExpiredIdempotencyKey, fmt::format("key {} at {}", *s.idempotency_key, server_.id));
+    auto& store =
+        server_.thread.keys.try_emplace(std::to_string(server_.shard_group), fake_servers.options_.key_window)
+            .first->second;
+    if (store.apply(now, std::hash<std::string_view>{}(*s.idempotency_key)) ==
+        IdempotencyKeyStore::Applied::kTwice)
+      fake_servers.invariants_.record_violation(Invariant::kExpiredIdempotencyKey,
+                                                fmt::format("key {} at {}", *s.idempotency_key, server_.id));
   }
   if (admitted.done <= now) return answer(row_response(s.id), true);
   answer_timer_ = server_.thread.loop().at(admitted.done, [this] {
@@ -379,7 +384,7 @@
   });
 }
 
-// `figures`: with role and position, as an answer to a request.
+// Writes an answer; `with_position` adds role and position, as in an answer to a request.
 void FakeServers::Connection::answer(std::string_view head, bool with_position) {
   static const std::string ready = pg::ready_for_query();
   std::string tail;
@@ -395,7 +400,7 @@
 }
 
 void FakeServers::Connection::error(std::string_view code) {
-  answer(pg::error_response("ERROR", code, "the stand-in says no"), true);
+  answer(pg::error_response("ERROR", code, "request rejected by the fake server"), true);
 }
 
 // ---- discovery
@@ -415,7 +420,7 @@
   int port() const { return net::local_port(listener_.get()); }
   int port_of(int node) const { return nodes_.at(static_cast<std::size_t>(node))->port(); }
 
-  // In its thread: `entry` is as it stands from now on.
+  // Adds or replaces an entry of the list and answers the waiting calls. Runs in the thread of discovery.
   void update(json entry) {
     ++generation_;
     for (auto& e : entries_)
@@ -437,16 +442,20 @@
       if (after ? e.generation > *after : e.body.at("lifecycle") != "removed") instances.push_back(e.body);
     return {{"generation", generation_}, {"reset", !after}, {"instances", std::move(instances)}};
   }
-  bool is_unresponsive = false;                                // it takes calls and answers none
-  std::uint64_t calls = 0, full_list_calls = 0, rejected_calls = 0;  // that came; of them for the whole list; told 503
+  bool is_unresponsive = false;  // accepts calls and answers none
+  std::uint64_t calls = 0, full_list_calls = 0,
+                rejected_calls = 0;  // received; of those, for the full list; rejected with 503
   std::map<std::int64_t, std::uint64_t> calls_by_second;
 
-  // When a call that comes now is through, each being work; nullopt: too many wait.
+  // Returns the time at which a call that arrives now has been processed, one call at a time; nullopt if too
+  // many calls wait.
   std::optional<Micros> admit() {
     auto now = loop().now(), cost = fake_servers_.options_.list_call_cost;
     if (cost.count() <= 0) return now;
     auto waiting = busy_until_ > now ? (busy_until_ - now) / cost : 0;
-    if (fake_servers_.options_.max_waiting_list_calls > 0 && waiting >= fake_servers_.options_.max_waiting_list_calls) return std::nullopt;
+    if (fake_servers_.options_.max_waiting_list_calls > 0 &&
+        waiting >= fake_servers_.options_.max_waiting_list_calls)
+      return std::nullopt;
     return busy_until_ = std::max(now, busy_until_) + cost;
   }
 
@@ -481,7 +490,7 @@
           if (!out_.write(fd_.get(), {"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"}))
             end();
         } else {
-          // What the call costs first; then it waits for something new, as long as the caller would.
+          // The call is processed first; then it waits for an update, up to the time that the caller gave.
           auto wait_for = std::min(Micros(wait * 1000), kMaxWatchDuration);
           auto answer_or_wait = [this, wait_for] {
             if (!after_ || owner_.generation_ > *after_ || wait_for.count() <= 0) return reply();
@@ -536,7 +545,7 @@
     }
     Discovery& owner_;
     net::Fd fd_;
-    std::string node_;  // that calls; empty: not told apart
+    std::string node_;  // name of the calling node; empty: not known
     net::InBuffer in_;
     net::OutBuffer out_;
     std::optional<std::int64_t> after_;
@@ -557,7 +566,7 @@
    private:
     Discovery& owner_;
   };
-  // The address of one node.
+  // Accepts the connections at the discovery address of one node.
   class NodeListener : public net::Handler {
    public:
     NodeListener(Discovery& owner, int node) : owner_(owner), node_(fmt::format("n{}", node)) {
@@ -597,7 +606,7 @@
   std::vector<std::unique_ptr<NodeListener>> nodes_;
 };
 
-// ---- steering
+// ---- control
 // -----------------------------------------------------------------------------------------------
 
 class FakeServers::ControlServer {
@@ -605,7 +614,7 @@
   ControlServer(FakeServers& fake_servers, int port) : fake_servers_(fake_servers) {
     int error = 0;
     listener_ = net::listen_on(*net::parse_address(fmt::format("127.0.0.1:{}", port)), &error);
-    if (!listener_) throw std::runtime_error("steering cannot listen: " + net::message_of(error));
+    if (!listener_) throw std::runtime_error("control socket cannot listen: " + net::message_of(error));
     thread_ = std::thread([this] { run(); });
   }
   ~ControlServer() {
@@ -615,7 +624,7 @@
   int port() const { return net::local_port(listener_.get()); }
 
  private:
-  // Also plays the script. One steering connection at a time; each line is carried out and answered.
+  // Executes the script and the lines of one control connection at a time; answers each line.
   void run() {
     auto began = net::monotonic_now();
     std::size_t next = 0;
@@ -646,7 +655,7 @@
     }
   }
   json execute(const json& action) try {
-    if (!action.is_object()) throw std::invalid_argument("this is no JSON object");
+    if (!action.is_object()) throw std::invalid_argument("not a JSON object");
     if (action.value("do", "") == "report") return fake_servers_.report();
     fake_servers_.control(action);
     return {{"ok", true}};
@@ -659,17 +668,18 @@
   std::thread thread_;
 };
 
-// ---- the whole
+// ---- fake servers
 // ----------------------------------------------------------------------------------------------
 
-FakeServers::FakeServers(FakeServersOptions options) : options_(std::move(options)), invariants_(options_.limits) {
+FakeServers::FakeServers(FakeServersOptions options)
+    : options_(std::move(options)), invariants_(options_.limits) {
   std::stable_sort(options_.script.begin(), options_.script.end(),
                    [](auto& a, auto& b) { return a.at < b.at; });
   unix_ms_at(Micros(0));
   for (int i = 0; i < options_.threads; ++i) {
     auto& cpus = options_.cpus;
-    threads_.push_back(
-        std::make_unique<ShardGroupThread>(cpus.empty() ? -1 : cpus[static_cast<std::size_t>(i) % cpus.size()]));
+    threads_.push_back(std::make_unique<ShardGroupThread>(
+        cpus.empty() ? -1 : cpus[static_cast<std::size_t>(i) % cpus.size()]));
     threads_.back()->start();
   }
   discovery_ = std::make_unique<Discovery>(*this, options_.discovery_port);
@@ -691,7 +701,9 @@
 std::string FakeServers::discovery_of(int node) const {
   return fmt::format("127.0.0.1:{}", discovery_->port_of(node));
 }
-std::string FakeServers::control_address() const { return fmt::format("127.0.0.1:{}", control_server_->port()); }
+std::string FakeServers::control_address() const {
+  return fmt::format("127.0.0.1:{}", control_server_->port());
+}
 
 void FakeServers::run_in_thread(const ServerLocation& location, const std::function<void()>& call) const {
   location.thread->call(call);
@@ -703,13 +715,13 @@
   ServerLocation p;
   p.shard_group = shard_group;
   p.thread = threads_[static_cast<std::size_t>(shard_group) % threads_.size()].get();
-  auto seed =
-      options_.seed * 1000003 + static_cast<std::uint64_t>(shard_group) * 1009 + static_cast<std::uint64_t>(number);
+  auto seed = options_.seed * 1000003 + static_cast<std::uint64_t>(shard_group) * 1009 +
+              static_cast<std::uint64_t>(number);
   int port = 0;
   run_in_thread(p, [&] {
     p.server = new DataServer(*this, *p.thread, id, shard_group, seed, primary);
     if (is_warming_up) p.server->model.restart(p.thread->loop().now());
-    p.server->listen(free_port());  // it may come back to it, and nobody may have taken it meanwhile
+    p.server->listen(free_port());  // the port must still be free when the server restarts at it
     port = p.server->port;
   });
   locations_[id] = p;
@@ -717,7 +729,8 @@
   auto zone = options_.zones[static_cast<std::size_t>(number - 1) % options_.zones.size()];
   locations_[id].zone = zone;
   json entry = {{"instanceId", id},
-                {"hostPort", options_.advertised_address ? options_.advertised_address(zone, port) : fmt::format("127.0.0.1:{}", port)},
+                {"hostPort", options_.advertised_address ? options_.advertised_address(zone, port)
+                                                         : fmt::format("127.0.0.1:{}", port)},
                 {"zone", zone},
                 {"cell", shard_group},
                 {"lifecycle", "up"},
@@ -729,11 +742,11 @@
 const FakeServers::ServerLocation& FakeServers::location_of(const json& action) const {
   auto id = action.value("server", "");
   auto it = locations_.find(id);
-  if (it == locations_.end()) throw std::invalid_argument("no server is named '" + id + "'");
+  if (it == locations_.end()) throw std::invalid_argument("unknown server '" + id + "'");
   return it->second;
 }
 
-// The log takes its time from zone to zone.
+// Sets the replication lag of each replica by its distance from the zone of the primary.
 void FakeServers::apply_zone_lag(int shard_group) {
   if (!options_.lag_between) return;
   auto& primary = locations_.at(primaries_.at(shard_group));
@@ -745,14 +758,15 @@
 }
 
 void FakeServers::control(const json& action) {
-  if (action.contains("zone") && !action.contains("server")) {  // all of a zone, one after another
+  if (action.contains("zone") &&
+      !action.contains("server")) {  // applies to all servers of the zone, one after another
     std::vector<std::string> all;
     {
       std::lock_guard lock(mutex_);
       for (auto& [id, p] : locations_)
         if (p.zone == action.at("zone")) all.push_back(id);
     }
-    if (all.empty()) throw std::invalid_argument("no server stands in that zone");
+    if (all.empty()) throw std::invalid_argument("no server in that zone");
     for (auto& id : all) {
       auto one = action;
       one.erase("zone");
@@ -768,7 +782,7 @@
     run_in_thread(p, [&] { p.server->model.set_state(to); });
   };
   auto set_lifecycle = [&](const std::string& id, const std::string& lifecycle,
-                    std::optional<std::int64_t> started = {}) {
+                           std::optional<std::int64_t> started = {}) {
     discovery_->call([&] {
       auto entry = discovery_->entry(id);
       entry["lifecycle"] = lifecycle;
@@ -777,7 +791,7 @@
     });
   };
   auto id = action.value("server", "");
-  if (what == "drain") {  // it still finishes and still takes what comes within the grace
+  if (what == "drain") {  // finishes its requests and accepts those that arrive within the grace period
     location_of(action);
     set_lifecycle(id, "draining");
   } else if (what == "refuse") {
@@ -785,7 +799,7 @@
   } else if (what == "up") {
     set_state(ServerState::kUp);
     set_lifecycle(id, "up");
-  } else if (what == "list-up") {  // the end of a drain; its life stays as it is
+  } else if (what == "list-up") {  // ends a drain; the state of the server does not change
     location_of(action);
     set_lifecycle(id, "up");
   } else if (what == "remove") {
@@ -797,7 +811,7 @@
       p.server->model.set_state(ServerState::kDown);
       p.server->shut_down();
     });
-  } else if (what == "start") {  // after a kill: cold, at the same address
+  } else if (what == "start") {  // after a kill: at the same address, warming up
     auto& p = location_of(action);
     run_in_thread(p, [&] {
       p.server->model.set_state(ServerState::kUp);
@@ -823,7 +837,7 @@
     run_in_thread(p, [&] { p.server->model.set_lag(lag, p.server->unix_ms()); });
   } else if (what == "add") {
     add_server(read_number(action, "set", 1, 1, options_.shard_groups), false, action.value("cold", true),
-        action.value("told", true));
+               action.value("told", true));
   } else if (what == "handover") {
     auto& to = location_of(action);
     auto& from = locations_.at(primaries_.at(to.shard_group));
@@ -889,18 +903,23 @@
   json servers = json::object(), breaches = json::array();
   for (auto& [id, f] : counters())
     servers[id] = {{"requests", f.requests},       {"probes", f.probes},
-                   {"turned_away", f.rejected}, {"not_primary", f.not_primary},
+                   {"turned_away", f.rejected},    {"not_primary", f.not_primary},
                    {"too_old", f.too_old},         {"malformed", f.malformed},
                    {"connections", f.connections}, {"most_connections", f.max_connections},
                    {"opened", f.opened},           {"falls", f.overloads}};
   for (auto& b : invariants_.violations())
     breaches.push_back({{"rule", name_of(b.invariant)}, {"count", b.count}, {"first", b.first}});
   std::uint64_t calls = 0, full_list_calls = 0, rejected_calls = 0;
-  discovery_->call(
-      [&] { calls = discovery_->calls, full_list_calls = discovery_->full_list_calls, rejected_calls = discovery_->rejected_calls; });
-  return {
-      {"servers", servers},  {"breaches", breaches},      {"drain_last_send_ms", invariants_.drain_last_send_ms()},
-      {"list_calls", calls}, {"whole_list_calls", full_list_calls}, {"list_refused", rejected_calls}};
+  discovery_->call([&] {
+    calls = discovery_->calls, full_list_calls = discovery_->full_list_calls,
+    rejected_calls = discovery_->rejected_calls;
+  });
+  return {{"servers", servers},
+          {"breaches", breaches},
+          {"drain_last_send_ms", invariants_.drain_last_send_ms()},
+          {"list_calls", calls},
+          {"whole_list_calls", full_list_calls},
+          {"list_refused", rejected_calls}};
 }
 
 }  // namespace database_proxy::testbench
--- a/src/testbench/fake_servers.h
+++ b/src/testbench/fake_servers.h
@@ -1,6 +1,6 @@
-// Stand-ins for what the daemon talks to: data servers in sets, and discovery with its watch, on loopback
-// ports that the system picks. They behave as src/lab/model.h says, are steered at run time, and check the
-// rules.
+// Fake servers for the daemon to connect to: servers in shard groups, and discovery with its watch, on
+// loopback ports that the system picks. They behave as testbench/model.h describes, are controlled at run
+// time, and check the invariants of testbench/rules.h.
 #pragma once
 
 #include <cstdint>
@@ -18,33 +18,36 @@
 namespace database_proxy::testbench {
 
 struct ScriptStep {
-  Micros at{0};           // from the start
+  Micros at{0};           // time since the start
   nlohmann::json action;  // {"do":"drain","server":"s1-2"}
 };
 
 struct FakeServersOptions {
   int shard_groups = 1, replicas = 2;
-  std::size_t connections = 2000;  // that one server takes; more are turned away with 53300
-  int threads = 1;                 // sets are dealt out over them
-  std::vector<int> cpus;           // threads are pinned to these, in turn; empty: not at all
+  std::size_t connections = 2000;  // maximum for one server; further ones are rejected with 53300
+  int threads = 1;                 // shard groups are distributed over them
+  std::vector<int> cpus;           // threads are pinned to these in turn; empty: not pinned
   std::vector<std::string> zones{"north-bldg"};
-  Micros handover_gap{300'000};  // without a primary
+  Micros handover_gap{300'000};  // time without a primary during a handover
   Micros key_window{5'000'000};
-  int nodes = 0;                           // that discovery tells apart: each has an address of it
+  int nodes = 0;                             // number of nodes with a discovery address of their own
   int discovery_port = 0, control_port = 0;  // 0: the system picks one
   std::uint64_t seed = 1;
   ModelOptions model;
   InvariantLimits limits;
-  // The list service: what a call costs it, one after another, and how many may wait; more are told 503.
+  // Time that discovery takes for one list call (calls are processed one after another), and the number of
+  // calls that may wait; further ones are rejected with 503.
   Micros list_call_cost{0};
-  int max_waiting_list_calls = 0;  // 0: any number
+  int max_waiting_list_calls = 0;  // 0: no limit
   std::vector<ScriptStep> script;
-  // Where the list says that a server of this zone and port is to be reached; empty: where it is.
+  // Returns the address that the endpoint list gives for a server of this zone and port; empty: its own
+  // address.
   std::function<std::string(const std::string& zone, int port)> advertised_address;
-  // How much further behind a replica is whose primary stands in another zone; empty: no further.
+  // Returns the additional replication lag of a replica in `zone` whose primary is in zone `primary`; empty:
+  // none.
   std::function<Micros(const std::string& primary, const std::string& zone)> lag_between;
 
-  // Reads the form of docs/lab.md. Throws std::invalid_argument, naming the key.
+  // Reads the options from JSON. Throws std::invalid_argument, which names the key.
   static FakeServersOptions parse(const nlohmann::json& json);
 };
 
@@ -56,23 +59,25 @@
 
 class FakeServers {
  public:
-  // Listens and runs its threads. Throws std::runtime_error when it cannot.
+  // Listens and starts the threads. Throws std::runtime_error if it cannot listen.
   explicit FakeServers(FakeServersOptions options);
   ~FakeServers();
 
-  std::string discovery() const;  // its address
-  // Its address for one node, from 0; notices that go there are checked as the node's (WithdrawalChecker).
+  std::string discovery() const;  // address of discovery
+  // Returns discovery's address for one node, numbered from 0; updates sent there are checked as the node's
+  // (WithdrawalChecker).
   std::string discovery_of(int node) const;
-  std::string control_address() const;  // takes a JSON object a line, answers each with one
+  std::string control_address() const;  // takes one JSON object per line and answers each with one
   InvariantChecker& invariants() { return invariants_; }
   std::vector<std::string> servers() const;
-  // Carries out one action; throws std::invalid_argument for one that is unknown or names nothing known.
+  // Executes one action. Throws std::invalid_argument if the action, or a server or zone that it names, is
+  // unknown.
   void control(const nlohmann::json& action);
   std::map<std::string, ServerCounters> counters();
   nlohmann::json report();
-  nlohmann::json members();  // the list as discovery gives it
+  nlohmann::json members();  // the endpoint list as discovery returns it
   std::vector<double> thread_cpu_seconds();
-  // Whole lists and calls that came to the list service, by second of the monotonic clock.
+  // Returns the number of list calls that discovery received, by second of the monotonic clock.
   std::map<std::int64_t, std::uint64_t> list_calls_by_second();
 
  private:
@@ -96,9 +101,9 @@
   std::vector<std::unique_ptr<ShardGroupThread>> threads_;
   std::unique_ptr<Discovery> discovery_;
   std::unique_ptr<ControlServer> control_server_;
-  mutable std::mutex mutex_;  // of steer() and what it changes
+  mutable std::mutex mutex_;  // guards control() and what it changes
   std::map<std::string, ServerLocation> locations_;
-  std::map<int, int> last_server_numbers_;  // servers ever made, by set
+  std::map<int, int> last_server_numbers_;  // by shard group; numbers are not reused
   std::map<int, std::string> primaries_;
   void apply_zone_lag(int shard_group);
 };
--- a/src/testbench/loop_thread.h
+++ b/src/testbench/loop_thread.h
@@ -1,4 +1,4 @@
-// A thread with a loop of its own, for the lab.
+// A thread that runs its own event loop, for the testbench.
 #pragma once
 
 #include <future>
@@ -9,21 +9,21 @@
 
 namespace database_proxy::testbench {
 
-// Pins the calling thread; false where the system does not let it.
+// Pins the calling thread to a CPU. Returns false if the system does not allow it.
 bool pin_to_cpu(int cpu);
 double thread_cpu_seconds();  // of the calling thread
 
 class LoopThread {
  public:
-  // `end_of_turn` runs after each turn, in the thread. `cpu` -1: not pinned.
+  // `end_of_turn` runs in the thread after each iteration of the loop. `cpu` -1: not pinned.
   explicit LoopThread(
       int cpu = -1, std::function<void()> end_of_turn = [] {});
   ~LoopThread() { stop(); }
   net::Loop& loop() { return loop_; }
   void start();
-  void stop();  // and joins; harmless when it has stopped
+  void stop();  // joins the thread; no effect if it is not running
   void post(std::function<void()> call) { tasks_.post(std::move(call)); }
-  // Runs it in the thread and waits for it; in the thread itself, at once.
+  // Runs `task` in the thread and waits for its end. Called from the thread itself, it runs `task` directly.
   void call(const std::function<void()>& task);
 
  private:
--- a/src/testbench/model.cpp
+++ b/src/testbench/model.cpp
@@ -6,10 +6,10 @@
 namespace database_proxy::testbench {
 namespace {
 
-// Keys are remembered for so many windows, so that a repeat behind its window is still seen.
+// Number of windows for which keys are retained, so that a repeat after its window is still detected.
 constexpr int kRetainedWindows = 12;
 
-// Mean 1 with the coefficient of variation asked for.
+// Returns a log-normal distribution with mean 1 and the given coefficient of variation.
 std::lognormal_distribution<double> log_normal_with_mean_one(double variation) {
   double s2 = std::log(1 + variation * variation);
   return std::lognormal_distribution<double>(-s2 / 2, std::sqrt(s2));
@@ -37,7 +37,7 @@
 }
 
 void ServerModel::set_lag(Micros lag, std::int64_t unix_ms) {
-  position(unix_ms);  // what has been applied stays
+  position(unix_ms);  // data that has been applied is kept
   lag_ = lag;
 }
 
@@ -47,10 +47,12 @@
 }
 
 Admission ServerModel::admit(Micros now, std::int64_t unix_ms, const ModelRequest& request) {
-  if (state_ == ServerState::kUnresponsive || state_ == ServerState::kDown) return {AdmissionResult::kNoAnswer, now};
+  if (state_ == ServerState::kUnresponsive || state_ == ServerState::kDown)
+    return {AdmissionResult::kNoAnswer, now};
   if (request.kind == RequestKind::kProbe) return {AdmissionResult::kRun, now};
   if (now < overloaded_until_) return {AdmissionResult::kRejected, now};
-  if (options_.overload_in_flight > 0 && speed(now) < 1 && in_flight_ > options_.overload_in_flight * speed(now)) {
+  if (options_.overload_in_flight > 0 && speed(now) < 1 &&
+      in_flight_ > options_.overload_in_flight * speed(now)) {
     ++overloads_;
     overloaded_until_ = now + options_.overload_duration;
     restart(overloaded_until_);
@@ -63,9 +65,11 @@
   if (request.kind == RequestKind::kWrite && !primary_) return {AdmissionResult::kNotPrimary, now};
   if (options_.check_staleness && !primary_) {
     auto at = position(unix_ms);
-    if (request.kind == RequestKind::kBoundedStaleness && at < unix_ms - options_.staleness_bound / Micros(1000))
+    if (request.kind == RequestKind::kBoundedStaleness &&
+        at < unix_ms - options_.staleness_bound / Micros(1000))
+      return {AdmissionResult::kTooOld, now};
+    if (request.kind == RequestKind::kReadYourWrites && at < request.after_unix_ms)
       return {AdmissionResult::kTooOld, now};
-    if (request.kind == RequestKind::kReadYourWrites && at < request.after_unix_ms) return {AdmissionResult::kTooOld, now};
   }
   ++in_flight_;
   if (options_.service_us <= 0) return {AdmissionResult::kRun, now};
--- a/src/testbench/rules.cpp
+++ b/src/testbench/rules.cpp
@@ -7,7 +7,7 @@
 namespace database_proxy::testbench {
 namespace {
 
-// A request that has ended is forgotten after one to two of these; no request lasts so long.
+// The state of a request is discarded after one to two of these periods; no request lasts that long.
 constexpr Micros kRetention{15'000'000};
 
 }  // namespace
@@ -50,7 +50,8 @@
   return s.recent.contains(id) || s.older.contains(id);
 }
 
-void InvariantChecker::on_attempt(Micros now, Micros begun, std::string_view request, std::string_view server) {
+void InvariantChecker::on_attempt(Micros now, Micros begun, std::string_view request,
+                                  std::string_view server) {
   bool is_concurrent = false;
   int attempts = 0;
   {
@@ -68,7 +69,8 @@
     attempts = ++it->second.attempts;
   }
   if (is_concurrent)
-    record_violation(Invariant::kConcurrentAttempts, fmt::format("request {} at {} while another attempt is out", request, server));
+    record_violation(Invariant::kConcurrentAttempts,
+                     fmt::format("request {} at {} while another attempt is in flight", request, server));
   if (attempts > limits_.attempts)
     record_violation(Invariant::kTooManyAttempts, fmt::format("request {} sent {} times", request, attempts));
   if (auto what = withdrawals_.on_attempt(begun, request, std::string(server)))
@@ -82,7 +84,7 @@
   auto& b = violations_[Invariant::kSentAfterDrain];
   b.invariant = Invariant::kSentAfterDrain;
   if (++b.count == 1)
-    b.first = fmt::format("request {} at {}, {} ms after the word", request, server,
+    b.first = fmt::format("request {} at {}, {} ms after the drain notice", request, server,
                           (begun - it->second.at).count() / 1000);
 }
 
@@ -105,8 +107,10 @@
   if (!takes_work) has_seen_drain_.store(true, std::memory_order_release);
 }
 
-void InvariantChecker::on_request(Micros now, std::int64_t shard_group, const std::string& server, double speed) {
-  for (auto& what : slow_start_.on_request(now, shard_group, server, speed)) record_violation(Invariant::kSlowStartOverload, what);
+void InvariantChecker::on_request(Micros now, std::int64_t shard_group, const std::string& server,
+                                  double speed) {
+  for (auto& what : slow_start_.on_request(now, shard_group, server, speed))
+    record_violation(Invariant::kSlowStartOverload, what);
 }
 
 std::vector<InvariantChecker::Violation> InvariantChecker::violations() const {
@@ -124,7 +128,8 @@
 
 std::string InvariantChecker::describe_violations() const {
   std::string lines;
-  for (auto& b : violations()) lines += fmt::format("{}, {} times: {}\n", name_of(b.invariant), b.count, b.first);
+  for (auto& b : violations())
+    lines += fmt::format("{}, {} times: {}\n", name_of(b.invariant), b.count, b.first);
   return lines;
 }
 
@@ -133,7 +138,8 @@
   std::map<std::string, double> result;
   for (auto& [server, t] : listed_states_)
     if (!t.takes_work)
-      result[server] = t.last_attempt < t.at ? -1 : static_cast<double>((t.last_attempt - t.at).count()) / 1000;
+      result[server] =
+          t.last_attempt < t.at ? -1 : static_cast<double>((t.last_attempt - t.at).count()) / 1000;
   return result;
 }
 
--- a/src/testbench/rules.h
+++ b/src/testbench/rules.h
@@ -1,6 +1,5 @@
-// The rules as the data servers see them, checked from outside: whatever a proxy does wrong shows here. No
-// I/O; times are passed in. Safe from several threads: each request's record sits behind one of many short
-// locks.
+// Checks the proxy's invariants from outside, on what the servers observe. It does no I/O; the caller passes
+// the time. Thread-safe: the state of each request is guarded by one of many lock stripes.
 #pragma once
 
 #include <array>
@@ -22,12 +21,22 @@
 using net::Micros;
 
 struct InvariantLimits {
-  Micros drain_grace{1'050'000};  // after word of a drain, 50 ms for the sockets included
-  int attempts = 8;               // of one request
+  Micros drain_grace{1'050'000};  // after the notice of a drain; includes 50 ms for the sockets
+  int attempts = 8;               // maximum for one request
   SlowStartLimits slow_start;
 };
 
-enum class Invariant { kConcurrentAttempts, kTooManyAttempts, kSentAfterDrain, kSentAfterWithdrawal, kSlowStartOverload, kStaleRead, kExpiredIdempotencyKey, kWrongValue, kUnexpectedAnswer };
+enum class Invariant {
+  kConcurrentAttempts,
+  kTooManyAttempts,
+  kSentAfterDrain,
+  kSentAfterWithdrawal,
+  kSlowStartOverload,
+  kStaleRead,
+  kExpiredIdempotencyKey,
+  kWrongValue,
+  kUnexpectedAnswer
+};
 std::string_view name_of(Invariant invariant);
 
 class InvariantChecker {
@@ -35,31 +44,33 @@
   explicit InvariantChecker(InvariantLimits limits = {})
       : limits_(limits), withdrawals_(limits.drain_grace), slow_start_(limits.slow_start) {}
 
-  // An attempt's last byte came to `server` at `now`; its first at `begun`.
+  // Records an attempt at `server` whose first byte arrived at `begun` and its last byte at `now`.
   void on_attempt(Micros now, Micros begun, std::string_view request, std::string_view server);
-  // Whether an attempt of the request has come to a server of late.
+  // Returns whether an attempt of the request has reached a server within the retention period.
   bool was_attempted(std::string_view request);
-  // It was answered, or the proxy gave it up by ending its connection.
+  // Records that an attempt was answered, or that the proxy abandoned it by closing its connection.
   void on_attempt_end(std::string_view request);
-  // A change of the list was written to a proxy; `takes` says whether the server may be given new work.
+  // Records that an endpoint list update was written to a proxy; `takes_work`: the server may get new
+  // requests.
   void on_listed(Micros now, const std::string& server, bool takes_work);
-  // A member of `set` was given a request; `speed` is what its age leaves of its speed, 1 when warm.
+  // Records a request sent to a server of `shard_group`; `speed` is the server's share of its full speed at
+  // its age, 1 when warm.
   void on_request(Micros now, std::int64_t shard_group, const std::string& server, double speed);
   void record_violation(Invariant invariant, const std::string& what);
-  // The same of drains and of operators' commands, by node.
+  // Checks drains and operators' commands per node.
   WithdrawalChecker& withdrawals() { return withdrawals_; }
 
   struct Violation {
     Invariant invariant;
     std::uint64_t count = 0;
-    std::string first;  // the first one in words
+    std::string first;  // description of the first violation
   };
   std::vector<Violation> violations() const;
   std::uint64_t total() const;
-  // A line for each rule that was broken, with the first case; empty: none was.
+  // Returns one line for each violated invariant, with its first violation; empty if there is none.
   std::string describe_violations() const;
-  // By server: from the word of its newest drain to the last first byte of a request sent to it; -1: none
-  // came.
+  // Returns, by server, the time from the notice of its latest drain to the first byte of the last attempt
+  // sent to it; -1 if there was none.
   std::map<std::string, double> drain_last_send_ms() const;
 
  private:
@@ -76,17 +87,19 @@
     bool takes_work = true;
     Micros last_attempt{-1};
   };
-  LockStripe& stripe_of(std::string_view request) { return stripes_[std::hash<std::string_view>{}(request) % kStripes]; }
+  LockStripe& stripe_of(std::string_view request) {
+    return stripes_[std::hash<std::string_view>{}(request) % kStripes];
+  }
 
   static constexpr std::size_t kStripes = 64;
   InvariantLimits limits_;
   WithdrawalChecker withdrawals_;
   SlowStartChecker slow_start_;
   std::array<LockStripe, kStripes> stripes_;
-  mutable std::mutex mutex_;  // of what follows
+  mutable std::mutex mutex_;  // guards the members below
   std::unordered_map<std::string, ListedState> listed_states_;
   std::map<Invariant, Violation> violations_;
-  std::atomic<bool> has_seen_drain_{false};  // false: none is watched yet
+  std::atomic<bool> has_seen_drain_{false};  // false: no drain has been recorded yet
 };
 
 }  // namespace database_proxy::testbench
--- a/src/testbench/slow_start_checker.cpp
+++ b/src/testbench/slow_start_checker.cpp
@@ -10,7 +10,8 @@
 namespace database_proxy::testbench {
 namespace {
 
-// Requests do not arrive evenly: what the protocol page allows a server that is given `requests` in the mean.
+// Returns the number of requests that the protocol allows for a server with a mean of `requests`. The slack
+// is there because requests do not arrive evenly.
 double with_slack(double requests) {
   constexpr double kSmallCount = 30;
   auto root = std::sqrt(requests);
@@ -19,8 +20,8 @@
 
 }  // namespace
 
-std::vector<std::string> SlowStartChecker::on_request(Micros now, std::int64_t shard_group, const std::string& server,
-                                                      double speed) {
+std::vector<std::string> SlowStartChecker::on_request(Micros now, std::int64_t shard_group,
+                                                      const std::string& server, double speed) {
   if (speed < 1) has_seen_warming_up_.store(true, std::memory_order_release);
   if (!has_seen_warming_up_.load(std::memory_order_acquire)) return {};
   std::lock_guard lock(mutex_);
@@ -47,9 +48,9 @@
     if (received.speed >= 1) continue;
     double allowed = with_slack(limits_.overload_multiple * received.speed * *nominal);
     if (received.requests <= allowed) continue;
-    found.push_back(fmt::format("{} got {} requests in {} ms at {:.2f} of its speed, {:.0f} allowed ({})",
-                                server, received.requests, limits_.window.count() / 1000, received.speed, allowed,
-                                fmt::join(all, ", ")));
+    found.push_back(fmt::format(
+        "{} got {} requests in {} ms at {:.2f} of its full speed, {:.0f} allowed ({})", server,
+        received.requests, limits_.window.count() / 1000, received.speed, allowed, fmt::join(all, ", ")));
   }
   return found;
 }
--- a/src/testbench/slow_start_checker.h
+++ b/src/testbench/slow_start_checker.h
@@ -1,5 +1,5 @@
-// Checks from outside that a server which is warming up is not given more than it can do, by all nodes
-// together. Safe from several threads.
+// Checks from outside that all nodes together do not send a server that is warming up more requests than the
+// slow start limits allow. Thread-safe.
 #pragma once
 
 #include <atomic>
@@ -17,23 +17,25 @@
 using net::Micros;
 
 struct SlowStartLimits {
-  double overload_multiple = 3;  // of what a server can do at its age
+  double overload_multiple = 3;  // multiple of what a server can process at its age
   Micros window{1'000'000};
-  double nominal_rate = 0;  // requests a second of a warm server; 0: what the warm ones get tells it
+  double nominal_rate = 0;  // requests per second of a warm server; 0: derived from what warm servers get
 };
 
 class SlowStartChecker {
  public:
   explicit SlowStartChecker(SlowStartLimits limits) : limits_(limits) {}
 
-  // A server of `set` was given a request; `speed` is what its age leaves of its speed, 1 when warm. Returns,
-  // in words, which servers got too much in the window that has ended with this request.
-  std::vector<std::string> on_request(Micros now, std::int64_t shard_group, const std::string& server, double speed);
+  // Records a request sent to a server of `shard_group`; `speed` is the server's share of its full speed at
+  // its age, 1 when warm. Returns a description of each server that got too many requests in the window that
+  // ends with this request; empty if no window ends.
+  std::vector<std::string> on_request(Micros now, std::int64_t shard_group, const std::string& server,
+                                      double speed);
 
  private:
   struct ReceivedRequests {
     int requests = 0;
-    double speed = 0;  // the largest
+    double speed = 0;  // the highest in the window
   };
   struct Window {
     Micros begun{0};
@@ -41,13 +43,13 @@
   };
 
   std::vector<std::string> find_overloads(const Window& window) const;
-  // What a warm server gets in a window; none: nothing tells it.
+  // Returns the number of requests that a warm server gets in a window; nullopt if it is not known.
   std::optional<double> nominal_requests(const Window& window) const;
 
   const SlowStartLimits limits_;
-  std::atomic<bool> has_seen_warming_up_{false};  // before that nothing is counted
+  std::atomic<bool> has_seen_warming_up_{false};  // requests are counted only once it is true
   std::mutex mutex_;
-  std::map<std::int64_t, Window> windows_;  // by set
+  std::map<std::int64_t, Window> windows_;  // by shard group
 };
 
 }  // namespace database_proxy::testbench
--- a/src/testbench/temporary_directory.h
+++ b/src/testbench/temporary_directory.h
@@ -1,4 +1,4 @@
-// A folder of its own for a daemon's files, gone at the end; and where the daemon is.
+// A temporary directory for a daemon's files, and the path of the daemon.
 #pragma once
 
 #include <cstdlib>
@@ -8,11 +8,13 @@
 
 namespace database_proxy::testbench {
 
+// A directory that is created empty and removed with its contents by the destructor.
 class TemporaryDirectory {
  public:
   TemporaryDirectory() {
     auto pattern = (std::filesystem::temp_directory_path() / "database-proxy-XXXXXX").string();
-    if (!mkdtemp(pattern.data())) throw std::runtime_error("cannot make a folder for the daemon's files");
+    if (!mkdtemp(pattern.data()))
+      throw std::runtime_error("cannot create a temporary directory for the daemon's files");
     path_ = pattern;
   }
   ~TemporaryDirectory() {
@@ -27,7 +29,7 @@
   std::string path_;
 };
 
-// The daemon that was built beside this program.
+// Returns the path of the daemon in the directory of this program.
 inline std::string daemon_path() {
   std::error_code none;
   auto own = std::filesystem::read_symlink("/proc/self/exe", none);
--- a/src/testbench/withdrawal_checker.cpp
+++ b/src/testbench/withdrawal_checker.cpp
@@ -10,7 +10,7 @@
 
 using namespace std::chrono_literals;
 
-// What a process had under way when it was stopped has been written by then.
+// Time after which a process that continues has written what it had begun to send when it was stopped.
 constexpr Micros kResumeGrace = 150ms;
 
 std::string node_of(std::string_view request) { return std::string(request.substr(0, request.find('c'))); }
@@ -89,8 +89,8 @@
   for (auto& [key, withdrawal] : withdrawals_) {
     bool is_due = key.second == server && withdrawal.returned_at && now - *withdrawal.returned_at > allowed;
     if (is_due && !withdrawal.is_used_since_return)
-      unused.push_back(fmt::format("{} has left {} unused for {} ms since it was put back", key.first, server,
-                                   (now - *withdrawal.returned_at) / 1ms));
+      unused.push_back(fmt::format("{} has sent no request to {} for {} ms since it was uncordoned",
+                                   key.first, server, (now - *withdrawal.returned_at) / 1ms));
   }
   return unused;
 }
--- a/src/testbench/withdrawal_checker.h
+++ b/src/testbench/withdrawal_checker.h
@@ -1,6 +1,6 @@
-// Checks from outside that a node gives nothing new to a data server that it was told to leave, by discovery
-// or by an operator, whichever of the node's processes was told, and that it uses one again that was put
-// back. Requests name their node: their ids begin with its name and the letter c. Safe from several threads.
+// Checks from outside that a node sends no new request to a server that is drained by discovery or cordoned
+// by an operator, whichever of the node's processes was notified, and that it uses a server again after an
+// uncordon. Requests identify their node: their ids begin with its name and the letter c. Thread-safe.
 #pragma once
 
 #include <map>
@@ -19,31 +19,33 @@
 
 class WithdrawalChecker {
  public:
-  // `grace`: from the first notice to the last attempt, that of the sockets included.
+  // `grace`: maximum time from the first notice to the last attempt, including the allowance for the sockets.
   explicit WithdrawalChecker(Micros grace) : grace_(grace) {}
 
-  // Discovery's notice was written to one of the node's processes.
+  // Records that discovery's update was written to one of the node's processes.
   void on_listed(Micros now, const std::string& node, const std::string& server, bool takes_work);
-  // A process of the node has answered yes.
+  // Records that a process of the node has confirmed a cordon.
   void on_cordoned(Micros now, const std::string& node, const std::string& server);
-  // A process of the node is told to put it back; it may use it from now on.
+  // Records that an uncordon is sent to a process of the node; the node may use the server from now on.
   void on_uncordoning(Micros now, const std::string& node, const std::string& server);
-  // Whether the last command holds is not known: nothing is checked until the next one.
+  // Records that the last command was not answered, so its effect is unknown: operators' commands are not
+  // checked until the next one.
   void on_unanswered(const std::string& node, const std::string& server);
-  // One of the node's processes stands still, or goes on: what it had under way comes late.
+  // Record that one of the node's processes is stopped, or continues: attempts that it had begun arrive late.
   void on_stopped(const std::string& node);
   void on_continued(Micros now, const std::string& node);
 
-  // An attempt's first byte came. What is wrong with it, in words; nullopt: nothing.
+  // Records an attempt whose first byte arrived at `begun`. Returns a description of the violation; nullopt
+  // if there is none.
   std::optional<std::string> on_attempt(Micros begun, std::string_view request, const std::string& server);
-  // Servers that were put back, and were left unused though they might have been used all the time from then
-  // on; `now` is the end of the load.
+  // Returns a description for each node that has not used `server` for longer than `allowed` since it was
+  // uncordoned, though the server has been in service all that time; `now` is the end of the load.
   std::vector<std::string> unused_since_return(Micros now, const std::string& server, Micros allowed) const;
 
  private:
   struct Withdrawal {
     std::optional<Micros> drained_at, cordoned_at;
-    std::optional<Micros> returned_at;  // the last return, as long as nothing takes it out again
+    std::optional<Micros> returned_at;  // last uncordon; reset when the server goes out of service again
     bool is_used_since_return = false;
   };
   using Key = std::pair<std::string, std::string>;  // node, server
