--- a/src/testbench/commands.cpp
+++ b/src/testbench/commands.cpp
@@ -76,14 +76,14 @@
     write_whole((*given)["write-config"].as<std::string>(),
                 json({{"name", "lab"},
                       {"listen", (*given)["listen"].as<std::string>()},
-                      {"discovery", testbench.discovery()},
+                      {"discovery", testbench.discovery_address()},
                       {"seed", "1"},
                       {"limits", {{"sockets", 1024}, {"memory_mb", 256}}},
                       {"known", testbench.members()},
                       {"settings", lab_settings()}})
                         .dump(1) +
                     "\n");
-  std::cout << fmt::format("discovery {}\nsteering {}\nservers {}\n", testbench.discovery(),
+  std::cout << fmt::format("discovery {}\nsteering {}\nservers {}\n", testbench.discovery_address(),
                            testbench.control_address(), fmt::join(testbench.servers(), " "))
             << std::flush;
   auto seconds = (*given)["seconds"].as<double>();
--- a/src/testbench/cores.cpp
+++ b/src/testbench/cores.cpp
@@ -74,7 +74,7 @@
   ProcessUnderTestOptions d;
   d.program = way.baseline ? o.baseline : o.program;
   d.folder = o.folder;
-  d.discovery = stand_in.discovery();
+  d.discovery = stand_in.discovery_address();
   d.known = stand_in.members();
   d.cpus = way.workers == 1 ? std::vector<int>{layout.daemon.front()} : layout.daemon;
   d.seed = seed;
--- a/src/testbench/fake_servers.cpp
+++ b/src/testbench/fake_servers.cpp
@@ -443,8 +443,8 @@
     return {{"generation", generation_}, {"reset", !after}, {"instances", std::move(instances)}};
   }
   bool is_unresponsive = false;  // accepts calls and answers none
-  std::uint64_t calls = 0, full_list_calls = 0,
-                rejected_calls = 0;  // received; of those, for the full list; rejected with 503
+  // Calls received; of those, calls for the full list, and calls rejected with 503.
+  std::uint64_t calls = 0, full_list_calls = 0, rejected_calls = 0;
   std::map<std::int64_t, std::uint64_t> calls_by_second;
 
   // Returns the time at which a call that arrives now has been processed, one call at a time; nullopt if too
@@ -697,8 +697,8 @@
   for (auto& thread : threads_) thread->stop();
 }
 
-std::string FakeServers::discovery() const { return fmt::format("127.0.0.1:{}", discovery_->port()); }
-std::string FakeServers::discovery_of(int node) const {
+std::string FakeServers::discovery_address() const { return fmt::format("127.0.0.1:{}", discovery_->port()); }
+std::string FakeServers::discovery_address_of(int node) const {
   return fmt::format("127.0.0.1:{}", discovery_->port_of(node));
 }
 std::string FakeServers::control_address() const {
@@ -758,8 +758,8 @@
 }
 
 void FakeServers::control(const json& action) {
-  if (action.contains("zone") &&
-      !action.contains("server")) {  // applies to all servers of the zone, one after another
+  // An action with a zone and no server applies to all servers of the zone, one after another.
+  if (action.contains("zone") && !action.contains("server")) {
     std::vector<std::string> all;
     {
       std::lock_guard lock(mutex_);
@@ -777,7 +777,7 @@
   }
   std::lock_guard lock(mutex_);
   auto what = action.value("do", "");
-  auto set_state = [&](ServerState to) {
+  auto set_server_state = [&](ServerState to) {
     auto& p = location_of(action);
     run_in_thread(p, [&] { p.server->model.set_state(to); });
   };
@@ -795,9 +795,9 @@
     location_of(action);
     set_lifecycle(id, "draining");
   } else if (what == "refuse") {
-    set_state(ServerState::kDraining);
+    set_server_state(ServerState::kDraining);
   } else if (what == "up") {
-    set_state(ServerState::kUp);
+    set_server_state(ServerState::kUp);
     set_lifecycle(id, "up");
   } else if (what == "list-up") {  // ends a drain; the state of the server does not change
     location_of(action);
@@ -820,9 +820,9 @@
     });
     set_lifecycle(id, "up", unix_ms_at(net::monotonic_now()));
   } else if (what == "silence") {
-    set_state(ServerState::kUnresponsive);
+    set_server_state(ServerState::kUnresponsive);
   } else if (what == "speak") {
-    set_state(ServerState::kUp);
+    set_server_state(ServerState::kUp);
   } else if (what == "slow") {
     auto& p = location_of(action);
     auto times = read_number(action, "times", 1.0, 0.01, 1e4);
--- a/src/testbench/fake_servers.h
+++ b/src/testbench/fake_servers.h
@@ -17,6 +17,7 @@
 
 namespace database_proxy::testbench {
 
+// An action that the fake servers execute at a given time.
 struct ScriptStep {
   Micros at{0};           // time since the start
   nlohmann::json action;  // {"do":"drain","server":"s1-2"}
@@ -51,22 +52,24 @@
   static FakeServersOptions parse(const nlohmann::json& json);
 };
 
+// Counters of one fake server.
 struct ServerCounters {
   std::uint64_t requests = 0, probes = 0, rejected = 0, not_primary = 0, too_old = 0, malformed = 0,
                 opened = 0;
   int connections = 0, max_connections = 0, overloads = 0;
 };
 
+// Runs the fake servers, discovery and the control socket in threads of their own.
 class FakeServers {
  public:
   // Listens and starts the threads. Throws std::runtime_error if it cannot listen.
   explicit FakeServers(FakeServersOptions options);
   ~FakeServers();
 
-  std::string discovery() const;  // address of discovery
+  std::string discovery_address() const;  // address of discovery
   // Returns discovery's address for one node, numbered from 0; updates sent there are checked as the node's
   // (WithdrawalChecker).
-  std::string discovery_of(int node) const;
+  std::string discovery_address_of(int node) const;
   std::string control_address() const;  // takes one JSON object per line and answers each with one
   InvariantChecker& invariants() { return invariants_; }
   std::vector<std::string> servers() const;
--- a/src/testbench/fault_injection/soak.cpp
+++ b/src/testbench/fault_injection/soak.cpp
@@ -134,7 +134,7 @@
     node.program = options.program;
     node.folder = fmt::format("{}/n{}", folder, i);
     node.name = fmt::format("n{}", i);
-    node.discovery = servers.discovery_of(static_cast<int>(i));
+    node.discovery = servers.discovery_address_of(static_cast<int>(i));
     node.calls = i < script.calls.size() ? script.calls[i] : std::vector<PlannedCall>{};
     node.withdrawals = &servers.invariants().withdrawals();
     node.began = began;
--- a/src/testbench/model.h
+++ b/src/testbench/model.h
@@ -22,14 +22,8 @@
   kWrite,
   kProbe
 };
-enum class AdmissionResult {
-  kRun,
-  kRejected,
-  kNotPrimary,
-  kTooOld,
-  kNoAnswer,
-  kFailed
-};  // kNoAnswer: the server never answers
+// What a server does with a request; kNoAnswer: it never answers.
+enum class AdmissionResult { kRun, kRejected, kNotPrimary, kTooOld, kNoAnswer, kFailed };
 enum class ServerState { kUp, kDraining, kDown, kUnresponsive };
 
 struct ModelOptions {
@@ -59,6 +53,7 @@
   Micros done{0};  // time at which the answer is ready
 };
 
+// One server of a shard group.
 class ServerModel {
  public:
   ServerModel(const ModelOptions& options, std::uint64_t seed, bool primary);
@@ -101,11 +96,8 @@
 class IdempotencyKeyStore {
  public:
   explicit IdempotencyKeyStore(Micros window) : window_(window) {}
-  enum class Applied {
-    kFirst,
-    kRepeat,
-    kTwice
-  };  // kTwice: repeated after the window, so it took effect twice
+  // kTwice: repeated after the window, so it took effect twice.
+  enum class Applied { kFirst, kRepeat, kTwice };
   Applied apply(Micros now, std::uint64_t key);
 
  private:
--- a/src/testbench/rules.cpp
+++ b/src/testbench/rules.cpp
@@ -36,11 +36,11 @@
   return "?";
 }
 
-void InvariantChecker::record_violation(Invariant invariant, const std::string& what) {
+void InvariantChecker::record_violation(Invariant invariant, const std::string& detail) {
   std::lock_guard lock(mutex_);
   auto& b = violations_[invariant];
   b.invariant = invariant;
-  if (++b.count == 1) b.first = what;
+  if (++b.count == 1) b.first = detail;
 }
 
 bool InvariantChecker::was_attempted(std::string_view request) {
@@ -62,8 +62,8 @@
       s.rotated_at = now;
     }
     std::string id(request);
-    auto [it, fresh] = s.recent.try_emplace(id);
-    if (fresh)
+    auto [it, inserted] = s.recent.try_emplace(id);
+    if (inserted)
       if (auto node = s.older.extract(id)) it->second = node.mapped();
     is_concurrent = ++it->second.in_flight > 1;
     attempts = ++it->second.attempts;
@@ -73,8 +73,8 @@
                      fmt::format("request {} at {} while another attempt is in flight", request, server));
   if (attempts > limits_.attempts)
     record_violation(Invariant::kTooManyAttempts, fmt::format("request {} sent {} times", request, attempts));
-  if (auto what = withdrawals_.on_attempt(begun, request, std::string(server)))
-    record_violation(Invariant::kSentAfterWithdrawal, *what);
+  if (auto detail = withdrawals_.on_attempt(begun, request, std::string(server)))
+    record_violation(Invariant::kSentAfterWithdrawal, *detail);
   if (!has_seen_drain_.load(std::memory_order_acquire)) return;
   std::lock_guard lock(mutex_);
   auto it = listed_states_.find(std::string(server));
@@ -109,8 +109,8 @@
 
 void InvariantChecker::on_request(Micros now, std::int64_t shard_group, const std::string& server,
                                   double speed) {
-  for (auto& what : slow_start_.on_request(now, shard_group, server, speed))
-    record_violation(Invariant::kSlowStartOverload, what);
+  for (auto& detail : slow_start_.on_request(now, shard_group, server, speed))
+    record_violation(Invariant::kSlowStartOverload, detail);
 }
 
 std::vector<InvariantChecker::Violation> InvariantChecker::violations() const {
--- a/src/testbench/rules.h
+++ b/src/testbench/rules.h
@@ -20,6 +20,7 @@
 
 using net::Micros;
 
+// The limits that the invariants are checked against.
 struct InvariantLimits {
   Micros drain_grace{1'050'000};  // after the notice of a drain; includes 50 ms for the sockets
   int attempts = 8;               // maximum for one request
@@ -56,7 +57,8 @@
   // Records a request sent to a server of `shard_group`; `speed` is the server's share of its full speed at
   // its age, 1 when warm.
   void on_request(Micros now, std::int64_t shard_group, const std::string& server, double speed);
-  void record_violation(Invariant invariant, const std::string& what);
+  // Counts a violation and keeps the description of the first one of each invariant.
+  void record_violation(Invariant invariant, const std::string& detail);
   // Checks drains and operators' commands per node.
   WithdrawalChecker& withdrawals() { return withdrawals_; }
 
--- a/src/testbench/slow_start_checker.h
+++ b/src/testbench/slow_start_checker.h
@@ -39,7 +39,7 @@
   };
   struct Window {
     Micros begun{0};
-    std::map<std::string, ReceivedRequests> by_server;  // by server
+    std::map<std::string, ReceivedRequests> by_server;
   };
 
   std::vector<std::string> find_overloads(const Window& window) const;
--- a/tests/group/processes_test.cpp
+++ b/tests/group/processes_test.cpp
@@ -815,7 +815,7 @@
     d.program = DATABASE_PROXY_PROGRAM;
     TemporaryDirectory scratch;
     d.folder = scratch.path();
-    d.discovery = f->stand_in().discovery();
+    d.discovery = f->stand_in().discovery_address();
     d.known = f->stand_in().members();
     d.operator_file = {{"group", group}};
     try {
--- a/tests/testbench/lab_test.cpp
+++ b/tests/testbench/lab_test.cpp
@@ -207,7 +207,7 @@
   FakeServersOptions o;
   o.replicas = 1;
   FakeServers stand_in(o);
-  auto config = app::parse_config(test::config_text(stand_in.discovery(), stand_in.members().dump()));
+  auto config = app::parse_config(test::config_text(stand_in.discovery_address(), stand_in.members().dump()));
   test::ProxyFixture rig;  // its proxy serves set 2 only; this load asks a data server directly
   auto at = stand_in.members().at("instances").at(0).at("hostPort").get<std::string>();
   LoadOptions load;
--- a/tests/testbench/process_test.cpp
+++ b/tests/testbench/process_test.cpp
@@ -37,7 +37,7 @@
     ProcessUnderTestOptions d;
     d.program = DATABASE_PROXY_PROGRAM;
     d.folder = folder.path;
-    d.discovery = stand_in.discovery();
+    d.discovery = stand_in.discovery_address();
     d.known = stand_in.members();
     d.operator_file = {{"workers", {{"count", 4}, {"decisions", decisions}}}};
     ProcessUnderTest daemon(d);
@@ -88,7 +88,7 @@
   ProcessUnderTestOptions d;
   d.program = DATABASE_PROXY_PROGRAM;
   d.folder = folder.path;
-  d.discovery = stand_in.discovery();
+  d.discovery = stand_in.discovery_address();
   d.known = stand_in.members();
   d.cpus = {sched_getcpu()};  // one that the system lets us use, and that runs
   d.operator_file = {{"workers", {{"count", 3}}}};
--- a/tests/testbench/run_line_test.cpp
+++ b/tests/testbench/run_line_test.cpp
@@ -64,7 +64,7 @@
                                 fs::path(DATABASE_PROXY_PROGRAM).parent_path().string() + "/");
   nlohmann::json config = {{"name", "n1"},
                            {"listen", "127.0.0.1:0"},
-                           {"discovery", stand_in.discovery()},
+                           {"discovery", stand_in.discovery_address()},
                            {"seed", "1"},
                            {"limits", {{"sockets", 1024}, {"memory_mb", 64}}},
                            {"known", stand_in.members()},
@@ -127,7 +127,7 @@
     if (there == "0.0.0.0:0")
       ++listening;
     else
-      CHECK(there == stand_in.discovery());
+      CHECK(there == stand_in.discovery_address());
   }
   CHECK(listening == 1);
   kill(started.pid, SIGTERM);
--- a/tests/upgrade/node.h
+++ b/tests/upgrade/node.h
@@ -48,7 +48,7 @@
     options.program = DATABASE_PROXY_PROGRAM;
     options.folder = fmt::format("{}/{}", folder, ++started_);
     std::filesystem::create_directory(options.folder);
-    options.discovery = servers.discovery();
+    options.discovery = servers.discovery_address();
     options.known = servers.members();
     options.port = port();
     options.waits = false;
--- a/tests/workers/worker_pool_test.cpp
+++ b/tests/workers/worker_pool_test.cpp
@@ -452,7 +452,7 @@
     servers.threads = 1;
     servers.seed = 3;
     testbench::FakeServers fake_servers(servers);
-    auto config = app::parse_config(config_text(fake_servers.discovery(), fake_servers.members().dump()));
+    auto config = app::parse_config(config_text(fake_servers.discovery_address(), fake_servers.members().dump()));
     config.sockets = 600;
     RunningPool running(config, options(4, decisions));
     testbench::LoadOptions load;
@@ -484,7 +484,7 @@
   servers.model.service_us = 1000;
   servers.model.initial_speed = 0.5;
   testbench::FakeServers fake_servers(servers);
-  auto config = app::parse_config(config_text(fake_servers.discovery(), fake_servers.members().dump()));
+  auto config = app::parse_config(config_text(fake_servers.discovery_address(), fake_servers.members().dump()));
   config.sockets = 600;
   RunningPool running(config, options(4, DecisionMode::kSplit));
   testbench::LoadOptions load;
