--- a/src/testbench/fault_injection/rig.cpp
+++ b/src/testbench/fault_injection/rig.cpp
@@ -67,7 +67,7 @@
     auto& d = p.options;
     d.program = options_.program;
     d.folder = folder(name);
-    d.discovery = stand_in_->discovery();
+    d.discovery = stand_in_->discovery_address();
     d.known = stand_in_->members();
     d.name = name;
     d.sockets = 512;
