--- a/src/testbench/commands.cpp
+++ b/src/testbench/commands.cpp
@@ -76,15 +76,15 @@
     write_whole((*given)["write-config"].as<std::string>(),
                 json({{"name", "lab"},
                       {"listen", (*given)["listen"].as<std::string>()},
-                      {"discovery", testbench.discovery()},
+                      {"discovery", testbench.discovery_address()},
                       {"seed", "1"},
                       {"limits", {{"sockets", 1024}, {"memory_mb", 256}}},
                       {"known", testbench.members()},
                       {"settings", lab_settings()}})
                         .dump(1) +
                     "\n");
-  std::cout << fmt::format("discovery {}\nsteering {}\nservers {}\n", testbench.discovery(),
-                           testbench.steering(), fmt::join(testbench.servers(), " "))
+  std::cout << fmt::format("discovery {}\nsteering {}\nservers {}\n", testbench.discovery_address(),
+                           testbench.control_address(), fmt::join(testbench.servers(), " "))
             << std::flush;
   auto seconds = (*given)["seconds"].as<double>();
   if (seconds > 0) {
@@ -95,7 +95,7 @@
     sigwait(&set, &number);
   }
   std::cout << testbench.report().dump(1) << "\n";
-  return testbench.rules().total() == 0 ? 0 : 2;
+  return testbench.invariants().total() == 0 ? 0 : 2;
 }
 
 // One request, in plain words: for a first look, and for scripts.
@@ -191,7 +191,7 @@
   options.seed = g["seed"].as<std::uint64_t>();
   options.sets.clear();
   for (int i = 1; i <= std::clamp(g["sets"].as<int>(), 1, 1000); ++i) options.sets.push_back(i);
-  RuleChecker rules;
+  InvariantChecker rules;
   options.rules = &rules;
   auto f = run_load(options);
   json result = {{"asked", f.asked},
@@ -223,7 +223,7 @@
 
 int cores(const Arguments& arguments) {
   po::options_description o;
-  o.add_options()("program", po::value<std::string>()->default_value(daemon_beside()), "the daemon")(
+  o.add_options()("program", po::value<std::string>()->default_value(daemon_path()), "the daemon")(
       "baseline", po::value<std::string>()->default_value(""), "an earlier build, measured beside it")(
       "quick", "one short round: ends within 50 s")("rounds", po::value<int>()->default_value(5), "rounds")(
       "seconds", po::value<double>()->default_value(3), "of each measurement")(
--- a/src/testbench/cores.cpp
+++ b/src/testbench/cores.cpp
@@ -65,7 +65,7 @@
   auto most = *std::max_element(o.workers.begin(), o.workers.end());
   auto layout = lay_out(o.cpus, way.workers, way.decisions == "shared", most);
   FakeServersOptions servers;
-  servers.sets = o.sets;
+  servers.shard_groups = o.sets;
   servers.replicas = o.replicas;
   servers.threads = static_cast<int>(layout.stand_in.size());
   servers.cpus = layout.stand_in;
@@ -74,7 +74,7 @@
   ProcessUnderTestOptions d;
   d.program = way.baseline ? o.baseline : o.program;
   d.folder = o.folder;
-  d.discovery = stand_in.discovery();
+  d.discovery = stand_in.discovery_address();
   d.known = stand_in.members();
   d.cpus = way.workers == 1 ? std::vector<int>{layout.daemon.front()} : layout.daemon;
   d.seed = seed;
@@ -95,13 +95,13 @@
   load.warm_up = Micros(static_cast<std::int64_t>(o.warm_up * 1e6));
   load.length = Micros(static_cast<std::int64_t>(o.seconds * 1e6));
   load.seed = seed;
-  load.rules = &stand_in.rules();
+  load.rules = &stand_in.invariants();
   load.sets.clear();
   for (int i = 1; i <= o.sets; ++i) load.sets.push_back(i);
 
   // Beside the load: what the daemon and the rig used from the warm-up to the end, and a drain in the middle.
   ProcessUnderTest::Usage before, after;
-  std::map<std::string, ServerFigures> servers_before, servers_after;
+  std::map<std::string, ServerCounters> servers_before, servers_after;
   std::vector<double> rig_before, rig_after;
   Stolen stolen;
   double stolen_share = 0;
@@ -113,17 +113,17 @@
     stolen.since_last();
     before = daemon.usage();
     rig_before = stand_in.thread_cpu_seconds();
-    servers_before = stand_in.figures();
+    servers_before = stand_in.counters();
     std::this_thread::sleep_for(seconds(o.seconds * 0.95));
     after = daemon.usage();
     rig_after = stand_in.thread_cpu_seconds();
-    servers_after = stand_in.figures();
+    servers_after = stand_in.counters();
     stolen_share = stolen.since_last();
     ended = std::chrono::steady_clock::now();
   });
   std::thread drainer([&] {
     std::this_thread::sleep_for(std::chrono::duration<double>(o.warm_up + o.seconds * 0.5));
-    stand_in.steer({{"do", "drain"}, {"server", "s1-2"}});
+    stand_in.control({{"do", "drain"}, {"server", "s1-2"}});
   });
   auto figures = run_load(load);
   observer.join();
@@ -133,7 +133,7 @@
   for (auto& [id, f] : servers_after) {
     requests += static_cast<double>(f.requests - servers_before[id].requests);
     probes += static_cast<double>(f.probes - servers_before[id].probes);
-    connections += f.most_connections;
+    connections += f.max_connections;
   }
   auto count = static_cast<double>(servers_after.size());
   double cpu = after.cpu_seconds - before.cpu_seconds;
@@ -150,10 +150,10 @@
   for (std::size_t i = 0; i < rig_after.size(); ++i)
     rig_free = std::min(rig_free, 1 - (rig_after[i] - rig_before[i]) / seconds);
   for (double used : figures.cpu_seconds) load_free = std::min(load_free, 1 - used / figures.seconds);
-  auto drains = stand_in.rules().drain_last_send_ms();
+  auto drains = stand_in.invariants().drain_last_send_ms();
   json breaches = json::array();
-  for (auto& b : stand_in.rules().breaches())
-    breaches.push_back({{"rule", name_of(b.rule)}, {"count", b.count}, {"first", b.first}});
+  for (auto& b : stand_in.invariants().violations())
+    breaches.push_back({{"rule", name_of(b.invariant)}, {"count", b.count}, {"first", b.first}});
   return {{"way", way.name},
           {"workers", way.workers},
           {"decisions", way.decisions},
@@ -166,7 +166,7 @@
           {"probes_per_server_per_s", probes / count / seconds},
           {"connections_per_server", connections / count},
           {"drain_last_send_ms", drains.empty() ? -1 : drains.begin()->second},
-          {"rule_breaches", stand_in.rules().total()},
+          {"rule_breaches", stand_in.invariants().total()},
           {"refused", figures.refused},
           {"failed", figures.failed},
           {"unanswered", figures.unanswered},
--- a/src/testbench/fault_injection/coldstart.cpp
+++ b/src/testbench/fault_injection/coldstart.cpp
@@ -37,16 +37,16 @@
   o.followers = std::max(1, (options.processes > 0 ? options.processes : kProcesses) - o.voters);
   o.grouped = mode == "group";
   o.seed = options.seed;
-  o.fake_servers.sets = 4;
+  o.fake_servers.shard_groups = 4;
   o.fake_servers.replicas = 2;
   o.fake_servers.threads = 2;
   o.fake_servers.seed = options.seed;
-  o.fake_servers.list_cost = service.cost;
-  o.fake_servers.list_cap = service.cap;
+  o.fake_servers.list_call_cost = service.cost;
+  o.fake_servers.max_waiting_list_calls = service.cap;
   o.fake_servers.model.cores = 2;
   o.fake_servers.model.service_us = 1000;
   o.fake_servers.model.warm_up = kWarmUp;
-  o.fake_servers.model.fall_inside = 100;
+  o.fake_servers.model.overload_in_flight = 100;
   o.settings = {{"Guarantees", {{"WarmUpMs", static_cast<double>(kWarmUp.count()) / 1000}}}};
   o.start = false;
   FaultHarness rig(o);
@@ -62,8 +62,8 @@
     for (auto& name : rig.voters()) rig.kill(name);
   }
   for (auto& id : rig.fake_servers().servers()) {  // warming up, and the endpoint list shows it
-    rig.fake_servers().steer({{"do", "kill"}, {"server", id}});
-    rig.fake_servers().steer({{"do", "start"}, {"server", id}});
+    rig.fake_servers().control({{"do", "kill"}, {"server", id}});
+    rig.fake_servers().control({{"do", "start"}, {"server", id}});
   }
   auto before = rig.fake_servers().report();
   auto began = net::monotonic_now();
@@ -72,11 +72,11 @@
   double handshakes = 0, probes = 0;
   std::thread sampler([&] {
     std::map<std::string, std::uint64_t> opened, probed;
-    for (auto& [id, f] : rig.fake_servers().figures()) opened[id] = f.opened, probed[id] = f.probes;
+    for (auto& [id, f] : rig.fake_servers().counters()) opened[id] = f.opened, probed[id] = f.probes;
     auto first = probed;
     while (!stop) {
       std::this_thread::sleep_for(kSampleInterval);
-      auto figures = rig.fake_servers().figures();
+      auto figures = rig.fake_servers().counters();
       for (auto& [id, f] : figures) {
         handshakes = std::max(handshakes, static_cast<double>(f.opened - opened[id]));
         opened[id] = f.opened;
@@ -104,7 +104,7 @@
       l.sets = {1, 2, 3, 4};
       l.seed = options.seed * 1000 + i;
       l.prefix = fmt::format("c{}-", i);
-      l.rules = &rig.fake_servers().rules();
+      l.rules = &rig.fake_servers().invariants();
       auto f = run_load(l);
       std::lock_guard lock(mutex);
       sum.add(f);
@@ -143,9 +143,9 @@
   auto report = rig.fake_servers().report();
   int falls = 0;
   std::uint64_t wrong = 0;
-  for (auto& [id, f] : rig.fake_servers().figures()) falls += f.falls, wrong += f.not_primary + f.too_old;
+  for (auto& [id, f] : rig.fake_servers().counters()) falls += f.overloads, wrong += f.not_primary + f.too_old;
   double drain = -1;
-  for (auto& [name, ms] : rig.fake_servers().rules().drain_last_send_ms()) drain = std::max(drain, ms);
+  for (auto& [name, ms] : rig.fake_servers().invariants().drain_last_send_ms()) drain = std::max(drain, ms);
   if (!options.history.empty()) rig.history().write(options.history);
   auto increase_of = [&](const char* key) {
     return report.at(key).get<std::uint64_t>() - before.at(key).get<std::uint64_t>();
@@ -168,7 +168,7 @@
           {"served_share_first_30s", asked > 0 ? served / asked : 0},
           {"wrong_routes", wrong},
           {"drain_last_send_ms", drain},
-          {"rule_breaches", rig.fake_servers().rules().total()},
+          {"rule_breaches", rig.fake_servers().invariants().total()},
           {"breaches", report.at("breaches")}};
 }
 
--- a/src/testbench/fault_injection/commands.cpp
+++ b/src/testbench/fault_injection/commands.cpp
@@ -176,7 +176,7 @@
   po::options_description o;
   o.add_options()("name", po::value<std::string>()->default_value(""),
                   "group, owner, savings, return, zones or check")(
-      "program", po::value<std::string>()->default_value(daemon_beside()), "the daemon")(
+      "program", po::value<std::string>()->default_value(daemon_path()), "the daemon")(
       "quick", "only a few faults")("seed", po::value<std::uint64_t>()->default_value(1), "first seed")(
       "seeds", po::value<int>()->default_value(1), "number of seeds, run one after another")(
       "processes", po::value<int>()->default_value(0), "number of processes; 0: the experiment's default")(
--- a/src/testbench/fault_injection/experiments.cpp
+++ b/src/testbench/fault_injection/experiments.cpp
@@ -403,7 +403,7 @@
   o.voters = 3;
   o.followers = std::max(1, (options.processes > 0 ? options.processes : 9) - o.voters);
   o.seed = options.seed;
-  o.fake_servers.sets = 3;
+  o.fake_servers.shard_groups = 3;
   o.fake_servers.seed = options.seed;
   FaultHarness rig(o);
   const std::vector<std::string> jobs{"list", "probe 1", "probe 2", "probe 3"};
@@ -432,7 +432,7 @@
         l.warm_up = Micros(0);
         l.sets = {1, 2, 3};
         l.seed = options.seed * 1000 + i * 100 + static_cast<std::uint64_t>(n);
-        l.rules = &rig.fake_servers().rules();
+        l.rules = &rig.fake_servers().invariants();
         l.prefix = fmt::format("o{}-{}-", i, n);
         try {
           auto f = run_load(l);
@@ -473,13 +473,13 @@
         return least;
       };
       auto list = rig.fake_servers().members().at("generation").get<std::int64_t>();
-      rig.fake_servers().steer({{"do", "drain"}, {"server", server}});
+      rig.fake_servers().control({{"do", "drain"}, {"server", server}});
       rig.history().add("drain", {{"server", server}});
       rig.wait_until([&] { return generation() > list; });
       pause_for(1500ms);
-      for (auto& [name, ms] : rig.fake_servers().rules().drain_last_send_ms())
+      for (auto& [name, ms] : rig.fake_servers().invariants().drain_last_send_ms())
         drain_ms = std::max(drain_ms, ms);
-      rig.fake_servers().steer({{"do", "up"}, {"server", server}});
+      rig.fake_servers().control({{"do", "up"}, {"server", server}});
       rig.wait_until([&] { return generation() > list + 1; });
     }
   }
@@ -521,7 +521,7 @@
           {"whole_list_calls", report.at("whole_list_calls")},
           {"probes_per_server_per_s", probes / static_cast<double>(report.at("servers").size()) / seconds},
           {"drain_last_send_ms", drain_ms},
-          {"rule_breaches", rig.fake_servers().rules().total()},
+          {"rule_breaches", rig.fake_servers().invariants().total()},
           {"breaches", breaches}};
 }
 
@@ -536,13 +536,13 @@
     o.followers = processes - 3;
     o.grouped = grouped;
     o.seed = options.seed;
-    o.fake_servers.sets = 3;
+    o.fake_servers.shard_groups = 3;
     o.fake_servers.seed = options.seed;
     o.fake_servers.threads = 2;
     // Data servers that do not report whether a read was too old: only their positions show it, and probes
     // carry the positions.
     if (options.lag_ms > 0) {
-      o.fake_servers.model.check_age = false;
+      o.fake_servers.model.check_staleness = false;
       o.fake_servers.model.lag = Micros(options.lag_ms * 1000);
       o.settings = {{"FamilyInfo", {{"Behind", "off"}, {"Positions", false}}}};
     }
@@ -573,7 +573,7 @@
         l.warm_up = Micros(0);
         l.sets = {1, 2, 3};
         l.seed = options.seed * 1000 + i;
-        l.rules = &rig.fake_servers().rules();
+        l.rules = &rig.fake_servers().invariants();
         l.prefix = fmt::format("s{}-", i);
         auto f = run_load(l);
         std::lock_guard lock(mutex);
@@ -606,7 +606,7 @@
          {"probes_per_server_per_s", probes / static_cast<double>(after.at("servers").size()) / seconds},
          {"cpu_seconds_all", cpu_after - cpu_before},
          {"rss_mb_most", rss},
-         {"rule_breaches", rig.fake_servers().rules().total()}});
+         {"rule_breaches", rig.fake_servers().invariants().total()}});
   }
   return rows;
 }
--- a/src/testbench/fault_injection/rig.cpp
+++ b/src/testbench/fault_injection/rig.cpp
@@ -27,7 +27,7 @@
   if (!options_.zones.empty()) {
     options_.fake_servers.zones.clear();
     for (auto& zone : options_.zones) options_.fake_servers.zones.push_back(zone.name);
-    options_.fake_servers.front = [this](const std::string& zone, int port) {
+    options_.fake_servers.advertised_address = [this](const std::string& zone, int port) {
       return fmt::format("127.0.0.1:{}",
                          links_->add_shared_listener(zone, fmt::format("127.0.0.1:{}", port)));
     };
@@ -70,7 +70,7 @@
     auto& d = p.options;
     d.program = options_.program;
     d.folder = folder(name);
-    d.discovery = fake_servers_->discovery();
+    d.discovery = fake_servers_->discovery_address();
     d.known = fake_servers_->members();
     d.name = name;
     d.sockets = 512;
--- a/src/testbench/fault_injection/script.cpp
+++ b/src/testbench/fault_injection/script.cpp
@@ -132,7 +132,7 @@
     if (s.action == "isolate") harness.isolate(node);
     if (s.action == "reset-links") harness.reset_links(node);
     if (s.action == "heal") harness.heal();
-    if (s.action == "steer") harness.fake_servers().steer(s.control_command);
+    if (s.action == "steer") harness.fake_servers().control(s.control_command);
     if (s.action == "settle" && !harness.wait_until([&] { return !harness.leader().empty(); }))
       throw std::runtime_error("script: no leader was elected");
     if (s.action == "shape") {
--- a/src/testbench/fault_injection/soak.cpp
+++ b/src/testbench/fault_injection/soak.cpp
@@ -85,7 +85,7 @@
 void play_actions(FakeServers& servers, const SoakScript& script, steady_clock::time_point began) {
   for (auto& action : script.actions) {
     std::this_thread::sleep_until(began + milliseconds(action.at_ms));
-    servers.steer(action.action);
+    servers.control(action.action);
   }
 }
 
@@ -135,9 +135,9 @@
     node.program = options.program;
     node.folder = fmt::format("{}/n{}", folder, i);
     node.name = fmt::format("n{}", i);
-    node.discovery = servers.discovery_of(static_cast<int>(i));
+    node.discovery = servers.discovery_address_of(static_cast<int>(i));
     node.calls = i < script.calls.size() ? script.calls[i] : std::vector<PlannedCall>{};
-    node.withdrawals = &servers.rules().withdrawals();
+    node.withdrawals = &servers.invariants().withdrawals();
     node.began = began;
     node.known = servers.members();
     node.seed = script.seed;
@@ -158,7 +158,7 @@
       load.connections = kConnections;
       load.rate = kRatePerNode;
       load.length = seconds(script.seconds);
-      load.rules = &servers.rules();
+      load.rules = &servers.invariants();
       load.seed = script.seed * script.nodes.size() + i;  // distinct keys for each node
       load.prefix = fmt::format("n{}c", i);
       loads[i] = run_load(load);
@@ -168,7 +168,7 @@
   }
   play_actions(servers, script, began);
   std::this_thread::sleep_until(began + seconds(script.seconds));
-  auto unused = servers.rules().withdrawals().unused_since_return(
+  auto unused = servers.invariants().withdrawals().unused_since_return(
       net::monotonic_now(), servers.servers().front(), kMaxTimeToUseAfterUncordon);
   crowds.clear();
   for (auto& thread : threads) thread.join();
@@ -179,9 +179,9 @@
     add_figures(nodes[i]->figures(), &result.nodes);
     check_node(script, options, node_options[i], nodes[i]->figures(), loads[i], &result);
   }
-  for (auto& breach : servers.rules().breaches())
+  for (auto& breach : servers.invariants().violations())
     result.violations.push_back(
-        fmt::format("{} times {}, first: {}", breach.count, name_of(breach.rule), breach.first));
+        fmt::format("{} times {}, first: {}", breach.count, name_of(breach.invariant), breach.first));
   result.violations.insert(result.violations.end(), result.nodes.violations.begin(),
                            result.nodes.violations.end());
   return result;
@@ -226,7 +226,7 @@
   sets.seed = seed;
   constexpr double kServiceUs = 2000;
   sets.model.service_us = kServiceUs;
-  sets.limits.slow_start.usual_rate = static_cast<double>(kRatePerNode * sets.nodes) / (sets.replicas + 1);
+  sets.limits.slow_start.nominal_rate = static_cast<double>(kRatePerNode * sets.nodes) / (sets.replicas + 1);
   FakeServers servers(sets);
   auto replicas = servers.servers();
   auto primary = replicas.front();
@@ -262,7 +262,7 @@
       "known-red", po::value<std::vector<std::string>>(&options.known_red),
       "do not count violations that contain this text, but print them (KNOWN-RED.txt)")(
       "no-memory-limit", "do not check memory, for a program with sanitizers, which uses more")(
-      "program", po::value<std::string>()->default_value(daemon_beside()), "the database-proxy to run");
+      "program", po::value<std::string>()->default_value(daemon_path()), "the database-proxy to run");
   po::variables_map given;
   po::store(po::command_line_parser(arguments).options(described).run(), given);
   po::notify(given);
--- a/src/testbench/fault_injection/zones.cpp
+++ b/src/testbench/fault_injection/zones.cpp
@@ -34,7 +34,7 @@
 void control_zone(FaultHarness& rig, const char* what, const std::string& zone, json more = json::object()) {
   more["do"] = what;
   more["zone"] = zone;
-  rig.fake_servers().steer(more);
+  rig.fake_servers().control(more);
   rig.history().add("servers", more);
 }
 
@@ -80,14 +80,14 @@
   o.zones = {{"a", "north"}, {"b", "north"}, {"c", "south"}};
   o.placement = common;
   o.requests_per_weight = kRequestsPerWeight;
-  o.fake_servers.sets = 1;
+  o.fake_servers.shard_groups = 1;
   o.fake_servers.replicas = 8;
   o.fake_servers.seed = options.seed;
   o.fake_servers.model.cores = 1;
   o.fake_servers.model.service_us = kServiceUs;
-  o.fake_servers.model.queue = 200;
+  o.fake_servers.model.max_in_flight = 200;
   o.fake_servers.model.warm_up = kWarmUp;
-  o.fake_servers.model.fall_inside = 80;
+  o.fake_servers.model.overload_in_flight = 80;
   o.settings = {{"Guarantees", {{"WarmUpMs", static_cast<double>(kWarmUp.count()) / 1000}}}};
   FaultHarness rig(o);
   if (!rig.wait_until([&] {
@@ -119,7 +119,7 @@
       l.warm_up = Micros(0);
       l.book = 0.05;
       l.seed = options.seed * 1000 + i + (from.count() > 0 ? 500 : 0);
-      l.rules = &rig.fake_servers().rules();
+      l.rules = &rig.fake_servers().invariants();
       l.prefix = fmt::format("z{}-{}-", i, from.count() > 0 ? 2 : 1);
       auto f = run_load(l);
       std::lock_guard lock(mutex);
@@ -193,9 +193,9 @@
         cross_zone(samples[i].at - 1s, samples[i].at) > cross_zone_calm + 0.03)
       returned = samples[i].at;
   int falls = 0;
-  for (auto& [id, f] : rig.fake_servers().figures()) falls += f.falls;
+  for (auto& [id, f] : rig.fake_servers().counters()) falls += f.overloads;
   std::uint64_t stale = 0;
-  for (auto& b : rig.fake_servers().rules().breaches()) stale += b.rule == Rule::kStale ? b.count : 0;
+  for (auto& b : rig.fake_servers().invariants().violations()) stale += b.invariant == Invariant::kStaleRead ? b.count : 0;
   json series = json::array();
   for (auto& [at, n] : sum.series)
     series.push_back(
@@ -219,7 +219,7 @@
       {"stale_reads", stale},
       {"refused_share", sum.asked ? static_cast<double>(sum.refused) / static_cast<double>(sum.asked) : 0},
       {"p99_ms", percentile(sum.all, 0.99) / 1000},
-      {"rule_breaches", rig.fake_servers().rules().total()},
+      {"rule_breaches", rig.fake_servers().invariants().total()},
       {"breaches", rig.fake_servers().report().at("breaches")},
       {"series", series}};
 }
@@ -252,7 +252,7 @@
     o.intra_region_delay = o.inter_region_delay = Micros(0);
     o.placement = planned;
     o.requests_per_weight = kRequestsPerWeight;
-    o.fake_servers.sets = 20;
+    o.fake_servers.shard_groups = 20;
     o.fake_servers.replicas = 5;
     o.fake_servers.seed = options.seed;
     FaultHarness rig(o);
--- a/tests/group/processes_test.cpp
+++ b/tests/group/processes_test.cpp
@@ -285,9 +285,9 @@
   load.connections = 4;
   load.rate = 50;
   load.length = 1s;
-  load.rules = &f->fake_servers().rules();
+  load.rules = &f->fake_servers().invariants();
   // A drain reaches it, though there is no owner.
-  f->fake_servers().steer({{"do", "drain"}, {"server", "s1-3"}});
+  f->fake_servers().control({{"do", "drain"}, {"server", "s1-3"}});
   auto figures = run_load(load);
   // Where it had to look for a voter that lives, it may have begun to ask itself, and has stopped.
   CHECK(f->wait_until(
@@ -299,7 +299,7 @@
     if (name != one) f->start(name);
   CHECK(f.owned("list"));
   CHECK(f->wait_until([&] { return f->log(one).find("heard of again") != std::string::npos; }));
-  CHECK(f->fake_servers().rules().breaches_in_words() == "");
+  CHECK(f->fake_servers().invariants().describe_violations() == "");
 }
 
 TEST_CASE(
@@ -613,7 +613,7 @@
       l.rate = 40;
       l.length = 1s;
       l.prefix = "r" + std::to_string(i) + "-";
-      l.rules = &f->fake_servers().rules();
+      l.rules = &f->fake_servers().invariants();
       sum.add(run_load(l));
     }
   });
@@ -638,7 +638,7 @@
   CHECK(f.get("k") == "kept");
   CHECK(sum.served == sum.asked);
   CHECK(sum.served > 0);
-  CHECK(f->fake_servers().rules().breaches_in_words() == "");
+  CHECK(f->fake_servers().invariants().describe_violations() == "");
 }
 
 TEST_CASE("group: faults from a script are played in order and found in the history") {
@@ -709,16 +709,16 @@
         l.rate = 20;
         l.length = 500ms;
         l.prefix = name + "-" + std::to_string(i) + "-";
-        l.rules = &f->fake_servers().rules();
+        l.rules = &f->fake_servers().invariants();
         run_load(l);
       }
     });
-  f->fake_servers().steer({{"do", "drain"}, {"server", "s1-2"}});
+  f->fake_servers().control({{"do", "drain"}, {"server", "s1-2"}});
   auto word = net::monotonic_now();
   f->wait_until([&] { return net::monotonic_now() - word > 1500ms; });
   stop = true;
   for (auto& t : loads) t.join();
-  CHECK(f->fake_servers().rules().breaches_in_words() == "");
+  CHECK(f->fake_servers().invariants().describe_violations() == "");
   // The others come back, and the group goes on from where it was.
   f->start("n2");
   f->start("n3");
@@ -730,12 +730,12 @@
   // The list service is out of reach of one process only: its owner hears nothing of it.
   Fleet f(3, 0, [](FaultHarnessOptions& o) { o.group = {{"lease_ms", 1300}}; });
   REQUIRE(f.owned("list"));
-  f->fake_servers().steer({{"do", "discovery"}, {"mute", true}});
+  f->fake_servers().control({{"do", "discovery"}, {"mute", true}});
   auto owner = f->lease_holder("list");
   CHECK(f->wait_until(
       [&] { return f->log(f->leader()).find("holds the lease but does no work") != std::string::npos; },
       Micros(40'000'000)));
-  f->fake_servers().steer({{"do", "discovery"}, {"mute", false}});
+  f->fake_servers().control({{"do", "discovery"}, {"mute", false}});
   CHECK(f.owned("list"));
   CHECK(f->wait_until([&] { return f->status(f->lease_holder("list"))->value("list_generation", -1) >= 0; }));
 }
@@ -757,21 +757,21 @@
         l.rate = 40;
         l.length = 700ms;
         l.prefix = name + "-" + std::to_string(i) + "-";
-        l.rules = &f->fake_servers().rules();
+        l.rules = &f->fake_servers().invariants();
         auto x = run_load(l);
         asked += x.asked;
         served += x.served;
       }
     });
   f->wait_until([&] { return served > 100; });
-  f->fake_servers().steer({{"do", "drain"}, {"server", "s1-2"}});
+  f->fake_servers().control({{"do", "drain"}, {"server", "s1-2"}});
   auto word = net::monotonic_now();
   f->wait_until([&] { return net::monotonic_now() - word > 1300ms; });
   stop = true;
   for (auto& t : loads) t.join();
   CHECK(served == asked);
-  CHECK(f->fake_servers().rules().breaches_in_words() == "");
-  CHECK(f->fake_servers().rules().drain_last_send_ms().at("s1-2") < 1000);
+  CHECK(f->fake_servers().invariants().describe_violations() == "");
+  CHECK(f->fake_servers().invariants().drain_last_send_ms().at("s1-2") < 1000);
   CHECK(f->fake_servers().report().at("list_calls").get<std::uint64_t>() - calls <= 3);
   for (auto& name : f->followers()) CHECK(f->log(name).find("asks by itself") == std::string::npos);
 }
@@ -824,7 +824,7 @@
     d.program = DATABASE_PROXY_PROGRAM;
     TemporaryDirectory scratch;
     d.folder = scratch.path();
-    d.discovery = f->fake_servers().discovery();
+    d.discovery = f->fake_servers().discovery_address();
     d.known = f->fake_servers().members();
     d.operator_file = {{"group", group}};
     try {
--- a/tests/group/zones_test.cpp
+++ b/tests/group/zones_test.cpp
@@ -59,7 +59,7 @@
           l.book = 0.02;
           l.seed = std::hash<std::string>{}(name) + static_cast<std::uint64_t>(i);
           l.prefix = name + "-" + std::to_string(i) + "-";
-          l.rules = &rig->fake_servers().rules();
+          l.rules = &rig->fake_servers().invariants();
           try {
             auto f = run_load(l);
             std::lock_guard lock(mutex);
@@ -130,12 +130,12 @@
   void servers(const std::string& what, const std::string& zone, json more = json::object()) {
     more["do"] = what;
     more["zone"] = zone;
-    rig->fake_servers().steer(more);
+    rig->fake_servers().control(more);
   }
   std::uint64_t requests(const std::string& zone) {
     std::uint64_t n = 0;
     auto members = rig->fake_servers().members();
-    auto figures = rig->fake_servers().figures();
+    auto figures = rig->fake_servers().counters();
     for (auto& m : members.at("instances"))
       if (m.at("zone") == zone) n += figures[m.at("instanceId")].requests;
     return n;
@@ -156,7 +156,7 @@
     end_load();
     auto report = rig->fake_servers().report();
     INFO(report.at("breaches").dump());
-    CHECK(rig->fake_servers().rules().breaches_in_words() == "");
+    CHECK(rig->fake_servers().invariants().describe_violations() == "");
     CHECK(sum.served > 0);
   }
 
@@ -356,7 +356,7 @@
 }
 
 TEST_CASE("zones: two lost in turn, the second while the first returns cold, and no cold server falls") {
-  Zones z([](FaultHarnessOptions& o) { o.fake_servers.model.fall_inside = 40; });
+  Zones z([](FaultHarnessOptions& o) { o.fake_servers.model.overload_in_flight = 40; });
   z.load(20);
   REQUIRE(z.ready());
   z.servers("kill", "b");
@@ -368,7 +368,7 @@
   z.servers("start", "c");
   CHECK(z.becomes("b", "open"));
   CHECK(z.becomes("c", "open"));
-  for (auto& [id, f] : z->fake_servers().figures()) CHECK(f.falls == 0);
+  for (auto& [id, f] : z->fake_servers().counters()) CHECK(f.overloads == 0);
   z.nothing_broken();
 }
 
@@ -484,12 +484,12 @@
   REQUIRE(z.ready());
   z.servers("kill", "b");
   REQUIRE(z.becomes("b", "closed"));
-  z->fake_servers().steer({{"do", "handover"}, {"server", "s1-3"}});  // into c, the other region
+  z->fake_servers().control({{"do", "handover"}, {"server", "s1-3"}});  // into c, the other region
   for (auto& name : {"p1", "p2", "p3"}) {
     z->terminate(name);
     z->start(name);
   }
-  auto written = [&] { return z->fake_servers().figures().at("s1-3").requests; };
+  auto written = [&] { return z->fake_servers().counters().at("s1-3").requests; };
   auto before = written();
   CHECK(z.rig->wait_until([&] { return written() > before + 20; }, kPatience));
   CHECK(z.rig->wait_until(
--- a/tests/testbench/lab_test.cpp
+++ b/tests/testbench/lab_test.cpp
@@ -11,9 +11,9 @@
 namespace database_proxy::testbench {
 namespace {
 
-std::uint64_t count(const RuleChecker& rules, Rule rule) {
-  for (auto& breach : rules.breaches())
-    if (breach.rule == rule) return breach.count;
+std::uint64_t count(const InvariantChecker& rules, Invariant rule) {
+  for (auto& breach : rules.violations())
+    if (breach.invariant == rule) return breach.count;
   return 0;
 }
 
@@ -22,67 +22,67 @@
 }  // namespace
 
 TEST_CASE("rules: each breach is counted, and permitted behaviour is not a breach") {
-  RuleChecker rules;
+  InvariantChecker rules;
   // Two attempts of one request: permitted one after the other, a breach when concurrent.
-  rules.attempt(ms(1), ms(1), "a", "s1");
-  rules.ended("a");
-  rules.attempt(ms(2), ms(2), "a", "s2");
+  rules.on_attempt(ms(1), ms(1), "a", "s1");
+  rules.on_attempt_end("a");
+  rules.on_attempt(ms(2), ms(2), "a", "s2");
   CHECK(rules.total() == 0);
-  rules.attempt(ms(3), ms(3), "a", "s1");
-  CHECK(count(rules, Rule::kTwoOut) == 1);
+  rules.on_attempt(ms(3), ms(3), "a", "s1");
+  CHECK(count(rules, Invariant::kConcurrentAttempts) == 1);
   // A request may have eight attempts; the ninth is a breach.
   for (int i = 0; i < 8; ++i) {
-    rules.attempt(ms(4), ms(4), "b", "s1");
-    rules.ended("b");
+    rules.on_attempt(ms(4), ms(4), "b", "s1");
+    rules.on_attempt_end("b");
   }
-  CHECK(count(rules, Rule::kTooMany) == 0);
-  rules.attempt(ms(4), ms(4), "b", "s1");
-  CHECK(count(rules, Rule::kTooMany) == 1);
+  CHECK(count(rules, Invariant::kTooManyAttempts) == 0);
+  rules.on_attempt(ms(4), ms(4), "b", "s1");
+  CHECK(count(rules, Invariant::kTooManyAttempts) == 1);
   // After a drain notice, an attempt is judged by the time of its first byte, which may come until the grace
   // period (1,050 ms) ends. A notice that the server takes work again ends the drain.
-  rules.told(ms(1000), "s1", false);
-  rules.attempt(ms(2060), ms(2040), "c", "s1");
-  CHECK(count(rules, Rule::kDrained) == 0);
+  rules.on_listed(ms(1000), "s1", false);
+  rules.on_attempt(ms(2060), ms(2040), "c", "s1");
+  CHECK(count(rules, Invariant::kSentAfterDrain) == 0);
   CHECK(rules.drain_last_send_ms().at("s1") == Approx(1040));
-  rules.told(ms(2050), "s1", false);  // a repeated notice does not restart the grace period
-  rules.attempt(ms(2070), ms(2070), "d", "s1");
-  CHECK(count(rules, Rule::kDrained) == 1);
-  rules.told(ms(2080), "s1", true);
-  rules.attempt(ms(4000), ms(4000), "e", "s1");
-  CHECK(count(rules, Rule::kDrained) == 1);
+  rules.on_listed(ms(2050), "s1", false);  // a repeated notice does not restart the grace period
+  rules.on_attempt(ms(2070), ms(2070), "d", "s1");
+  CHECK(count(rules, Invariant::kSentAfterDrain) == 1);
+  rules.on_listed(ms(2080), "s1", true);
+  rules.on_attempt(ms(4000), ms(4000), "e", "s1");
+  CHECK(count(rules, Invariant::kSentAfterDrain) == 1);
 }
 
 TEST_CASE("rules: a member in slow start may get at most the overload multiple of its share") {
   auto cold_breaches = [](int cold) {
-    RuleChecker rules;
-    for (int i = 0; i < 300; ++i) rules.share(ms(i), 1, i % 2 ? "w1" : "w2", 1);
-    for (int i = 0; i < cold; ++i) rules.share(ms(i), 1, "c", 0.2);
-    rules.share(ms(1100), 1, "w1", 1);  // ends the window
-    return count(rules, Rule::kCold);
+    InvariantChecker rules;
+    for (int i = 0; i < 300; ++i) rules.on_request(ms(i), 1, i % 2 ? "w1" : "w2", 1);
+    for (int i = 0; i < cold; ++i) rules.on_request(ms(i), 1, "c", 0.2);
+    rules.on_request(ms(1100), 1, "w1", 1);  // ends the window
+    return count(rules, Invariant::kSlowStartOverload);
   };
   // Counting begins with the first request to a member in slow start; that request comes before the 300 here.
-  RuleChecker rules;
-  rules.share(ms(0), 1, "c", 0.2);
-  for (int i = 0; i < 300; ++i) rules.share(ms(i), 1, i % 2 ? "w1" : "w2", 1);
-  for (int i = 0; i < 80; ++i) rules.share(ms(i), 1, "c", 0.2);
-  rules.share(ms(1100), 1, "w1", 1);
+  InvariantChecker rules;
+  rules.on_request(ms(0), 1, "c", 0.2);
+  for (int i = 0; i < 300; ++i) rules.on_request(ms(i), 1, i % 2 ? "w1" : "w2", 1);
+  for (int i = 0; i < 80; ++i) rules.on_request(ms(i), 1, "c", 0.2);
+  rules.on_request(ms(1100), 1, "w1", 1);
   // 81 requests, where a warm member gets 150: within 3 times 0.2 of that.
-  CHECK(count(rules, Rule::kCold) == 0);
-  for (int i = 0; i < 300; ++i) rules.share(ms(1200 + i), 1, i % 2 ? "w1" : "w2", 1);
-  for (int i = 0; i < 120; ++i) rules.share(ms(1200 + i), 1, "c", 0.2);
-  rules.share(ms(2300), 1, "w1", 1);
-  CHECK(count(rules, Rule::kCold) == 1);
+  CHECK(count(rules, Invariant::kSlowStartOverload) == 0);
+  for (int i = 0; i < 300; ++i) rules.on_request(ms(1200 + i), 1, i % 2 ? "w1" : "w2", 1);
+  for (int i = 0; i < 120; ++i) rules.on_request(ms(1200 + i), 1, "c", 0.2);
+  rules.on_request(ms(2300), 1, "w1", 1);
+  CHECK(count(rules, Invariant::kSlowStartOverload) == 1);
   CHECK(cold_breaches(0) == 0);
 }
 
 TEST_CASE("rules: small request counts at a member in slow start are checked, with a wider tolerance") {
   auto breaches = [](int cold) {
-    RuleChecker rules;
-    rules.share(ms(0), 1, "c", 0.2);
-    for (int i = 0; i < 40; ++i) rules.share(ms(i), 1, i % 2 ? "w1" : "w2", 1);
-    for (int i = 1; i < cold; ++i) rules.share(ms(i), 1, "c", 0.2);
-    rules.share(ms(1100), 1, "w1", 1);
-    return count(rules, Rule::kCold);
+    InvariantChecker rules;
+    rules.on_request(ms(0), 1, "c", 0.2);
+    for (int i = 0; i < 40; ++i) rules.on_request(ms(i), 1, i % 2 ? "w1" : "w2", 1);
+    for (int i = 1; i < cold; ++i) rules.on_request(ms(i), 1, "c", 0.2);
+    rules.on_request(ms(1100), 1, "w1", 1);
+    return count(rules, Invariant::kSlowStartOverload);
   };
   CHECK(breaches(25) == 0);  // 3 times 0.2 of 20 is 12; plus 3 times its square root and 3, the limit is 25.4
   CHECK(breaches(26) == 1);
@@ -91,13 +91,13 @@
 TEST_CASE(
     "rules: with a known usual rate, a member's slow-start limit does not depend on the load of the others") {
   auto breaches = [](int cold, int warm) {
-    RuleLimits limits;
-    limits.slow_start.usual_rate = 150;
-    RuleChecker rules(limits);
-    for (int i = 0; i < cold; ++i) rules.share(ms(i), 1, "c", 0.2);
-    for (int i = 0; i < warm; ++i) rules.share(ms(i), 1, "w", 1);
-    rules.share(ms(1100), 1, "w", 1);
-    return count(rules, Rule::kCold);
+    InvariantLimits limits;
+    limits.slow_start.nominal_rate = 150;
+    InvariantChecker rules(limits);
+    for (int i = 0; i < cold; ++i) rules.on_request(ms(i), 1, "c", 0.2);
+    for (int i = 0; i < warm; ++i) rules.on_request(ms(i), 1, "w", 1);
+    rules.on_request(ms(1100), 1, "w", 1);
+    return count(rules, Invariant::kSlowStartOverload);
   };
   // 3 times 0.2 of 150 is 90; plus twice its square root and 2, the limit is 111.
   CHECK(breaches(110, 10) == 0);
@@ -111,33 +111,33 @@
   options.lag = ms(50);
   options.cores = 2;
   options.service_us = 1000;
-  options.spread = 0;
+  options.service_variation = 0;
   ServerModel primary(options, 1, true), replica(options, 2, false);
   CHECK(primary.position(10'000) == 10'000);
   CHECK(replica.position(10'000) == 9'950);
-  Job write{Kind::kWrite, 0}, browse{Kind::kBounded, 0}, own{Kind::kOwn, 9'990};
-  CHECK(replica.arrive(ms(1), 10'000, write).verdict == Verdict::kNotPrimary);
-  CHECK(replica.arrive(ms(1), 10'000, own).verdict == Verdict::kTooOld);
-  CHECK(replica.arrive(ms(1), 10'040, own).verdict == Verdict::kRun);
+  ModelRequest write{RequestKind::kWrite, 0}, browse{RequestKind::kBoundedStaleness, 0}, own{RequestKind::kReadYourWrites, 9'990};
+  CHECK(replica.admit(ms(1), 10'000, write).result == AdmissionResult::kNotPrimary);
+  CHECK(replica.admit(ms(1), 10'000, own).result == AdmissionResult::kTooOld);
+  CHECK(replica.admit(ms(1), 10'040, own).result == AdmissionResult::kRun);
   replica.set_lag(ms(400), 10'050);
   CHECK(replica.position(10'060) == 10'000);  // the position does not go back when the lag grows
-  CHECK(replica.arrive(ms(1), 10'301, browse).verdict == Verdict::kTooOld);
+  CHECK(replica.admit(ms(1), 10'301, browse).result == AdmissionResult::kTooOld);
   // With two cores, the third job waits until the first one ends.
-  CHECK(primary.arrive(ms(10), 0, browse).done == ms(11));
-  CHECK(primary.arrive(ms(10), 0, browse).done == ms(11));
-  CHECK(primary.arrive(ms(10), 0, browse).done == ms(12));
+  CHECK(primary.admit(ms(10), 0, browse).done == ms(11));
+  CHECK(primary.admit(ms(10), 0, browse).done == ms(11));
+  CHECK(primary.admit(ms(10), 0, browse).done == ms(12));
   primary.restart(ms(20));
   CHECK(primary.speed(ms(20)) == Approx(0.17));
-  CHECK(primary.arrive(ms(20), 0, browse).done > ms(25));
+  CHECK(primary.admit(ms(20), 0, browse).done > ms(25));
   CHECK(primary.speed(ms(20) + options.warm_up) == Approx(1));
-  primary.set_life(Life::kDraining);
-  CHECK(primary.arrive(ms(30), 0, browse).verdict == Verdict::kRejected);
-  primary.set_life(Life::kSilent);
-  CHECK(primary.arrive(ms(30), 0, browse).verdict == Verdict::kNever);
-  KeyStore keys(ms(5000));
-  CHECK(keys.apply(ms(0), 7) == KeyStore::Applied::kFirst);
-  CHECK(keys.apply(ms(5000), 7) == KeyStore::Applied::kRepeat);
-  CHECK(keys.apply(ms(5001), 7) == KeyStore::Applied::kTwice);
+  primary.set_state(ServerState::kDraining);
+  CHECK(primary.admit(ms(30), 0, browse).result == AdmissionResult::kRejected);
+  primary.set_state(ServerState::kUnresponsive);
+  CHECK(primary.admit(ms(30), 0, browse).result == AdmissionResult::kNoAnswer);
+  IdempotencyKeyStore keys(ms(5000));
+  CHECK(keys.apply(ms(0), 7) == IdempotencyKeyStore::Applied::kFirst);
+  CHECK(keys.apply(ms(5000), 7) == IdempotencyKeyStore::Applied::kRepeat);
+  CHECK(keys.apply(ms(5001), 7) == IdempotencyKeyStore::Applied::kTwice);
 }
 
 TEST_CASE(
@@ -146,7 +146,7 @@
   FakeServersOptions options;
   options.replicas = 1;
   options.key_window = ms(50);
-  options.model.check_age = false;
+  options.model.check_staleness = false;
   FakeServers fake_servers(options);
   auto members = fake_servers.members();
   REQUIRE(members.at("instances").size() == 2);
@@ -160,19 +160,19 @@
            " */";
   };
   CHECK(replica.query(sql("a", "")).value == "a");
-  CHECK(fake_servers.rules().breaches_in_words() == "");
+  CHECK(fake_servers.invariants().describe_violations() == "");
   CHECK(replica.query(sql("b", ",after=" + std::to_string(test::unix_ms() + 5000))).row);
-  CHECK(count(fake_servers.rules(), Rule::kStale) == 1);
+  CHECK(count(fake_servers.invariants(), Invariant::kStaleRead) == 1);
   CHECK(primary.query(test::write_sql("w1")).row);
   CHECK(primary.query(test::write_sql("w2")).row);  // the same key again within its window is permitted
-  CHECK(count(fake_servers.rules(), Rule::kKey) == 0);
+  CHECK(count(fake_servers.invariants(), Invariant::kExpiredIdempotencyKey) == 0);
   std::this_thread::sleep_for(std::chrono::milliseconds(80));
   CHECK(primary.query(test::write_sql("w3")).row);
-  CHECK(count(fake_servers.rules(), Rule::kKey) == 1);
+  CHECK(count(fake_servers.invariants(), Invariant::kExpiredIdempotencyKey) == 1);
   CHECK(replica.query(test::write_sql("w4")).code == "25006");
   CHECK(replica.query("DROP TABLE kv").code == "08P01");
-  CHECK_THROWS_WITH(fake_servers.steer({{"do", "explode"}}), Catch::Contains("explode"));
-  CHECK_THROWS_WITH(fake_servers.steer({{"do", "drain"}, {"server", "s9-9"}}), Catch::Contains("s9-9"));
+  CHECK_THROWS_WITH(fake_servers.control({{"do", "explode"}}), Catch::Contains("explode"));
+  CHECK_THROWS_WITH(fake_servers.control({{"do", "drain"}, {"server", "s9-9"}}), Catch::Contains("s9-9"));
   CHECK_THROWS_WITH(FakeServersOptions::parse({{"sest", 1}}), Catch::Contains("sest"));
   CHECK_THROWS_WITH(FakeServersOptions::parse({{"sets", 0}}), Catch::Contains("sets"));
 }
@@ -184,7 +184,7 @@
   options.replicas = 1;
   options.handover_gap = ms(1);
   FakeServers fake_servers(options);
-  auto address = fake_servers.steering();
+  auto address = fake_servers.control_address();
   test::Peer control_connection = test::Peer::connect_to(std::stoi(address.substr(address.rfind(':') + 1)));
   auto control = [&](const std::string& line) {
     control_connection.send(line + "\n");
@@ -214,7 +214,7 @@
   FakeServersOptions options;
   options.replicas = 1;
   FakeServers fake_servers(options);
-  auto config = app::parse_config(test::config_text(fake_servers.discovery(), fake_servers.members().dump()));
+  auto config = app::parse_config(test::config_text(fake_servers.discovery_address(), fake_servers.members().dump()));
   // The fixture's proxy serves shard group 2 only; this load goes directly to a data server.
   test::ProxyFixture fixture;
   auto at = fake_servers.members().at("instances").at(0).at("hostPort").get<std::string>();
@@ -226,11 +226,11 @@
   load.book = 0;
   std::thread stall([&] {
     std::this_thread::sleep_for(std::chrono::milliseconds(200));
-    fake_servers.steer({{"do", "silence"}, {"server", "s1-1"}});
+    fake_servers.control({{"do", "silence"}, {"server", "s1-1"}});
     std::this_thread::sleep_for(std::chrono::milliseconds(300));
-    fake_servers.steer({{"do", "speak"}, {"server", "s1-1"}});
-    fake_servers.steer({{"do", "kill"}, {"server", "s1-1"}});
-    fake_servers.steer({{"do", "start"}, {"server", "s1-1"}});
+    fake_servers.control({{"do", "speak"}, {"server", "s1-1"}});
+    fake_servers.control({{"do", "kill"}, {"server", "s1-1"}});
+    fake_servers.control({{"do", "start"}, {"server", "s1-1"}});
   });
   auto figures = run_load(load);
   stall.join();
@@ -259,11 +259,11 @@
     load.prefix = prefix;
     CHECK(run_load(load).served > 0);
   }
-  CHECK(fake_servers.rules().breaches_in_words() == "");
+  CHECK(fake_servers.invariants().describe_violations() == "");
 }
 
 TEST_CASE("load: a value of another request is a breach, percentiles and medians are correct") {
-  RuleChecker rules;
+  InvariantChecker rules;
   test::ProxyFixture fixture;
   // The value of the reply is always "value", never the request's id.
   fixture.primary.reply = fixture.replica.reply = [](const std::string&) { return test::Reply{}; };
@@ -275,7 +275,7 @@
   load.rules = &rules;
   auto figures = run_load(load);
   CHECK(figures.served > 0);
-  CHECK(count(rules, Rule::kWrongValue) >= figures.served);
+  CHECK(count(rules, Invariant::kWrongValue) >= figures.served);
   auto histogram = make_latencies();
   for (int i = 1; i <= 1000; ++i) histogram(i);
   CHECK(percentile(histogram, 0.5) == Approx(500).epsilon(0.02));
--- a/tests/testbench/process_test.cpp
+++ b/tests/testbench/process_test.cpp
@@ -38,7 +38,7 @@
     ProcessUnderTestOptions options;
     options.program = DATABASE_PROXY_PROGRAM;
     options.folder = folder.path;
-    options.discovery = fake_servers.discovery();
+    options.discovery = fake_servers.discovery_address();
     options.known = fake_servers.members();
     options.operator_file = {{"workers", {{"count", 4}, {"decisions", decisions}}}};
     ProcessUnderTest daemon(options);
@@ -47,7 +47,7 @@
     load.connections = 16;
     load.depth = 4;
     load.length = Micros(1'500'000);
-    load.rules = &fake_servers.rules();
+    load.rules = &fake_servers.invariants();
     std::thread signals([&] {
       for (int i = 0; i < 10; ++i) {
         std::this_thread::sleep_for(std::chrono::milliseconds(40));
@@ -68,7 +68,7 @@
     INFO(log);
     CHECK(figures.served > 100);
     CHECK(figures.failed == 0);
-    CHECK(fake_servers.rules().breaches_in_words() == "");
+    CHECK(fake_servers.invariants().describe_violations() == "");
     CHECK(occurrences(log, "configuration read again") >= 2);
     CHECK(occurrences(log, "differs in the operator's file") >= 1);
     CHECK(occurrences(log, "workers.count: Value type not permitted") >= 1);
@@ -89,7 +89,7 @@
   ProcessUnderTestOptions options;
   options.program = DATABASE_PROXY_PROGRAM;
   options.folder = folder.path;
-  options.discovery = fake_servers.discovery();
+  options.discovery = fake_servers.discovery_address();
   options.known = fake_servers.members();
   options.cpus = {sched_getcpu()};  // a processor that is online and that this process is allowed to use
   options.operator_file = {{"workers", {{"count", 3}}}};
--- a/tests/testbench/run_line_test.cpp
+++ b/tests/testbench/run_line_test.cpp
@@ -66,7 +66,7 @@
                                 fs::path(DATABASE_PROXY_PROGRAM).parent_path().string() + "/");
   nlohmann::json config = {{"name", "n1"},
                            {"listen", "127.0.0.1:0"},
-                           {"discovery", fake_servers.discovery()},
+                           {"discovery", fake_servers.discovery_address()},
                            {"seed", "1"},
                            {"limits", {{"sockets", 1024}, {"memory_mb", 64}}},
                            {"known", fake_servers.members()},
@@ -129,7 +129,7 @@
     if (remote == "0.0.0.0:0")
       ++listening;
     else
-      CHECK(remote == fake_servers.discovery());
+      CHECK(remote == fake_servers.discovery_address());
   }
   CHECK(listening == 1);
   kill(child.pid, SIGTERM);
--- a/tests/upgrade/node.h
+++ b/tests/upgrade/node.h
@@ -48,7 +48,7 @@
     options.program = DATABASE_PROXY_PROGRAM;
     options.folder = fmt::format("{}/{}", folder, ++started_);
     std::filesystem::create_directory(options.folder);
-    options.discovery = servers.discovery();
+    options.discovery = servers.discovery_address();
     options.known = servers.members();
     options.port = port();
     options.waits = false;
@@ -66,7 +66,7 @@
     testbench::LoadOptions options;
     options.target = *net::parse_address(fmt::format("127.0.0.1:{}", port()));
     options.length = length;
-    options.rules = &servers.rules();
+    options.rules = &servers.invariants();
     return options;
   }
 
--- a/tests/upgrade/upgrade_test.cpp
+++ b/tests/upgrade/upgrade_test.cpp
@@ -99,7 +99,7 @@
     CHECK(figures.served > 1500);
     CHECK(figures.failed == 0);
     CHECK(figures.unanswered == 0);
-    CHECK(node.servers.rules().breaches_in_words() == "");
+    CHECK(node.servers.invariants().describe_violations() == "");
   }
 }
 
@@ -181,9 +181,9 @@
 // Returns the number of requests that a data server received while `call` ran.
 template <class Call>
 std::uint64_t requests_during(Node& node, const std::string& server, Call call) {
-  auto before = node.servers.figures()[server].requests;
+  auto before = node.servers.counters()[server].requests;
   call();
-  return node.servers.figures()[server].requests - before;
+  return node.servers.counters()[server].requests - before;
 }
 
 void send_reads(Node& node, int count = 200) {
@@ -235,7 +235,7 @@
       return third->operator_call("uncordon " + victim, kCallTimeout) == "YES it was not cordoned\n";
     }));
     CHECK(eventually([&] { return requests_during(node, victim, [&] { send_reads(node, 50); }) > 0; }));
-    CHECK(node.servers.rules().breaches_in_words() == "");
+    CHECK(node.servers.invariants().describe_violations() == "");
   }
 }
 
@@ -367,7 +367,7 @@
       INFO("workers " << workers << ", folder " << has_folder);
       FakeServersOptions servers_options;
       servers_options.model.service_us = 100'000;
-      servers_options.model.spread = 0;
+      servers_options.model.service_variation = 0;
       servers_options.model.write_factor = 6;
       Node node(servers_options);
       auto start = [&] {
@@ -386,7 +386,7 @@
       Client busy(node.port());
       remaining->signal(SIGCONT);
       busy.send(pg::simple_query(write_statement(1)));
-      REQUIRE(eventually([&] { return node.servers.figures().at("s1-1").requests == 1; }));
+      REQUIRE(eventually([&] { return node.servers.counters().at("s1-1").requests == 1; }));
       shutting_down->signal(SIGTERM);
       auto serves_line = fmt::format("process {} serves on the listening socket", remaining->pid());
       CHECK(eventually([&] { return shutting_down->log().find(serves_line) != std::string::npos; }));
