--- a/src/testbench/simulation/commands.cpp
+++ b/src/testbench/simulation/commands.cpp
@@ -21,11 +21,11 @@
 namespace po = boost::program_options;
 using nlohmann::json;
 
-double seconds_since(std::chrono::steady_clock::time_point then) {
-  return std::chrono::duration<double>(std::chrono::steady_clock::now() - then).count();
+double seconds_since(std::chrono::steady_clock::time_point start) {
+  return std::chrono::duration<double>(std::chrono::steady_clock::now() - start).count();
 }
 
-std::pair<std::uint64_t, std::uint64_t> range(const std::string& text) {
+std::pair<std::uint64_t, std::uint64_t> parse_seed_range(const std::string& text) {
   auto dots = text.find("..");
   auto number = [&](std::string_view part) {
     std::uint64_t n = 0;
@@ -35,13 +35,13 @@
     return n;
   };
   if (dots == std::string::npos) return {number(text), number(text)};
-  std::pair<std::uint64_t, std::uint64_t> both{number(std::string_view(text).substr(0, dots)),
-                                               number(std::string_view(text).substr(dots + 2))};
-  if (both.second < both.first) throw std::runtime_error("seeds must rise: '" + text + "'");
-  return both;
+  std::pair<std::uint64_t, std::uint64_t> seeds{number(std::string_view(text).substr(0, dots)),
+                                                number(std::string_view(text).substr(dots + 2))};
+  if (seeds.second < seeds.first) throw std::runtime_error("seeds must rise: '" + text + "'");
+  return seeds;
 }
 
-Mutant mutant_named(const std::string& name) {
+Mutant parse_mutant(const std::string& name) {
   if (name == "none") return Mutant::kNone;
   for (auto& [mutant, text] : mutants())
     if (text == name) return mutant;
@@ -50,12 +50,12 @@
   throw std::runtime_error("no mutant is called '" + name + "'; there are " + all);
 }
 
-int group(std::pair<std::uint64_t, std::uint64_t> seeds, Mutant mutant) {
+int run_group(std::pair<std::uint64_t, std::uint64_t> seeds, Mutant mutant) {
   WorldResult sum;
-  std::uint64_t played = 0, broken = 0;
-  json first;
-  auto began = std::chrono::steady_clock::now();
-  for (auto seed = seeds.first; seed <= seeds.second; ++seed, ++played) {
+  std::uint64_t runs = 0, violations = 0;
+  json first_violation;
+  auto started = std::chrono::steady_clock::now();
+  for (auto seed = seeds.first; seed <= seeds.second; ++seed, ++runs) {
     WorldOptions o;
     o.seed = seed;
     o.mutant = mutant;
@@ -69,22 +69,22 @@
     sum.effects += r.effects;
     sum.stale_attempted += r.stale_attempted;
     sum.stale_accepted += r.stale_accepted;
-    sum.faults_done += r.faults_done;
-    if (r.broken.empty()) continue;
-    ++broken;
-    if (first.is_null()) {
+    sum.faults_injected += r.faults_injected;
+    if (r.violation.empty()) continue;
+    ++violations;
+    if (first_violation.is_null()) {
       auto shortest = shrink(o, r);
-      first = {{"seed", seed}, {"broken", r.broken}, {"history", shortest.history}};
+      first_violation = {{"seed", seed}, {"broken", r.violation}, {"history", shortest.history}};
       if (mutant != Mutant::kNone) {
-        ++played;
+        ++runs;
         break;  // it is found
       }
     }
   }
-  auto took = seconds_since(began);
-  json result = {{"seeds", played},
-                 {"broken", broken},
-                 {"faults", sum.faults_done},
+  auto elapsed = seconds_since(started);
+  json result = {{"seeds", runs},
+                 {"broken", violations},
+                 {"faults", sum.faults_injected},
                  {"steps", sum.events},
                  {"committed", sum.committed},
                  {"acknowledged", sum.acknowledged},
@@ -94,14 +94,14 @@
                  {"effects", sum.effects},
                  {"stale_effects_attempted", sum.stale_attempted},
                  {"stale_effects_accepted", sum.stale_accepted},
-                 {"seconds", took},
-                 {"seeds_per_minute", took > 0 ? static_cast<double>(played) / took * 60 : 0}};
-  if (!first.is_null()) result["first"] = first;
+                 {"seconds", elapsed},
+                 {"seeds_per_minute", elapsed > 0 ? static_cast<double>(runs) / elapsed * 60 : 0}};
+  if (!first_violation.is_null()) result["first"] = first_violation;
   std::cout << result.dump(1) << "\n";
-  return broken == 0 ? 0 : 2;
+  return violations == 0 ? 0 : 2;
 }
 
-int zones(std::pair<std::uint64_t, std::uint64_t> seeds, const std::string& name) {
+int run_zones(std::pair<std::uint64_t, std::uint64_t> seeds, const std::string& name) {
   auto mutant = PlanMutant::kNone;
   if (name != "none") {
     auto& all = plan_mutants();
@@ -113,69 +113,70 @@
     }
     mutant = it->first;
   }
-  std::uint64_t played = 0, broken = 0, plans = 0, changes = 0, faults = 0, moved = 0;
-  double served = 0, worst = 0, far = 0;
-  json first;
-  auto began = std::chrono::steady_clock::now();
-  for (auto seed = seeds.first; seed <= seeds.second; ++seed, ++played) {
+  std::uint64_t runs = 0, violations = 0, plans = 0, changes = 0, faults = 0, max_move_ms = 0;
+  double served = 0, worst_10s = 0, cross_zone = 0;
+  json first_violation;
+  auto started = std::chrono::steady_clock::now();
+  for (auto seed = seeds.first; seed <= seeds.second; ++seed, ++runs) {
     auto r = run_placement(seed, mutant);
     plans += r.plans;
     changes += r.changes;
     faults += r.faults;
     served += r.served;
-    worst += r.served_worst_10s;
-    far += r.far_calm;
-    moved = std::max(moved, r.moved_ms_most);
-    if (r.broken.empty()) continue;
-    ++broken;
-    if (first.is_null()) first = {{"seed", seed}, {"broken", r.broken}, {"history", r.history}};
+    worst_10s += r.served_worst_10s;
+    cross_zone += r.cross_zone_share_calm;
+    max_move_ms = std::max(max_move_ms, r.max_move_ms);
+    if (r.violation.empty()) continue;
+    ++violations;
+    if (first_violation.is_null())
+      first_violation = {{"seed", seed}, {"broken", r.violation}, {"history", r.history}};
     if (mutant != PlanMutant::kNone) {
-      ++played;
+      ++runs;
       break;  // it is found
     }
   }
-  auto took = seconds_since(began);
-  auto mean = [&](double sum) { return sum / static_cast<double>(std::max<std::uint64_t>(1, played)); };
-  json result = {{"seeds", played},
-                 {"broken", broken},
+  auto elapsed = seconds_since(started);
+  auto mean = [&](double sum) { return sum / static_cast<double>(std::max<std::uint64_t>(1, runs)); };
+  json result = {{"seeds", runs},
+                 {"broken", violations},
                  {"faults", faults},
                  {"plans", plans},
                  {"changes", changes},
                  {"served_mean", mean(served)},
-                 {"served_worst_10s_mean", mean(worst)},
-                 {"far_share_calm_mean", mean(far)},
-                 {"moved_ms_most", moved},
-                 {"seconds", took},
-                 {"seeds_per_minute", took > 0 ? static_cast<double>(played) / took * 60 : 0}};
-  if (!first.is_null()) result["first"] = first;
+                 {"served_worst_10s_mean", mean(worst_10s)},
+                 {"far_share_calm_mean", mean(cross_zone)},
+                 {"moved_ms_most", max_move_ms},
+                 {"seconds", elapsed},
+                 {"seeds_per_minute", elapsed > 0 ? static_cast<double>(runs) / elapsed * 60 : 0}};
+  if (!first_violation.is_null()) result["first"] = first_violation;
   std::cout << result.dump(1) << "\n";
-  return broken == 0 ? 0 : 2;
+  return violations == 0 ? 0 : 2;
 }
 
-int model(const po::variables_map& given, Mutant mutant) {
+int run_model(const po::variables_map& parsed, Mutant mutant) {
   ScopeOptions scope;
-  scope.elections = std::clamp(given["elections"].as<int>(), 1, 6);
-  scope.proposals = std::clamp(given["proposals"].as<int>(), 0, 4);
-  scope.crashes = std::clamp(given["crashes"].as<int>(), 0, 4);
-  scope.breaks = std::clamp(given["breaks"].as<int>(), 0, 4);
-  scope.most_states = given["most-states"].as<std::uint64_t>();
+  scope.elections = std::clamp(parsed["elections"].as<int>(), 1, 6);
+  scope.proposals = std::clamp(parsed["proposals"].as<int>(), 0, 4);
+  scope.crashes = std::clamp(parsed["crashes"].as<int>(), 0, 4);
+  scope.breaks = std::clamp(parsed["breaks"].as<int>(), 0, 4);
+  scope.max_states = parsed["most-states"].as<std::uint64_t>();
   scope.mutant = mutant;
   LeaseScope leases;
-  leases.steps = std::clamp(given["lease-steps"].as<int>(), 1, 12);
+  leases.steps = std::clamp(parsed["lease-steps"].as<int>(), 1, 12);
   leases.mutant = mutant;
-  auto row = [](const ScopeResult& r, double took) {
-    json j = {{"states", r.states}, {"exhausted", r.exhausted}, {"seconds", took}};
-    if (!r.broken.empty()) j["broken"] = r.broken, j["path"] = r.path;
+  auto row = [](const ScopeResult& r, double elapsed) {
+    json j = {{"states", r.states}, {"exhausted", r.exhausted}, {"seconds", elapsed}};
+    if (!r.violation.empty()) j["broken"] = r.violation, j["path"] = r.path;
     return j;
   };
-  auto began = std::chrono::steady_clock::now();
+  auto started = std::chrono::steady_clock::now();
   auto log = explore_log(scope);
-  auto log_took = seconds_since(began);
-  began = std::chrono::steady_clock::now();
+  auto log_elapsed = seconds_since(started);
+  started = std::chrono::steady_clock::now();
   auto lease = explore_leases(leases);
-  json result = {{"log", row(log, log_took)}, {"leases", row(lease, seconds_since(began))}};
+  json result = {{"log", row(log, log_elapsed)}, {"leases", row(lease, seconds_since(started))}};
   std::cout << result.dump(1) << "\n";
-  return log.broken.empty() && lease.broken.empty() ? 0 : 2;
+  return log.violation.empty() && lease.violation.empty() ? 0 : 2;
 }
 
 }  // namespace
@@ -195,26 +196,26 @@
       "help", "this text");
   po::positional_options_description positions;
   positions.add("what", 1);
-  po::variables_map given;
+  po::variables_map parsed;
   try {
-    po::store(po::command_line_parser(arguments).options(o).positional(positions).run(), given);
-    po::notify(given);
+    po::store(po::command_line_parser(arguments).options(o).positional(positions).run(), parsed);
+    po::notify(parsed);
   } catch (const po::error& e) {
     throw std::runtime_error(e.what());
   }
-  auto what = given["what"].as<std::string>();
-  if (given.count("help") || what.empty()) {
+  auto command = parsed["what"].as<std::string>();
+  if (parsed.count("help") || command.empty()) {
     std::cout << "proxy-testbench simulate group|model|zones|plan-cost [options]\n" << o;
     return 0;
   }
-  if (what == "plan-cost") {
+  if (command == "plan-cost") {
     json rows = json::array();
-    for (auto [proxies, servers, sets, zones] :
+    for (auto [proxies, servers, shard_groups, zones] :
          {std::array{300, 120, 20, 3}, std::array{3000, 1200, 200, 6}, std::array{3000, 10000, 200, 12}}) {
-      auto c = plan_cost(proxies, servers, sets, zones);
+      auto c = plan_cost(proxies, servers, shard_groups, zones);
       rows.push_back({{"proxies", proxies},
                       {"servers", servers},
-                      {"sets", sets},
+                      {"sets", shard_groups},
                       {"zones", zones},
                       {"observation_bytes", c.observation_bytes},
                       {"sum_bytes", c.sum_bytes},
@@ -225,12 +226,12 @@
     std::cout << rows.dump(1) << "\n";
     return 0;
   }
-  if (what == "zones")
-    return zones(range(given["seeds"].as<std::string>()), given["mutant"].as<std::string>());
-  auto mutant = mutant_named(given["mutant"].as<std::string>());
-  if (what == "group") return group(range(given["seeds"].as<std::string>()), mutant);
-  if (what == "model") return model(given, mutant);
-  throw std::runtime_error("simulate knows group, model, zones and plan-cost, not '" + what + "'");
+  if (command == "zones")
+    return run_zones(parse_seed_range(parsed["seeds"].as<std::string>()), parsed["mutant"].as<std::string>());
+  auto mutant = parse_mutant(parsed["mutant"].as<std::string>());
+  if (command == "group") return run_group(parse_seed_range(parsed["seeds"].as<std::string>()), mutant);
+  if (command == "model") return run_model(parsed, mutant);
+  throw std::runtime_error("simulate knows group, model, zones and plan-cost, not '" + command + "'");
 }
 
 }  // namespace database_proxy::testbench::simulation
--- a/src/testbench/simulation/model.cpp
+++ b/src/testbench/simulation/model.cpp
@@ -25,7 +25,7 @@
   return h * 0xbf58476d1ce4e5b9ull;
 }
 
-std::string print(const rc::Message& m) {
+std::string message_text(const rc::Message& m) {
   auto s = fmt::format("{}:{}>{} t{} i{} l{} c{} r{} x{}", static_cast<int>(m.type), m.from, m.to, m.term,
                        m.index, m.log_term, m.commit, m.rejected_index, m.reject);
   for (auto& e : m.entries) s += fmt::format(" {}/{}", e.term, e.data);
@@ -35,47 +35,48 @@
 // Depth first, with the states still to be looked at on the heap. Of those seen a hash is kept, and how each
 // was come by, so that what breaks can be told as a path.
 template <class S>
-struct Walk {
+struct StateSearch {
   S state;
   ScopeResult result;
-  std::uint64_t most = UINT64_MAX;
+  std::uint64_t max_states = UINT64_MAX;
 
-  void begin(S first, const std::string& print) {
-    seen_.insert(hash_of(print));
-    trail_.emplace_back(0, "");
-    open_.emplace_back(std::move(first), 0);
+  void begin(S first, const std::string& fingerprint) {
+    visited_.insert(hash_of(fingerprint));
+    predecessors_.emplace_back(0, "");
+    frontier_.emplace_back(std::move(first), 0);
   }
   bool next() {
-    if (open_.empty()) return false;
-    if (result.states >= most) {
+    if (frontier_.empty()) return false;
+    if (result.states >= max_states) {
       result.exhausted = false;
       return false;
     }
     ++result.states;
-    state = std::move(open_.back().first);
-    at_ = open_.back().second;
-    open_.pop_back();
+    state = std::move(frontier_.back().first);
+    current_ = frontier_.back().second;
+    frontier_.pop_back();
     return true;
   }
-  template <class Print>
-  void add(S found, const std::string& how, Print print) {
-    if (!result.broken.empty()) {
-      result.path.push_back(how);
-      for (auto at = at_; at != 0; at = trail_[at].first) result.path.push_back(trail_[at].second);
+  template <class Fingerprint>
+  void add(S found, const std::string& action, Fingerprint fingerprint) {
+    if (!result.violation.empty()) {
+      result.path.push_back(action);
+      for (auto at = current_; at != 0; at = predecessors_[at].first)
+        result.path.push_back(predecessors_[at].second);
       std::reverse(result.path.begin(), result.path.end());
       return;
     }
-    if (!seen_.insert(hash_of(print(found))).second) return;
-    trail_.emplace_back(at_, how);
-    open_.emplace_back(std::move(found), static_cast<std::uint32_t>(trail_.size() - 1));
+    if (!visited_.insert(hash_of(fingerprint(found))).second) return;
+    predecessors_.emplace_back(current_, action);
+    frontier_.emplace_back(std::move(found), static_cast<std::uint32_t>(predecessors_.size() - 1));
   }
   ScopeResult finish() { return std::move(result); }
 
  private:
-  std::unordered_set<std::uint64_t> seen_;
-  std::vector<std::pair<std::uint32_t, std::string>> trail_;
-  std::deque<std::pair<S, std::uint32_t>> open_;
-  std::uint32_t at_ = 0;
+  std::unordered_set<std::uint64_t> visited_;
+  std::vector<std::pair<std::uint32_t, std::string>> predecessors_;
+  std::deque<std::pair<S, std::uint32_t>> frontier_;
+  std::uint32_t current_ = 0;
 };
 
 struct State {
@@ -88,9 +89,9 @@
   int elections = 0, proposals = 0, crashes = 0, breaks = 0;
 };
 
-class Explorer {
+class LogExplorer {
  public:
-  explicit Explorer(ScopeOptions options) : options_(options) { walk_.most = options.most_states; }
+  explicit LogExplorer(ScopeOptions options) : options_(options) { search_.max_states = options.max_states; }
   ScopeResult run() {
     State s;
     rc::Membership members;
@@ -110,10 +111,10 @@
     s.proposals = options_.proposals;
     s.crashes = options_.crashes;
     s.breaks = options_.breaks;
-    walk_.begin(std::move(s), fingerprint(s));
-    while (walk_.next() && expand(walk_.state)) {
+    search_.begin(std::move(s), fingerprint(s));
+    while (search_.next() && expand(search_.state)) {
     }
-    return walk_.finish();
+    return search_.finish();
   }
 
  private:
@@ -131,13 +132,13 @@
     std::string f = fmt::format("{},{},{},{};", s.elections, s.proposals, s.crashes, s.breaks);
     for (auto& n : s.nodes) f += n.fingerprint() + ";";
     for (auto& [link, queue] : s.links)
-      for (auto& m : queue) f += print(m) + ";";
+      for (auto& m : queue) f += message_text(m) + ";";
     for (auto& [i, e] : s.committed) f += fmt::format("{}:{}:{} ", i, e.first.term, e.second);
     return f;
   }
 
   // One node's step, its writes durable at once; or lost with a crash, where `torn`.
-  bool step(State& s, int i, rc::Input input, bool torn = false) {
+  bool step(State& s, int i, rc::Input input, bool crash_before_durable = false) {
     auto at = static_cast<std::size_t>(i);
     auto& node = s.nodes[at];
     std::vector<rc::Input> inputs;
@@ -146,31 +147,32 @@
     for (int round = 0; !inputs.empty(); ++round) {
       auto out = node.step(now, std::move(inputs));
       inputs.clear();
-      for (auto& turn : out.role_changes)
-        if (turn.role == rc::Role::kLeader) {
-          auto [it, fresh] = s.leaders.emplace(turn.term, node_options(i).self);
-          if (!fresh && it->second != node_options(i).self)
-            return fail(fmt::format("two leaders in term {}", turn.term));
+      for (auto& role_change : out.role_changes)
+        if (role_change.role == rc::Role::kLeader) {
+          auto [it, inserted] = s.leaders.emplace(role_change.term, node_options(i).self);
+          if (!inserted && it->second != node_options(i).self)
+            return fail(fmt::format("two leaders in term {}", role_change.term));
           for (auto& [index, entry] : s.committed)
-            if (entry.second < turn.term && node.term_at(index) != entry.first.term)
+            if (entry.second < role_change.term && node.term_at(index) != entry.first.term)
               return fail(
-                  fmt::format("the leader of term {} lacks the committed entry {}", turn.term, index));
+                  fmt::format("the leader of term {} lacks the committed entry {}", role_change.term, index));
         }
       for (auto& m : out.messages) {
-        if (torn && m.required_write > 0) continue;
+        if (crash_before_durable && m.required_write > 0) continue;
         auto to = static_cast<std::size_t>(m.message.to - 1);
         if (m.message.term < s.nodes[to].term()) continue;
         auto& queue = s.links[{m.message.from, m.message.to}];
         // The same again brings nothing new.
-        if (queue.empty() || print(queue.back()) != print(m.message)) queue.push_back(m.message);
+        if (queue.empty() || message_text(queue.back()) != message_text(m.message))
+          queue.push_back(m.message);
       }
-      if (torn) {
+      if (crash_before_durable) {
         s.nodes[at] = rc::Raft(node_options(i), s.disks[at], Micros(0));
         return true;
       }
       for (auto& e : out.committed_entries) {
-        auto [it, fresh] = s.committed.emplace(e.index, std::pair(e, node.term()));
-        if (!fresh && !(it->second.first == e))
+        auto [it, inserted] = s.committed.emplace(e.index, std::pair(e, node.term()));
+        if (!inserted && !(it->second.first == e))
           return fail(fmt::format("node {} commits another entry at {}", i + 1, e.index));
       }
       for (auto& w : out.writes) {
@@ -188,41 +190,43 @@
     return true;
   }
 
-  bool fail(const std::string& what) {
-    walk_.result.broken = what;
+  bool fail(const std::string& violation) {
+    search_.result.violation = violation;
     return false;
   }
 
   template <class Act>
-  bool go(const State& s, const std::string& name, Act act) {
+  bool explore_action(const State& s, const std::string& name, Act act) {
     State next = s;
-    bool good = act(next);
-    walk_.add(std::move(next), name, [&](const State& n) { return fingerprint(n); });
-    return good;
+    bool invariant_holds = act(next);
+    search_.add(std::move(next), name, [&](const State& n) { return fingerprint(n); });
+    return invariant_holds;
   }
 
   bool expand(const State& s) {
     for (int i = 0; i < options_.nodes; ++i) {
       auto& node = s.nodes[static_cast<std::size_t>(i)];
       if (s.elections > 0 && !node.is_leader())
-        if (!go(s, fmt::format("{} campaigns", i + 1), [&](State& n) {
+        if (!explore_action(s, fmt::format("{} campaigns", i + 1), [&](State& n) {
               --n.elections;
               return step(n, i, rc::Tick{});
             }))
           return false;
       if (s.proposals > 0 && node.is_leader())
-        for (bool torn : {false, true}) {
-          if (torn && s.crashes == 0) continue;
-          if (!go(s, fmt::format("{} proposes{}", i + 1, torn ? " and dies before it is durable" : ""),
-                  [&](State& n) {
-                    --n.proposals;
-                    n.crashes -= torn;
-                    return step(n, i, rc::Proposal{1, "x"}, torn);
-                  }))
+        for (bool crash_before_durable : {false, true}) {
+          if (crash_before_durable && s.crashes == 0) continue;
+          if (!explore_action(s,
+                              fmt::format("{} proposes{}", i + 1,
+                                          crash_before_durable ? " and dies before it is durable" : ""),
+                              [&](State& n) {
+                                --n.proposals;
+                                n.crashes -= crash_before_durable;
+                                return step(n, i, rc::Proposal{1, "x"}, crash_before_durable);
+                              }))
             return false;
         }
       if (s.crashes > 0)
-        if (!go(s, fmt::format("{} dies and starts again", i + 1), [&](State& n) {
+        if (!explore_action(s, fmt::format("{} dies and starts again", i + 1), [&](State& n) {
               --n.crashes;
               auto at = static_cast<std::size_t>(i);
               n.nodes[at] = rc::Raft(node_options(i), n.disks[at], Micros(0));
@@ -232,25 +236,25 @@
     }
     for (auto& [link, queue] : s.links) {
       if (queue.empty()) continue;
-      if (!go(s, print(queue.front()), [&, key = link](State& n) {
+      if (!explore_action(s, message_text(queue.front()), [&, key = link](State& n) {
             auto message = n.links[key].front();
             n.links[key].erase(n.links[key].begin());
             return step(n, static_cast<int>(message.to) - 1, rc::MessageReceived{message});
           }))
         return false;
-      if (s.breaks > 0 &&
-          !go(s, fmt::format("link {}>{} breaks", link.first, link.second), [&, key = link](State& n) {
-            --n.breaks;
-            n.links[key].clear();
-            return true;
-          }))
+      if (s.breaks > 0 && !explore_action(s, fmt::format("link {}>{} breaks", link.first, link.second),
+                                          [&, key = link](State& n) {
+                                            --n.breaks;
+                                            n.links[key].clear();
+                                            return true;
+                                          }))
         return false;
     }
     return true;
   }
 
   ScopeOptions options_;
-  Walk<State> walk_;
+  StateSearch<State> search_;
 };
 
 // ---- leases
@@ -259,13 +263,13 @@
 // Two owners, A with a slow clock (its lease lasts long), and two leaders, the second of which is elected at
 // any step. Questions and answers may take any number of steps; a grant may be committed late.
 struct LeaseState {
-  own::LeaseRegistry ledger;
-  own::LeaseManager stewards[2]{own::LeaseManager({}), own::LeaseManager({})};
-  std::vector<own::LeaseClient> holders;
-  std::vector<std::pair<int, own::LeaseRenewalRequest>> asks;        // on their way; to whichever leads
+  own::LeaseRegistry registry;
+  own::LeaseManager managers[2]{own::LeaseManager({}), own::LeaseManager({})};
+  std::vector<own::LeaseClient> clients;
+  std::vector<std::pair<int, own::LeaseRenewalRequest>> requests;    // on their way; to whichever leads
   std::vector<std::pair<int, own::LeaseRenewalResponse>> responses;  // on their way to an owner
-  std::optional<std::pair<int, own::Command>> grant;
-  int leader = 0, time = 0, asked[2]{-1, -1}, asks_left[2]{2, 2};
+  std::optional<std::pair<int, own::Command>> pending_grant;
+  int leader = 0, time = 0, last_request_times[2]{-1, -1}, requests_left[2]{2, 2};
   std::uint64_t index = 10;
 };
 
@@ -280,111 +284,115 @@
   }
   ScopeResult run() {
     LeaseState s;
-    for (auto& steward : s.stewards) steward = own::LeaseManager(lease_);
-    s.holders.emplace_back("a", lease_);
-    s.holders.emplace_back("b", lease_);
-    s.stewards[0].on_elected(at(0, 1));
-    s.ledger.apply(5, own::Grant{"j", "a", 0});
-    walk_.begin(std::move(s), fingerprint(s));
-    while (walk_.next() && expand(walk_.state)) {
+    for (auto& manager : s.managers) manager = own::LeaseManager(lease_);
+    s.clients.emplace_back("a", lease_);
+    s.clients.emplace_back("b", lease_);
+    s.managers[0].on_elected(clock_time(0, 1));
+    s.registry.apply(5, own::Grant{"j", "a", 0});
+    search_.begin(std::move(s), fingerprint(s));
+    while (search_.next() && expand(search_.state)) {
     }
-    return walk_.finish();
+    return search_.finish();
   }
 
  private:
   // Owner 0's clock is half a hundredth slow, the leaders' half a hundredth fast: the most that is allowed
   // for.
-  Micros at(int time, double rate) const {
+  Micros clock_time(int time, double rate) const {
     return Micros(static_cast<std::int64_t>(500'000.0 * time * rate) + 1'000'000);
   }
-  Micros of_owner(const LeaseState& s, int o) const { return at(s.time, o == 0 ? 0.995 : 1.005); }
-  Micros of_leader(const LeaseState& s) const { return at(s.time, 1.005); }
+  Micros client_time(const LeaseState& s, int o) const { return clock_time(s.time, o == 0 ? 0.995 : 1.005); }
+  Micros leader_time(const LeaseState& s) const { return clock_time(s.time, 1.005); }
 
   std::string fingerprint(const LeaseState& s) const {
-    auto f = fmt::format("{} {} {} {} {} {} ", s.time, s.leader, s.asked[0], s.asked[1], s.asks_left[0],
-                         s.asks_left[1]);
+    auto f = fmt::format("{} {} {} {} {} {} ", s.time, s.leader, s.last_request_times[0],
+                         s.last_request_times[1], s.requests_left[0], s.requests_left[1]);
     for (int o = 0; o < 2; ++o)
-      f += fmt::format("{} {} ", s.holders[static_cast<std::size_t>(o)].token("j"),
-                       s.holders[static_cast<std::size_t>(o)].expires_at("j").count());
-    for (auto& [o, a] : s.asks) f += fmt::format("q{}.{} ", o, a.number);
+      f += fmt::format("{} {} ", s.clients[static_cast<std::size_t>(o)].token("j"),
+                       s.clients[static_cast<std::size_t>(o)].expires_at("j").count());
+    for (auto& [o, a] : s.requests) f += fmt::format("q{}.{} ", o, a.number);
     for (auto& [o, t] : s.responses) f += fmt::format("t{}.{}.{} ", o, t.number, t.granted.size());
-    if (auto* job = s.ledger.job("j")) f += fmt::format("{}:{} ", job->lease_holder, job->token);
-    for (auto& steward : s.stewards) f += steward.fingerprint();
-    if (s.grant) f += "g" + std::to_string(s.grant->first) + own::encode(s.grant->second);
+    if (auto* job = s.registry.job("j")) f += fmt::format("{}:{} ", job->lease_holder, job->token);
+    for (auto& manager : s.managers) f += manager.fingerprint();
+    if (s.pending_grant)
+      f += "g" + std::to_string(s.pending_grant->first) + own::encode(s.pending_grant->second);
     return f;
   }
 
   bool check(const LeaseState& s) {
-    if (!(s.holders[0].holds("j", of_owner(s, 0)) && s.holders[1].holds("j", of_owner(s, 1)))) return true;
-    walk_.result.broken = "both owners pass their check";
+    if (!(s.clients[0].holds("j", client_time(s, 0)) && s.clients[1].holds("j", client_time(s, 1))))
+      return true;
+    search_.result.violation = "both owners pass their check";
     return false;
   }
 
   template <class Act>
-  bool go(const LeaseState& s, const std::string& name, Act act) {
+  bool explore_action(const LeaseState& s, const std::string& name, Act act) {
     LeaseState next = s;
     act(next);
-    bool good = check(next);
-    walk_.add(std::move(next), name, [&](const LeaseState& n) { return fingerprint(n); });
-    return good;
+    bool invariant_holds = check(next);
+    search_.add(std::move(next), name, [&](const LeaseState& n) { return fingerprint(n); });
+    return invariant_holds;
   }
 
   bool expand(const LeaseState& s) {
     if (s.time >= scope_.steps) return true;
-    if (!go(s, "time passes", [&](LeaseState& n) {
+    if (!explore_action(s, "time passes", [&](LeaseState& n) {
           ++n.time;
-          for (int o = 0; o < 2; ++o) n.holders[static_cast<std::size_t>(o)].expire(of_owner(n, o));
+          for (int o = 0; o < 2; ++o) n.clients[static_cast<std::size_t>(o)].expire(client_time(n, o));
         }))
       return false;
     for (int o = 0; o < 2; ++o) {
-      bool waits = std::any_of(s.asks.begin(), s.asks.end(), [&](auto& a) { return a.first == o; }) ||
-                   std::any_of(s.responses.begin(), s.responses.end(), [&](auto& t) { return t.first == o; });
-      if (!waits && s.asked[o] < s.time && s.asks_left[o] > 0 &&
-          !go(s, fmt::format("{} asks", o), [&](LeaseState& n) {
-            n.asked[o] = n.time;
-            --n.asks_left[o];
-            n.asks.emplace_back(
-                o, n.holders[static_cast<std::size_t>(o)].make_renewal_request(of_owner(n, o), {"j"}));
+      bool awaiting_response =
+          std::any_of(s.requests.begin(), s.requests.end(), [&](auto& a) { return a.first == o; }) ||
+          std::any_of(s.responses.begin(), s.responses.end(), [&](auto& t) { return t.first == o; });
+      if (!awaiting_response && s.last_request_times[o] < s.time && s.requests_left[o] > 0 &&
+          !explore_action(s, fmt::format("{} asks", o), [&](LeaseState& n) {
+            n.last_request_times[o] = n.time;
+            --n.requests_left[o];
+            n.requests.emplace_back(
+                o, n.clients[static_cast<std::size_t>(o)].make_renewal_request(client_time(n, o), {"j"}));
           }))
         return false;
     }
-    for (std::size_t i = 0; i < s.asks.size(); ++i)
-      if (!go(s, "a question is answered", [&](LeaseState& n) {
-            auto [o, ask] = n.asks[i];
-            n.asks.erase(n.asks.begin() + static_cast<std::ptrdiff_t>(i));
-            auto& steward = n.stewards[n.leader];
-            steward.on_renewal_request(of_leader(n), ask, n.ledger);
-            n.responses.emplace_back(o, steward.renewal_response(o == 0 ? "a" : "b", ask.number, n.ledger));
+    for (std::size_t i = 0; i < s.requests.size(); ++i)
+      if (!explore_action(s, "a question is answered", [&](LeaseState& n) {
+            auto [o, request] = n.requests[i];
+            n.requests.erase(n.requests.begin() + static_cast<std::ptrdiff_t>(i));
+            auto& manager = n.managers[n.leader];
+            manager.on_renewal_request(leader_time(n), request, n.registry);
+            n.responses.emplace_back(
+                o, manager.renewal_response(o == 0 ? "a" : "b", request.number, n.registry));
           }))
         return false;
     for (std::size_t i = 0; i < s.responses.size(); ++i)
-      if (!go(s, "an answer comes", [&](LeaseState& n) {
-            auto [o, told] = n.responses[i];
+      if (!explore_action(s, "an answer comes", [&](LeaseState& n) {
+            auto [o, response] = n.responses[i];
             n.responses.erase(n.responses.begin() + static_cast<std::ptrdiff_t>(i));
-            n.holders[static_cast<std::size_t>(o)].on_renewal_response(of_owner(n, o), told);
+            n.clients[static_cast<std::size_t>(o)].on_renewal_response(client_time(n, o), response);
           }))
         return false;
-    if (!s.grant && !go(s, "the leader judges", [&](LeaseState& n) {
-          for (auto& command : n.stewards[n.leader].propose(of_leader(n), n.ledger))
-            n.grant = std::pair(n.leader, command);
+    if (!s.pending_grant && !explore_action(s, "the leader judges", [&](LeaseState& n) {
+          for (auto& command : n.managers[n.leader].propose(leader_time(n), n.registry))
+            n.pending_grant = std::pair(n.leader, command);
         }))
       return false;
-    if (s.grant && !go(s, "a grant is committed", [&](LeaseState& n) {
-          n.ledger.apply(++n.index, n.grant->second);
-          if (n.grant->first == n.leader) n.stewards[n.leader].on_proposal_finished("j");
-          n.grant.reset();
+    if (s.pending_grant && !explore_action(s, "a grant is committed", [&](LeaseState& n) {
+          n.registry.apply(++n.index, n.pending_grant->second);
+          if (n.pending_grant->first == n.leader) n.managers[n.leader].on_proposal_finished("j");
+          n.pending_grant.reset();
         }))
       return false;
     // What is on its way to the log when the second is elected is committed before it judges, or never.
     if (s.leader == 0)
-      for (bool kept : {false, true}) {
-        if (kept && !s.grant) continue;
-        if (!go(s, "another leader is elected", [&](LeaseState& n) {
-              if (kept) n.ledger.apply(++n.index, n.grant->second);
-              n.grant.reset();
+      for (bool committed : {false, true}) {
+        if (committed && !s.pending_grant) continue;
+        if (!explore_action(s, "another leader is elected", [&](LeaseState& n) {
+              if (committed) n.registry.apply(++n.index, n.pending_grant->second);
+              n.pending_grant.reset();
               n.leader = 1;
-              n.stewards[0].on_leadership_lost();
-              n.stewards[1].on_elected(of_leader(n));
+              n.managers[0].on_leadership_lost();
+              n.managers[1].on_elected(leader_time(n));
             }))
           return false;
       }
@@ -393,12 +401,12 @@
 
   LeaseScope scope_;
   own::LeaseOptions lease_;
-  Walk<LeaseState> walk_;
+  StateSearch<LeaseState> search_;
 };
 
 }  // namespace
 
-ScopeResult explore_log(const ScopeOptions& options) { return Explorer(options).run(); }
+ScopeResult explore_log(const ScopeOptions& options) { return LogExplorer(options).run(); }
 ScopeResult explore_leases(const LeaseScope& options) { return LeaseExplorer(options).run(); }
 
 }  // namespace database_proxy::testbench::simulation
--- a/src/testbench/simulation/model.h
+++ b/src/testbench/simulation/model.h
@@ -13,10 +13,10 @@
 struct ScopeOptions {
   int nodes = 3, elections = 3, proposals = 1, crashes = 1, breaks = 0;
   Mutant mutant = Mutant::kNone;
-  std::uint64_t most_states = 50'000'000;  // beyond, it is told as not exhausted
+  std::uint64_t max_states = 50'000'000;  // beyond, it is told as not exhausted
 };
 struct ScopeResult {
-  std::string broken;  // empty: election safety, log matching and leader completeness held in all states
+  std::string violation;  // empty: election safety, log matching and leader completeness held in all states
   std::vector<std::string> path;
   std::uint64_t states = 0;
   bool exhausted = true;
--- a/src/testbench/simulation/placement.h
+++ b/src/testbench/simulation/placement.h
@@ -14,7 +14,7 @@
 
 enum class PlanMutant {
   kNone,
-  kOneVoice,
+  kSingleReporter,
   kInsufficientCapacity,
   kNoMinimumDuration,
   kNoBudget,
@@ -24,11 +24,11 @@
 const std::vector<std::pair<PlanMutant, std::string>>& plan_mutants();
 
 struct PlacementResult {
-  std::string broken;  // empty: all held
+  std::string violation;  // empty: all held
   std::vector<std::string> history;
   std::uint64_t plans = 0, changes = 0, faults = 0;
-  double served_worst_10s = 1, served = 1, far_calm = 0;  // shares, as the plan's mixture sends
-  std::uint64_t moved_ms_most = 0;  // from a zone's loss to the plan that sends nobody there
+  double served_worst_10s = 1, served = 1, cross_zone_share_calm = 0;  // shares, as the plan's mixture sends
+  std::uint64_t max_move_ms = 0;  // from a zone's loss to the plan that sends nobody there
 };
 
 // What planning costs, modelled: so many proxies, servers, sets and zones, all observations made up and at
@@ -37,7 +37,7 @@
   std::size_t observation_bytes = 0, sum_bytes = 0, plan_bytes = 0;  // as sent; a plan as published
   double sum_us = 0, plan_us = 0;  // adding all observations once; one plan from their sum
 };
-PlanCost plan_cost(int proxies, int servers, int sets, int zones);
+PlanCost plan_cost(int proxies, int servers, int shard_groups, int zones);
 
 PlacementResult run_placement(std::uint64_t seed, PlanMutant mutant);
 
--- a/src/testbench/simulation/world.h
+++ b/src/testbench/simulation/world.h
@@ -29,7 +29,7 @@
 const std::vector<std::pair<Mutant, std::string>>& mutants();
 
 struct Fault {
-  enum class What {
+  enum class Kind {
     kCrash,
     kPause,
     kCut,
@@ -42,8 +42,8 @@
     kLoss,
     kReplace
   };
-  What what = What::kCrash;
-  Micros at{0}, length{0};
+  Kind kind = Kind::kCrash;
+  Micros at{0}, duration{0};
   int node = 0, other = 0;
 };
 std::string text_of(const Fault& fault);
@@ -56,15 +56,15 @@
 };
 
 struct WorldResult {
-  std::string broken;  // empty: all held
+  std::string violation;  // empty: all held
   std::vector<std::string> history;
   std::vector<Fault> faults;
   std::uint64_t events = 0, committed = 0, acknowledged = 0, reads = 0, elections = 0, grants = 0,
-                effects = 0, stale_attempted = 0, stale_accepted = 0, faults_done = 0;
+                effects = 0, stale_attempted = 0, stale_accepted = 0, faults_injected = 0;
 };
 
 WorldResult run_world(const WorldOptions& options);
 // Leaves faults out while it still breaks in the same way: the shortest script found.
-WorldResult shrink(const WorldOptions& options, const WorldResult& broken);
+WorldResult shrink(const WorldOptions& options, const WorldResult& failed_run);
 
 }  // namespace database_proxy::testbench::simulation
--- a/tests/consensus/consensus_test.cpp
+++ b/tests/consensus/consensus_test.cpp
@@ -426,7 +426,7 @@
     testbench::simulation::WorldOptions options;
     options.seed = seed;
     auto result = testbench::simulation::run_world(options);
-    ASSERT_EQ(result.broken, "") << "seed " << seed;
+    ASSERT_EQ(result.violation, "") << "seed " << seed;
     ASSERT_GT(result.committed, 0u);
   }
 }
@@ -449,7 +449,7 @@
       testbench::simulation::WorldOptions options;
       options.seed = seed;
       options.mutant = mutant;
-      found = !testbench::simulation::run_world(options).broken.empty();
+      found = !testbench::simulation::run_world(options).violation.empty();
     }
     EXPECT_TRUE(found) << static_cast<int>(mutant);
   }
@@ -462,17 +462,17 @@
   scope.proposals = 0;
   scope.crashes = 1;
   auto result = explore_log(scope);
-  EXPECT_EQ(result.broken, "");
+  EXPECT_EQ(result.violation, "");
   EXPECT_TRUE(result.exhausted);
   EXPECT_GT(result.states, 10'000u);
   scope.mutant = Mutant::kVoteNotSaved;
-  EXPECT_NE(explore_log(scope).broken, "");
+  EXPECT_NE(explore_log(scope).violation, "");
   LeaseScope leases;
   leases.steps = 4;
   auto lease_result = explore_leases(leases);
-  EXPECT_EQ(lease_result.broken, "");
+  EXPECT_EQ(lease_result.violation, "");
   leases.mutant = Mutant::kNoMargin;
-  EXPECT_EQ(explore_leases(leases).broken, "both owners pass their check");
+  EXPECT_EQ(explore_leases(leases).violation, "both owners pass their check");
 }
 
 }  // namespace
--- a/tests/formats/simulation_fingerprint_test.cpp
+++ b/tests/formats/simulation_fingerprint_test.cpp
@@ -36,15 +36,15 @@
   return fmt::format(
       "broken='{}' events={} committed={} acknowledged={} reads={} elections={} grants={} effects={} "
       "stale_attempted={} stale_accepted={} faults={} history_lines={} history={:016x}",
-      r.broken, r.events, r.committed, r.acknowledged, r.reads, r.elections, r.grants, r.effects,
-      r.stale_attempted, r.stale_accepted, r.faults_done, r.history.size(), hash_of(r.history));
+      r.violation, r.events, r.committed, r.acknowledged, r.reads, r.elections, r.grants, r.effects,
+      r.stale_attempted, r.stale_accepted, r.faults_injected, r.history.size(), hash_of(r.history));
 }
 
 std::string fingerprint_of(const simulation::PlacementResult& r) {
   return fmt::format(
       "broken='{}' plans={} changes={} faults={} moved_ms_most={} served={:.9f} served_worst_10s={:.9f} "
       "far_calm={:.9f} history_lines={} history={:016x}",
-      r.broken, r.plans, r.changes, r.faults, r.moved_ms_most, r.served, r.served_worst_10s, r.far_calm,
+      r.violation, r.plans, r.changes, r.faults, r.max_move_ms, r.served, r.served_worst_10s, r.cross_zone_share_calm,
       r.history.size(), hash_of(r.history));
 }
 
--- a/tests/placement/placement_test.cpp
+++ b/tests/placement/placement_test.cpp
@@ -431,7 +431,7 @@
 TEST(Simulation, ThePlanBreaksNoRuleInAFixedFewDozenSeeds) {
   for (std::uint64_t seed = 1; seed <= 60; ++seed) {
     auto result = testbench::simulation::run_placement(seed, testbench::simulation::PlanMutant::kNone);
-    ASSERT_EQ(result.broken, "") << "seed " << seed;
+    ASSERT_EQ(result.violation, "") << "seed " << seed;
   }
 }
 
@@ -439,7 +439,7 @@
   for (auto& [mutant, name] : testbench::simulation::plan_mutants()) {
     bool found = false;
     for (std::uint64_t seed = 1; seed <= 60 && !found; ++seed)
-      found = !testbench::simulation::run_placement(seed, mutant).broken.empty();
+      found = !testbench::simulation::run_placement(seed, mutant).violation.empty();
     EXPECT_TRUE(found) << name;
   }
 }
