--- a/src/testbench/simulation/world.cpp
+++ b/src/testbench/simulation/world.cpp
@@ -769,7 +769,7 @@
 WorldResult run_world(const WorldOptions& options) { return World(options).run(); }
 
 WorldResult shrink(const WorldOptions& options, const WorldResult& failed_run) {
-  auto best = broken;
+  auto best = failed_run;
   for (std::size_t i = 0; i < best.faults.size();) {
     auto fewer = options;
     fewer.script = best.faults;
--- a/tests/formats/simulation_fingerprint_test.cpp
+++ b/tests/formats/simulation_fingerprint_test.cpp
@@ -44,8 +44,8 @@
   return fmt::format(
       "broken='{}' plans={} changes={} faults={} moved_ms_most={} served={:.9f} served_worst_10s={:.9f} "
       "far_calm={:.9f} history_lines={} history={:016x}",
-      r.violation, r.plans, r.changes, r.faults, r.max_move_ms, r.served, r.served_worst_10s, r.cross_zone_share_calm,
-      r.history.size(), hash_of(r.history));
+      r.violation, r.plans, r.changes, r.faults, r.max_move_ms, r.served, r.served_worst_10s,
+      r.cross_zone_share_calm, r.history.size(), hash_of(r.history));
 }
 
 }  // namespace
