--- a/src/testbench/simulation/world.cpp
+++ b/src/testbench/simulation/world.cpp
@@ -44,7 +44,7 @@
     std::string name;
     NodeId id = 0;
     bool up = false;
-    int incarnation = 0;  // counts starts: what was under way in an earlier one is void
+    int incarnation = 0;  // number of starts; events scheduled in an earlier incarnation are dropped
     Micros paused_until{0};
     double rate = 1;
     Micros offset{0};
@@ -54,10 +54,13 @@
     own::LeaseManager lease_manager{{}};
     std::unique_ptr<own::LeaseClient> lease_client;
     std::map<std::uint64_t, std::function<void(bool)>> pending_reads;  // by ticket
+    // By index and term, until committed.
     std::map<std::pair<Index, rc::Term>, std::function<void(bool)>> appended_proposals;
+    // By ticket, until appended.
     std::map<std::uint64_t, std::function<void(rc::ProposalResult)>> pending_proposals;
     Micros next_tick_at{-1};
-    std::vector<std::pair<std::uint64_t, rc::Message>> unsent;  // wait for a write
+    // Messages that wait for a write to become durable.
+    std::vector<std::pair<std::uint64_t, rc::Message>> unsent;
     std::uint64_t durable_write = 0;
   };
   struct Event {
@@ -75,7 +78,8 @@
   void schedule_at(Micros when, std::function<void()> call) {
     events_.push({when, next_event_order_++, std::move(call)});
   }
-  // In the node's own thread: not while it is paused, and not once it has ended.
+  // Schedules a call on the node's own thread: delayed while the node is paused, dropped if it has stopped or
+  // restarted.
   void schedule_at_node(int n, Micros when, std::function<void()> call) {
     schedule_at(when, [this, n, incarnation = nodes_[n].incarnation, call = std::move(call)]() mutable {
       auto& node = nodes_[n];
@@ -137,14 +141,15 @@
   std::set<int> isolated_;
   double loss_probability_ = 0;
   NodeId next_id_ = 1;
-  // what is known of the whole, for the checks
+  // Global state across all nodes, for the invariant checks.
   std::map<Index, Entry> committed_;
-  std::map<Index, rc::Term> commit_terms_;  // the term of the leader that did
+  std::map<Index, rc::Term> commit_terms_;  // the term in which the entry was committed
   std::map<Index, std::string> states_by_index_;
   std::map<rc::Term, NodeId> leaders_;
-  std::map<std::string, own::Token> accepted_tokens_;  // by the sink of effects
+  // The highest token that the sink of effects has accepted, by job.
+  std::map<std::string, own::Token> accepted_tokens_;
   own::FencingTokenGuard sink_;
-  std::map<Index, std::uint64_t> register_writes_;  // index of each write of the register
+  std::map<Index, std::uint64_t> register_writes_;  // the value written, by log index
   Index last_acknowledged_ = 0, last_read_ = 0;
   std::uint64_t last_value_ = 0;
   std::set<NodeId> wiped_ids_;
@@ -209,7 +214,7 @@
   });
 }
 
-// Carries a stored state over one write, as the disk does.
+// Applies one write to a stored state, as the disk does.
 void apply_write(rc::PersistentState* s, const rc::Write& w) {
   if (w.hard_state) s->hard_state = *w.hard_state;
   if (w.snapshot) s->snapshot = w.snapshot;
@@ -235,7 +240,7 @@
     return true;
   });
   for (auto& m : ready) deliver(n, m.to, [this, m](int to) { step(to, {rc::MessageReceived{m}}); });
-  // The process may be paused while its disk goes on.
+  // The process may be paused while its disk continues.
   schedule_at_node(n, now_, [this, n, number] { step(n, {rc::WriteCompleted{number}}); });
 }
 
@@ -244,7 +249,7 @@
   if (to < 0 || !reaches(from, to)) return;
   if (loss_probability_ > 0 && static_cast<double>(draw(1000)) < loss_probability_ * 1000) return;
   auto delay = draw_duration(200us, 3ms);
-  if (draw(40) == 0) delay += draw_duration(0ms, 60ms);  // and so out of order
+  if (draw(40) == 0) delay += draw_duration(0ms, 60ms);  // so that messages are reordered
   int copies = loss_probability_ > 0 && draw(20) == 0 ? 2 : 1;
   for (int i = 0; i < copies; ++i)
     schedule_at(now_ + delay * (i + 1), [this, from, to, to_id, call] {
@@ -277,7 +282,7 @@
       schedule_at_node(n, now_, [this, n] { step(n, {rc::WriteFailed{}}); });
       break;
     }
-    // What comes while one sync is under way goes with the next, all of it together.
+    // Writes that arrive during a sync are all made durable together by the next one.
     auto sync = draw_duration(300us, 4ms) + disk.added_latency;
     disk.busy_until = std::max(disk.queue.empty() ? now_ : disk.queue.back().first,
                                std::min(std::max(disk.busy_until, now_) + sync, now_ + sync * 2));
@@ -398,7 +403,7 @@
   }
 }
 
-// The owner's side: asks the leader, and is told.
+// Sends a lease renewal request to the leader and handles its response, as a lease client does periodically.
 void World::renew_leases(int n) {
   auto& node = nodes_[n];
   auto repeat = [this, n] { renew_leases(n); };
@@ -445,8 +450,8 @@
     deliver(n, leader, [handle_request, renewal_request](int at) { handle_request(at, renewal_request); });
 }
 
-// Effects: a check right before each, then the effect on its way to a sink that compares tokens, and to the
-// log.
+// Performs the effects of the jobs whose leases the node holds: checks the lease right before each effect,
+// then sends the effect to a sink that compares fencing tokens, and to the log.
 void World::run_jobs(int n) {
   auto& node = nodes_[n];
   schedule_at_node(n, now_ + kJobInterval, [this, n] { run_jobs(n); });
@@ -461,7 +466,7 @@
     auto token = node.lease_client->token(job);
     node.lease_client->record_progress(job);
     ++result_.effects;
-    // It stops between the check and the effect, now and then for long.
+    // The process occasionally pauses between the check and the effect, sometimes for long.
     if (draw(200) == 0 && now_ < options_.faults_until) node.paused_until = now_ + draw_duration(100ms, 4s);
     schedule_at_node(n, now_ + draw_duration(0us, 2ms), [this, n, job, token] {
       schedule_at(now_ + draw_duration(1ms, 5ms), [this, job, token] {
@@ -483,7 +488,7 @@
   }
 }
 
-// A register, written and read through whoever believes that it leads.
+// Writes or reads a register through a node that believes it is the leader.
 void World::run_client() {
   schedule_at(now_ + draw_duration(kClientInterval / 2, kClientInterval * 3 / 2), [this] { run_client(); });
   int n = static_cast<int>(draw(nodes_.size()));
@@ -517,7 +522,8 @@
   }
 }
 
-// The operator: brings members that came back empty in again, one change at a time.
+// Acts as the operator: removes members that came back with an empty directory and adds nodes that are not
+// voters, one membership change at a time.
 void World::run_operator() {
   schedule_at(now_ + 150ms, [this] { run_operator(); });
   for (std::size_t i = 0; i < nodes_.size(); ++i) {
@@ -579,7 +585,7 @@
     case Fault::Kind::kCrash:
     case Fault::Kind::kWipe: {
       if (!node.up) return;
-      // What is emptied must leave a majority that remembers, whichever members are in force.
+      // Emptying a directory must leave a majority that keeps its state, whichever membership is in effect.
       bool majority_remains = wiped_ids_.empty();
       for (auto& o : nodes_)
         majority_remains = majority_remains && o.up && o.raft->members().voters.size() >= 3;
@@ -635,7 +641,7 @@
       schedule_at(now_ + f.duration, [this] { loss_probability_ = 0; });
       return;
     case Fault::Kind::kReplace:
-      // Nobody takes a healthy member out while another has just been lost.
+      // An operator does not remove a healthy member while another one has just been lost.
       for (auto& o : nodes_)
         if (o.up)
           for (auto id : o.raft->members().voters)
@@ -699,11 +705,11 @@
     node.name = fmt::format("n{}", i + 1);
     node.id = next_id_++;
     members.voters.push_back(node.id);
-    // Within the share that the lease allows for, and far apart.
+    // Clock drift stays within the share that the lease allows for; the offsets are far apart.
     node.rate = 1 + (static_cast<double>(draw(801)) - 400) * 1e-5;
     node.offset = draw_duration(1s, 1000s);
   }
-  bool grows_from_one = draw(4) == 0;  // begins as one and takes the others in
+  bool grows_from_one = draw(4) == 0;  // starts as a single-node group and adds the others
   auto first = std::make_shared<rc::Snapshot>();
   first->index = 1;
   first->term = 1;
--- a/src/testbench/simulation/world.h
+++ b/src/testbench/simulation/world.h
@@ -1,7 +1,9 @@
-// Whole groups in simulated time, from one seed: the daemon's own modules of consensus and ownership, with
-// disks that lose what was not yet durable, links that are cut, slow, lossy or out of order, clocks that
-// drift and processes that pause. What must always hold is checked at every step; at the end, with all faults
-// over, the group must have come to rest. No thread, no I/O, no clock: a seed gives the same run each time.
+// Simulates complete consensus groups in simulated time, driven by one seed. Runs the production consensus
+// and ownership modules with disks that lose writes that are not yet durable, links that are cut, slow, lossy
+// or reordering, clocks that drift and processes that pause. The safety invariants are checked at every step;
+// at the end, after all faults are over, the group must have recovered: one leader, all nodes nearly caught
+// up and a lease holder for each job. Uses no threads, I/O or system clock, so a seed gives the same run each
+// time.
 #pragma once
 
 #include <cstdint>
@@ -16,7 +18,7 @@
 
 using consensus::Micros;
 
-// One guard taken away. The simulation or the model check must find each.
+// A mutant has one safeguard disabled. The simulation or the model check must detect each of them.
 enum class Mutant {
   kNone,
   kVoteNotSaved,
@@ -28,6 +30,7 @@
 };
 const std::vector<std::pair<Mutant, std::string>>& mutants();
 
+// A fault that begins at `at` and lasts `duration`; `other` is the second node of a cut link.
 struct Fault {
   enum class Kind {
     kCrash,
@@ -52,19 +55,21 @@
   std::uint64_t seed = 1;
   Mutant mutant = Mutant::kNone;
   Micros faults_until{9'000'000}, end{18'000'000};
-  std::optional<std::vector<Fault>> script;  // instead of those drawn from the seed
+  std::optional<std::vector<Fault>> script;  // replaces the faults drawn from the seed
 };
 
 struct WorldResult {
-  std::string violation;  // empty: all held
+  std::string violation;  // empty if all invariants held
   std::vector<std::string> history;
   std::vector<Fault> faults;
   std::uint64_t events = 0, committed = 0, acknowledged = 0, reads = 0, elections = 0, grants = 0,
                 effects = 0, stale_attempted = 0, stale_accepted = 0, faults_injected = 0;
 };
 
+// Runs one simulation and returns its counters, its history and the first violated invariant, if any.
 WorldResult run_world(const WorldOptions& options);
-// Leaves faults out while it still breaks in the same way: the shortest script found.
+// Removes faults one at a time while the run still violates the same invariant, and returns the run with the
+// shortest script found.
 WorldResult shrink(const WorldOptions& options, const WorldResult& failed_run);
 
 }  // namespace database_proxy::testbench::simulation
