--- a/src/testbench/simulation/commands.cpp
+++ b/src/testbench/simulation/commands.cpp
@@ -77,7 +77,7 @@
       first_violation = {{"seed", seed}, {"broken", r.violation}, {"history", shortest.history}};
       if (mutant != Mutant::kNone) {
         ++runs;
-        break;  // it is found
+        break;  // the mutant is detected
       }
     }
   }
@@ -132,7 +132,7 @@
       first_violation = {{"seed", seed}, {"broken", r.violation}, {"history", r.history}};
     if (mutant != PlanMutant::kNone) {
       ++runs;
-      break;  // it is found
+      break;  // the mutant is detected
     }
   }
   auto elapsed = seconds_since(started);
--- a/src/testbench/simulation/commands.h
+++ b/src/testbench/simulation/commands.h
@@ -1,4 +1,5 @@
-// proxy-testbench simulate group|model: prints one JSON object; 0 where all held, 2 where something broke.
+// The command `proxy-testbench simulate group|model|zones|plan-cost`. Prints its result as JSON. Exit status:
+// 0 if all invariants held, 2 if one was violated.
 #pragma once
 
 #include <string>
@@ -6,7 +7,7 @@
 
 namespace database_proxy::testbench::simulation {
 
-// Throws std::runtime_error for bad arguments.
+// Runs the command and returns its exit status. Throws std::runtime_error for bad arguments.
 int run(const std::vector<std::string>& arguments);
 
 }  // namespace database_proxy::testbench::simulation
--- a/src/testbench/simulation/model.cpp
+++ b/src/testbench/simulation/model.cpp
@@ -18,7 +18,7 @@
 using consensus::Index;
 using namespace std::chrono_literals;
 
-std::uint64_t hash_of(const std::string& text) {  // FNV-1a, mixed
+std::uint64_t hash_of(const std::string& text) {  // FNV-1a with a final mixing step
   std::uint64_t h = 1469598103934665603ull;
   for (unsigned char c : text) h = (h ^ c) * 1099511628211ull;
   h ^= h >> 29;
@@ -32,8 +32,9 @@
   return s;
 }
 
-// Depth first, with the states still to be looked at on the heap. Of those seen a hash is kept, and how each
-// was come by, so that what breaks can be told as a path.
+// Depth-first search that keeps the states still to be expanded on the heap. For each visited state only a
+// hash, its predecessor and the action that led to it are kept, so that a violation can be reported as a
+// path.
 template <class S>
 struct StateSearch {
   S state;
@@ -82,9 +83,9 @@
 struct State {
   std::vector<rc::Raft> nodes;
   std::vector<rc::PersistentState> disks;
-  // In flight, by link, in order, as TCP keeps it; a broken link loses all of its own.
+  // Messages in flight, in order on each link, as with TCP; a broken link loses all of its messages.
   std::map<std::pair<rc::NodeId, rc::NodeId>, std::vector<rc::Message>> links;
-  std::map<Index, std::pair<Entry, rc::Term>> committed;  // with the term in which it was
+  std::map<Index, std::pair<Entry, rc::Term>> committed;  // with the term in which it was committed
   std::map<rc::Term, rc::NodeId> leaders;
   int elections = 0, proposals = 0, crashes = 0, breaks = 0;
 };
@@ -137,7 +138,8 @@
     return f;
   }
 
-  // One node's step, its writes durable at once; or lost with a crash, where `torn`.
+  // Runs one step of a node. Its writes become durable at once, or are lost in a crash with
+  // `crash_before_durable`.
   bool step(State& s, int i, rc::Input input, bool crash_before_durable = false) {
     auto at = static_cast<std::size_t>(i);
     auto& node = s.nodes[at];
@@ -162,7 +164,7 @@
         auto to = static_cast<std::size_t>(m.message.to - 1);
         if (m.message.term < s.nodes[to].term()) continue;
         auto& queue = s.links[{m.message.from, m.message.to}];
-        // The same again brings nothing new.
+        // A repeat of the last message on the link leads to no new state.
         if (queue.empty() || message_text(queue.back()) != message_text(m.message))
           queue.push_back(m.message);
       }
@@ -184,7 +186,7 @@
         inputs.push_back(rc::WriteCompleted{w.number});
       }
     }
-    // What is of an older term than its receiver brings nothing any more.
+    // Messages of an older term than their receiver's no longer have any effect.
     for (auto& [link, queue] : s.links)
       std::erase_if(queue, [&](auto& m) { return m.term < s.nodes[m.to - 1].term(); });
     return true;
@@ -257,17 +259,17 @@
   StateSearch<State> search_;
 };
 
-// ---- leases
-// ------------------------------------------------------------------------------------------------
+// Leases.
 
-// Two owners, A with a slow clock (its lease lasts long), and two leaders, the second of which is elected at
-// any step. Questions and answers may take any number of steps; a grant may be committed late.
+// State of two lease clients, A with a slow clock (so that its lease lasts long), and two leaders, the second
+// of which is elected at any step. Requests and responses may be in flight for any number of steps; a grant
+// may be committed late.
 struct LeaseState {
   own::LeaseRegistry registry;
   own::LeaseManager managers[2]{own::LeaseManager({}), own::LeaseManager({})};
   std::vector<own::LeaseClient> clients;
-  std::vector<std::pair<int, own::LeaseRenewalRequest>> requests;    // on their way; to whichever leads
-  std::vector<std::pair<int, own::LeaseRenewalResponse>> responses;  // on their way to an owner
+  std::vector<std::pair<int, own::LeaseRenewalRequest>> requests;    // in flight, to the current leader
+  std::vector<std::pair<int, own::LeaseRenewalResponse>> responses;  // in flight, to a lease client
   std::optional<std::pair<int, own::Command>> pending_grant;
   int leader = 0, time = 0, last_request_times[2]{-1, -1}, requests_left[2]{2, 2};
   std::uint64_t index = 10;
@@ -296,8 +298,8 @@
   }
 
  private:
-  // Owner 0's clock is half a hundredth slow, the leaders' half a hundredth fast: the most that is allowed
-  // for.
+  // The clock of client 0 is 0.5% slow and those of client 1 and the leaders are 0.5% fast, the largest drift
+  // that the lease protocol allows for.
   Micros clock_time(int time, double rate) const {
     return Micros(static_cast<std::int64_t>(500'000.0 * time * rate) + 1'000'000);
   }
@@ -383,7 +385,7 @@
           n.pending_grant.reset();
         }))
       return false;
-    // What is on its way to the log when the second is elected is committed before it judges, or never.
+    // A grant in flight when the second leader is elected is committed before that leader proposes, or never.
     if (s.leader == 0)
       for (bool committed : {false, true}) {
         if (committed && !s.pending_grant) continue;
--- a/src/testbench/simulation/placement.cpp
+++ b/src/testbench/simulation/placement.cpp
@@ -21,7 +21,7 @@
 constexpr Millis kStep = 500, kFaultsUntil = 120'000, kEnd = 220'000, kSettledAt = 190'000;
 constexpr Millis kWarmUpDuration = 18'000;
 constexpr double kInitialWarmUpFraction = 0.17;
-// Whoever tries a closed zone by its probes still has a voice.
+// Proxies go on probing a closed zone, so they still vote on its health.
 constexpr std::uint64_t kProbesPerObservation = 4;
 
 struct Fault {
@@ -63,16 +63,16 @@
   int shard_group_count_ = 1;
   std::map<std::pair<pl::ShardGroupId, Zone>, double> capacity_, demand_;
   std::map<Zone, int> observers_;
-  Millis flap_half_period_ =
-      2000;                    // quicker than any dwell, or just slow enough to be opened again and again
-  Zone faulty_observer_zone_;  // one observer of this zone sees all as dead
+  // Shorter than any minimum phase duration, or just long enough for repeated reopening.
+  Millis flap_half_period_ = 2000;
+  Zone faulty_observer_zone_;  // one observer in this zone reports all zones as dead
   std::vector<Fault> faults_;
-  std::map<Zone, Millis> recovered_at_;  // when it came back, cold
+  std::map<Zone, Millis> recovered_at_;  // when the zone came back, cold
   std::map<Zone, Millis> lost_at_;
   std::map<Zone, bool> was_dead_;
   std::deque<pl::Observation> observations_;
   pl::Demand smoothed_demand_;
-  std::deque<std::pair<double, double>> recent_steps_;  // asked, served
+  std::deque<std::pair<double, double>> recent_steps_;  // requested, served
   std::map<Zone, std::vector<Millis>> recent_phase_changes_;
   std::map<Zone, Millis> closed_at_;
   double requested_ = 0, served_ = 0, calm_cross_zone_ = 0, calm_requested_ = 0;
@@ -131,7 +131,8 @@
                                                     static_cast<double>(now_ - it->second) / kWarmUpDuration);
 }
 
-// What the proxies of all zones saw in this step, and what of it the owner has by now.
+// Returns the observations of the proxies of all zones in this step, as far as the lease holder has received
+// them.
 pl::Input World::observe() {
   pl::Observation observation;
   for (auto& from : zones_) {
@@ -153,7 +154,7 @@
                          (has_fault(Fault::Kind::kBurst, "") ? 2 : 1);
       here.add_demand(from, shard_group, static_cast<std::uint64_t>(requested));
     }
-    if (late && observations_.size() >= 20) {  // its last word is ten seconds old
+    if (late && observations_.size() >= 20) {  // its latest observation is ten seconds old
       pl::Observation old;
       for (auto& [key, votes] : observations_.front().votes())
         if (key.first == from)
@@ -211,7 +212,8 @@
       throw fmt::format("set {} of {}: {:.0f} by plan {}, it bears {:.0f}", shard_group, to, by_new_plan,
                         plan.number, capacity);
   }
-  // The loss of any one zone, with half of the proxies on each plan: its clients may all use what is spare.
+  // On the loss of any one zone, with half of the proxies on each plan, all of its clients may use the
+  // surplus capacity of the others.
   for (auto& [key, supply] : input.supply) {
     auto& [shard_group, to] = key;
     if (plan.zones.at(to).phase != pl::Phase::kOpen || supply.warming_up) {
@@ -249,7 +251,7 @@
     add_to_history(fmt::format("plan {}: {} {} ({})", plan.number, zone, pl::text_of(phase),
                                pl::text_of(plan.zones.at(zone).reason)));
     ++result_.changes;
-    // By hand, and the ends of what was begun, are no flapping.
+    // An operator's changes, and the completion of a change that has begun, do not count as flapping.
     bool by_hand = plan.zones.at(zone).reason == pl::PhaseReason::kOperator;
     if (!by_hand && (phase == pl::Phase::kClosed || phase == pl::Phase::kOpening))
       recent_phase_changes_[zone].push_back(now_);
@@ -265,7 +267,7 @@
         throw fmt::format("{} is closed, and only {} zones see it ill", zone, zones_reporting_unhealthy);
       if (!has_fault(Fault::Kind::kDead, zone) && !(has_fault(Fault::Kind::kFlap, zone)) &&
           has_fault(Fault::Kind::kGrey, zone)) {
-        // It still served half: the others must bear all.
+        // The zone still served half of its requests, so the other zones must have capacity for all of them.
         for (int shard_group = 1; shard_group <= shard_group_count_; ++shard_group) {
           double requested = 0, remaining_capacity = 0;
           for (auto& from : zones_) requested += demand(shard_group, from);
@@ -279,7 +281,7 @@
         }
       }
     }
-    // What has just been lost is not trusted again within moments, whatever is seen of it.
+    // A zone that was just closed must not be opened by the planner within 10 s, whatever is observed of it.
     if (phase == pl::Phase::kClosed) closed_at_[zone] = now_;
     if (phase == pl::Phase::kOpening && !by_hand && now_ - closed_at_[zone] < 10'000)
       throw fmt::format("{} is opened {} ms after it was closed", zone, now_ - closed_at_[zone]);
@@ -289,7 +291,7 @@
   }
 }
 
-// What the clients get while half of the proxies follow each plan.
+// Adds up the requests that are served while half of the proxies follow each plan.
 void World::serve(const pl::Plan& last, const pl::Plan& plan) {
   double requested = 0, served = 0, cross_zone = 0;
   std::map<std::pair<pl::ShardGroupId, Zone>, double> load;
@@ -301,7 +303,8 @@
       if (it == p->shares.end()) continue;
       auto surplus = p->surplus_capacity.find(key);
       for (auto& [to, share] : it->second) {
-        // By its own eyes a proxy leaves a zone that serves nobody, as far as there is spare room elsewhere.
+        // A proxy that observes that a zone serves no requests leaves it by itself, as far as the plan gives
+        // it surplus capacity in other zones.
         bool gone = cut(key.second, to) || has_fault(Fault::Kind::kDead, to);
         if (gone && surplus != p->surplus_capacity.end())
           for (auto& [other, part] : surplus->second) {
@@ -383,9 +386,9 @@
     auto input = observe();
     serve(last, plan);
     if (has_fault(Fault::Kind::kNoLeaseHolder, ""))
-      lease_holder_back_at = now_ + 2000;  // a successor, after the lease
+      lease_holder_back_at = now_ + 2000;  // a new lease holder takes over when the lease has expired
     if (now_ < lease_holder_back_at) continue;
-    // Each round may be another owner: all that it knows stands in the plan.
+    // Each round may have another lease holder, so the plan carries all of the state.
     pl::Planner planner(topology_, options_);
     last = plan;
     for (auto& f : faults_) {
@@ -394,7 +397,7 @@
       if (now_ >= f.at + f.duration && now_ < f.at + f.duration + kStep)
         planner.restore(&plan, f.zone, input);
     }
-    // A hand on the switch while the owner was away is told again at the end.
+    // An operator's restore that came while there was no lease holder is repeated at the end.
     if (now_ >= kFaultsUntil)
       for (auto& zone : zones_) planner.restore(&plan, zone, input);
     plan = planner.next(plan, input);
