--- a/src/testbench/fault_injection/coldstart.cpp
+++ b/src/testbench/fault_injection/coldstart.cpp
@@ -143,7 +143,8 @@
   auto report = rig.fake_servers().report();
   int falls = 0;
   std::uint64_t wrong = 0;
-  for (auto& [id, f] : rig.fake_servers().counters()) falls += f.overloads, wrong += f.not_primary + f.too_old;
+  for (auto& [id, f] : rig.fake_servers().counters())
+    falls += f.overloads, wrong += f.not_primary + f.too_old;
   double drain = -1;
   for (auto& [name, ms] : rig.fake_servers().invariants().drain_last_send_ms()) drain = std::max(drain, ms);
   if (!options.history.empty()) rig.history().write(options.history);
--- a/src/testbench/fault_injection/zones.cpp
+++ b/src/testbench/fault_injection/zones.cpp
@@ -195,7 +195,8 @@
   int falls = 0;
   for (auto& [id, f] : rig.fake_servers().counters()) falls += f.overloads;
   std::uint64_t stale = 0;
-  for (auto& b : rig.fake_servers().invariants().violations()) stale += b.invariant == Invariant::kStaleRead ? b.count : 0;
+  for (auto& b : rig.fake_servers().invariants().violations())
+    stale += b.invariant == Invariant::kStaleRead ? b.count : 0;
   json series = json::array();
   for (auto& [at, n] : sum.series)
     series.push_back(
--- a/src/testbench/load.cpp
+++ b/src/testbench/load.cpp
@@ -332,7 +332,8 @@
   auto& f = owner_.figures;
   if (out_asks_.empty()) {
     if (rules)
-      rules->record_violation(Invariant::kUnexpectedAnswer, fmt::format("an answer to client {} that asked nothing", number_));
+      rules->record_violation(Invariant::kUnexpectedAnswer,
+                              fmt::format("an answer to client {} that asked nothing", number_));
     return;
   }
   auto out = std::move(out_asks_.front());
@@ -344,7 +345,8 @@
   owner_.last_answer = now;
   if (code.empty()) {
     if (value != out.id && rules)
-      rules->record_violation(Invariant::kWrongValue, fmt::format("request {} got the value of {}", out.id, value));
+      rules->record_violation(Invariant::kWrongValue,
+                              fmt::format("request {} got the value of {}", out.id, value));
     if (a.request_class == kBook)
       wrote_[static_cast<std::size_t>(a.session)] = std::chrono::duration_cast<std::chrono::milliseconds>(
                                                         std::chrono::system_clock::now().time_since_epoch())
--- a/src/testbench/load.h
+++ b/src/testbench/load.h
@@ -31,7 +31,7 @@
   int most_retries = 3;
   std::uint64_t seed = 1;
   InvariantChecker* rules = nullptr;  // told of wrong values and of answers too many
-  std::string prefix = "c";      // of request ids: those of two loads against one daemon must differ
+  std::string prefix = "c";           // of request ids: those of two loads against one daemon must differ
 };
 
 // Latencies in microseconds on a logarithmic axis: 1 us to 100 s, each bin 1 % wide.
--- a/tests/testbench/lab_test.cpp
+++ b/tests/testbench/lab_test.cpp
@@ -115,7 +115,8 @@
   ServerModel primary(options, 1, true), replica(options, 2, false);
   CHECK(primary.position(10'000) == 10'000);
   CHECK(replica.position(10'000) == 9'950);
-  ModelRequest write{RequestKind::kWrite, 0}, browse{RequestKind::kBoundedStaleness, 0}, own{RequestKind::kReadYourWrites, 9'990};
+  ModelRequest write{RequestKind::kWrite, 0}, browse{RequestKind::kBoundedStaleness, 0},
+      own{RequestKind::kReadYourWrites, 9'990};
   CHECK(replica.admit(ms(1), 10'000, write).result == AdmissionResult::kNotPrimary);
   CHECK(replica.admit(ms(1), 10'000, own).result == AdmissionResult::kTooOld);
   CHECK(replica.admit(ms(1), 10'040, own).result == AdmissionResult::kRun);
@@ -214,7 +215,8 @@
   FakeServersOptions options;
   options.replicas = 1;
   FakeServers fake_servers(options);
-  auto config = app::parse_config(test::config_text(fake_servers.discovery_address(), fake_servers.members().dump()));
+  auto config =
+      app::parse_config(test::config_text(fake_servers.discovery_address(), fake_servers.members().dump()));
   // The fixture's proxy serves shard group 2 only; this load goes directly to a data server.
   test::ProxyFixture fixture;
   auto at = fake_servers.members().at("instances").at(0).at("hostPort").get<std::string>();
--- a/tests/workers/worker_pool_test.cpp
+++ b/tests/workers/worker_pool_test.cpp
@@ -452,7 +452,8 @@
     servers.threads = 1;
     servers.seed = 3;
     testbench::FakeServers fake_servers(servers);
-    auto config = app::parse_config(config_text(fake_servers.discovery_address(), fake_servers.members().dump()));
+    auto config =
+        app::parse_config(config_text(fake_servers.discovery_address(), fake_servers.members().dump()));
     config.sockets = 600;
     RunningPool running(config, options(4, decisions));
     testbench::LoadOptions load;
@@ -469,7 +470,8 @@
     steering.join();
     CHECK(figures.served > 100);
     CHECK(figures.failed == 0);
-    for (auto& b : fake_servers.invariants().violations()) FAIL_CHECK(testbench::name_of(b.invariant) << ": " << b.first);
+    for (auto& b : fake_servers.invariants().violations())
+      FAIL_CHECK(testbench::name_of(b.invariant) << ": " << b.first);
     auto last = fake_servers.invariants().drain_last_send_ms();
     REQUIRE(last.count("s1-2"));
     CHECK(last["s1-2"] < 1000);  // the rule's limit; the objective itself is measured, not tested
@@ -484,7 +486,8 @@
   servers.model.service_us = 1000;
   servers.model.initial_speed = 0.5;
   testbench::FakeServers fake_servers(servers);
-  auto config = app::parse_config(config_text(fake_servers.discovery_address(), fake_servers.members().dump()));
+  auto config =
+      app::parse_config(config_text(fake_servers.discovery_address(), fake_servers.members().dump()));
   config.sockets = 600;
   RunningPool running(config, options(4, DecisionMode::kSplit));
   testbench::LoadOptions load;
@@ -501,7 +504,8 @@
   auto figures = testbench::run_load(load);
   steering.join();
   CHECK(figures.served > 2000);
-  for (auto& b : fake_servers.invariants().violations()) FAIL_CHECK(testbench::name_of(b.invariant) << ": " << b.first);
+  for (auto& b : fake_servers.invariants().violations())
+    FAIL_CHECK(testbench::name_of(b.invariant) << ": " << b.first);
   CHECK(fake_servers.counters()["s1-5"].requests > 0);
 }
 
