--- a/tests/group/parts_test.cpp
+++ b/tests/group/parts_test.cpp
@@ -31,7 +31,7 @@
   return b;
 }
 
-state::StoreErrorCode fault_of(const std::function<void()>& call) {
+state::StoreErrorCode error_code_of(const std::function<void()>& call) {
   try {
     call();
   } catch (const state::StoreError& e) {
@@ -42,7 +42,7 @@
   return state::StoreErrorCode::kDisk;
 }
 
-TEST(Store, KeepsWhatWasCommittedAndNothingElse) {
+TEST(Store, KeepsCommittedChangesOnly) {
   TemporaryDirectory folder;
   for (bool durable : {true, false}) {
     auto store = durable ? state::open_store(folder.path(), "t", 1) : state::make_memory_store();
@@ -66,56 +66,57 @@
   }
 }
 
-TEST(Store, BatchesAddedUpDoWhatTheyDoOneByOne) {
-  auto one = state::make_memory_store(), all = state::make_memory_store();
+TEST(Store, CombinedBatchesEqualSeparateCommits) {
+  auto separate = state::make_memory_store(), joined = state::make_memory_store();
   std::uint64_t x = 7;
-  auto draw = [&](std::uint64_t n) {
+  auto random_below = [&](std::uint64_t n) {
     x = x * 6364136223846793005ull + 1442695040888963407ull;
     return (x >> 33) % n;
   };
-  state::Batch sum;
+  state::Batch combined;
   for (int i = 0; i < 500; ++i) {
     state::Batch b;
-    auto key = [&] { return std::string(1, static_cast<char>('a' + draw(20))); };
-    if (draw(3) == 0) {
+    auto key = [&] { return std::string(1, static_cast<char>('a' + random_below(20))); };
+    if (random_below(3) == 0) {
       auto from = key(), to = key();
       if (from < to) b.removals.emplace_back(from, to);
     }
-    b.changes.emplace_back(key(), draw(4) ? std::optional(std::to_string(i)) : std::nullopt);
-    one->commit(b);
-    sum.add(b);
+    b.changes.emplace_back(key(), random_below(4) ? std::optional(std::to_string(i)) : std::nullopt);
+    separate->commit(b);
+    combined.add(b);
   }
-  all->commit(sum);
-  EXPECT_EQ(one->scan("a", "z"), all->scan("a", "z"));
+  joined->commit(combined);
+  EXPECT_EQ(separate->scan("a", "z"), joined->scan("a", "z"));
 }
 
-TEST(Store, OneProcessADirectory) {
+TEST(Store, IsLockedAgainstASecondOpening) {
   TemporaryDirectory folder;
   auto first = state::open_store(folder.path(), "t", 1);
-  EXPECT_EQ(fault_of([&] { state::open_store(folder.path(), "t", 1); }), state::StoreErrorCode::kLocked);
+  EXPECT_EQ(error_code_of([&] { state::open_store(folder.path(), "t", 1); }), state::StoreErrorCode::kLocked);
   first.reset();
   EXPECT_NO_THROW(state::open_store(folder.path(), "t", 1));
 }
 
-TEST(Store, TornForeignAndNewerFilesAreToldApart) {
+TEST(Store, DistinguishesCorruptForeignAndNewerFiles) {
   TemporaryDirectory folder;
   auto path = folder.path() + "/t.db";
   state::open_store(folder.path(), "t", 2)->commit(put("a", std::string(20000, 'x')));
-  EXPECT_EQ(fault_of([&] { state::open_store(folder.path(), "t", 1); }), state::StoreErrorCode::kNewer);
-  auto whole = std::filesystem::file_size(path);
-  std::filesystem::resize_file(path, whole / 2);
-  EXPECT_EQ(fault_of([&] { state::open_store(folder.path(), "t", 2)->read("a"); }),
+  EXPECT_EQ(error_code_of([&] { state::open_store(folder.path(), "t", 1); }), state::StoreErrorCode::kNewer);
+  auto full_size = std::filesystem::file_size(path);
+  std::filesystem::resize_file(path, full_size / 2);
+  EXPECT_EQ(error_code_of([&] { state::open_store(folder.path(), "t", 2)->read("a"); }),
             state::StoreErrorCode::kCorrupt);
-  auto aside = state::quarantine_corrupt_file(folder.path(), "t");
-  EXPECT_TRUE(std::filesystem::exists(aside + "/t.db"));
+  auto quarantine = state::quarantine_corrupt_file(folder.path(), "t");
+  EXPECT_TRUE(std::filesystem::exists(quarantine + "/t.db"));
   EXPECT_FALSE(state::open_store(folder.path(), "t", 2)->read("a"));
   std::ofstream(folder.path() + "/noise.db")
       << "this was never a database, and it is long enough to be read as one";
-  EXPECT_EQ(fault_of([&] { state::open_store(folder.path(), "noise", 1); }), state::StoreErrorCode::kCorrupt);
-  EXPECT_EQ(fault_of([&] { state::open_store("/proc/nowhere", "t", 1); }), state::StoreErrorCode::kDisk);
+  EXPECT_EQ(error_code_of([&] { state::open_store(folder.path(), "noise", 1); }),
+            state::StoreErrorCode::kCorrupt);
+  EXPECT_EQ(error_code_of([&] { state::open_store("/proc/nowhere", "t", 1); }), state::StoreErrorCode::kDisk);
 }
 
-TEST(Store, AFlippedBitInAValueIsFoundByItsSum) {
+TEST(Store, ChecksumDetectsAFlippedBit) {
   TemporaryDirectory folder;
   auto path = folder.path() + "/t.db";
   state::open_store(folder.path(), "t", 1)->commit(put("key", std::string(3000, 'q')));
@@ -128,52 +129,52 @@
   ASSERT_NE(at, std::string::npos);
   text[at + 100] ^= 4;
   std::ofstream(path, std::ios::binary) << text;
-  EXPECT_EQ(fault_of([&] { state::open_store(folder.path(), "t", 1)->read("key"); }),
+  EXPECT_EQ(error_code_of([&] { state::open_store(folder.path(), "t", 1)->read("key"); }),
             state::StoreErrorCode::kCorrupt);
 }
 
-TEST(Writer, TellsInOrderAndAfterAFailureNothingIsDurable) {
+TEST(Writer, ReportsInOrderAndNothingIsDurableAfterAFailure) {
   struct Failing : state::DurableStore {
     void commit(const state::Batch& b) override {
       for (auto& [key, value] : b.changes) {
         if (key == "bad") throw state::StoreError(state::StoreErrorCode::kDisk, "no space");
-        kept.push_back(key);
+        committed.push_back(key);
       }
     }
     std::optional<std::string> read(const std::string&) override { return {}; }
     std::vector<std::pair<std::string, std::string>> scan(const std::string&, const std::string&) override {
       return {};
     }
-    std::vector<std::string>& kept;
-    explicit Failing(std::vector<std::string>& k) : kept(k) {}
+    std::vector<std::string>& committed;
+    explicit Failing(std::vector<std::string>& k) : committed(k) {}
   };
-  std::vector<std::string> kept;
-  std::vector<std::pair<std::uint64_t, std::string>> told;
+  std::vector<std::string> committed;
+  std::vector<std::pair<std::uint64_t, std::string>> reported;
   {
     std::mutex mutex;
-    std::condition_variable more;
-    state::StoreWriter writer(std::make_unique<Failing>(kept),
+    std::condition_variable report_added;
+    state::StoreWriter writer(std::make_unique<Failing>(committed),
                               [&](std::uint64_t n, const std::string& error) {
                                 std::lock_guard lock(mutex);
-                                told.emplace_back(n, error);
-                                more.notify_one();
+                                reported.emplace_back(n, error);
+                                report_added.notify_one();
                               });
     for (std::uint64_t i = 1; i <= 3; ++i) writer.write(i, put("k" + std::to_string(i), ""));
     {
       std::unique_lock lock(mutex);
-      more.wait(lock, [&] { return !told.empty() && told.back().first == 3; });
+      report_added.wait(lock, [&] { return !reported.empty() && reported.back().first == 3; });
     }
     writer.write(4, put("bad", ""));
     writer.write(5, put("late", ""));
   }
-  EXPECT_EQ(kept, (std::vector<std::string>{"k1", "k2", "k3"}));
-  ASSERT_FALSE(told.empty());
-  EXPECT_EQ(told.back().first, 5u);
-  EXPECT_EQ(told.back().second, "no space");
-  for (auto& [n, error] : told) EXPECT_EQ(error.empty(), n <= 3);
+  EXPECT_EQ(committed, (std::vector<std::string>{"k1", "k2", "k3"}));
+  ASSERT_FALSE(reported.empty());
+  EXPECT_EQ(reported.back().first, 5u);
+  EXPECT_EQ(reported.back().second, "no space");
+  for (auto& [n, error] : reported) EXPECT_EQ(error.empty(), n <= 3);
 }
 
-TEST(Codec, MessagesComeBackAsTheyWereAndNewKeysArePassedOver) {
+TEST(Codec, MessagesRoundTripAndUnknownKeysAreIgnored) {
   consensus::Message m;
   m.type = consensus::Message::Type::kAppendEntries;
   m.from = 1ull << 51;
@@ -213,7 +214,7 @@
   EXPECT_FALSE(peers::decode_snapshot("\x82\x01"));
 }
 
-TEST(Codec, NoiseAndGiganticFramesAreBadAtOnce) {
+TEST(Codec, RejectsNoiseAndOversizedFramesAtOnce) {
   nlohmann::json got;
   std::size_t size = 0;
   EXPECT_EQ(peers::parse_frame(std::string("\x40\0\0\0", 4), &got, &size), peers::FrameParse::kBad);
@@ -222,25 +223,25 @@
   EXPECT_EQ(peers::parse_frame(peers::frame({{"x", 1}}), &got, &size), peers::FrameParse::kBad);  // no kind
 }
 
-TEST(Facts, AreNoFresherThanTheySayAndNotBelievedAgainstOwnEyes) {
-  routing::LoadReportCache book;
-  auto fact = [](const std::string& load) { return routing::ProbeResult{"s", true, 1ms, load}; };
-  EXPECT_TRUE(book.record(10s, fact("new"), 100ms));
-  EXPECT_FALSE(book.record(10s, fact("older"), 300ms));  // came later, was seen earlier
-  EXPECT_EQ(book.find_fresh(10s, "s")->load_report, "new");
-  EXPECT_FALSE(book.find_fresh(10s + routing::LoadReportCache::kFresh, "s"));  // 100 ms old when it came
-  EXPECT_FALSE(book.record(11s, fact("stale"), routing::LoadReportCache::kFresh + 1us));
-  EXPECT_TRUE(book.record(12s, fact("good"), 0us));
-  book.on_contact("s", routing::AttemptOutcome::kTimedOut);
-  EXPECT_FALSE(book.find_fresh(12s, "s"));
-  EXPECT_FALSE(book.record(12s, fact("good again"), 0us));
-  book.on_contact("s", routing::AttemptOutcome::kServed);
-  EXPECT_TRUE(book.record(12s, fact("believed"), 0us));
-  book.retain_listed({});
-  EXPECT_EQ(book.size(), 0u);
+TEST(LoadReportCache, CountsReportedAgeAndPrefersOwnContact) {
+  routing::LoadReportCache cache;
+  auto probe_result = [](const std::string& load) { return routing::ProbeResult{"s", true, 1ms, load}; };
+  EXPECT_TRUE(cache.record(10s, probe_result("new"), 100ms));
+  EXPECT_FALSE(cache.record(10s, probe_result("older"), 300ms));  // came later, was seen earlier
+  EXPECT_EQ(cache.find_fresh(10s, "s")->load_report, "new");
+  EXPECT_FALSE(cache.find_fresh(10s + routing::LoadReportCache::kFresh, "s"));  // 100 ms old when it came
+  EXPECT_FALSE(cache.record(11s, probe_result("stale"), routing::LoadReportCache::kFresh + 1us));
+  EXPECT_TRUE(cache.record(12s, probe_result("good"), 0us));
+  cache.on_contact("s", routing::AttemptOutcome::kTimedOut);
+  EXPECT_FALSE(cache.find_fresh(12s, "s"));
+  EXPECT_FALSE(cache.record(12s, probe_result("good again"), 0us));
+  cache.on_contact("s", routing::AttemptOutcome::kServed);
+  EXPECT_TRUE(cache.record(12s, probe_result("believed"), 0us));
+  cache.retain_listed({});
+  EXPECT_EQ(cache.size(), 0u);
 }
 
-TEST(GroupOptions, WhatCannotBeIsToldInOneLine) {
+TEST(GroupOptions, InvalidOptionsAreReportedInOneLine) {
   group::Options good;
   good.installation = "lab";
   good.name = "a";
@@ -281,7 +282,7 @@
   return o;
 }
 
-TEST(Checkers, ARegisterIsExplainedByOneOrderOrNot) {
+TEST(Checkers, LinearizabilityOfARegister) {
   using testbench::faults::linearizable;
   EXPECT_TRUE(linearizable({}));
   EXPECT_TRUE(linearizable({op(true, "a", 0, 10), op(false, "a", 11, 12)}));
@@ -305,7 +306,7 @@
   EXPECT_TRUE(gave_up);
 }
 
-TEST(Checkers, NobodyMayPassACheckAfterANewerTokenDid) {
+TEST(Checkers, OlderTokenAfterANewerOneIsAnOverlap) {
   testbench::faults::Holds holds;
   holds.saw(1s, "a", "list", 3);
   holds.saw(2s, "a", "list", 3);
@@ -319,7 +320,7 @@
 }
 
 // One whole run in a few events; each case spoils it in one way, and the verdict names that one only.
-TEST(Checkers, AHistoryIsJudgedFromItsEventsAlone) {
+TEST(Checkers, EachViolationInAHistoryIsReported) {
   using nlohmann::json;
   auto call = [](const std::string& key, bool write, const std::string& value, int from, int to) {
     json e = {{"what", "call"}, {"client", 0},    {"key", key},
@@ -351,9 +352,9 @@
   EXPECT_EQ(v.acknowledged, 1u);
   EXPECT_EQ(v.operations, 4u);
   EXPECT_EQ(v.samples, 3u);
-  auto gone = call("r1", false, "", 50, 60);
-  gone["last"] = true;
-  v = with({gone});
+  auto lost_write = call("r1", false, "", 50, 60);
+  lost_write["last"] = true;
+  v = with({lost_write});
   EXPECT_EQ(v.lost, 1u);
   EXPECT_EQ(v.registers_without_order, 1u);
   v = with({last, call("r1", false, "a", 70, 80)});
@@ -368,13 +369,13 @@
   EXPECT_EQ(with({leads("n1"), leads("n1")}).two_leaders_in_a_term, 0u);
   EXPECT_EQ(with({leads("n1"), leads("n2")}).two_leaders_in_a_term, 1u);
   EXPECT_EQ(with({sample("n2", 500, json::array(), list3)}).stale_effects_accepted, 1u);
-  auto anew = sample("n2", 500, json::array(), list3);
-  anew["anew"] = true;  // it came back with an earlier state
-  EXPECT_FALSE(with({anew}).broken());
+  auto restarted = sample("n2", 500, json::array(), list3);
+  restarted["anew"] = true;  // it came back with an earlier state
+  EXPECT_FALSE(with({restarted}).broken());
   EXPECT_THROW(with({{{"what", "call"}}}), json::exception);
 }
 
-TEST(Script, IsTakenWholeOrTurnedDownInOneLine) {
+TEST(Script, IsParsedOrRejectedInOneLine) {
   using nlohmann::json;
   auto script = testbench::faults::parse_script(json::parse(R"([
     [{"do": "pause", "node": "leader"}, {"do": "wait", "ms": 200}, {"do": "resume", "node": "victim"}],
@@ -400,7 +401,7 @@
   bad(R"([[{"do": "wait", "ms": 6000000}]])", "more than 600000 ms");
 }
 
-TEST(EndpointListSelector, AnOlderListReplacesANewerOneOnlyInTheOrderOfTheGroupsLog) {
+TEST(EndpointListSelector, OnlyTheGroupsLogOrderReplacesANewerList) {
   using endpoint_list::EndpointListSelector, endpoint_list::Source;
   auto list = [](std::int64_t generation, discovery::Lifecycle first = discovery::Lifecycle::kUp) {
     discovery::EndpointListUpdate update;
--- a/tests/group/processes_test.cpp
+++ b/tests/group/processes_test.cpp
@@ -17,8 +17,8 @@
 
 using namespace std::chrono_literals;
 
-struct Fleet {
-  explicit Fleet(
+struct GroupFixture {
+  explicit GroupFixture(
       int voters = 3, int followers = 0, std::function<void(RigOptions&)> change = [](auto&) {}) {
     RigOptions o;
     o.program = DATABASE_PROXY_PROGRAM;
@@ -53,7 +53,7 @@
     });
     return value;
   }
-  bool owned(const std::string& job) {
+  bool wait_for_lease_holder(const std::string& job) {
     return rig->soon([&] { return !rig->owner(job).empty(); });
   }
   // The group's leader has heard of it, so that its vote counts again.
@@ -62,16 +62,16 @@
     auto status = rig->status(name);
     return !leader.empty() && status && status->value("leader", "") == leader;
   }
-  std::uint64_t number(const std::string& name, const char* key) {
+  std::uint64_t status_number(const std::string& name, const char* key) {
     auto s = rig->status(name, 3000);
     return s ? s->value(key, std::uint64_t{0}) : 0;
   }
-  std::string other(const std::string& but) {
+  std::string voter_other_than(const std::string& excluded) {
     for (auto& name : rig->voters())
-      if (name != but) return name;
+      if (name != excluded) return name;
     return "";
   }
-  bool holds(const std::string& name, const std::string& job) {
+  bool holds_lease(const std::string& name, const std::string& job) {
     auto s = rig->status(name, 3000);
     if (!s) return false;
     for (auto& h : s->at("holds"))
@@ -80,7 +80,7 @@
   }
 
   // So many writes, by several clients at once.
-  void fill(int count) {
+  void write_many(int count) {
     std::vector<std::thread> writers;
     std::atomic<int> left{count}, lost{0};
     auto to = rig->address(rig->leader());
@@ -105,7 +105,7 @@
   std::unique_ptr<Rig> rig;
 };
 
-std::size_t times(const std::string& text, const std::string& what) {
+std::size_t count_occurrences(const std::string& text, const std::string& what) {
   std::size_t n = 0;
   for (auto at = text.find(what); at != std::string::npos; at = text.find(what, at + 1)) ++n;
   return n;
@@ -114,10 +114,10 @@
 }  // namespace
 
 TEST_CASE("group: a leader that is killed, stopped or cut one way loses nothing that was acknowledged") {
-  Fleet f;
+  GroupFixture f;
   REQUIRE(f.put("k", "0"));
   int n = 0;
-  auto again = [&](const std::string& what, const std::string& old) {
+  auto expect_kept_under_new_leader = [&](const std::string& what, const std::string& old) {
     INFO(what);
     auto value = std::to_string(++n);
     REQUIRE(f.rig->soon([&] { return f->leader() != old && !f->leader().empty(); }));
@@ -126,14 +126,14 @@
   };
   auto leader = f->leader();
   f->kill(leader);
-  again("killed", leader);
+  expect_kept_under_new_leader("killed", leader);
   f->start(leader);
   for (auto span : {200ms, 2000ms, 20'000ms}) {
     INFO(span.count());
     leader = f->leader();
     auto at = net::monotonic_now();
     f->pause(leader);
-    if (span > 1s) again("stopped", leader);
+    if (span > 1s) expect_kept_under_new_leader("stopped", leader);
     f->soon([&] { return net::monotonic_now() - at > span; }, Micros(40'000'000));
     f->resume(leader);
     // It believes in itself at most until it hears that nobody answers; what it takes meanwhile is not
@@ -141,12 +141,12 @@
     CHECK(f->soon([&] {
       auto s = f->status(leader);
       return s && !f->leader().empty() &&
-             s->value("applied", std::uint64_t{0}) == f.number(f->leader(), "applied");
+             s->value("applied", std::uint64_t{0}) == f.status_number(f->leader(), "applied");
     }));
     CHECK(f.get("k") == std::to_string(n));
   }
   // What it takes while it is cut one way is never acknowledged; whether it lasts is another matter.
-  auto at_the_old_one = [&](const std::string& old) {
+  auto acknowledged_by = [&](const std::string& old) {
     try {
       return f->ask(old, {{"do", "put"}, {"key", "old"}, {"value", "x"}}, 700).value("ok", false);
     } catch (const std::runtime_error&) {
@@ -155,46 +155,46 @@
   };
   leader = f->leader();
   f->mute(leader);
-  CHECK_FALSE(at_the_old_one(leader));
-  again("heard by none", leader);
+  CHECK_FALSE(acknowledged_by(leader));
+  expect_kept_under_new_leader("heard by none", leader);
   f->heal();
   leader = f->leader();
   f->deafen(leader);
-  CHECK_FALSE(at_the_old_one(leader));
-  again("hears none", leader);
+  CHECK_FALSE(acknowledged_by(leader));
+  expect_kept_under_new_leader("hears none", leader);
   f->heal();
   CHECK(f.get("k") == std::to_string(n));
 }
 
 TEST_CASE("group: of two that believe they lead, one only commits") {
-  Fleet f;
+  GroupFixture f;
   REQUIRE(f.put("k", "before"));
   auto old = f->leader();
   f->isolate(old);
   // The old one still takes the write and can not commit it.
-  bool taken = true;
+  bool acknowledged = true;
   try {
-    taken = f->ask(old, {{"do", "put"}, {"key", "k"}, {"value", "lost"}}, 500).value("ok", false);
+    acknowledged = f->ask(old, {{"do", "put"}, {"key", "k"}, {"value", "lost"}}, 500).value("ok", false);
   } catch (const std::runtime_error&) {
-    taken = false;
+    acknowledged = false;
   }
-  CHECK_FALSE(taken);
+  CHECK_FALSE(acknowledged);
   REQUIRE(f->soon([&] { return !f->leader().empty() && f->leader() != old; }));
   CHECK(f.put("k", "after"));
   // Reads at the old one are not confirmed.
   auto read = f->ask(f->leader(), {{"do", "get"}, {"key", "k"}});
   CHECK(read.value("value", "") == "after");
   f->heal();
-  CHECK(f->soon([&] { return f.number(old, "applied") == f.number(f->leader(), "applied"); }));
+  CHECK(f->soon([&] { return f.status_number(old, "applied") == f.status_number(f->leader(), "applied"); }));
   CHECK(f.get("k") == "after");
 }
 
 TEST_CASE(
     "group: an owner that was stopped comes back to find that it owns nothing, after three successors") {
-  Fleet f;
-  REQUIRE(f.owned("list"));
+  GroupFixture f;
+  REQUIRE(f.wait_for_lease_holder("list"));
   auto first = f->owner("list");
-  REQUIRE(f->soon([&] { return f.holds(first, "list"); }));
+  REQUIRE(f->soon([&] { return f.holds_lease(first, "list"); }));
   std::uint64_t token = 0;
   f->pause(first);
   // Its leases go from one to the other, twice.
@@ -202,7 +202,7 @@
     std::string now;
     REQUIRE(f->soon([&] {
       now = f->owner("list");
-      return !now.empty() && now != first && f.holds(now, "list");
+      return !now.empty() && now != first && f.holds_lease(now, "list");
     }));
     for (auto& o : f->owners())
       if (o.at("job") == "list") token = o.at("token");
@@ -230,22 +230,23 @@
 }
 
 TEST_CASE("group: effects of an owner that arrive late, with an old token, are turned down and counted") {
-  Fleet f;
+  GroupFixture f;
   std::uint64_t stale = 0;
   // What the owner says to the third node stays on the way until another owns the job. A link that says
   // nothing for too long is closed, so on a very busy machine it takes another turn.
   for (int turn = 0; turn < 10 && stale == 0; ++turn) {
-    REQUIRE(f.owned("list"));
+    REQUIRE(f.wait_for_lease_holder("list"));
     auto owner = f->owner("list");
     if (f->leader() == owner) {
-      f->ask(owner, {{"do", "transfer"}, {"name", f.other(owner)}});
+      f->ask(owner, {{"do", "transfer"}, {"name", f.voter_other_than(owner)}});
       REQUIRE(f->soon([&] { return !f->leader().empty() && f->leader() != owner; }));
     }
     std::string third;
     for (auto& name : f->voters())
       if (name != owner && name != f->leader()) third = name;
-    REQUIRE(f->soon([&] { return f.number(third, "list_generation") < 1000; }));  // -1 before the first
-    auto generation = f.number(third, "list_generation");
+    REQUIRE(
+        f->soon([&] { return f.status_number(third, "list_generation") < 1000; }));  // -1 before the first
+    auto generation = f.status_number(third, "list_generation");
     LinkState held;
     held.hold_there = true;
     f->shape(owner, third, held);
@@ -256,28 +257,28 @@
       return !now.empty() && now != owner;
     }));
     f->heal();
-    f->soon([&] { return (stale = f.number(third, "stale_effects")) > 0; }, Micros(1'500'000));
-    CHECK(f.number(third, "list_generation") >= generation);
+    f->soon([&] { return (stale = f.status_number(third, "stale_effects")) > 0; }, Micros(1'500'000));
+    CHECK(f.status_number(third, "list_generation") >= generation);
     f->start(owner);
   }
   CHECK(stale > 0);
 }
 
 TEST_CASE("group: without a majority nothing is granted, owners stop in time, and proxies serve on") {
-  Fleet f(3, 1, [](RigOptions& o) { o.group = {{"fallback_ms", 1500}}; });
-  REQUIRE(f.owned("list"));
-  REQUIRE(f.owned("probe 1"));
-  auto one = f->owner("list");
-  REQUIRE(f->soon([&] { return f.holds(one, "list"); }));
+  GroupFixture f(3, 1, [](RigOptions& o) { o.group = {{"fallback_ms", 1500}}; });
+  REQUIRE(f.wait_for_lease_holder("list"));
+  REQUIRE(f.wait_for_lease_holder("probe 1"));
+  auto survivor = f->owner("list");
+  REQUIRE(f->soon([&] { return f.holds_lease(survivor, "list"); }));
   for (auto& name : f->voters())
-    if (name != one) f->kill(name);
+    if (name != survivor) f->kill(name);
   // Its own clock ends what it holds.
-  CHECK(f->soon([&] { return !f.holds(one, "list") && !f.holds(one, "probe 1"); }));
-  CHECK(f->soon([&] { return f->status(one) && f->status(one)->value("role", "") != "leader"; }));
+  CHECK(f->soon([&] { return !f.holds_lease(survivor, "list") && !f.holds_lease(survivor, "probe 1"); }));
+  CHECK(f->soon([&] { return f->status(survivor) && f->status(survivor)->value("role", "") != "leader"; }));
   // It asks the list service for itself and for the proxy below it.
-  CHECK(f->soon([&] { return f->log(one).find("asks the list service for all") != std::string::npos; }));
+  CHECK(f->soon([&] { return f->log(survivor).find("asks the list service for all") != std::string::npos; }));
   CHECK(f->soon([&] { return f->stand_in().report().at("list_calls").get<int>() > 0; }));
-  auto granted = times(f->log(one), "is granted to");
+  auto granted = count_occurrences(f->log(survivor), "is granted to");
   LoadOptions load;
   load.target = *net::parse_address("127.0.0.1:" + std::to_string(f->port("p1")));
   load.connections = 4;
@@ -288,24 +289,26 @@
   f->stand_in().steer({{"do", "drain"}, {"server", "s1-3"}});
   auto figures = run_load(load);
   // Where it had to look for a voter that lives, it may have begun to ask itself, and has stopped.
-  CHECK(f->soon(
-      [&] { return times(f->log("p1"), "asks by itself") == times(f->log("p1"), "heard of again"); }));
+  CHECK(f->soon([&] {
+    return count_occurrences(f->log("p1"), "asks by itself") ==
+           count_occurrences(f->log("p1"), "heard of again");
+  }));
   CHECK(figures.served > 20);
   CHECK(figures.served == figures.asked);
-  CHECK(times(f->log(one), "is granted to") == granted);
+  CHECK(count_occurrences(f->log(survivor), "is granted to") == granted);
   for (auto& name : f->voters())
-    if (name != one) f->start(name);
-  CHECK(f.owned("list"));
-  CHECK(f->soon([&] { return f->log(one).find("heard of again") != std::string::npos; }));
+    if (name != survivor) f->start(name);
+  CHECK(f.wait_for_lease_holder("list"));
+  CHECK(f->soon([&] { return f->log(survivor).find("heard of again") != std::string::npos; }));
   CHECK(f->stand_in().rules().breaches_in_words() == "");
 }
 
 TEST_CASE(
     "group: one that comes back with an emptied or torn directory votes for nothing until it is taken in") {
-  Fleet f;
+  GroupFixture f;
   REQUIRE(f.put("k", "kept"));
-  auto victim = f.other(f->leader());
-  auto id = f.number(victim, "id");
+  auto victim = f.voter_other_than(f->leader());
+  auto id = f.status_number(victim, "id");
   for (std::string how : {"emptied", "torn"}) {
     INFO(how);
     f->kill(victim);
@@ -314,7 +317,7 @@
     else
       f->tear_directory(victim);
     f->start(victim);
-    auto fresh = f.number(victim, "id");
+    auto fresh = f.status_number(victim, "id");
     CHECK(fresh != id);
     CHECK((f->log(victim).find("was set aside") != std::string::npos) == (how == "torn"));
     // With one of the two others gone there is no majority: its vote must not make one.
@@ -324,13 +327,14 @@
     auto leader = f->leader();
     f->kill(third);
     CHECK(f->soon([&] { return f->status(leader) && f->status(leader)->value("role", "") != "leader"; }));
-    bool taken = true;
+    bool acknowledged = true;
     try {
-      taken = f->ask(leader, {{"do", "put"}, {"key", "k"}, {"value", "never"}}, 1500).value("ok", false);
+      acknowledged =
+          f->ask(leader, {{"do", "put"}, {"key", "k"}, {"value", "never"}}, 1500).value("ok", false);
     } catch (const std::runtime_error&) {
-      taken = false;
+      acknowledged = false;
     }
-    CHECK_FALSE(taken);
+    CHECK_FALSE(acknowledged);
     f->start(third);
     REQUIRE(f->soon([&] { return !f->leader().empty(); }));
     // The operator takes the old one out and the new one in.
@@ -343,19 +347,21 @@
     REQUIRE(f->soon([&] {
       return f->ask(f->leader(), {{"do", "promote"}, {"name", victim}, {"id", fresh}}).value("ok", false);
     }));
-    CHECK(f->soon([&] { return f.number(victim, "applied") == f.number(f->leader(), "applied"); }));
+    CHECK(f->soon(
+        [&] { return f.status_number(victim, "applied") == f.status_number(f->leader(), "applied"); }));
     CHECK(f.get("k") == "kept");
     id = fresh;
   }
 }
 
 TEST_CASE("group: a full disk makes a node step down and say so, and the others go on") {
-  Fleet f;
-  auto victim = f.other(f->leader());
+  GroupFixture f;
+  auto victim = f.voter_other_than(f->leader());
   f->kill(victim);
   f->limit_files(victim, 256 * 1024);
   f->start(victim);
-  REQUIRE(f->soon([&] { return f.number(victim, "applied") == f.number(f->leader(), "applied"); }));
+  REQUIRE(
+      f->soon([&] { return f.status_number(victim, "applied") == f.status_number(f->leader(), "applied"); }));
   std::string big(8000, 'x');
   for (int i = 0; i < 60; ++i) REQUIRE(f.put("big" + std::to_string(i), big));
   CHECK(f->soon([&] {
@@ -369,22 +375,24 @@
   f->kill(victim);
   f->limit_files(victim, 0);
   f->start(victim);
-  CHECK(f->soon([&] { return f.number(victim, "applied") == f.number(f->leader(), "applied"); }));
+  CHECK(
+      f->soon([&] { return f.status_number(victim, "applied") == f.status_number(f->leader(), "applied"); }));
 }
 
 TEST_CASE("group: a leader whose disk takes seconds does not hold the others up") {
-  Fleet f;
+  GroupFixture f;
   auto leader = f->leader();
   f->slow_disk(leader, 2000);
   CHECK(f.put("k", "quick"));  // committed by the two others, or by a successor
   CHECK(f.get("k") == "quick");
   f->slow_disk(leader, 0);
-  CHECK(f->soon([&] { return f.number(leader, "applied") == f.number(f->leader(), "applied"); }));
+  CHECK(
+      f->soon([&] { return f.status_number(leader, "applied") == f.status_number(f->leader(), "applied"); }));
 }
 
 TEST_CASE("group: killed in the middle of writes, snapshots and changes of members, it comes back whole") {
-  Fleet f(3, 0, [](RigOptions& o) { o.group = {{"jobs", json::array()}}; });
-  f.fill(900);
+  GroupFixture f(3, 0, [](RigOptions& o) { o.group = {{"jobs", json::array()}}; });
+  f.write_many(900);
   std::atomic<bool> stop{false};
   std::atomic<int> acknowledged{0};
   auto write = [&](int from) {
@@ -417,10 +425,10 @@
     REQUIRE(i < 400);
   }
   // During a change of members.
-  auto out = f.other(f->leader());
-  auto id = f.number(out, "id");
+  auto changed_member = f.voter_other_than(f->leader());
+  auto id = f.status_number(changed_member, "id");
   auto leader = f->leader();
-  auto removed = f->ask(leader, {{"do", "remove"}, {"name", out}, {"id", id}});
+  auto removed = f->ask(leader, {{"do", "remove"}, {"name", changed_member}, {"id", id}});
   f->kill(leader);
   f->start(leader);
   REQUIRE(f->soon([&] { return !f->leader().empty(); }));
@@ -429,15 +437,15 @@
   REQUIRE(f->soon([&] {
     for (auto what : {"remove", "add", "promote"}) {
       if (std::string(what) == "remove") continue;
-      auto a = f->ask(f->leader(), {{"do", what}, {"name", out}, {"id", id}});
+      auto a = f->ask(f->leader(), {{"do", what}, {"name", changed_member}, {"id", id}});
       if (!a.value("ok", false) && a.value("why", "").find("already") == std::string::npos) return false;
     }
     return true;
   }));
   CHECK(f->soon([&] {
-    auto applied = f.number(f->leader(), "applied");
+    auto applied = f.status_number(f->leader(), "applied");
     for (auto& name : f->voters())
-      if (f.number(name, "applied") != applied) return false;
+      if (f.status_number(name, "applied") != applied) return false;
     return true;
   }));
   for (auto& name : f->voters()) CHECK(f->log(name).find("set aside") == std::string::npos);
@@ -445,10 +453,10 @@
 }
 
 TEST_CASE("group: a link that flaps every 300 ms brings no storm of elections") {
-  Fleet f;
+  GroupFixture f;
   auto leader = f->leader();
-  auto other = f.other(leader);
-  auto term = f.number(leader, "term");
+  auto other = f.voter_other_than(leader);
+  auto term = f.status_number(leader, "term");
   for (int i = 0; i < 10; ++i) {
     f->cut(leader, other);
     std::this_thread::sleep_for(300ms);
@@ -456,12 +464,12 @@
     std::this_thread::sleep_for(300ms);
   }
   CHECK(f.put("k", "on"));
-  CHECK(f.number(leader, "term") <= term + 1);
+  CHECK(f.status_number(leader, "term") <= term + 1);
   // Cut for longer than an election each time, it has tried for itself, and comes back without a term that
   // would end the leader's.
   leader = f->leader();
-  term = f.number(leader, "term");
-  other = f.other(leader);
+  term = f.status_number(leader, "term");
+  other = f.voter_other_than(leader);
   for (int i = 0; i < 3; ++i) {
     f->isolate(other);
     CHECK(f->soon([&] {
@@ -474,19 +482,19 @@
       return s && s->value("role", "") == "follower" && s->value("leader", "") != "";
     }));
   }
-  CHECK(f.number(f->leader(), "term") <= term + 1);
+  CHECK(f.status_number(f->leader(), "term") <= term + 1);
 }
 
 TEST_CASE(
     "group: noise, a message of a gigabyte, a stranger and one of another installation are told and closed") {
-  Fleet f;
+  GroupFixture f;
   auto to = *net::parse_address(f->address("n1"));
   auto send_bytes = [&](const std::string& bytes) {
     net::Fd fd(socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
     REQUIRE(connect(fd.get(), reinterpret_cast<sockaddr*>(&to.storage), to.length) == 0);
     [[maybe_unused]] auto sent = send(fd.get(), bytes.data(), bytes.size(), MSG_NOSIGNAL);
-    timeval patience{10, 0};
-    setsockopt(fd.get(), SOL_SOCKET, SO_RCVTIMEO, &patience, sizeof patience);
+    timeval receive_timeout{10, 0};
+    setsockopt(fd.get(), SOL_SOCKET, SO_RCVTIMEO, &receive_timeout, sizeof receive_timeout);
     std::array<char, 4096> answer;
     ssize_t n;
     while ((n = recv(fd.get(), answer.data(), answer.size(), 0)) > 0) {
@@ -494,18 +502,19 @@
     return n == 0 || errno != EAGAIN;  // closed
   };
   // At once, and for what it said, not since it said no more.
-  auto told = [&](std::size_t count) {
-    return f->soon(
-        [&] { return times(f->log("n1"), "closed a connection: it sent a malformed frame") == count; });
+  auto malformed_frames_logged = [&](std::size_t count) {
+    return f->soon([&] {
+      return count_occurrences(f->log("n1"), "closed a connection: it sent a malformed frame") == count;
+    });
   };
   std::mt19937_64 random(7);
   std::string noise;
   for (int i = 0; i < 100000; ++i) noise.push_back(static_cast<char>(random()));
   CHECK(send_bytes(noise));
-  CHECK(told(1));
+  CHECK(malformed_frames_logged(1));
   auto gigabyte = std::string("\x40\0\0\0", 4) + std::string(1000, 'x');
   CHECK(send_bytes(gigabyte));
-  CHECK(told(2));
+  CHECK(malformed_frames_logged(2));
   auto hello = database_proxy::peers::frame({{"t", "hello"},
                                              {"v", database_proxy::peers::kVersion},
                                              {"least", database_proxy::peers::kMinVersion},
@@ -514,9 +523,10 @@
                                              {"id", 0},
                                              {"kind", "tool"}});
   CHECK(send_bytes(hello + gigabyte));  // also from one that greeted well
-  CHECK(told(3));
+  CHECK(malformed_frames_logged(3));
   CHECK(send_bytes(database_proxy::peers::frame({{"t", "raft"}, {"k", 2}})));  // before any greeting
-  CHECK(f->soon([&] { return times(f->log("n1"), "it sent a message before its greeting") == 1; }));
+  CHECK(
+      f->soon([&] { return count_occurrences(f->log("n1"), "it sent a message before its greeting") == 1; }));
   CHECK_THROWS_WITH(app::FleetConnection(f->address("n1"), "elsewhere"),
                     Catch::Contains("it is of the installation 'elsewhere'"));
   CHECK_THROWS_WITH(
@@ -539,7 +549,7 @@
 }
 
 TEST_CASE("group: kinds and keys of a newer version are passed over") {
-  Fleet f;
+  GroupFixture f;
   app::FleetConnection call(f->address("n1"), "lab");
   // On one connection: what is not known is answered or passed over, and the link stays.
   auto status = call.send_request({{"do", "status"}, {"more", {{"of", "this"}}}});
@@ -555,46 +565,49 @@
 
 TEST_CASE("group: a follower far behind, and dozens that come back at once, are fed whole") {
   // They were away for longer than they would wait for word of the list.
-  Fleet f(3, 24, [](RigOptions& o) { o.group = {{"fallback_ms", 1500}}; });
-  REQUIRE(f.owned("list"));
-  auto alone = [&] {
+  GroupFixture f(3, 24, [](RigOptions& o) { o.group = {{"fallback_ms", 1500}}; });
+  REQUIRE(f.wait_for_lease_holder("list"));
+  auto fallbacks_started = [&] {
     std::size_t n = 0;
-    for (auto& name : f->followers()) n += times(f->log(name), "asks by itself");
+    for (auto& name : f->followers()) n += count_occurrences(f->log(name), "asks by itself");
     return n;
   };
-  auto back = [&] {
+  auto fallbacks_ended = [&] {
     std::size_t n = 0;
-    for (auto& name : f->followers()) n += times(f->log(name), "heard of again");
+    for (auto& name : f->followers()) n += count_occurrences(f->log(name), "heard of again");
     return n;
   };
-  REQUIRE(f->soon([&] { return f.number(f->leader(), "list_generation") < 1000; }));
-  REQUIRE(f->soon([&] { return alone() == back(); }));  // some may have begun before the group had an owner
+  REQUIRE(f->soon([&] { return f.status_number(f->leader(), "list_generation") < 1000; }));
+  REQUIRE(f->soon([&] {
+    return fallbacks_started() == fallbacks_ended();
+  }));  // some may have begun before the group had an owner
   for (auto& name : f->followers()) f->pause(name);
-  auto before = alone();
+  auto before = fallbacks_started();
   auto paused = net::monotonic_now();
-  REQUIRE(f.owned("list"));
-  f.fill(3000);
-  auto voter_behind = f.other(f->leader());
+  REQUIRE(f.wait_for_lease_holder("list"));
+  f.write_many(3000);
+  auto voter_behind = f.voter_other_than(f->leader());
   f->kill(voter_behind);
-  f.fill(3000);
+  f.write_many(3000);
   f->soon([&] { return net::monotonic_now() - paused > 3s; });
   auto calls = f->stand_in().report().at("list_calls").get<std::uint64_t>();
   for (auto& name : f->followers()) f->resume(name);
   f->start(voter_behind);  // by a snapshot: the leader's log does not reach back so far
-  CHECK(f->soon([&] { return f.number(voter_behind, "applied") == f.number(f->leader(), "applied"); }));
+  CHECK(f->soon(
+      [&] { return f.status_number(voter_behind, "applied") == f.status_number(f->leader(), "applied"); }));
   CHECK(f->soon([&] {
-    std::uint64_t fed = 0;
-    for (auto& name : f->voters()) fed += f.number(name, "followers");
-    return fed == f->followers().size();
+    std::uint64_t connected_followers = 0;
+    for (auto& name : f->voters()) connected_followers += f.status_number(name, "followers");
+    return connected_followers == f->followers().size();
   }));
   // None of them took its own absence for the group's.
   CHECK(f->stand_in().report().at("list_calls").get<std::uint64_t>() - calls < 8);
-  CHECK(alone() == before);
+  CHECK(fallbacks_started() == before);
 }
 
 TEST_CASE("group: SIGTERM hands jobs and leadership over at once, and a rolling restart loses nothing") {
-  Fleet f(3, 1);
-  REQUIRE(f.owned("list"));
+  GroupFixture f(3, 1);
+  REQUIRE(f.wait_for_lease_holder("list"));
   REQUIRE(f.put("k", "kept"));
   LoadFigures sum;
   std::jthread load([&](std::stop_token stop) {
@@ -616,12 +629,12 @@
     f->start(name);
     REQUIRE(f->soon([&] { return f.follows_or_leads(name) && !f->owner("list").empty(); }));
     // Members change meanwhile: out and in again.
-    auto member = f.other(f->leader());
+    auto member = f.voter_other_than(f->leader());
     for (std::string what : {"remove", "add", "promote"})
       REQUIRE(f->soon([&] {
         auto leader = f->leader();
         return !leader.empty() &&
-               f->ask(leader, {{"do", what}, {"name", member}, {"id", f.number(member, "id")}})
+               f->ask(leader, {{"do", what}, {"name", member}, {"id", f.status_number(member, "id")}})
                    .value("ok", false);
       }));
   }
@@ -634,7 +647,7 @@
 }
 
 TEST_CASE("group: faults from a script are played in order and found in the history") {
-  Fleet f(3, 1);
+  GroupFixture f(3, 1);
   REQUIRE(f.put("k", "kept"));
   auto script = parse_script(json::parse(R"([
     [{"do": "pause", "node": "leader"}, {"do": "wait", "ms": 50}, {"do": "resume", "node": "victim"}],
@@ -652,16 +665,16 @@
   for (auto& e : f->history().events())
     if (e.contains("node"))
       seen.push_back(e.at("what").get<std::string>() + " " + e.at("node").get<std::string>());
-  const std::vector<std::string> wanted{"pause " + leader, "resume " + leader, "kill p1", "start p1"};
-  CHECK(std::search(seen.begin(), seen.end(), wanted.begin(), wanted.end()) != seen.end());
+  const std::vector<std::string> expected{"pause " + leader, "resume " + leader, "kill p1", "start p1"};
+  CHECK(std::search(seen.begin(), seen.end(), expected.begin(), expected.end()) != seen.end());
   CHECK(f.get("k") == "kept");
 }
 
 TEST_CASE(
     "group: all start at once and know nothing, without a majority: one voter asks the list service for "
     "all") {
-  Fleet f(3, 12, [](RigOptions& o) { o.group = {{"fallback_ms", 1500}}; });
-  REQUIRE(f.owned("list"));
+  GroupFixture f(3, 12, [](RigOptions& o) { o.group = {{"fallback_ms", 1500}}; });
+  REQUIRE(f.wait_for_lease_holder("list"));
   REQUIRE(f->soon([&] {
     auto s = f->status("n1");
     return s && s->value("list_generation", std::int64_t{-1}) > 0;
@@ -669,25 +682,27 @@
   for (auto& name : f->all()) f->kill(name);
   auto before = f->stand_in().report();
   // The list that the group had published lies on the voters' disks; the proxies have none.
-  std::vector<std::string> back = f->followers();
-  back.push_back("n1");
-  f->launch(back, {{"generation", 0}, {"reset", true}, {"instances", json::array()}});
+  std::vector<std::string> restarted = f->followers();
+  restarted.push_back("n1");
+  f->launch(restarted, {{"generation", 0}, {"reset", true}, {"instances", json::array()}});
   CHECK(f->soon(
       [&] {
-        return std::all_of(back.begin(), back.end(), [&](auto& name) { return f->daemon(name)->ready(); });
+        return std::all_of(restarted.begin(), restarted.end(),
+                           [&](auto& name) { return f->daemon(name)->ready(); });
       },
       Micros(40'000'000)));
-  auto grown = [&](const char* key) {
+  auto increase_of = [&](const char* key) {
     return f->stand_in().report().at(key).get<std::uint64_t>() - before.at(key).get<std::uint64_t>();
   };
   CHECK(f->soon([&] { return f->log("n1").find("asks the list service for all") != std::string::npos; }));
   CHECK(f->soon([&] {
     std::size_t asking = 0;
     for (auto& name : f->followers())
-      asking += times(f->log(name), "asks by itself") - times(f->log(name), "heard of again");
+      asking += count_occurrences(f->log(name), "asks by itself") -
+                count_occurrences(f->log(name), "heard of again");
     return asking == 0;
   }));
-  CHECK(grown("whole_list_calls") <= 1);  // none, where n1 had its last list on the disk in time
+  CHECK(increase_of("whole_list_calls") <= 1);  // none, where n1 had its last list on the disk in time
   // Word of a drain comes by the same way.
   std::atomic<bool> stop{false};
   std::vector<std::thread> loads;
@@ -705,36 +720,36 @@
       }
     });
   f->stand_in().steer({{"do", "drain"}, {"server", "s1-2"}});
-  auto word = net::monotonic_now();
-  f->soon([&] { return net::monotonic_now() - word > 1500ms; });
+  auto drain_time = net::monotonic_now();
+  f->soon([&] { return net::monotonic_now() - drain_time > 1500ms; });
   stop = true;
   for (auto& t : loads) t.join();
   CHECK(f->stand_in().rules().breaches_in_words() == "");
   // The others come back, and the group goes on from where it was.
   f->start("n2");
   f->start("n3");
-  CHECK(f.owned("list"));
+  CHECK(f.wait_for_lease_holder("list"));
   CHECK(f->soon([&] { return f->log("n1").find("heard of again") != std::string::npos; }));
 }
 
 TEST_CASE("group: an owner that holds the lease but does no work is relieved") {
   // The list service is out of reach of one process only: its owner hears nothing of it.
-  Fleet f(3, 0, [](RigOptions& o) { o.group = {{"lease_ms", 1300}}; });
-  REQUIRE(f.owned("list"));
+  GroupFixture f(3, 0, [](RigOptions& o) { o.group = {{"lease_ms", 1300}}; });
+  REQUIRE(f.wait_for_lease_holder("list"));
   f->stand_in().steer({{"do", "discovery"}, {"mute", true}});
   auto owner = f->owner("list");
   CHECK(f->soon(
       [&] { return f->log(f->leader()).find("holds the lease but does no work") != std::string::npos; },
       Micros(40'000'000)));
   f->stand_in().steer({{"do", "discovery"}, {"mute", false}});
-  CHECK(f.owned("list"));
+  CHECK(f.wait_for_lease_holder("list"));
   CHECK(f->soon([&] { return f->status(f->owner("list"))->value("list_generation", -1) >= 0; }));
 }
 
 TEST_CASE("group: word of a drain reaches all by the owner, who alone asks the list service") {
-  Fleet f(3, 8);
-  REQUIRE(f.owned("list"));
-  REQUIRE(f->soon([&] { return f.number(f->voters()[0], "list_generation") > 0; }));
+  GroupFixture f(3, 8);
+  REQUIRE(f.wait_for_lease_holder("list"));
+  REQUIRE(f->soon([&] { return f.status_number(f->voters()[0], "list_generation") > 0; }));
   auto calls = f->stand_in().report().at("list_calls").get<std::uint64_t>();
   std::vector<std::thread> loads;
   std::atomic<std::uint64_t> asked{0}, served{0};
@@ -756,8 +771,8 @@
     });
   f->soon([&] { return served > 100; });
   f->stand_in().steer({{"do", "drain"}, {"server", "s1-2"}});
-  auto word = net::monotonic_now();
-  f->soon([&] { return net::monotonic_now() - word > 1300ms; });
+  auto drain_time = net::monotonic_now();
+  f->soon([&] { return net::monotonic_now() - drain_time > 1300ms; });
   stop = true;
   for (auto& t : loads) t.join();
   CHECK(served == asked);
@@ -768,48 +783,50 @@
 }
 
 TEST_CASE("group: recovery from a lost majority demands the consequence, and keeps what this node knew") {
-  Fleet f;
-  REQUIRE(f.owned("list"));
+  GroupFixture f;
+  REQUIRE(f.wait_for_lease_holder("list"));
   // Tokens of some height: a job changes hands when the log is long already.
-  f.fill(300);
+  f.write_many(300);
   auto owner = f->owner("list");
   f->terminate(owner);
   f->start(owner);
-  REQUIRE(f.owned("list"));
+  REQUIRE(f.wait_for_lease_holder("list"));
   REQUIRE(f.put("k", "kept"));
-  auto one = f.other(f->owner("list"));  // the list's owner is among the lost
-  REQUIRE(f->soon([&] { return f.number(one, "applied") == f.number(f->leader(), "applied"); }));
-  CHECK(f->ask(one, {{"do", "recover"}, {"consequence", "what only the lost nodes knew is gone"}})
+  auto survivor = f.voter_other_than(f->owner("list"));  // the list's owner is among the lost
+  REQUIRE(f->soon(
+      [&] { return f.status_number(survivor, "applied") == f.status_number(f->leader(), "applied"); }));
+  CHECK(f->ask(survivor, {{"do", "recover"}, {"consequence", "what only the lost nodes knew is gone"}})
             .value("why", "")
             .find("a leader is heard of") != std::string::npos);
   for (auto& name : f->voters())
-    if (name != one) f->kill(name);
-  CHECK(f->soon([&] { return f->status(one) && f->status(one)->value("leader", "") == ""; }));
-  CHECK_FALSE(f->ask(one, {{"do", "recover"}}).value("ok", true));
-  auto tokens = f->ask(one, {{"do", "owners"}}).at("owners");
+    if (name != survivor) f->kill(name);
+  CHECK(f->soon([&] { return f->status(survivor) && f->status(survivor)->value("leader", "") == ""; }));
+  CHECK_FALSE(f->ask(survivor, {{"do", "recover"}}).value("ok", true));
+  auto tokens = f->ask(survivor, {{"do", "owners"}}).at("owners");
   CHECK(f->soon([&] {
-    return f->ask(one, {{"do", "recover"}, {"consequence", "what only the lost nodes knew is gone"}})
+    return f->ask(survivor, {{"do", "recover"}, {"consequence", "what only the lost nodes knew is gone"}})
         .value("ok", false);
   }));
-  CHECK(f->soon([&] { return f->status(one)->value("role", "") == "leader"; }));
-  CHECK(f->ask(one, {{"do", "get"}, {"key", "k"}}).value("value", "") == "kept");
+  CHECK(f->soon([&] { return f->status(survivor)->value("role", "") == "leader"; }));
+  CHECK(f->ask(survivor, {{"do", "get"}, {"key", "k"}}).value("value", "") == "kept");
   // Whatever the lost ones owned is granted by tokens above all of theirs.
   std::size_t lost = 0;
-  for (auto& before : tokens) lost += before.at("owner") != one && before.at("owner") != "";
+  for (auto& before : tokens) lost += before.at("owner") != survivor && before.at("owner") != "";
   CHECK(lost > 0);
   CHECK(f->soon([&] {
-    std::size_t risen = 0;
-    auto now = f->ask(one, {{"do", "owners"}}).at("owners");
+    std::size_t renewed = 0;
+    auto now = f->ask(survivor, {{"do", "owners"}}).at("owners");
     for (auto& o : now)
       for (auto& before : tokens)
-        risen += o.at("job") == before.at("job") && before.at("owner") != one && before.at("owner") != "" &&
-                 o.at("token").get<std::uint64_t>() > before.at("token").get<std::uint64_t>();
-    return risen == lost;
+        renewed += o.at("job") == before.at("job") && before.at("owner") != survivor &&
+                   before.at("owner") != "" &&
+                   o.at("token").get<std::uint64_t>() > before.at("token").get<std::uint64_t>();
+    return renewed == lost;
   }));
 }
 
 TEST_CASE("group: what cannot be is one line and exit 1, and a bad file on SIGHUP leaves the last good one") {
-  Fleet f;
+  GroupFixture f;
   auto start = [&](const json& group) {
     ProcessUnderTestOptions d;
     d.program = DATABASE_PROXY_PROGRAM;
