--- a/tests/group/parts_test.cpp
+++ b/tests/group/parts_test.cpp
@@ -1,5 +1,5 @@
-// The parts beneath the group, each by itself: store and writer, codec, facts of others, and the checkers of
-// the fault rig, which must fail where something is wrong.
+// Unit tests of the components that the consensus group is built from (store and writer, codec, load reports
+// of other processes) and of the checkers of the fault injection harness, which must report every violation.
 #include <gtest/gtest.h>
 
 #include <condition_variable>
@@ -38,7 +38,7 @@
     EXPECT_NE(std::string(e.what()), "");
     return e.code;
   }
-  ADD_FAILURE() << "nothing was thrown";
+  ADD_FAILURE() << "no StoreError was thrown";
   return state::StoreErrorCode::kDisk;
 }
 
@@ -208,7 +208,7 @@
   EXPECT_EQ(back->snapshot->data, "state");
   EXPECT_EQ(back->snapshot->members.voters.size(), 3u);
   EXPECT_EQ(peers::raft_to_json(*back), peers::raft_to_json(m));
-  got["k"] = 99;  // a kind of a newer version
+  got["k"] = 99;  // a message type of a newer version
   EXPECT_FALSE(peers::raft_from_json(got));
   EXPECT_FALSE(peers::decode_entry("noise"));
   EXPECT_FALSE(peers::decode_snapshot("\x82\x01"));
@@ -220,23 +220,25 @@
   EXPECT_EQ(peers::parse_frame(std::string("\x40\0\0\0", 4), &got, &size), peers::FrameParse::kBad);
   EXPECT_EQ(peers::parse_frame(std::string("\0\0\0\0", 4), &got, &size), peers::FrameParse::kBad);
   EXPECT_EQ(peers::parse_frame(std::string("\0\0\0\3xyz", 7), &got, &size), peers::FrameParse::kBad);
-  EXPECT_EQ(peers::parse_frame(peers::frame({{"x", 1}}), &got, &size), peers::FrameParse::kBad);  // no kind
+  EXPECT_EQ(peers::parse_frame(peers::frame({{"x", 1}}), &got, &size),
+            peers::FrameParse::kBad);  // the message type is missing
 }
 
 TEST(LoadReportCache, CountsReportedAgeAndPrefersOwnContact) {
   routing::LoadReportCache cache;
   auto probe_result = [](const std::string& load) { return routing::ProbeResult{"s", true, 1ms, load}; };
   EXPECT_TRUE(cache.record(10s, probe_result("new"), 100ms));
-  EXPECT_FALSE(cache.record(10s, probe_result("older"), 300ms));  // came later, was seen earlier
+  EXPECT_FALSE(cache.record(10s, probe_result("older"), 300ms));  // arrived later, but was measured earlier
   EXPECT_EQ(cache.find_fresh(10s, "s")->load_report, "new");
-  EXPECT_FALSE(cache.find_fresh(10s + routing::LoadReportCache::kFresh, "s"));  // 100 ms old when it came
+  EXPECT_FALSE(
+      cache.find_fresh(10s + routing::LoadReportCache::kFresh, "s"));  // it was 100 ms old on arrival
   EXPECT_FALSE(cache.record(11s, probe_result("stale"), routing::LoadReportCache::kFresh + 1us));
   EXPECT_TRUE(cache.record(12s, probe_result("good"), 0us));
   cache.on_contact("s", routing::AttemptOutcome::kTimedOut);
   EXPECT_FALSE(cache.find_fresh(12s, "s"));
-  EXPECT_FALSE(cache.record(12s, probe_result("good again"), 0us));
+  EXPECT_FALSE(cache.record(12s, probe_result("unconfirmed"), 0us));
   cache.on_contact("s", routing::AttemptOutcome::kServed);
-  EXPECT_TRUE(cache.record(12s, probe_result("believed"), 0us));
+  EXPECT_TRUE(cache.record(12s, probe_result("accepted"), 0us));
   cache.retain_listed({});
   EXPECT_EQ(cache.size(), 0u);
 }
@@ -286,12 +288,12 @@
   using testbench::faults::linearizable;
   EXPECT_TRUE(linearizable({}));
   EXPECT_TRUE(linearizable({op(true, "a", 0, 10), op(false, "a", 11, 12)}));
-  EXPECT_FALSE(linearizable({op(true, "a", 0, 10), op(false, "", 11, 12)}));  // an acknowledged write is gone
-  EXPECT_TRUE(linearizable({op(true, "a", 0, 10), op(false, "", 5, 12)}));    // at the same time
+  EXPECT_FALSE(linearizable({op(true, "a", 0, 10), op(false, "", 11, 12)}));  // an acknowledged write is lost
+  EXPECT_TRUE(linearizable({op(true, "a", 0, 10), op(false, "", 5, 12)}));    // concurrent
   EXPECT_FALSE(linearizable({op(true, "a", 0, 10), op(true, "b", 11, 20), op(false, "b", 21, 22),
-                             op(false, "a", 23, 24)}));  // back
+                             op(false, "a", 23, 24)}));  // an older value is read after a newer one
   EXPECT_FALSE(linearizable({op(true, "a", 0, 30), op(false, "a", 1, 5), op(false, "", 6, 9)}));
-  // Of unknown end: may have happened, may come late, may never.
+  // The outcome of an unanswered write is unknown: it may have taken effect, may do so later, or never.
   EXPECT_TRUE(linearizable(
       {op(true, "a", 0, 10), op(true, "b", 11, -1), op(false, "a", 20, 22), op(false, "b", 30, 31)}));
   EXPECT_TRUE(linearizable({op(true, "a", 0, 10), op(true, "b", 11, -1), op(false, "a", 20, 22)}));
@@ -315,11 +317,12 @@
   EXPECT_EQ(holds.overlapping(), 0u);
   holds.saw(4500ms, "a", "list", 3);
   EXPECT_EQ(holds.overlapping(), 1u);
-  holds.saw(4600ms, "c", "probe 1", 1);  // another job
+  holds.saw(4600ms, "c", "probe 1", 1);  // a different job
   EXPECT_EQ(holds.overlapping(), 1u);
 }
 
-// One whole run in a few events; each case spoils it in one way, and the verdict names that one only.
+// A correct run in a few events. Each case adds one violation, and the verdict must report that violation
+// only.
 TEST(Checkers, EachViolationInAHistoryIsReported) {
   using nlohmann::json;
   auto call = [](const std::string& key, bool write, const std::string& value, int from, int to) {
@@ -370,7 +373,7 @@
   EXPECT_EQ(with({leads("n1"), leads("n2")}).two_leaders_in_a_term, 1u);
   EXPECT_EQ(with({sample("n2", 500, json::array(), list3)}).stale_effects_accepted, 1u);
   auto restarted = sample("n2", 500, json::array(), list3);
-  restarted["anew"] = true;  // it came back with an earlier state
+  restarted["anew"] = true;  // the node restarted with an earlier state
   EXPECT_FALSE(with({restarted}).broken());
   EXPECT_THROW(with({{{"what", "call"}}}), json::exception);
 }
@@ -417,7 +420,7 @@
   EXPECT_FALSE(selector.has_list());
   EXPECT_TRUE(selector.consider(Source::kOwnCopy, "lab", list(3), 0));
   EXPECT_TRUE(selector.consider(Source::kService, "lab", list(7, discovery::Lifecycle::kDraining), 500));
-  // A peer's copy is a week old: the server stays draining.
+  // The peer's copy is a week old and must not end the drain of the server.
   EXPECT_FALSE(selector.consider(Source::kPeer, "lab", list(5), 100));
   EXPECT_EQ(selector.list().endpoints[0].lifecycle, discovery::Lifecycle::kDraining);
   EXPECT_EQ(selector.rejected(), 2u);
@@ -426,7 +429,7 @@
   EXPECT_FALSE(selector.consider(Source::kGroup, "lab", list(7, discovery::Lifecycle::kDraining), 900));
   EXPECT_EQ(selector.published_at_ms(), 900);
   EXPECT_EQ(selector.source(), Source::kGroup);
-  // The service was reset; the owner published its present list.
+  // The list service was reset, and the lease holder published the service's current list.
   EXPECT_TRUE(selector.consider(Source::kGroup, "lab", list(1), 0));
   EXPECT_EQ(selector.list().generation, 1);
   EXPECT_TRUE(selector.list().reset);
--- a/tests/group/processes_test.cpp
+++ b/tests/group/processes_test.cpp
@@ -1,5 +1,5 @@
-// The group as processes: the hard cases, each caused by the fault rig. Waits are for conditions; the only
-// times are those that the faults themselves last.
+// Tests of the consensus group as separate processes, with faults from the fault injection harness. Tests
+// wait for conditions; fixed times are only the durations of the faults themselves.
 #include <array>
 #include <catch2/catch.hpp>
 #include <csignal>
@@ -17,6 +17,7 @@
 
 using namespace std::chrono_literals;
 
+// Runs a group of voters and followers (proxies without a vote) in a temporary directory.
 struct GroupFixture {
   explicit GroupFixture(
       int voters = 3, int followers = 0, std::function<void(RigOptions&)> change = [](auto&) {}) {
@@ -56,7 +57,7 @@
   bool wait_for_lease_holder(const std::string& job) {
     return rig->soon([&] { return !rig->owner(job).empty(); });
   }
-  // The group's leader has heard of it, so that its vote counts again.
+  // Returns whether the node is the leader or knows the current leader, so that its vote counts again.
   bool follows_or_leads(const std::string& name) {
     auto leader = rig->leader();
     auto status = rig->status(name);
@@ -79,7 +80,7 @@
     return false;
   }
 
-  // So many writes, by several clients at once.
+  // Writes `count` values from 16 concurrent clients.
   void write_many(int count) {
     std::vector<std::thread> writers;
     std::atomic<int> left{count}, lost{0};
@@ -113,7 +114,8 @@
 
 }  // namespace
 
-TEST_CASE("group: a leader that is killed, stopped or cut one way loses nothing that was acknowledged") {
+TEST_CASE(
+    "group: no acknowledged write is lost when the leader is killed, paused or cut off in one direction") {
   GroupFixture f;
   REQUIRE(f.put("k", "0"));
   int n = 0;
@@ -133,11 +135,11 @@
     leader = f->leader();
     auto at = net::monotonic_now();
     f->pause(leader);
-    if (span > 1s) expect_kept_under_new_leader("stopped", leader);
+    if (span > 1s) expect_kept_under_new_leader("paused", leader);
     f->soon([&] { return net::monotonic_now() - at > span; }, Micros(40'000'000));
     f->resume(leader);
-    // It believes in itself at most until it hears that nobody answers; what it takes meanwhile is not
-    // committed.
+    // The old leader considers itself leader at most until it finds that nobody answers. Writes that it
+    // accepts until then are not committed.
     CHECK(f->soon([&] {
       auto s = f->status(leader);
       return s && !f->leader().empty() &&
@@ -145,7 +147,8 @@
     }));
     CHECK(f.get("k") == std::to_string(n));
   }
-  // What it takes while it is cut one way is never acknowledged; whether it lasts is another matter.
+  // A write that the leader accepts while it is cut off in one direction is never acknowledged, though it may
+  // still be committed later.
   auto acknowledged_by = [&](const std::string& old) {
     try {
       return f->ask(old, {{"do", "put"}, {"key", "old"}, {"value", "x"}}, 700).value("ok", false);
@@ -156,22 +159,24 @@
   leader = f->leader();
   f->mute(leader);
   CHECK_FALSE(acknowledged_by(leader));
-  expect_kept_under_new_leader("heard by none", leader);
+  expect_kept_under_new_leader("outgoing messages are lost", leader);
   f->heal();
   leader = f->leader();
   f->deafen(leader);
   CHECK_FALSE(acknowledged_by(leader));
-  expect_kept_under_new_leader("hears none", leader);
+  expect_kept_under_new_leader("incoming messages are lost", leader);
   f->heal();
   CHECK(f.get("k") == std::to_string(n));
 }
 
-TEST_CASE("group: of two that believe they lead, one only commits") {
+// Guards against split brain: a leader that is cut off from the others still considers itself leader after
+// they have elected a new one.
+TEST_CASE("group: of two processes that consider themselves leader, only one commits") {
   GroupFixture f;
   REQUIRE(f.put("k", "before"));
   auto old = f->leader();
   f->isolate(old);
-  // The old one still takes the write and can not commit it.
+  // The old leader still accepts the write but cannot commit it.
   bool acknowledged = true;
   try {
     acknowledged = f->ask(old, {{"do", "put"}, {"key", "k"}, {"value", "lost"}}, 500).value("ok", false);
@@ -181,7 +186,7 @@
   CHECK_FALSE(acknowledged);
   REQUIRE(f->soon([&] { return !f->leader().empty() && f->leader() != old; }));
   CHECK(f.put("k", "after"));
-  // Reads at the old one are not confirmed.
+  // A read must return the new leader's value: the old leader cannot confirm reads.
   auto read = f->ask(f->leader(), {{"do", "get"}, {"key", "k"}});
   CHECK(read.value("value", "") == "after");
   f->heal();
@@ -189,15 +194,14 @@
   CHECK(f.get("k") == "after");
 }
 
-TEST_CASE(
-    "group: an owner that was stopped comes back to find that it owns nothing, after three successors") {
+TEST_CASE("group: a paused lease holder resumes after three successors and no longer holds its old lease") {
   GroupFixture f;
   REQUIRE(f.wait_for_lease_holder("list"));
   auto first = f->owner("list");
   REQUIRE(f->soon([&] { return f.holds_lease(first, "list"); }));
   std::uint64_t token = 0;
   f->pause(first);
-  // Its leases go from one to the other, twice.
+  // The lease passes between the other two nodes, twice.
   for (int i = 0; i < 2; ++i) {
     std::string now;
     REQUIRE(f->soon([&] {
@@ -221,7 +225,7 @@
   f->resume(first);
   CHECK(f->soon([&] { return f->status(first).has_value(); }));
   INFO(f->log(first));
-  // Whatever it holds from now on, it holds by a newer token.
+  // Any lease that it holds from now on must have a newer fencing token.
   auto s = f->status(first, 3000);
   REQUIRE(s);
   for (auto& h : s->at("holds"))
@@ -229,11 +233,15 @@
   CHECK(f->soon([&] { return f->log(first).find("its lease has run out") != std::string::npos; }));
 }
 
-TEST_CASE("group: effects of an owner that arrive late, with an old token, are turned down and counted") {
+// Guards against effects of a former lease holder that were delayed on the network and arrive after another
+// process has been granted the lease.
+TEST_CASE(
+    "group: late effects of a former lease holder, with an old fencing token, are rejected and counted") {
   GroupFixture f;
   std::uint64_t stale = 0;
-  // What the owner says to the third node stays on the way until another owns the job. A link that says
-  // nothing for too long is closed, so on a very busy machine it takes another turn.
+  // Messages of the lease holder to the third node are held back on the link until another node holds the
+  // lease. A link without traffic for too long is closed, so on a very busy machine another turn may be
+  // needed.
   for (int turn = 0; turn < 10 && stale == 0; ++turn) {
     REQUIRE(f.wait_for_lease_holder("list"));
     auto owner = f->owner("list");
@@ -244,13 +252,14 @@
     std::string third;
     for (auto& name : f->voters())
       if (name != owner && name != f->leader()) third = name;
-    REQUIRE(
-        f->soon([&] { return f.status_number(third, "list_generation") < 1000; }));  // -1 before the first
+    REQUIRE(f->soon([&] {
+      return f.status_number(third, "list_generation") < 1000;
+    }));  // -1 (wraps to a huge value) before the first list
     auto generation = f.status_number(third, "list_generation");
     LinkState held;
     held.hold_there = true;
     f->shape(owner, third, held);
-    std::this_thread::sleep_for(700ms);  // its word that it lives comes every 500 ms
+    std::this_thread::sleep_for(700ms);  // the lease holder sends its status every 500 ms
     CHECK(f->terminate(owner) == 0);
     REQUIRE(f->soon([&] {
       auto now = f->owner("list");
@@ -264,7 +273,9 @@
   CHECK(stale > 0);
 }
 
-TEST_CASE("group: without a majority nothing is granted, owners stop in time, and proxies serve on") {
+TEST_CASE(
+    "group: without a majority no lease is granted, lease holders stop in time, and proxies continue to "
+    "serve") {
   GroupFixture f(3, 1, [](RigOptions& o) { o.group = {{"fallback_ms", 1500}}; });
   REQUIRE(f.wait_for_lease_holder("list"));
   REQUIRE(f.wait_for_lease_holder("probe 1"));
@@ -272,10 +283,10 @@
   REQUIRE(f->soon([&] { return f.holds_lease(survivor, "list"); }));
   for (auto& name : f->voters())
     if (name != survivor) f->kill(name);
-  // Its own clock ends what it holds.
+  // Its leases expire by its own clock.
   CHECK(f->soon([&] { return !f.holds_lease(survivor, "list") && !f.holds_lease(survivor, "probe 1"); }));
   CHECK(f->soon([&] { return f->status(survivor) && f->status(survivor)->value("role", "") != "leader"; }));
-  // It asks the list service for itself and for the proxy below it.
+  // It polls the list service for itself and for the proxy that follows it.
   CHECK(f->soon([&] { return f->log(survivor).find("asks the list service for all") != std::string::npos; }));
   CHECK(f->soon([&] { return f->stand_in().report().at("list_calls").get<int>() > 0; }));
   auto granted = count_occurrences(f->log(survivor), "is granted to");
@@ -285,10 +296,11 @@
   load.rate = 50;
   load.length = 1s;
   load.rules = &f->stand_in().rules();
-  // A drain reaches it, though there is no owner.
+  // A drain must reach the proxy although no node holds the lease of the list.
   f->stand_in().steer({{"do", "drain"}, {"server", "s1-3"}});
   auto figures = run_load(load);
-  // Where it had to look for a voter that lives, it may have begun to ask itself, and has stopped.
+  // While it searched for a live voter, the proxy may have begun to poll the list service itself; by now it
+  // must have stopped.
   CHECK(f->soon([&] {
     return count_occurrences(f->log("p1"), "asks by itself") ==
            count_occurrences(f->log("p1"), "heard of again");
@@ -303,13 +315,15 @@
   CHECK(f->stand_in().rules().breaches_in_words() == "");
 }
 
+// Guards against a second vote in one term: a voter that lost its directory no longer knows its term, its
+// vote and its log, so it returns under a new id and has no vote until an operator adds it.
 TEST_CASE(
-    "group: one that comes back with an emptied or torn directory votes for nothing until it is taken in") {
+    "group: a voter that restarts with an emptied or corrupt directory has no vote until it is added again") {
   GroupFixture f;
   REQUIRE(f.put("k", "kept"));
   auto victim = f.voter_other_than(f->leader());
   auto id = f.status_number(victim, "id");
-  for (std::string how : {"emptied", "torn"}) {
+  for (std::string how : {"emptied", "corrupt"}) {
     INFO(how);
     f->kill(victim);
     if (how == "emptied")
@@ -319,8 +333,9 @@
     f->start(victim);
     auto fresh = f.status_number(victim, "id");
     CHECK(fresh != id);
-    CHECK((f->log(victim).find("was set aside") != std::string::npos) == (how == "torn"));
-    // With one of the two others gone there is no majority: its vote must not make one.
+    CHECK((f->log(victim).find("was set aside") != std::string::npos) == (how == "corrupt"));
+    // With one of the other two nodes down there is no majority, and the vote of the victim must not make
+    // one.
     auto third = f->voters()[0];
     for (auto& name : f->voters())
       if (name != victim && name != f->leader()) third = name;
@@ -337,7 +352,7 @@
     CHECK_FALSE(acknowledged);
     f->start(third);
     REQUIRE(f->soon([&] { return !f->leader().empty(); }));
-    // The operator takes the old one out and the new one in.
+    // The operator removes the old member and adds the new one.
     REQUIRE(f->soon([&] {
       return f->ask(f->leader(), {{"do", "remove"}, {"name", victim}, {"id", id}}).value("ok", false);
     }));
@@ -354,7 +369,7 @@
   }
 }
 
-TEST_CASE("group: a full disk makes a node step down and say so, and the others go on") {
+TEST_CASE("group: a node whose disk is full steps down and reports it, and the others continue") {
   GroupFixture f;
   auto victim = f.voter_other_than(f->leader());
   f->kill(victim);
@@ -368,10 +383,10 @@
     auto s = f->status(victim);
     return s && s->value("role", "") == "halted" && s->contains("disk");
   }));
-  CHECK(f->running(victim));  // it serves on
+  CHECK(f->running(victim));  // it continues to serve clients
   CHECK(f->log(victim).find("its disk failed, it steps down") != std::string::npos);
   CHECK(f.put("k", "on"));
-  // With room again it comes back with what it had.
+  // With free space again the node restarts with its earlier state.
   f->kill(victim);
   f->limit_files(victim, 0);
   f->start(victim);
@@ -379,18 +394,18 @@
       f->soon([&] { return f.status_number(victim, "applied") == f.status_number(f->leader(), "applied"); }));
 }
 
-TEST_CASE("group: a leader whose disk takes seconds does not hold the others up") {
+TEST_CASE("group: a leader whose disk takes seconds does not delay the others") {
   GroupFixture f;
   auto leader = f->leader();
   f->slow_disk(leader, 2000);
-  CHECK(f.put("k", "quick"));  // committed by the two others, or by a successor
+  CHECK(f.put("k", "quick"));  // committed by the other two nodes, or by a new leader
   CHECK(f.get("k") == "quick");
   f->slow_disk(leader, 0);
   CHECK(
       f->soon([&] { return f.status_number(leader, "applied") == f.status_number(f->leader(), "applied"); }));
 }
 
-TEST_CASE("group: killed in the middle of writes, snapshots and changes of members, it comes back whole") {
+TEST_CASE("group: nodes killed during writes, snapshots and membership changes recover completely") {
   GroupFixture f(3, 0, [](RigOptions& o) { o.group = {{"jobs", json::array()}}; });
   f.write_many(900);
   std::atomic<bool> stop{false};
@@ -414,7 +429,7 @@
   };
   std::vector<std::thread> writers;
   for (int i = 0; i < 8; ++i) writers.emplace_back(write, i * 7);
-  // The snapshot (after 1,024 entries) falls among the kills.
+  // The first snapshot (after 1,024 entries) is taken while nodes are being killed.
   for (int i = 0; i < 8 || acknowledged < 200; ++i) {
     auto victim = f->voters()[static_cast<std::size_t>(i) % 3];
     f->kill(victim);
@@ -424,7 +439,7 @@
     std::this_thread::sleep_for(30ms * (i % 7));
     REQUIRE(i < 400);
   }
-  // During a change of members.
+  // The leader is killed during a membership change.
   auto changed_member = f.voter_other_than(f->leader());
   auto id = f.status_number(changed_member, "id");
   auto leader = f->leader();
@@ -452,7 +467,9 @@
   CHECK(removed.value("ok", false));
 }
 
-TEST_CASE("group: a link that flaps every 300 ms brings no storm of elections") {
+// Guards against an isolated follower that raises its term by repeated elections and deposes a healthy leader
+// when it reconnects.
+TEST_CASE("group: a link that flaps every 300 ms causes no election storm") {
   GroupFixture f;
   auto leader = f->leader();
   auto other = f.voter_other_than(leader);
@@ -465,8 +482,8 @@
   }
   CHECK(f.put("k", "on"));
   CHECK(f.status_number(leader, "term") <= term + 1);
-  // Cut for longer than an election each time, it has tried for itself, and comes back without a term that
-  // would end the leader's.
+  // A follower isolated for longer than an election timeout becomes a candidate. When it reconnects, it must
+  // not bring a higher term that would depose the leader.
   leader = f->leader();
   term = f.status_number(leader, "term");
   other = f.voter_other_than(leader);
@@ -486,7 +503,7 @@
 }
 
 TEST_CASE(
-    "group: noise, a message of a gigabyte, a stranger and one of another installation are told and closed") {
+    "group: noise, a frame of a gigabyte, an unknown peer and a foreign installation are logged and closed") {
   GroupFixture f;
   auto to = *net::parse_address(f->address("n1"));
   auto send_bytes = [&](const std::string& bytes) {
@@ -501,7 +518,7 @@
     }
     return n == 0 || errno != EAGAIN;  // closed
   };
-  // At once, and for what it said, not since it said no more.
+  // The connection is closed at once for its malformed frame, not later for being idle.
   auto malformed_frames_logged = [&](std::size_t count) {
     return f->soon([&] {
       return count_occurrences(f->log("n1"), "closed a connection: it sent a malformed frame") == count;
@@ -522,7 +539,7 @@
                                              {"name", "x"},
                                              {"id", 0},
                                              {"kind", "tool"}});
-  CHECK(send_bytes(hello + gigabyte));  // also from one that greeted well
+  CHECK(send_bytes(hello + gigabyte));  // also after a valid greeting
   CHECK(malformed_frames_logged(3));
   CHECK(send_bytes(database_proxy::peers::frame({{"t", "raft"}, {"k", 2}})));  // before any greeting
   CHECK(
@@ -548,13 +565,13 @@
   CHECK(f->daemon("n1")->usage().rss_mb < 200);
 }
 
-TEST_CASE("group: kinds and keys of a newer version are passed over") {
+TEST_CASE("group: message types and keys of a newer version are ignored") {
   GroupFixture f;
   app::FleetConnection call(f->address("n1"), "lab");
-  // On one connection: what is not known is answered or passed over, and the link stays.
+  // Unknown requests are answered and unknown keys ignored, and the connection stays open.
   auto status = call.send_request({{"do", "status"}, {"more", {{"of", "this"}}}});
   CHECK(status.contains("status"));
-  // A newer version that still speaks ours is let in, also as a follower.
+  // A follower of a newer version that still supports this protocol version is accepted.
   app::FleetConnection newer(f->address("n1"), "lab");
   json hello = {{"t", "hello"},  {"v", 2},  {"least", 1},         {"installation", "lab"},
                 {"name", "new"}, {"id", 0}, {"kind", "follower"}, {"tomorrow", {1, 2}}};
@@ -563,8 +580,10 @@
   CHECK(call.send_request({{"do", "status"}}).contains("status"));
 }
 
-TEST_CASE("group: a follower far behind, and dozens that come back at once, are fed whole") {
-  // They were away for longer than they would wait for word of the list.
+// Guards against a burst of polls at the list service: followers that were paused find on resuming that the
+// last message of the group is old, though the group was available all the time.
+TEST_CASE("group: a voter far behind and dozens of followers that return at once catch up completely") {
+  // The followers are away for longer than they wait for the list before they fall back to the list service.
   GroupFixture f(3, 24, [](RigOptions& o) { o.group = {{"fallback_ms", 1500}}; });
   REQUIRE(f.wait_for_lease_holder("list"));
   auto fallbacks_started = [&] {
@@ -580,7 +599,7 @@
   REQUIRE(f->soon([&] { return f.status_number(f->leader(), "list_generation") < 1000; }));
   REQUIRE(f->soon([&] {
     return fallbacks_started() == fallbacks_ended();
-  }));  // some may have begun before the group had an owner
+  }));  // some may have fallen back before the first lease was granted
   for (auto& name : f->followers()) f->pause(name);
   auto before = fallbacks_started();
   auto paused = net::monotonic_now();
@@ -592,7 +611,7 @@
   f->soon([&] { return net::monotonic_now() - paused > 3s; });
   auto calls = f->stand_in().report().at("list_calls").get<std::uint64_t>();
   for (auto& name : f->followers()) f->resume(name);
-  f->start(voter_behind);  // by a snapshot: the leader's log does not reach back so far
+  f->start(voter_behind);  // by a snapshot, as the leader's log no longer has the entries it needs
   CHECK(f->soon(
       [&] { return f.status_number(voter_behind, "applied") == f.status_number(f->leader(), "applied"); }));
   CHECK(f->soon([&] {
@@ -600,7 +619,7 @@
     for (auto& name : f->voters()) connected_followers += f.status_number(name, "followers");
     return connected_followers == f->followers().size();
   }));
-  // None of them took its own absence for the group's.
+  // No follower may mistake its own absence for an outage of the group and fall back to the list service.
   CHECK(f->stand_in().report().at("list_calls").get<std::uint64_t>() - calls < 8);
   CHECK(fallbacks_started() == before);
 }
@@ -628,7 +647,7 @@
     if (led) CHECK(f->log(name).find("hands leadership over") != std::string::npos);
     f->start(name);
     REQUIRE(f->soon([&] { return f.follows_or_leads(name) && !f->owner("list").empty(); }));
-    // Members change meanwhile: out and in again.
+    // Meanwhile a member is removed and added again.
     auto member = f.voter_other_than(f->leader());
     for (std::string what : {"remove", "add", "promote"})
       REQUIRE(f->soon([&] {
@@ -646,7 +665,7 @@
   CHECK(f->stand_in().rules().breaches_in_words() == "");
 }
 
-TEST_CASE("group: faults from a script are played in order and found in the history") {
+TEST_CASE("group: faults of a script are applied in order and recorded in the history") {
   GroupFixture f(3, 1);
   REQUIRE(f.put("k", "kept"));
   auto script = parse_script(json::parse(R"([
@@ -671,8 +690,7 @@
 }
 
 TEST_CASE(
-    "group: all start at once and know nothing, without a majority: one voter asks the list service for "
-    "all") {
+    "group: when all start at once without a list or a majority, one voter polls the list service for all") {
   GroupFixture f(3, 12, [](RigOptions& o) { o.group = {{"fallback_ms", 1500}}; });
   REQUIRE(f.wait_for_lease_holder("list"));
   REQUIRE(f->soon([&] {
@@ -681,7 +699,7 @@
   }));
   for (auto& name : f->all()) f->kill(name);
   auto before = f->stand_in().report();
-  // The list that the group had published lies on the voters' disks; the proxies have none.
+  // The last published list is on the voters' disks; the proxies have none.
   std::vector<std::string> restarted = f->followers();
   restarted.push_back("n1");
   f->launch(restarted, {{"generation", 0}, {"reset", true}, {"instances", json::array()}});
@@ -702,8 +720,8 @@
                 count_occurrences(f->log(name), "heard of again");
     return asking == 0;
   }));
-  CHECK(increase_of("whole_list_calls") <= 1);  // none, where n1 had its last list on the disk in time
-  // Word of a drain comes by the same way.
+  CHECK(increase_of("whole_list_calls") <= 1);  // 0 if n1 had stored the last list on its disk in time
+  // Notice of a drain reaches the proxies through the same voter.
   std::atomic<bool> stop{false};
   std::vector<std::thread> loads;
   for (auto& name : f->followers())
@@ -725,15 +743,16 @@
   stop = true;
   for (auto& t : loads) t.join();
   CHECK(f->stand_in().rules().breaches_in_words() == "");
-  // The others come back, and the group goes on from where it was.
+  // The other voters return, and the group continues from its stored state.
   f->start("n2");
   f->start("n3");
   CHECK(f.wait_for_lease_holder("list"));
   CHECK(f->soon([&] { return f->log("n1").find("heard of again") != std::string::npos; }));
 }
 
-TEST_CASE("group: an owner that holds the lease but does no work is relieved") {
-  // The list service is out of reach of one process only: its owner hears nothing of it.
+// Guards against a job that nobody does: its lease holder renews the lease but cannot do the work.
+TEST_CASE("group: a lease holder that does no work loses its lease") {
+  // The list service stops answering, so the lease holder of the list gets no update.
   GroupFixture f(3, 0, [](RigOptions& o) { o.group = {{"lease_ms", 1300}}; });
   REQUIRE(f.wait_for_lease_holder("list"));
   f->stand_in().steer({{"do", "discovery"}, {"mute", true}});
@@ -746,7 +765,7 @@
   CHECK(f->soon([&] { return f->status(f->owner("list"))->value("list_generation", -1) >= 0; }));
 }
 
-TEST_CASE("group: word of a drain reaches all by the owner, who alone asks the list service") {
+TEST_CASE("group: word of a drain reaches all through the lease holder, which alone polls the list service") {
   GroupFixture f(3, 8);
   REQUIRE(f.wait_for_lease_holder("list"));
   REQUIRE(f->soon([&] { return f.status_number(f->voters()[0], "list_generation") > 0; }));
@@ -782,17 +801,20 @@
   for (auto& name : f->followers()) CHECK(f->log(name).find("asks by itself") == std::string::npos);
 }
 
-TEST_CASE("group: recovery from a lost majority demands the consequence, and keeps what this node knew") {
+TEST_CASE(
+    "group: recovery from a lost majority requires its consequence as confirmation and keeps this node's "
+    "state") {
   GroupFixture f;
   REQUIRE(f.wait_for_lease_holder("list"));
-  // Tokens of some height: a job changes hands when the log is long already.
+  // Makes fencing tokens large: a lease is granted anew when the log is already long.
   f.write_many(300);
   auto owner = f->owner("list");
   f->terminate(owner);
   f->start(owner);
   REQUIRE(f.wait_for_lease_holder("list"));
   REQUIRE(f.put("k", "kept"));
-  auto survivor = f.voter_other_than(f->owner("list"));  // the list's owner is among the lost
+  auto survivor =
+      f.voter_other_than(f->owner("list"));  // the lease holder of the list is among the lost nodes
   REQUIRE(f->soon(
       [&] { return f.status_number(survivor, "applied") == f.status_number(f->leader(), "applied"); }));
   CHECK(f->ask(survivor, {{"do", "recover"}, {"consequence", "what only the lost nodes knew is gone"}})
@@ -809,7 +831,7 @@
   }));
   CHECK(f->soon([&] { return f->status(survivor)->value("role", "") == "leader"; }));
   CHECK(f->ask(survivor, {{"do", "get"}, {"key", "k"}}).value("value", "") == "kept");
-  // Whatever the lost ones owned is granted by tokens above all of theirs.
+  // Each lease that a lost node held is granted again with a higher fencing token than before.
   std::size_t lost = 0;
   for (auto& before : tokens) lost += before.at("owner") != survivor && before.at("owner") != "";
   CHECK(lost > 0);
@@ -825,7 +847,7 @@
   }));
 }
 
-TEST_CASE("group: what cannot be is one line and exit 1, and a bad file on SIGHUP leaves the last good one") {
+TEST_CASE("group: an invalid configuration is one line and exit 1, and on SIGHUP the last valid one stays") {
   GroupFixture f;
   auto start = [&](const json& group) {
     ProcessUnderTestOptions d;
@@ -841,7 +863,7 @@
       std::string line = e.what();
       return line.substr(line.find(": ") + 2);
     }
-    return std::string("it started");
+    return std::string("the process started");
   };
   json nodes = {{{"name", "a"}, {"address", "127.0.0.1:11001"}},
                 {{"name", "b"}, {"address", "127.0.0.1:11002"}},
--- a/tests/group/zones_test.cpp
+++ b/tests/group/zones_test.cpp
@@ -1,5 +1,6 @@
-// The plan of zones as processes: three zones in two regions, each with proxies, servers and clients, and the
-// hard cases between them. Waits are for conditions; the only times are those that faults last.
+// Tests of the placement plan with separate processes: three zones in two regions, each with proxies, servers
+// and clients, and faults within and between zones. Tests wait for conditions; fixed times are only the
+// durations of the faults themselves and the spans over which a state must not change.
 #include <catch2/catch.hpp>
 #include <functional>
 #include <thread>
@@ -17,8 +18,8 @@
 
 constexpr Micros kWaitTimeout{40'000'000};
 
-// Voters n1 and n2 stand in a and b, n3 in c; proxies p1 to p6 in turn in a, b, c. One set: its primary and
-// two replicas in a, three replicas in b and in c.
+// Voters n1, n2 and n3 run in zones a, b and c; proxies p1 to p6 in a, b, c in turn. There is one shard
+// group: its primary and two replicas are in a, three replicas each in b and c.
 struct ZonesFixture {
   explicit ZonesFixture(std::function<void(RigOptions&)> change = [](auto&) {}) {
     RigOptions o;
@@ -40,12 +41,12 @@
     REQUIRE(rig->soon([&] { return !rig->owner("placement").empty() && !rig->owner("list").empty(); },
                       kWaitTimeout));
   }
-  // Shorter than shipped, so that a test is not all waiting.
+  // Returns placement times shorter than the defaults, to keep the tests short.
   static json short_times() { return {{"dwell_ms", 3000}, {"open_after_ms", 1500}, {"step_ms", 500}}; }
   ~ZonesFixture() { end_load(); }
   Rig* operator->() { return rig.get(); }
 
-  // Some load at every proxy until end_load().
+  // Sends load to every proxy until end_load().
   void start_load(double rate_each = 30) {
     for (auto& name : rig->all())
       loads.emplace_back([this, name, rate_each, port = rig->port(name)] {
@@ -64,7 +65,7 @@
             std::lock_guard lock(mutex);
             total.add(f);
           } catch (const std::runtime_error&) {
-            std::this_thread::sleep_for(50ms);  // it is being restarted
+            std::this_thread::sleep_for(50ms);  // the proxy is being restarted
           }
         }
       });
@@ -118,7 +119,7 @@
         },
         kWaitTimeout);
   }
-  bool wait_until_ready() {  // observed, planned, and all voters follow
+  bool wait_until_ready() {  // servers observed, a plan made, and all voters follow it
     return rig->soon(
                [&] {
                  return plan().shares.count({1, "b"}) > 0;
@@ -139,7 +140,7 @@
       if (m.at("zone") == zone) n += figures[m.at("instanceId")].requests;
     return n;
   }
-  // Nothing goes there any more for a second.
+  // Waits until the zone has received no request for a second.
   bool wait_until_no_requests(const std::string& zone) {
     std::uint64_t last = requests(zone);
     auto since = net::monotonic_now();
@@ -169,8 +170,9 @@
 
 }  // namespace
 
-TEST_CASE("zones: one whose servers die, hang or get slow is closed by agreement and opened again in steps") {
-  for (std::string fault : {"kill", "silence", "slow"}) {  // a zone each: four changes a minute are the most
+TEST_CASE("zones: a zone whose servers die, hang or get slow is closed by agreement and reopened in steps") {
+  for (std::string fault :
+       {"kill", "silence", "slow"}) {  // a new fixture each: a zone changes at most four times a minute
     INFO(fault);
     ZonesFixture z;
     z.start_load();
@@ -178,7 +180,8 @@
     auto number = z.plan().number;
     z.control_servers(fault, "b", fault == "slow" ? json{{"times", 60}} : json::object());
     if (fault == "slow") {
-      // Reads leave it by their cost, as far as there is spare room, whether or not a plan closes it.
+      // The cost of the slow servers moves reads to other zones as far as these have surplus capacity,
+      // whether or not a plan closes the zone.
       CHECK(z.rig->soon(
           [&] {
             auto from = z.requests("b"), others = z.requests("a") + z.requests("c");
@@ -206,7 +209,9 @@
   }
 }
 
-TEST_CASE("zones: one request in five that fails, or one proxy that sees all as dead, closes nothing") {
+// Guards against closing a healthy zone: a partial failure, or the view of a single proxy with a faulty
+// network, must not be taken for the failure of a zone.
+TEST_CASE("zones: one request in five failing, or one proxy that finds all servers dead, closes nothing") {
   ZonesFixture z([](RigOptions& o) { o.own_ways = {"p1"}; });
   z.start_load();
   REQUIRE(z.wait_until_ready());
@@ -228,7 +233,7 @@
   CHECK(z.plan().links.empty());
   z.control_servers("fail", "b", {{"share", 0}});
   CHECK(z.plan().number >= number);
-  // A bad network card: p1, which stands in a, reaches no server at all; everybody else does.
+  // Faulty network card: p1, in zone a, reaches no server at all, while all other processes do.
   for (auto zone : {"a", "b", "c"}) z->cut_zone_way("p1", zone);
   CHECK(z.rig->soon(
       [&] {
@@ -247,7 +252,8 @@
   z.check_no_breaches();
 }
 
-TEST_CASE("zones: a zone cut from the others serves its own on, follows the last plan, then goes on alone") {
+TEST_CASE(
+    "zones: a zone cut from the others serves its own clients, first by the last plan, then without one") {
   ZonesFixture z([](RigOptions& o) { o.group["placement"]["keep_ms"] = 3000; });
   z.start_load();
   REQUIRE(z.wait_until_ready());
@@ -255,13 +261,14 @@
   if (z->leader() == "n2") z->ask("n2", {{"do", "transfer"}, {"name", "n1"}});
   REQUIRE(z.rig->soon([&] { return !z->leader().empty() && z->leader() != "n2"; }));
   z->isolate_zone("b");
-  // By its own eyes b is well; the others' ways there are closed, or the zone.
+  // Processes in b find b healthy; the other zones close their links to b, or zone b itself.
   CHECK(z.rig->soon([&] { return z->log("n2").find("this proxy goes on alone") != std::string::npos; },
                     kWaitTimeout));
   CHECK(z.rig->soon([&] { return !z->owner("placement").empty() && z->owner("placement") != "n2"; },
                     kWaitTimeout));
   auto before = z.requests("b");
-  CHECK(z.rig->soon([&] { return z.requests("b") > before + 50; }));  // its own clients are served there
+  CHECK(z.rig->soon(
+      [&] { return z.requests("b") > before + 50; }));  // the servers of b still serve b's own clients
   z->heal();
   CHECK(z.rig->soon([&] { return z->log("n2").find("this proxy follows plan") != std::string::npos; },
                     kWaitTimeout));
@@ -270,11 +277,12 @@
   z.check_no_breaches();
 }
 
-TEST_CASE("zones: a way that fails is told from a zone that fails") {
+// Guards against closing a zone for everybody when only the link from one other zone to it has failed.
+TEST_CASE("zones: a way that fails is distinguished from a zone that fails") {
   ZonesFixture z;
   z.start_load();
   REQUIRE(z.wait_until_ready());
-  z->cut_zone_way("c", "b");  // proxies of c reach b's servers no more; a and b see it well
+  z->cut_zone_way("c", "b");  // proxies in c no longer reach b's servers; those in a and b find b healthy
   CHECK(z.rig->soon(
       [&] {
         auto p = z.plan();
@@ -288,14 +296,15 @@
   z.check_no_breaches();
 }
 
-TEST_CASE("zones: the owner's zone lost, then the majority's, and no old plan comes after a newer one") {
+TEST_CASE(
+    "zones: the lease holder's zone is lost, then the majority, and no older plan replaces a newer one") {
   ZonesFixture z;
   z.start_load();
   REQUIRE(z.wait_until_ready());
   auto owner = z->owner("placement");
   auto zone = z->zone_of(owner);
   auto number = z.plan().number;
-  // Its servers die and its processes stop, together.
+  // The servers of the zone die and its processes are paused, together.
   z.control_servers("kill", zone);
   for (auto& name : z->in_zone(zone)) z->pause(name);
   CHECK(z.rig->soon([&] { return !z->owner("placement").empty() && z->owner("placement") != owner; },
@@ -307,7 +316,7 @@
   z.control_servers("start", zone);
   CHECK(z.wait_for_phase(zone, "open"));
   CHECK(z.rig->soon([&] { return z.followed_plan(owner) >= closing_plan; }, kWaitTimeout));
-  // The majority: nobody plans, all that live keep the last one, later they go on alone.
+  // Without a majority nobody makes plans. The survivor keeps the last plan, and later routes without a plan.
   std::string survivor = z->voters()[0];
   auto last = z.plan().number;
   for (auto& name : z->voters())
@@ -321,7 +330,8 @@
   z.check_no_breaches();
 }
 
-TEST_CASE("zones: cut from the owner of the plan alone, the others go on, and all follow one plan again") {
+TEST_CASE(
+    "zones: cut from the placement lease holder only, a voter still follows, and all follow one plan again") {
   ZonesFixture z;
   z.start_load();
   REQUIRE(z.wait_until_ready());
@@ -330,7 +340,8 @@
     if (other == owner) continue;
     INFO(other << " cut from " << owner << ", leader " << leader);
     z->cut(owner, other);
-    // One still hears the group by the third: a plan goes on being made, wherever the owner is now.
+    // The cut voter still reaches the group through the third. Plans continue to be made, whichever node
+    // holds the lease now.
     auto number = z.plan().number;
     z.control_servers("kill", "c");
     CHECK(z.rig->soon(
@@ -346,12 +357,15 @@
     z->heal();
     CHECK(z.wait_until_followed_by(z->voters()));
     CHECK(z.wait_for_phase("c", "open"));
-    break;  // the one that is cut is drawn by who owns the job
+    break;  // one voter is enough; which one depends on who holds the lease
   }
   z.check_no_breaches();
 }
 
-TEST_CASE("zones: two lost in turn, the second while the first returns cold, and no cold server falls") {
+// Guards against overloading servers that are warming up: a second zone is lost while the first one has just
+// returned, and its requests must not all move to the cold servers.
+TEST_CASE(
+    "zones: two zones lost in turn, the second while the first warms up, and no cold server is overloaded") {
   ZonesFixture z([](RigOptions& o) { o.stand_in.model.fall_inside = 40; });
   z.start_load(20);
   REQUIRE(z.wait_until_ready());
@@ -368,8 +382,10 @@
   z.check_no_breaches();
 }
 
-TEST_CASE("zones: one that flaps every 2 s changes at most four times a minute") {
-  ZonesFixture z([](RigOptions& o) { o.group = json::object(); });  // the times as shipped
+// Guards against moving the load back and forth: servers that stop and resume answering every 2 s would
+// change the phase of their zone each time without the limit per minute.
+TEST_CASE("zones: a zone that flaps every 2 s changes its phase at most four times a minute") {
+  ZonesFixture z([](RigOptions& o) { o.group = json::object(); });  // the default times
   z.start_load();
   REQUIRE(z.wait_until_ready());
   auto changes = [&] {
@@ -394,8 +410,9 @@
 }
 
 TEST_CASE(
-    "zones: an evacuation by hand survives its owner's stop, refuses what the rest cannot carry, and "
-    "freezes") {
+    "zones: an evacuation by an operator survives a new lease holder and restarts, and a frozen plan does "
+    "not "
+    "change") {
   ZonesFixture z;
   z.start_load();
   REQUIRE(z.wait_until_ready());
@@ -415,13 +432,13 @@
   CHECK(z.rig->soon([&] { return z.followed_plan(owner) >= number; }, kWaitTimeout));
   CHECK(z.phase("c") == "evacuated");
   CHECK(z.wait_until_no_requests("c"));
-  // Another zone fails meanwhile: what is evacuated stays so.
+  // Another zone fails meanwhile: the evacuated zone stays evacuated.
   z.control_servers("kill", "b");
   CHECK(z.wait_for_phase("b", "closed"));
   CHECK(z.phase("c") == "evacuated");
   z.control_servers("start", "b");
   CHECK(z.wait_for_phase("b", "open"));
-  // All of the group restarts.
+  // All voters restart, one after the other.
   for (auto& name : z->voters()) {
     z->terminate(name);
     z->start(name);
@@ -434,7 +451,7 @@
       },
       kWaitTimeout));
   CHECK(z.wait_for_phase("c", "open"));
-  // Frozen: a loss changes nothing until it is resumed.
+  // While the plan is frozen, the loss of a zone changes nothing until planning is resumed.
   CHECK(z.rig->soon([&] { return z.placement_command("freeze").value("ok", false); }, kWaitTimeout));
   CHECK(z.placement_command("freeze").value("why", "").find("frozen already") != std::string::npos);
   z.control_servers("kill", "b");
@@ -446,7 +463,9 @@
   z.check_no_breaches();
 }
 
-TEST_CASE("zones: what the rest cannot carry is refused near home and not pushed onto the next zone") {
+// Guards against a cascade: when a zone is lost and the others lack capacity, its excess load must be
+// rejected instead of overloading the next zone.
+TEST_CASE("zones: what the rest cannot carry is rejected in its home zone and not moved to the next zone") {
   ZonesFixture z([](RigOptions& o) { o.per_weight = 60; });
   z.start_load(40);
   REQUIRE(z.wait_until_ready());
@@ -454,7 +473,7 @@
     double all = 0;
     for (auto& r : z.placement_command("explain", {{"set", 1}}).value("asked", json::array()))
       all += r.at(2).get<double>();
-    return all > 320;  // 60 for each of five replicas outside of c is less
+    return all > 320;  // more than the five replicas outside c can serve, at 60 each
   }));
   auto answer = z.placement_command("evacuate", {{"zone", "c"}});
   CHECK(answer.value("why", "").find("cannot carry") != std::string::npos);
@@ -487,7 +506,7 @@
   REQUIRE(z.wait_until_ready());
   z.control_servers("kill", "b");
   REQUIRE(z.wait_for_phase("b", "closed"));
-  z->stand_in().steer({{"do", "handover"}, {"server", "s1-3"}});  // into c, the other region
+  z->stand_in().steer({{"do", "handover"}, {"server", "s1-3"}});  // into zone c, in the other region
   for (auto& name : {"p1", "p2", "p3"}) {
     z->terminate(name);
     z->start(name);
