--- a/tests/group/zones_test.cpp
+++ b/tests/group/zones_test.cpp
@@ -331,7 +331,7 @@
 }
 
 TEST_CASE(
-    "zones: cut from the placement lease holder only, a voter still follows, and all follow one plan again") {
+    "zones: cut from the placement lease holder only, planning continues, and all follow one plan again") {
   ZonesFixture z;
   z.start_load();
   REQUIRE(z.wait_until_ready());
