--- a/tests/group/processes_test.cpp
+++ b/tests/group/processes_test.cpp
@@ -180,7 +180,8 @@
   // The old leader still accepts the write but cannot commit it.
   bool acknowledged = true;
   try {
-    acknowledged = f->send_command(old, {{"do", "put"}, {"key", "k"}, {"value", "lost"}}, 500).value("ok", false);
+    acknowledged =
+        f->send_command(old, {{"do", "put"}, {"key", "k"}, {"value", "lost"}}, 500).value("ok", false);
   } catch (const std::runtime_error&) {
     acknowledged = false;
   }
@@ -191,7 +192,8 @@
   auto read = f->send_command(f->leader(), {{"do", "get"}, {"key", "k"}});
   CHECK(read.value("value", "") == "after");
   f->heal();
-  CHECK(f->wait_until([&] { return f.status_number(old, "applied") == f.status_number(f->leader(), "applied"); }));
+  CHECK(f->wait_until(
+      [&] { return f.status_number(old, "applied") == f.status_number(f->leader(), "applied"); }));
   CHECK(f.get("k") == "after");
 }
 
@@ -285,11 +287,13 @@
   for (auto& name : f->voters())
     if (name != survivor) f->kill(name);
   // Its leases expire by its own clock.
-  CHECK(f->wait_until([&] { return !f.holds_lease(survivor, "list") && !f.holds_lease(survivor, "probe 1"); }));
-  CHECK(f->wait_until([&] { return f->status(survivor) && f->status(survivor)->value("role", "") != "leader"; }));
-  // It polls the list service for itself and for the proxy that follows it.
   CHECK(
-      f->wait_until([&] { return f->log(survivor).find("asks the list service for all") != std::string::npos; }));
+      f->wait_until([&] { return !f.holds_lease(survivor, "list") && !f.holds_lease(survivor, "probe 1"); }));
+  CHECK(f->wait_until(
+      [&] { return f->status(survivor) && f->status(survivor)->value("role", "") != "leader"; }));
+  // It polls the list service for itself and for the proxy that follows it.
+  CHECK(f->wait_until(
+      [&] { return f->log(survivor).find("asks the list service for all") != std::string::npos; }));
   CHECK(f->wait_until([&] { return f->fake_servers().report().at("list_calls").get<int>() > 0; }));
   auto granted = count_occurrences(f->log(survivor), "is granted to");
   LoadOptions load;
@@ -381,8 +385,8 @@
   f->kill(victim);
   f->limit_file_size(victim, 256 * 1024);
   f->start(victim);
-  REQUIRE(
-      f->wait_until([&] { return f.status_number(victim, "applied") == f.status_number(f->leader(), "applied"); }));
+  REQUIRE(f->wait_until(
+      [&] { return f.status_number(victim, "applied") == f.status_number(f->leader(), "applied"); }));
   std::string big(8000, 'x');
   for (int i = 0; i < 60; ++i) REQUIRE(f.put("big" + std::to_string(i), big));
   CHECK(f->wait_until([&] {
@@ -396,8 +400,8 @@
   f->kill(victim);
   f->limit_file_size(victim, 0);
   f->start(victim);
-  CHECK(
-      f->wait_until([&] { return f.status_number(victim, "applied") == f.status_number(f->leader(), "applied"); }));
+  CHECK(f->wait_until(
+      [&] { return f.status_number(victim, "applied") == f.status_number(f->leader(), "applied"); }));
 }
 
 TEST_CASE("group: a leader whose disk takes seconds does not delay the others") {
@@ -407,8 +411,8 @@
   CHECK(f.put("k", "quick"));  // committed by the other two nodes, or by a new leader
   CHECK(f.get("k") == "quick");
   f->set_sync_delay(leader, 0);
-  CHECK(
-      f->wait_until([&] { return f.status_number(leader, "applied") == f.status_number(f->leader(), "applied"); }));
+  CHECK(f->wait_until(
+      [&] { return f.status_number(leader, "applied") == f.status_number(f->leader(), "applied"); }));
 }
 
 TEST_CASE("group: nodes killed during writes, snapshots and membership changes recover completely") {
@@ -548,8 +552,8 @@
   CHECK(send_bytes(hello + gigabyte));  // also after a valid greeting
   CHECK(malformed_frames_logged(3));
   CHECK(send_bytes(database_proxy::peers::frame({{"t", "raft"}, {"k", 2}})));  // before any greeting
-  CHECK(
-      f->wait_until([&] { return count_occurrences(f->log("n1"), "it sent a message before its greeting") == 1; }));
+  CHECK(f->wait_until(
+      [&] { return count_occurrences(f->log("n1"), "it sent a message before its greeting") == 1; }));
   CHECK_THROWS_WITH(app::FleetConnection(f->address("n1"), "elsewhere"),
                     Catch::Contains("it is of the installation 'elsewhere'"));
   CHECK_THROWS_WITH(
@@ -603,8 +607,7 @@
     return n;
   };
   REQUIRE(f->wait_until([&] { return f.status_number(f->leader(), "list_generation") < 1000; }));
-  REQUIRE(
-      f->wait_until([&] {
+  REQUIRE(f->wait_until([&] {
     return fallbacks_started() == fallbacks_ended();
   }));  // some may have fallen back before the first lease was granted
   for (auto& name : f->followers()) f->pause(name);
@@ -660,7 +663,8 @@
       REQUIRE(f->wait_until([&] {
         auto leader = f->leader();
         return !leader.empty() &&
-               f->send_command(leader, {{"do", what}, {"name", member}, {"id", f.status_number(member, "id")}})
+               f->send_command(leader,
+                               {{"do", what}, {"name", member}, {"id", f.status_number(member, "id")}})
                    .value("ok", false);
       }));
   }
@@ -825,16 +829,19 @@
       f.voter_other_than(f->lease_holder("list"));  // the lease holder of the list is among the lost nodes
   REQUIRE(f->wait_until(
       [&] { return f.status_number(survivor, "applied") == f.status_number(f->leader(), "applied"); }));
-  CHECK(f->send_command(survivor, {{"do", "recover"}, {"consequence", "what only the lost nodes knew is gone"}})
-            .value("why", "")
-            .find("a leader is heard of") != std::string::npos);
+  CHECK(
+      f->send_command(survivor, {{"do", "recover"}, {"consequence", "what only the lost nodes knew is gone"}})
+          .value("why", "")
+          .find("a leader is heard of") != std::string::npos);
   for (auto& name : f->voters())
     if (name != survivor) f->kill(name);
   CHECK(f->wait_until([&] { return f->status(survivor) && f->status(survivor)->value("leader", "") == ""; }));
   CHECK_FALSE(f->send_command(survivor, {{"do", "recover"}}).value("ok", true));
   auto tokens = f->send_command(survivor, {{"do", "owners"}}).at("owners");
   CHECK(f->wait_until([&] {
-    return f->send_command(survivor, {{"do", "recover"}, {"consequence", "what only the lost nodes knew is gone"}})
+    return f
+        ->send_command(survivor,
+                       {{"do", "recover"}, {"consequence", "what only the lost nodes knew is gone"}})
         .value("ok", false);
   }));
   CHECK(f->wait_until([&] { return f->status(survivor)->value("role", "") == "leader"; }));
--- a/tests/group/zones_test.cpp
+++ b/tests/group/zones_test.cpp
@@ -40,7 +40,7 @@
     rig = std::make_unique<FaultHarness>(o);
     REQUIRE(rig->wait_until(
         [&] { return !rig->lease_holder("placement").empty() && !rig->lease_holder("list").empty(); },
-                      kWaitTimeout));
+        kWaitTimeout));
   }
   // Returns placement times shorter than the defaults, to keep the tests short.
   static json short_times() { return {{"dwell_ms", 3000}, {"open_after_ms", 1500}, {"step_ms", 500}}; }
@@ -264,17 +264,16 @@
   z->isolate_zone("b");
   // Processes in b find b healthy; the other zones close their links to b, or zone b itself.
   CHECK(z.rig->wait_until([&] { return z->log("n2").find("this proxy goes on alone") != std::string::npos; },
-                    kWaitTimeout));
+                          kWaitTimeout));
   CHECK(z.rig->wait_until(
       [&] { return !z->lease_holder("placement").empty() && z->lease_holder("placement") != "n2"; },
-                    kWaitTimeout));
+      kWaitTimeout));
   auto before = z.requests("b");
-  CHECK(
-      z.rig->wait_until(
+  CHECK(z.rig->wait_until(
       [&] { return z.requests("b") > before + 50; }));  // the servers of b still serve b's own clients
   z->heal();
   CHECK(z.rig->wait_until([&] { return z->log("n2").find("this proxy follows plan") != std::string::npos; },
-                    kWaitTimeout));
+                          kWaitTimeout));
   CHECK(z.wait_for_phase("b", "open"));
   CHECK(z.wait_until_followed_by(z->voters()));
   z.check_no_breaches();
@@ -285,7 +284,8 @@
   ZonesFixture z;
   z.start_load();
   REQUIRE(z.wait_until_ready());
-  z->cut_zone_direction("c", "b");  // proxies in c no longer reach b's servers; those in a and b find b healthy
+  z->cut_zone_direction("c",
+                        "b");  // proxies in c no longer reach b's servers; those in a and b find b healthy
   CHECK(z.rig->wait_until(
       [&] {
         auto p = z.plan();
@@ -312,7 +312,7 @@
   for (auto& name : z->in_zone(zone)) z->pause(name);
   CHECK(z.rig->wait_until(
       [&] { return !z->lease_holder("placement").empty() && z->lease_holder("placement") != owner; },
-                    kWaitTimeout));
+      kWaitTimeout));
   CHECK(z.wait_for_phase(zone, "closed"));
   auto closing_plan = z.plan().number;
   CHECK(closing_plan > number);
@@ -325,8 +325,8 @@
   auto last = z.plan().number;
   for (auto& name : z->voters())
     if (name != survivor) z->kill(name);
-  CHECK(z.rig->wait_until([&] { return z->log(survivor).find("this proxy goes on alone") != std::string::npos; },
-                    kWaitTimeout));
+  CHECK(z.rig->wait_until(
+      [&] { return z->log(survivor).find("this proxy goes on alone") != std::string::npos; }, kWaitTimeout));
   CHECK(z.followed_plan(survivor) == 0);
   for (auto& name : z->voters())
     if (name != survivor) z->start(name);
@@ -430,7 +430,7 @@
   z->pause(owner);
   CHECK(z.rig->wait_until(
       [&] { return !z->lease_holder("placement").empty() && z->lease_holder("placement") != owner; },
-                    kWaitTimeout));
+      kWaitTimeout));
   CHECK(z.wait_for_phase("c", "evacuated"));
   auto number = z.plan().number;
   z->resume(owner);
