--- a/src/testbench/commands.cpp
+++ b/src/testbench/commands.cpp
@@ -57,7 +57,7 @@
   return std::nullopt;
 }
 
-int stand_in(const Arguments& arguments) {
+int run_fake_servers(const Arguments& arguments) {
   po::options_description o;
   o.add_options()("file,f", po::value<std::string>(), "JSON of the sets and their script (docs/lab.md)")(
       "write-config", po::value<std::string>(), "write a configuration for the daemon to this file")(
@@ -71,20 +71,20 @@
   for (int number : {SIGINT, SIGTERM}) sigaddset(&set, number);
   pthread_sigmask(SIG_BLOCK, &set, nullptr);  // before any thread: all inherit it
   auto file = given->count("file") ? read_json((*given)["file"].as<std::string>()) : json::object();
-  FakeServers testbench(FakeServersOptions::parse(file));
+  FakeServers fake_servers(FakeServersOptions::parse(file));
   if (given->count("write-config"))
     write_file_atomically((*given)["write-config"].as<std::string>(),
                 json({{"name", "lab"},
                       {"listen", (*given)["listen"].as<std::string>()},
-                      {"discovery", testbench.discovery()},
+                      {"discovery", fake_servers.discovery()},
                       {"seed", "1"},
                       {"limits", {{"sockets", 1024}, {"memory_mb", 256}}},
-                      {"known", testbench.members()},
+                      {"known", fake_servers.members()},
                       {"settings", testbench_settings()}})
                         .dump(1) +
                     "\n");
-  std::cout << fmt::format("discovery {}\nsteering {}\nservers {}\n", testbench.discovery(),
-                           testbench.steering(), fmt::join(testbench.servers(), " "))
+  std::cout << fmt::format("discovery {}\nsteering {}\nservers {}\n", fake_servers.discovery(),
+                           fake_servers.steering(), fmt::join(fake_servers.servers(), " "))
             << std::flush;
   auto seconds = (*given)["seconds"].as<double>();
   if (seconds > 0) {
@@ -94,12 +94,12 @@
     int number = 0;
     sigwait(&set, &number);
   }
-  std::cout << testbench.report().dump(1) << "\n";
-  return testbench.rules().total() == 0 ? 0 : 2;
+  std::cout << fake_servers.report().dump(1) << "\n";
+  return fake_servers.rules().total() == 0 ? 0 : 2;
 }
 
 // One request, in plain words: for a first look, and for scripts.
-int ask(const Arguments& arguments) {
+int send_one_request(const Arguments& arguments) {
   po::options_description o;
   o.add_options()("target", po::value<std::string>()->default_value("127.0.0.1:6432"),
                   "the daemon's address")("class", po::value<std::string>()->default_value("browse"),
@@ -114,8 +114,8 @@
   if (!address) throw std::runtime_error("target is no address: '" + g["target"].as<std::string>() + "'");
   auto wait = std::clamp(g["wait-ms"].as<int>(), 1, 60000);
   net::Fd fd(socket(address->storage.ss_family, SOCK_STREAM | SOCK_CLOEXEC, 0));
-  timeval patience{wait / 1000 + 1, 0};
-  setsockopt(fd.get(), SOL_SOCKET, SO_RCVTIMEO, &patience, sizeof patience);
+  timeval timeout{wait / 1000 + 1, 0};
+  setsockopt(fd.get(), SOL_SOCKET, SO_RCVTIMEO, &timeout, sizeof timeout);
   if (!fd || connect(fd.get(), reinterpret_cast<sockaddr*>(&address->storage), address->length) != 0)
     throw std::runtime_error("cannot connect to " + g["target"].as<std::string>());
   auto request_class = g["class"].as<std::string>();
@@ -131,7 +131,7 @@
   auto out = pg::startup_message("backend", "store") + pg::simple_query(sql);
   if (send(fd.get(), out.data(), out.size(), MSG_NOSIGNAL) < 0)
     throw std::runtime_error("the connection broke");
-  std::string in, said = "nothing";
+  std::string in, outcome = "nothing";
   char chunk[4096];
   for (int ready = 0; ready < 2;) {  // the first ends the greeting
     auto n = recv(fd.get(), chunk, sizeof chunk, 0);
@@ -140,22 +140,22 @@
     pg::Frame frame;
     while (pg::parse_frame(in, 1 << 20, &frame) == pg::ParseStatus::kOk) {
       if (frame.type == 'D')
-        said = fmt::format("served: {}", pg::parse_single_column(frame.body).value_or("?"));
+        outcome = fmt::format("served: {}", pg::parse_single_column(frame.body).value_or("?"));
       if (frame.type == 'E')
         if (auto fields = pg::parse_error(frame.body))
-          said =
+          outcome =
               fmt::format("error {}: {}{}", fields->code, fields->message,
                           fields->detail.empty() ? "" : fmt::format(" (come back in {} ms)", fields->detail));
       ready += frame.type == 'Z';
       in.erase(0, frame.size);
     }
   }
-  std::cout << fmt::format("{}\n{}, {:.1f} ms\n", sql, said,
+  std::cout << fmt::format("{}\n{}, {:.1f} ms\n", sql, outcome,
                            static_cast<double>((net::monotonic_now() - began).count()) / 1000);
-  return said.starts_with("served") ? 0 : 2;
+  return outcome.starts_with("served") ? 0 : 2;
 }
 
-int load(const Arguments& arguments) {
+int run_load_command(const Arguments& arguments) {
   po::options_description o;
   o.add_options()("target", po::value<std::string>()->default_value("127.0.0.1:6432"),
                   "the daemon's address")("connections,c", po::value<int>()->default_value(32),
@@ -214,14 +214,14 @@
   return rules.total() == 0 && f.served > 0 ? 0 : 2;
 }
 
-std::vector<int> numbers(const std::string& text) {
+std::vector<int> parse_numbers(const std::string& text) {
   std::vector<int> all;
   std::stringstream in(text);
   for (std::string part; std::getline(in, part, ',');) all.push_back(std::stoi(part));
   return all;
 }
 
-int cores(const Arguments& arguments) {
+int run_cores_command(const Arguments& arguments) {
   po::options_description o;
   o.add_options()("program", po::value<std::string>()->default_value(daemon_beside()), "the daemon")(
       "baseline", po::value<std::string>()->default_value(""), "an earlier build, measured beside it")(
@@ -247,13 +247,13 @@
   options.rounds = std::clamp(g["rounds"].as<int>(), 1, 100);
   options.seconds = std::clamp(g["seconds"].as<double>(), 0.5, 60.0);
   options.rate_per_worker = std::clamp(g["rate"].as<double>(), 10.0, 1e5);
-  options.workers = numbers(g["workers"].as<std::string>());
+  options.workers = parse_numbers(g["workers"].as<std::string>());
   if (options.workers.empty() || *std::min_element(options.workers.begin(), options.workers.end()) < 1 ||
       *std::max_element(options.workers.begin(), options.workers.end()) > 64)
     throw std::runtime_error("workers must be numbers from 1 to 64");
   if (!std::count(options.workers.begin(), options.workers.end(), 1))
     options.workers.insert(options.workers.begin(), 1);
-  options.cpus = numbers(g["cpus"].as<std::string>());
+  options.cpus = parse_numbers(g["cpus"].as<std::string>());
   options.connections = std::clamp(g["connections"].as<int>(), 1, 5000);
   options.depth = std::clamp(g["depth"].as<int>(), 1, 32);
   options.seed = g["seed"].as<std::uint64_t>();
@@ -284,20 +284,20 @@
   net::set_congestion_control("reno");
   struct Command {
     std::function<int(const Arguments&)> run;
-    const char* what;
+    const char* description;
   };
   const std::map<std::string, Command> commands{
-      {"stand-in", {stand_in, "data servers and discovery on loopback, steered by a script or at run time"}},
-      {"ask", {ask, "one request, and its answer"}},
-      {"cores", {cores, "experiment: one worker and several, decisions shared and split"}},
+      {"stand-in", {run_fake_servers, "data servers and discovery on loopback, steered by a script or at run time"}},
+      {"ask", {send_one_request, "one request, and its answer"}},
+      {"cores", {run_cores_command, "experiment: one worker and several, decisions shared and split"}},
       {"simulate", {simulation::run, "groups in simulated time, or their small scope explored whole"}},
       {"faults", {faults::run, "many processes of the daemon, and faults between them"}},
       {"soak", {run_soak, "upgrades in place of many processes, under faults that overlap"}},
-      {"load", {load, "clients that ask a daemon, open or closed loop"}}};
+      {"load", {run_load_command, "clients that ask a daemon, open or closed loop"}}};
   std::string name = argc > 1 ? argv[1] : "help";
   if (name == "help" || name == "--help" || name == "-h") {
     std::cout << "proxy-testbench COMMAND [options]; each takes --help\n\n";
-    for (auto& [command, c] : commands) std::cout << fmt::format("  {:10} {}\n", command, c.what);
+    for (auto& [command, c] : commands) std::cout << fmt::format("  {:10} {}\n", command, c.description);
     return 0;
   }
   auto command = commands.find(name);
--- a/src/testbench/cores.cpp
+++ b/src/testbench/cores.cpp
@@ -23,13 +23,13 @@
 
 using nlohmann::json;
 
-struct Way {
+struct Variant {
   std::string name, decisions;  // decisions: "one", "shared", "split"
   int workers = 1;
   bool baseline = false, accept_by_kernel = false;
 };
 
-std::vector<int> own_cpus() {
+std::vector<int> available_cpus() {
   cpu_set_t set;
   CPU_ZERO(&set);
   std::vector<int> all;
@@ -40,20 +40,20 @@
 }
 
 // Share of the processors' time that the host gave to others since the last call, in percent.
-class Stolen {
+class StolenTimeMeter {
  public:
   double since_last() {
     std::ifstream stat("/proc/stat");
-    std::string word;
-    stat >> word;
-    double all = 0, stolen = 0, value = 0;
+    std::string label;
+    stat >> label;
+    double all = 0, stolen_time = 0, value = 0;
     for (int i = 0; i < 8 && stat >> value; ++i) {
       all += value;
-      if (i == 7) stolen = value;
+      if (i == 7) stolen_time = value;
     }
-    double share = all > all_ ? (stolen - stolen_) / (all - all_) * 100 : 0;
+    double share = all > all_ ? (stolen_time - stolen_) / (all - all_) * 100 : 0;
     all_ = all;
-    stolen_ = stolen;
+    stolen_ = stolen_time;
     return share;
   }
 
@@ -61,32 +61,32 @@
   double all_ = 0, stolen_ = 0;
 };
 
-json measure(const CoresOptions& o, const Way& way, double rate, std::uint64_t seed) {
-  auto most = *std::max_element(o.workers.begin(), o.workers.end());
-  auto assignment = assign_cpus(o.cpus, way.workers, way.decisions == "shared", most);
+json measure(const CoresOptions& o, const Variant& variant, double rate, std::uint64_t seed) {
+  auto max_workers = *std::max_element(o.workers.begin(), o.workers.end());
+  auto assignment = assign_cpus(o.cpus, variant.workers, variant.decisions == "shared", max_workers);
   FakeServersOptions servers;
   servers.sets = o.shard_groups;
   servers.replicas = o.replicas;
   servers.threads = static_cast<int>(assignment.fake_servers.size());
   servers.cpus = assignment.fake_servers;
   servers.seed = seed;
-  FakeServers stand_in(servers);
-  ProcessUnderTestOptions d;
-  d.program = way.baseline ? o.baseline : o.program;
-  d.folder = o.folder;
-  d.discovery = stand_in.discovery();
-  d.known_members = stand_in.members();
-  d.cpus = way.workers == 1 ? std::vector<int>{assignment.proxy.front()} : assignment.proxy;
-  d.seed = seed;
-  if (way.workers > 1)
-    d.operator_file = {{"workers",
-                        {{"count", way.workers},
-                         {"decisions", way.decisions},
-                         {"accept", way.accept_by_kernel ? "reuseport" : "deal"},
+  FakeServers fake_servers(servers);
+  ProcessUnderTestOptions proxy_options;
+  proxy_options.program = variant.baseline ? o.baseline : o.program;
+  proxy_options.folder = o.folder;
+  proxy_options.discovery = fake_servers.discovery();
+  proxy_options.known_members = fake_servers.members();
+  proxy_options.cpus = variant.workers == 1 ? std::vector<int>{assignment.proxy.front()} : assignment.proxy;
+  proxy_options.seed = seed;
+  if (variant.workers > 1)
+    proxy_options.operator_file = {{"workers",
+                        {{"count", variant.workers},
+                         {"decisions", variant.decisions},
+                         {"accept", variant.accept_by_kernel ? "reuseport" : "deal"},
                          {"cpus", assignment.proxy}}}};
-  ProcessUnderTest daemon(d);
+  ProcessUnderTest proxy(proxy_options);
   LoadOptions load;
-  load.target = *net::parse_address(fmt::format("127.0.0.1:{}", daemon.port()));
+  load.target = *net::parse_address(fmt::format("127.0.0.1:{}", proxy.port()));
   load.threads = static_cast<int>(assignment.load.size());
   load.cpus = assignment.load;
   load.connections = o.connections;
@@ -95,35 +95,35 @@
   load.warm_up = Micros(static_cast<std::int64_t>(o.warm_up * 1e6));
   load.duration = Micros(static_cast<std::int64_t>(o.seconds * 1e6));
   load.seed = seed;
-  load.rules = &stand_in.rules();
+  load.rules = &fake_servers.rules();
   load.shard_groups.clear();
   for (int i = 1; i <= o.shard_groups; ++i) load.shard_groups.push_back(i);
 
   // Beside the load: what the daemon and the rig used from the warm-up to the end, and a drain in the middle.
   ProcessUnderTest::Usage before, after;
   std::map<std::string, ServerFigures> servers_before, servers_after;
-  std::vector<double> rig_before, rig_after;
-  Stolen stolen;
+  std::vector<double> fake_servers_cpu_before, fake_servers_cpu_after;
+  StolenTimeMeter stolen_time;
   double stolen_share = 0;
   std::chrono::steady_clock::time_point began, ended;
   std::thread observer([&] {
     auto seconds = [](double s) { return std::chrono::duration<double>(s); };
     std::this_thread::sleep_for(seconds(o.warm_up));
     began = std::chrono::steady_clock::now();
-    stolen.since_last();
-    before = daemon.usage();
-    rig_before = stand_in.thread_cpu_seconds();
-    servers_before = stand_in.figures();
+    stolen_time.since_last();
+    before = proxy.usage();
+    fake_servers_cpu_before = fake_servers.thread_cpu_seconds();
+    servers_before = fake_servers.figures();
     std::this_thread::sleep_for(seconds(o.seconds * 0.95));
-    after = daemon.usage();
-    rig_after = stand_in.thread_cpu_seconds();
-    servers_after = stand_in.figures();
-    stolen_share = stolen.since_last();
+    after = proxy.usage();
+    fake_servers_cpu_after = fake_servers.thread_cpu_seconds();
+    servers_after = fake_servers.figures();
+    stolen_share = stolen_time.since_last();
     ended = std::chrono::steady_clock::now();
   });
   std::thread drainer([&] {
     std::this_thread::sleep_for(std::chrono::duration<double>(o.warm_up + o.seconds * 0.5));
-    stand_in.steer({{"do", "drain"}, {"server", "s1-2"}});
+    fake_servers.steer({{"do", "drain"}, {"server", "s1-2"}});
   });
   auto figures = run_load(load);
   observer.join();
@@ -142,21 +142,21 @@
   for (auto& [name, used] : after.threads) {
     double share = 1 - (used - before.threads[name]) / seconds;
     if (used - before.threads[name] > 0.01 * seconds) threads[name] = share;
-    if (!name.starts_with("worker") && (way.workers > 1 || name != "database-proxy")) continue;
+    if (!name.starts_with("worker") && (variant.workers > 1 || name != "database-proxy")) continue;
     busiest_free = std::min(busiest_free, share);
     idlest_free = std::max(idlest_free, share);
   }
-  double rig_free = 1, load_free = 1;
-  for (std::size_t i = 0; i < rig_after.size(); ++i)
-    rig_free = std::min(rig_free, 1 - (rig_after[i] - rig_before[i]) / seconds);
+  double fake_servers_free = 1, load_free = 1;
+  for (std::size_t i = 0; i < fake_servers_cpu_after.size(); ++i)
+    fake_servers_free = std::min(fake_servers_free, 1 - (fake_servers_cpu_after[i] - fake_servers_cpu_before[i]) / seconds);
   for (double used : figures.cpu_seconds) load_free = std::min(load_free, 1 - used / figures.seconds);
-  auto drains = stand_in.rules().drain_last_send_ms();
+  auto drains = fake_servers.rules().drain_last_send_ms();
   json breaches = json::array();
-  for (auto& b : stand_in.rules().breaches())
+  for (auto& b : fake_servers.rules().breaches())
     breaches.push_back({{"rule", name_of(b.rule)}, {"count", b.count}, {"first", b.first}});
-  return {{"way", way.name},
-          {"workers", way.workers},
-          {"decisions", way.decisions},
+  return {{"way", variant.name},
+          {"workers", variant.workers},
+          {"decisions", variant.decisions},
           {"offered", rate},
           {"rps", static_cast<double>(figures.served) / figures.seconds},
           {"p50_ms", percentile(figures.overall_latency, 0.5) / 1000},
@@ -166,14 +166,14 @@
           {"probes_per_server_per_s", probes / count / seconds},
           {"connections_per_server", connections / count},
           {"drain_last_send_ms", drains.empty() ? -1 : drains.begin()->second},
-          {"rule_breaches", stand_in.rules().total()},
+          {"rule_breaches", fake_servers.rules().total()},
           {"refused", figures.rejected},
           {"failed", figures.failed},
           {"unanswered", figures.unanswered},
           {"free_busiest_worker", busiest_free},
           {"free_idlest_worker", idlest_free},
           {"free_decisions", threads.contains("decisions") ? threads["decisions"] : json()},
-          {"free_stand_in", rig_free},
+          {"free_stand_in", fake_servers_free},
           {"free_load", load_free},
           {"stolen_percent", stolen_share},
           {"crowded", assignment.shares_cpus},
@@ -183,9 +183,9 @@
 
 // Closed loop; as much for each worker; and, for several, as much in all as one gets, where probe work
 // compares.
-std::vector<std::pair<std::string, double>> offers(const CoresOptions& o, const Way& way) {
-  std::vector<std::pair<std::string, double>> all{{"closed", 0}, {"each", o.rate_per_worker * way.workers}};
-  if (way.workers > 1) all.emplace_back("same", o.rate_per_worker);
+std::vector<std::pair<std::string, double>> offered_loads(const CoresOptions& o, const Variant& variant) {
+  std::vector<std::pair<std::string, double>> all{{"closed", 0}, {"each", o.rate_per_worker * variant.workers}};
+  if (variant.workers > 1) all.emplace_back("same", o.rate_per_worker);
   return all;
 }
 
@@ -195,14 +195,14 @@
   for (auto& [key, value] : row.items()) {
     if (!value.is_number()) continue;
     std::vector<double> values;
-    double most = 0;
+    double largest = 0;
     for (auto& run : runs) {
       if (!run.at(key).is_number()) continue;
       values.push_back(run.at(key).get<double>());
-      most = std::max(most, values.back());
+      largest = std::max(largest, values.back());
     }
     // A breach in any round is a breach; and of drains the worst counts.
-    value = key == "rule_breaches" || key == "drain_last_send_ms" ? most : median(values);
+    value = key == "rule_breaches" || key == "drain_last_send_ms" ? largest : median(values);
   }
   row.erase("threads_free");
   row.erase("breaches");
@@ -212,62 +212,62 @@
 
 }  // namespace
 
-CpuAssignment assign_cpus(const std::vector<int>& cpus, int workers, bool decision_thread, int most_workers) {
+CpuAssignment assign_cpus(const std::vector<int>& cpus, int workers, bool decision_thread, int max_workers) {
   CpuAssignment assignment;
   auto n = static_cast<int>(cpus.size());
   // The rig has the last processors, the same ones for every way: what the most workers and the decision
   // thread leave.
-  int rig = std::max(n >= 4 ? 2 : 1, n - most_workers - 1);
-  int first_rig = std::max(0, n - rig);
+  int harness_cpus = std::max(n >= 4 ? 2 : 1, n - max_workers - 1);
+  int first_harness_cpu = std::max(0, n - harness_cpus);
   for (int i = 0; i < workers + (decision_thread ? 1 : 0); ++i) {
-    assignment.shares_cpus |= i >= first_rig;
+    assignment.shares_cpus |= i >= first_harness_cpu;
     assignment.proxy.push_back(cpus[static_cast<std::size_t>(std::min(i, n - 1))]);
   }
-  assignment.shares_cpus |= most_workers > first_rig;
-  int stand_in = std::max(1, rig - 1);
-  for (int i = 0; i < stand_in; ++i)
-    assignment.fake_servers.push_back(cpus[static_cast<std::size_t>(std::min(first_rig + i, n - 1))]);
+  assignment.shares_cpus |= max_workers > first_harness_cpu;
+  int fake_servers = std::max(1, harness_cpus - 1);
+  for (int i = 0; i < fake_servers; ++i)
+    assignment.fake_servers.push_back(cpus[static_cast<std::size_t>(std::min(first_harness_cpu + i, n - 1))]);
   assignment.load.push_back(cpus.back());
   return assignment;
 }
 
 json run_cores(const CoresOptions& given) {
   auto o = given;
-  if (o.cpus.empty()) o.cpus = own_cpus();
-  std::vector<Way> ways;
-  if (!o.baseline.empty()) ways.push_back({"baseline", "one", 1, true, false});
+  if (o.cpus.empty()) o.cpus = available_cpus();
+  std::vector<Variant> variants;
+  if (!o.baseline.empty()) variants.push_back({"baseline", "one", 1, true, false});
   for (int workers : o.workers) {
     if (workers == 1) {
-      ways.push_back({"1", "one", 1, false, false});
+      variants.push_back({"1", "one", 1, false, false});
       continue;
     }
-    ways.push_back({fmt::format("{} shared", workers), "shared", workers, false, false});
-    ways.push_back({fmt::format("{} split", workers), "split", workers, false, false});
+    variants.push_back({fmt::format("{} shared", workers), "shared", workers, false, false});
+    variants.push_back({fmt::format("{} split", workers), "split", workers, false, false});
     if (workers == *std::max_element(o.workers.begin(), o.workers.end()))
-      ways.push_back({fmt::format("{} shared, reuseport", workers), "shared", workers, false, true});
+      variants.push_back({fmt::format("{} shared, reuseport", workers), "shared", workers, false, true});
   }
   std::map<std::string, std::vector<json>> runs;  // by way and offer
   json rounds = json::array();
   std::mt19937_64 random(o.seed);
   for (int round = 0; round < o.rounds; ++round) {
-    auto shuffled = ways;
+    auto shuffled = variants;
     std::shuffle(shuffled.begin(), shuffled.end(), random);
-    for (auto& way : shuffled)
-      for (auto& [offer, rate] : offers(o, way)) {
-        auto run = measure(o, way, rate, o.seed * 100 + static_cast<std::uint64_t>(round));
+    for (auto& variant : shuffled)
+      for (auto& [offer, rate] : offered_loads(o, variant)) {
+        auto run = measure(o, variant, rate, o.seed * 100 + static_cast<std::uint64_t>(round));
         fmt::print(stderr, "round {} {:10} {:9}: {:7.0f} rps, p99 {:6.1f} ms, {:5.1f} us, {} breaches\n",
-                   round + 1, way.name, offer, run["rps"].get<double>(), run["p99_ms"].get<double>(),
+                   round + 1, variant.name, offer, run["rps"].get<double>(), run["p99_ms"].get<double>(),
                    run["cpu_us_per_request"].get<double>(), run["rule_breaches"].get<std::uint64_t>());
         run["round"] = round + 1;
         run["offer"] = offer;
-        runs[way.name + " " + offer].push_back(run);
+        runs[variant.name + " " + offer].push_back(run);
         rounds.push_back(std::move(run));
       }
   }
   json rows = json::array();
   for (const char* offer : {"closed", "each", "same"})
-    for (auto& way : ways)
-      if (auto it = runs.find(fmt::format("{} {}", way.name, offer)); it != runs.end())
+    for (auto& variant : variants)
+      if (auto it = runs.find(fmt::format("{} {}", variant.name, offer)); it != runs.end())
         rows.push_back(medians(it->second));
 
   // Pair by pair within each round, so that drift takes no part.
@@ -280,14 +280,14 @@
         all.push_back(x[i].at(key).get<double>() / y[i].at(key).get<double>());
     ratios[fmt::format("{}: {} / {}", key, a, b)] = median(all);
   };
-  for (auto& way : ways) {
-    if (way.name == "1") continue;
-    ratio(way.name + " closed", "1 closed", "rps");
-    ratio(way.name + " closed", "1 closed", "cpu_us_per_request");
+  for (auto& variant : variants) {
+    if (variant.name == "1") continue;
+    ratio(variant.name + " closed", "1 closed", "rps");
+    ratio(variant.name + " closed", "1 closed", "cpu_us_per_request");
     // One worker has one open offer: what each worker is offered is what all are.
-    ratio(way.name + " each", "1 each", "p99_ms");
-    ratio(way.name + (way.workers > 1 ? " same" : " each"), "1 each", "cpu_us_per_request");
-    ratio(way.name + (way.workers > 1 ? " same" : " each"), "1 each", "probes_per_server_per_s");
+    ratio(variant.name + " each", "1 each", "p99_ms");
+    ratio(variant.name + (variant.workers > 1 ? " same" : " each"), "1 each", "cpu_us_per_request");
+    ratio(variant.name + (variant.workers > 1 ? " same" : " each"), "1 each", "probes_per_server_per_s");
   }
   return {{"machine", describe_machine()},
           {"cpus", o.cpus},
@@ -351,12 +351,12 @@
   write_file_atomically(folder + "/cores.md", text);
   Series rps{"closed loop", {}}, cpu{"CPU", {}}, p99{"p99", {}};
   for (auto& row : result.at("rows")) {
-    auto way = row.at("way").get<std::string>();
+    auto variant = row.at("way").get<std::string>();
     if (row.at("offered") == 0.0) {
-      rps.bars.emplace_back(way, row.at("rps").get<double>());
-      cpu.bars.emplace_back(way, row.at("cpu_us_per_request").get<double>());
+      rps.bars.emplace_back(variant, row.at("rps").get<double>());
+      cpu.bars.emplace_back(variant, row.at("cpu_us_per_request").get<double>());
     } else if (row.at("offer") == "each") {
-      p99.bars.emplace_back(way, row.at("p99_ms").get<double>());
+      p99.bars.emplace_back(variant, row.at("p99_ms").get<double>());
     }
   }
   bar_chart(folder + "/throughput.svg", "Requests a second, closed loop", "requests / s", {rps});
--- a/src/testbench/load.cpp
+++ b/src/testbench/load.cpp
@@ -18,62 +18,62 @@
 namespace database_proxy::testbench {
 namespace {
 
-constexpr std::size_t kReadCap = 1 << 20;
-constexpr Micros kSettle{2'500'000};  // after the end, what is out may still be answered
-constexpr Micros kReconnect{20'000};
-constexpr Micros kSeries{500'000};
-constexpr std::size_t kNotedRequests = 40;
+constexpr std::size_t kMaxReadBytes = 1 << 20;
+constexpr Micros kFinalAnswerTimeout{2'500'000};  // after the end, what is out may still be answered
+constexpr Micros kReconnectDelay{20'000};
+constexpr Micros kSeriesInterval{500'000};
+constexpr std::size_t kMaxListedUnanswered = 40;
 
-enum Cls { kBrowse, kOwnView, kBook };
+enum LoadClass { kBrowse, kOwnView, kBook };
 constexpr const char* kClassNames[] = {"browse", "own-view", "book"};
 
-struct Ask {
-  Micros intended{0}, first{0};
-  Cls request_class = kBrowse;
-  int session = 0, tries = 0;
-  std::int64_t set = 1;
-  std::uint64_t key = 0;
+struct LoadRequest {
+  Micros intended_at{0}, created_at{0};
+  LoadClass request_class = kBrowse;
+  int session = 0, retries = 0;
+  std::int64_t shard_group = 1;
+  std::uint64_t idempotency_key = 0;
 };
 
 class Generator;
 
 class Client : public net::Handler {
  public:
-  Client(Generator& owner, int number) : owner_(owner), number_(number) {}
+  Client(Generator& generator, int number) : generator_(generator), number_(number) {}
   void connect();
   void on_ready(std::uint32_t events) override;
-  void ask(Ask ask);
-  bool full() const;
-  bool up() const { return started_; }
-  void note_unanswered(const char* why);
+  void send_request(LoadRequest request);
+  bool has_max_in_flight() const;
+  bool is_ready() const { return ready_; }
+  void record_unanswered(const char* why);
   // Its connection has ended, and the event is still to come: nothing is sent into it.
   bool has_ended() const { return fd_ && net::peer_has_closed(fd_.get()); }
-  std::size_t out() const { return out_asks_.size(); }
+  std::size_t in_flight_count() const { return in_flight_.size(); }
   void flush();
   int number() const { return number_; }
 
  private:
-  void broke();
-  void answered(const std::string& code, std::string_view value, int come_back_ms);
+  void handle_disconnect();
+  void handle_answer(const std::string& code, std::string_view value, int retry_after_ms);
 
-  Generator& owner_;
+  Generator& generator_;
   int number_;
   net::Fd fd_;
   net::InBuffer in_;
   net::OutBuffer out_;
   std::string pending_;
-  bool started_ = false, greeted_ = false;
-  struct Out {
+  bool ready_ = false, startup_sent_ = false;
+  struct InFlightRequest {
     std::string id;
-    Ask ask;
+    LoadRequest request;
     Micros sent_at{0};
   };
-  std::deque<Out> out_asks_;
+  std::deque<InFlightRequest> in_flight_;
   // What has come of the answer that is being read.
-  bool row_ = false;
-  std::string code_, value_;
-  int come_back_ms_ = 0;
-  std::vector<std::int64_t> wrote_ = {};  // by session: Unix time of its last write's answer, in ms
+  bool has_row_ = false;
+  std::string error_code_, value_;
+  int retry_after_ms_ = 0;
+  std::vector<std::int64_t> last_write_unix_ms_ = {};  // by session: Unix time of its last write's answer, in ms
   friend class Generator;
 };
 
@@ -86,8 +86,8 @@
         cpu_(options.cpus.empty() ? -1
                                   : options.cpus[static_cast<std::size_t>(thread) % options.cpus.size()]) {
     for (const char* name : kClassNames) figures.latency.emplace(name, make_latencies());
-    int mine = options.connections / options.threads + (thread < options.connections % options.threads);
-    for (int i = 0; i < std::max(1, mine); ++i)
+    int client_count = options.connections / options.threads + (thread < options.connections % options.threads);
+    for (int i = 0; i < std::max(1, client_count); ++i)
       clients_.push_back(std::make_unique<Client>(*this, thread + i * options.threads));
   }
 
@@ -97,15 +97,15 @@
     for (auto& client : clients_) client->connect();
     auto began = net::monotonic_now();
     measure_from = began + options.warm_up;
-    until = measure_from + options.duration;
-    loop.at(until + kSettle, [this] { loop.stop(); });
-    loop.at(measure_from, [this] { cpu_at_ = thread_cpu_seconds(); });
-    loop.at(until, [this] { figures.cpu_seconds = {thread_cpu_seconds() - cpu_at_}; });
+    measure_until = measure_from + options.duration;
+    loop.at(measure_until + kFinalAnswerTimeout, [this] { loop.stop(); });
+    loop.at(measure_from, [this] { cpu_seconds_at_start_ = thread_cpu_seconds(); });
+    loop.at(measure_until, [this] { figures.cpu_seconds = {thread_cpu_seconds() - cpu_seconds_at_start_}; });
     next_arrival_ = began;
-    loop.run([this] { end_of_turn(); });
-    for (auto& client : clients_) client->note_unanswered("still out at the end");
-    figures.unanswered += waiting_.size();
-    figures.unsent += waiting_.size();
+    loop.run([this] { after_loop_iteration(); });
+    for (auto& client : clients_) client->record_unanswered("still out at the end");
+    figures.unanswered += queued_requests_.size();
+    figures.unsent += queued_requests_.size();
     figures.seconds = static_cast<double>(options.duration.count()) * 1e-6;
   }
 
@@ -117,57 +117,57 @@
     return options.seed * kThreadStride + static_cast<std::uint64_t>(thread) + prefix;
   }
 
-  Ask draw(Micros intended) {
-    Ask a;
-    a.intended = a.first = intended;
+  LoadRequest draw_request(Micros intended_at) {
+    LoadRequest request;
+    request.intended_at = request.created_at = intended_at;
     double u = uniform_(random);
-    a.request_class = u < options.book_share ? kBook : u < options.book_share + options.own_view_share ? kOwnView : kBrowse;
-    a.session = static_cast<int>(random() % static_cast<std::uint64_t>(options.sessions));
-    a.set = options.shard_groups[random() % options.shard_groups.size()];
-    if (a.request_class == kBook) a.key = random();
-    return a;
+    request.request_class = u < options.book_share ? kBook : u < options.book_share + options.own_view_share ? kOwnView : kBrowse;
+    request.session = static_cast<int>(random() % static_cast<std::uint64_t>(options.sessions));
+    request.shard_group = options.shard_groups[random() % options.shard_groups.size()];
+    if (request.request_class == kBook) request.idempotency_key = random();
+    return request;
   }
 
-  void end_of_turn() {
+  void after_loop_iteration() {
     auto now = loop.now();
-    if (now < until) {
-      while (!retries_.empty() && retries_.top().first <= now) {
-        waiting_.push_back(retries_.top().second);
-        retries_.pop();
+    if (now < measure_until) {
+      while (!retry_queue_.empty() && retry_queue_.top().first <= now) {
+        queued_requests_.push_back(retry_queue_.top().second);
+        retry_queue_.pop();
       }
       if (options.rate > 0)
-        arrivals(now);
+        enqueue_due_arrivals(now);
       else
         for (auto& client : clients_)
-          while (client->up() && !client->full()) client->ask(take(now));
+          while (client->is_ready() && !client->has_max_in_flight()) client->send_request(next_request(now));
     }
     // What is still waiting at the end could not be answered before the load ends.
-    bool may_ask = options.rate > 0 && now < until;
-    for (std::size_t left = waiting_.size(); left > 0 && may_ask; --left) {
+    bool may_send = options.rate > 0 && now < measure_until;
+    for (std::size_t left = queued_requests_.size(); left > 0 && may_send; --left) {
       auto* client = free_client();
       if (!client) break;
-      client->ask(waiting_.front());
-      waiting_.pop_front();
+      client->send_request(queued_requests_.front());
+      queued_requests_.pop_front();
     }
     for (auto& client : clients_) client->flush();
-    if (now >= until && std::all_of(clients_.begin(), clients_.end(), [](auto& c) { return c->out() == 0; }))
+    if (now >= measure_until && std::all_of(clients_.begin(), clients_.end(), [](auto& c) { return c->in_flight_count() == 0; }))
       loop.stop();
     loop.cancel(&retry_timer_);
-    if (!retries_.empty() && now < until) retry_timer_ = loop.at(retries_.top().first, [] {});
+    if (!retry_queue_.empty() && now < measure_until) retry_timer_ = loop.at(retry_queue_.top().first, [] {});
   }
 
-  Ask take(Micros now) {
-    if (waiting_.empty()) return draw(now);
-    auto a = waiting_.front();
-    waiting_.pop_front();
-    return a;
+  LoadRequest next_request(Micros now) {
+    if (queued_requests_.empty()) return draw_request(now);
+    auto request = queued_requests_.front();
+    queued_requests_.pop_front();
+    return request;
   }
 
   // Arrivals that are due, drawn ahead: what finds no free connection waits here, and its latency counts on.
-  void arrivals(Micros now) {
+  void enqueue_due_arrivals(Micros now) {
     std::exponential_distribution<double> gap(options.rate / options.threads / 1e6);
     while (next_arrival_ <= now) {
-      waiting_.push_back(draw(next_arrival_));
+      queued_requests_.push_back(draw_request(next_arrival_));
       next_arrival_ += Micros(std::max<std::int64_t>(1, static_cast<std::int64_t>(gap(random))));
     }
     loop.cancel(&arrival_timer_);
@@ -176,146 +176,146 @@
 
   Client* free_client() {
     for (std::size_t i = 0; i < clients_.size(); ++i) {
-      auto& c = clients_[turn_++ % clients_.size()];
-      if (c->up() && !c->full() && !c->has_ended()) return c.get();
+      auto& c = clients_[next_client_++ % clients_.size()];
+      if (c->is_ready() && !c->has_max_in_flight() && !c->has_ended()) return c.get();
     }
     return nullptr;
   }
 
-  void come_back(Ask ask, int after_ms) {
-    ++ask.tries;
+  void schedule_retry(LoadRequest request, int retry_after_ms) {
+    ++request.retries;
     ++figures.retries;
-    retries_.emplace(loop.now() + Micros(std::max(1, after_ms) * 1000), ask);
+    retry_queue_.emplace(loop.now() + Micros(std::max(1, retry_after_ms) * 1000), request);
   }
 
-  bool measured(const Ask& ask) const { return ask.intended >= measure_from && ask.intended < until; }
+  bool is_measured(const LoadRequest& request) const { return request.intended_at >= measure_from && request.intended_at < measure_until; }
 
   const LoadOptions& options;
   net::Loop loop;
   LoadFigures figures;
   std::mt19937_64 random;
-  Micros measure_from{0}, until{0}, last_answer{0};
+  Micros measure_from{0}, measure_until{0}, last_answer{0};
   std::uint64_t next_id = 1;
 
  private:
-  struct Later {
-    bool operator()(const std::pair<Micros, Ask>& a, const std::pair<Micros, Ask>& b) const {
+  struct LaterFirst {
+    bool operator()(const std::pair<Micros, LoadRequest>& a, const std::pair<Micros, LoadRequest>& b) const {
       return a.first > b.first;
     }
   };
   int thread_, cpu_;
   std::uniform_real_distribution<double> uniform_{0, 1};
   std::vector<std::unique_ptr<Client>> clients_;
-  std::deque<Ask> waiting_;
-  std::priority_queue<std::pair<Micros, Ask>, std::vector<std::pair<Micros, Ask>>, Later> retries_;
+  std::deque<LoadRequest> queued_requests_;
+  std::priority_queue<std::pair<Micros, LoadRequest>, std::vector<std::pair<Micros, LoadRequest>>, LaterFirst> retry_queue_;
   Micros next_arrival_{0};
   net::Loop::TimerId arrival_timer_ = net::Loop::kNoTimer, retry_timer_ = net::Loop::kNoTimer;
-  std::size_t turn_ = 0;
-  double cpu_at_ = 0;
+  std::size_t next_client_ = 0;
+  double cpu_seconds_at_start_ = 0;
 };
 
 void Client::connect() {
   int error = 0;
-  fd_ = net::start_connect(owner_.options.target, &error);
-  if (!fd_ || !owner_.loop.add(fd_.get(), this)) return broke();
-  wrote_.assign(static_cast<std::size_t>(owner_.options.sessions), 0);
+  fd_ = net::start_connect(generator_.options.target, &error);
+  if (!fd_ || !generator_.loop.add(fd_.get(), this)) return handle_disconnect();
+  last_write_unix_ms_.assign(static_cast<std::size_t>(generator_.options.sessions), 0);
 }
 
-void Client::broke() {
-  ++owner_.figures.broken_connections;
-  if (fd_) owner_.loop.remove(fd_.get(), this);
+void Client::handle_disconnect() {
+  ++generator_.figures.broken_connections;
+  if (fd_) generator_.loop.remove(fd_.get(), this);
   fd_.reset();
   in_ = {};
   out_ = {};
   pending_.clear();
-  started_ = greeted_ = row_ = false;
-  note_unanswered("its connection ended");
-  out_asks_.clear();
-  if (owner_.loop.now() < owner_.until || owner_.until.count() == 0)
-    owner_.loop.at(owner_.loop.now() + kReconnect, [this] { connect(); });
+  ready_ = startup_sent_ = has_row_ = false;
+  record_unanswered("its connection ended");
+  in_flight_.clear();
+  if (generator_.loop.now() < generator_.measure_until || generator_.measure_until.count() == 0)
+    generator_.loop.at(generator_.loop.now() + kReconnectDelay, [this] { connect(); });
 }
 
-void Client::note_unanswered(const char* why) {
-  auto& figures = owner_.figures;
-  auto* rules = owner_.options.rules;
-  auto now = owner_.loop.now();
+void Client::record_unanswered(const char* why) {
+  auto& figures = generator_.figures;
+  auto* rules = generator_.options.rules;
+  auto now = generator_.loop.now();
   auto seconds = [](Micros time) { return static_cast<double>(time.count()) * 1e-6; };
-  figures.unanswered += out_asks_.size();
-  for (auto& out : out_asks_) {
+  figures.unanswered += in_flight_.size();
+  for (auto& out : in_flight_) {
     bool is_lost = rules && rules->was_attempted(out.id);
     figures.lost += is_lost;
-    if (figures.unanswered_requests.size() >= kNotedRequests) continue;
+    if (figures.unanswered_requests.size() >= kMaxListedUnanswered) continue;
     figures.unanswered_requests.push_back(fmt::format(
-        "{} ({}{}): {}, {:.3f} s after it was sent, at {:.3f}", out.id, kClassNames[out.ask.request_class],
+        "{} ({}{}): {}, {:.3f} s after it was sent, at {:.3f}", out.id, kClassNames[out.request.request_class],
         is_lost ? ", lost" : "", why, seconds(now - out.sent_at), seconds(now)));
   }
 }
 
-bool Client::full() const { return out_asks_.size() >= static_cast<std::size_t>(owner_.options.depth); }
+bool Client::has_max_in_flight() const { return in_flight_.size() >= static_cast<std::size_t>(generator_.options.depth); }
 
-void Client::ask(Ask a) {
-  auto& o = owner_.options;
-  ++owner_.figures.attempts;
-  if (a.tries == 0) ++owner_.figures.series[a.first / kSeries].first;
-  auto id = fmt::format("{}{}-{}", o.id_prefix, number_, owner_.next_id++);
-  auto name = fmt::format("{}k{}-{}", o.id_prefix, number_, a.session);
-  auto left = o.deadline_ms;
+void Client::send_request(LoadRequest request) {
+  auto& o = generator_.options;
+  ++generator_.figures.attempts;
+  if (request.retries == 0) ++generator_.figures.series[request.created_at / kSeriesInterval].first;
+  auto id = fmt::format("{}{}-{}", o.id_prefix, number_, generator_.next_id++);
+  auto name = fmt::format("{}k{}-{}", o.id_prefix, number_, request.session);
+  auto deadline_ms = o.deadline_ms;
   std::string sql;
-  auto retry = a.tries > 0 ? ",r=1" : "";
-  if (a.request_class == kBook) {
+  auto retry = request.retries > 0 ? ",r=1" : "";
+  if (request.request_class == kBook) {
     sql = fmt::format(
         "INSERT INTO kv (name, content) VALUES ('{}', '\\x9f03') RETURNING content /* "
         "id={},c=book,d={},k={:x},cluster={}{} */",
-        name, id, left, a.key, a.set, retry);
+        name, id, deadline_ms, request.idempotency_key, request.shard_group, retry);
   } else {
-    auto after = wrote_[static_cast<std::size_t>(a.session)];
+    auto after = last_write_unix_ms_[static_cast<std::size_t>(request.session)];
     sql = fmt::format("SELECT content FROM kv WHERE name = '{}' /* id={},c={},d={},cluster={}{}{} */", name,
-                      id, kClassNames[a.request_class], left, a.set,
-                      a.request_class == kOwnView && after > 0 ? fmt::format(",after={}", after) : "", retry);
+                      id, kClassNames[request.request_class], deadline_ms, request.shard_group,
+                      request.request_class == kOwnView && after > 0 ? fmt::format(",after={}", after) : "", retry);
   }
   pending_ += pg::simple_query(sql);
-  out_asks_.push_back({std::move(id), a, owner_.loop.now()});
+  in_flight_.push_back({std::move(id), request, generator_.loop.now()});
 }
 
 void Client::flush() {
   if (pending_.empty() || !fd_) return;
-  if (!out_.write(fd_.get(), {pending_})) return broke();
+  if (!out_.write(fd_.get(), {pending_})) return handle_disconnect();
   pending_.clear();
 }
 
 void Client::on_ready(std::uint32_t events) {
-  if (!greeted_) {
-    if (net::socket_error(fd_.get()) != 0) return broke();
+  if (!startup_sent_) {
+    if (net::socket_error(fd_.get()) != 0) return handle_disconnect();
     if (!(events & EPOLLOUT)) return;
-    greeted_ = true;
-    if (!out_.write(fd_.get(), {pg::startup_message("backend", "store")})) return broke();
+    startup_sent_ = true;
+    if (!out_.write(fd_.get(), {pg::startup_message("backend", "store")})) return handle_disconnect();
   }
-  if ((events & EPOLLOUT) && !out_.flush(fd_.get())) return broke();
-  auto end = in_.fill(fd_.get(), kReadCap);
+  if ((events & EPOLLOUT) && !out_.flush(fd_.get())) return handle_disconnect();
+  auto end = in_.fill(fd_.get(), kMaxReadBytes);
   std::size_t at = 0;
   auto view = in_.view();
   pg::Frame frame;
-  while (pg::parse_frame(view.substr(at), kReadCap, &frame) == pg::ParseStatus::kOk) {
+  while (pg::parse_frame(view.substr(at), kMaxReadBytes, &frame) == pg::ParseStatus::kOk) {
     at += frame.size;
     switch (frame.type) {
       case 'D':
-        row_ = true;
+        has_row_ = true;
         value_ = pg::parse_single_column(frame.body).value_or("");
         break;
       case 'E':
         if (auto fields = pg::parse_error(frame.body)) {
-          code_ = fields->code;
-          come_back_ms_ = std::atoi(std::string(fields->detail).c_str());
+          error_code_ = fields->code;
+          retry_after_ms_ = std::atoi(std::string(fields->detail).c_str());
         }
         break;
       case 'Z':
-        if (!started_)
-          started_ = true;
+        if (!ready_)
+          ready_ = true;
         else
-          answered(row_ ? "" : code_, value_, come_back_ms_);
-        row_ = false;
-        code_.clear();
-        come_back_ms_ = 0;
+          handle_answer(has_row_ ? "" : error_code_, value_, retry_after_ms_);
+        has_row_ = false;
+        error_code_.clear();
+        retry_after_ms_ = 0;
         break;
       default:
         break;
@@ -323,46 +323,46 @@
     if (!fd_) return;
   }
   in_.consume(at);
-  if (net::is_disconnected(end)) broke();
+  if (net::is_disconnected(end)) handle_disconnect();
 }
 
-void Client::answered(const std::string& code, std::string_view value, int come_back_ms) {
-  auto* rules = owner_.options.rules;
-  auto now = owner_.loop.now();
-  auto& f = owner_.figures;
-  if (out_asks_.empty()) {
+void Client::handle_answer(const std::string& code, std::string_view value, int retry_after_ms) {
+  auto* rules = generator_.options.rules;
+  auto now = generator_.loop.now();
+  auto& f = generator_.figures;
+  if (in_flight_.empty()) {
     if (rules)
       rules->breach(Rule::kTwoAnswers, fmt::format("an answer to client {} that asked nothing", number_));
     return;
   }
-  auto out = std::move(out_asks_.front());
-  out_asks_.pop_front();
-  auto& a = out.ask;
-  if (owner_.last_answer.count() > 0 && now < owner_.until)
+  auto out = std::move(in_flight_.front());
+  in_flight_.pop_front();
+  auto& request = out.request;
+  if (generator_.last_answer.count() > 0 && now < generator_.measure_until)
     f.longest_gap_ms =
-        std::max(f.longest_gap_ms, static_cast<double>((now - owner_.last_answer).count()) / 1000);
-  owner_.last_answer = now;
+        std::max(f.longest_gap_ms, static_cast<double>((now - generator_.last_answer).count()) / 1000);
+  generator_.last_answer = now;
   if (code.empty()) {
     if (value != out.id && rules)
       rules->breach(Rule::kWrongValue, fmt::format("request {} got the value of {}", out.id, value));
-    if (a.request_class == kBook)
-      wrote_[static_cast<std::size_t>(a.session)] = std::chrono::duration_cast<std::chrono::milliseconds>(
+    if (request.request_class == kBook)
+      last_write_unix_ms_[static_cast<std::size_t>(request.session)] = std::chrono::duration_cast<std::chrono::milliseconds>(
                                                         std::chrono::system_clock::now().time_since_epoch())
                                                         .count();
-    auto& o = owner_.options;
-    if (now - a.first <= (a.request_class == kBook ? o.book_latency_objective : o.latency_objective))
-      ++f.series[a.first / kSeries].second;
-    if (!owner_.measured(a)) return;
+    auto& o = generator_.options;
+    if (now - request.created_at <= (request.request_class == kBook ? o.book_latency_objective : o.latency_objective))
+      ++f.series[request.created_at / kSeriesInterval].second;
+    if (!generator_.is_measured(request)) return;
     ++f.served;
-    auto us = std::max(1.0, static_cast<double>((now - a.intended).count()));
+    auto us = std::max(1.0, static_cast<double>((now - request.intended_at).count()));
     f.overall_latency(us);
-    f.latency.at(kClassNames[a.request_class])(us);
+    f.latency.at(kClassNames[request.request_class])(us);
     return;
   }
-  bool refused = code == "53300" || code == "57P03";
-  if (owner_.measured(a)) ++(refused ? f.rejected : f.failed);
-  if (refused && owner_.options.retry_rejected && a.tries < owner_.options.max_retries)
-    owner_.come_back(a, come_back_ms);
+  bool rejected = code == "53300" || code == "57P03";
+  if (generator_.is_measured(request)) ++(rejected ? f.rejected : f.failed);
+  if (rejected && generator_.options.retry_rejected && request.retries < generator_.options.max_retries)
+    generator_.schedule_retry(request, retry_after_ms);
 }
 
 }  // namespace
--- a/src/testbench/process_under_test.cpp
+++ b/src/testbench/process_under_test.cpp
@@ -29,7 +29,7 @@
 namespace fs = std::filesystem;
 
 // What the kernel tells of a process can be opened, and is gone with the process before it is read.
-std::string whole_file(const fs::path& path) try {
+std::string read_file(const fs::path& path) try {
   std::ifstream file(path, std::ios::binary);
   return {std::istreambuf_iterator<char>(file), std::istreambuf_iterator<char>()};
 } catch (const std::ios_base::failure&) {
@@ -42,7 +42,7 @@
   if (!file.flush()) throw std::runtime_error("cannot write " + path.string());
 }
 
-int code_of(int status) { return WIFEXITED(status) ? WEXITSTATUS(status) : 128 + WTERMSIG(status); }
+int exit_code_of(int status) { return WIFEXITED(status) ? WEXITSTATUS(status) : 128 + WTERMSIG(status); }
 
 // In the child: the platform names the socket by its number.
 void inherit_listening_socket(int listening_socket) {
@@ -60,17 +60,17 @@
 int free_port() {
   static std::mt19937 random{std::random_device()()};
   static std::mutex mutex;
-  static std::vector<net::Fd> held;
+  static std::vector<net::Fd> reservations;
   std::lock_guard lock(mutex);
   int error = 0;
   for (int i = 0; i < 1000; ++i) {
     int port = std::uniform_int_distribution<int>(12000, 31999)(random);
     auto address = *net::parse_address(fmt::format("127.0.0.1:{}", port));
-    net::Fd mark(socket(AF_INET, SOCK_DGRAM | SOCK_CLOEXEC, 0));
-    if (!mark || bind(mark.get(), reinterpret_cast<const sockaddr*>(&address.storage), address.length) != 0 ||
+    net::Fd reservation(socket(AF_INET, SOCK_DGRAM | SOCK_CLOEXEC, 0));
+    if (!reservation || bind(reservation.get(), reinterpret_cast<const sockaddr*>(&address.storage), address.length) != 0 ||
         !net::listen_on(address, &error))
       continue;
-    held.push_back(std::move(mark));
+    reservations.push_back(std::move(reservation));
     return port;
   }
   throw std::runtime_error("no port is free: " + net::message_of(error));
@@ -178,7 +178,7 @@
   int status = 0;
   if (waitpid(pid_, &status, WNOHANG) != pid_) return true;
   pid_ = -1;
-  exit_code_ = code_of(status);
+  exit_code_ = exit_code_of(status);
   return false;
 }
 
@@ -190,11 +190,11 @@
   if (pid_ <= 0) return -1;
   int status = 0;
   waitpid(std::exchange(pid_, -1), &status, 0);
-  exit_code_ = code_of(status);
+  exit_code_ = exit_code_of(status);
   return exit_code_;
 }
 
-std::string ProcessUnderTest::log() const { return whole_file(fs::path(options_.folder) / "log"); }
+std::string ProcessUnderTest::log() const { return read_file(fs::path(options_.folder) / "log"); }
 
 std::string ProcessUnderTest::operator_call(const std::string& line,
                                             std::chrono::milliseconds timeout) const {
@@ -226,14 +226,14 @@
   auto process = fs::path("/proc") / std::to_string(pid_);
   std::error_code none;
   for (auto& task : fs::directory_iterator(process / "task", none)) {
-    auto name = whole_file(task.path() / "comm");
+    auto name = read_file(task.path() / "comm");
     if (!name.empty() && name.back() == '\n') name.pop_back();
     // Nanoseconds on a core, nanoseconds of waiting for one, times on one.
-    auto seconds = std::atof(whole_file(task.path() / "schedstat").c_str()) * 1e-9;
+    auto seconds = std::atof(read_file(task.path() / "schedstat").c_str()) * 1e-9;
     usage.threads[name] += seconds;
     usage.cpu_seconds += seconds;
   }
-  auto status = whole_file(process / "status");
+  auto status = read_file(process / "status");
   if (auto at = status.find("VmRSS:"); at != std::string::npos)
     usage.rss_mb = std::atof(status.c_str() + at + 6) / 1024;
   for ([[maybe_unused]] auto& fd : fs::directory_iterator(process / "fd", none)) ++usage.descriptors;
--- a/src/testbench/report.cpp
+++ b/src/testbench/report.cpp
@@ -63,28 +63,28 @@
 }
 
 // Draws what the script says into `made` and gives it its name.
-static bool plot(const std::string& script, const std::string& made, const std::string& path) {
+static bool plot(const std::string& script, const std::string& temporary_path, const std::string& path) {
   auto* pipe = popen("gnuplot >/dev/null 2>&1", "w");
   if (!pipe) return false;
   auto written = fwrite(script.data(), 1, script.size(), pipe);
-  bool good = pclose(pipe) == 0 && written == script.size() && std::filesystem::exists(made);
+  bool good = pclose(pipe) == 0 && written == script.size() && std::filesystem::exists(temporary_path);
   std::error_code none;
   if (good)
-    std::filesystem::rename(made, path, none);
+    std::filesystem::rename(temporary_path, path, none);
   else
-    std::filesystem::remove(made, none);
+    std::filesystem::remove(temporary_path, none);
   return good && !none;
 }
 
 bool bar_chart(const std::string& path, const std::string& title, const std::string& unit,
                const std::vector<Series>& series) {
   if (series.empty() || series.front().bars.empty()) return false;
-  auto made = path + ".new";
+  auto temporary_path = path + ".new";
   std::string script = fmt::format(
       "set terminal svg size 900,420 dynamic background rgb 'white'\nset output '{}'\nset title '{}'\n"
       "set ylabel '{}'\nset yrange [0:*]\nset style data histogram\nset style histogram clustered gap 1\n"
       "set style fill solid 0.8 border -1\nset key outside right\nset grid ytics\n$data << EOD\n-",
-      made, title, unit);
+      temporary_path, title, unit);
   for (auto& s : series) script += fmt::format(" \"{}\"", s.title);
   script += "\n";
   for (std::size_t i = 0; i < series.front().bars.size(); ++i) {
@@ -94,17 +94,17 @@
   }
   script +=
       fmt::format("EOD\nplot for [i=2:{}] $data using i:xtic(1) title columnheader(i)\n", series.size() + 1);
-  return plot(script, made, path);
+  return plot(script, temporary_path, path);
 }
 
 bool line_chart(const std::string& path, const std::string& title, const std::string& x, const std::string& y,
                 const std::vector<Line>& lines) {
   if (lines.empty()) return false;
-  auto made = path + ".new";
+  auto temporary_path = path + ".new";
   std::string script = fmt::format(
       "set terminal svg size 900,420 dynamic background rgb 'white'\nset output '{}'\nset title '{}'\n"
       "set xlabel '{}'\nset ylabel '{}'\nset yrange [0:*]\nset key outside right\nset grid\n",
-      made, title, x, y);
+      temporary_path, title, x, y);
   std::string plots;
   for (std::size_t i = 0; i < lines.size(); ++i) {
     script += fmt::format("$l{} << EOD\n", i);
@@ -112,7 +112,7 @@
     script += "EOD\n";
     plots += fmt::format("{} $l{} with lines lw 2 title \"{}\"", i ? "," : "plot", i, lines[i].title);
   }
-  return plot(script + plots + "\n", made, path);
+  return plot(script + plots + "\n", temporary_path, path);
 }
 
 void write_file_atomically(const std::string& path, const std::string& text) {
