--- a/src/testbench/commands.cpp
+++ b/src/testbench/commands.cpp
@@ -40,11 +40,11 @@
   std::ifstream file(path);
   if (!file) throw std::runtime_error(path + " cannot be read");
   auto value = json::parse(file, nullptr, false, true);
-  if (value.is_discarded()) throw std::runtime_error(path + " is no JSON");
+  if (value.is_discarded()) throw std::runtime_error(path + " is not valid JSON");
   return value;
 }
 
-// Parses, or prints the help of one sub-command and says so with nullopt.
+// Parses the options of one subcommand. Returns nullopt after printing the help text if that was requested.
 std::optional<po::variables_map> parse(const Arguments& arguments, const po::options_description& options,
                                        const char* usage) {
   po::options_description all("Options");
@@ -59,30 +59,31 @@
 
 int run_fake_servers(const Arguments& arguments) {
   po::options_description o;
-  o.add_options()("file,f", po::value<std::string>(), "JSON of the sets and their script (docs/lab.md)")(
-      "write-config", po::value<std::string>(), "write a configuration for the daemon to this file")(
-      "listen", po::value<std::string>()->default_value("127.0.0.1:6432"), "where that daemon listens")(
-      "seconds", po::value<double>()->default_value(0),
-      "end by itself after so long; 0: at SIGINT or SIGTERM");
-  auto given = parse(arguments, o, "stand-in [options]: data servers and discovery on loopback");
+  o.add_options()("file,f", po::value<std::string>(),
+                  "JSON file with the shard groups and their script (docs/lab.md)")(
+      "write-config", po::value<std::string>(), "write a configuration for the proxy to this file")(
+      "listen", po::value<std::string>()->default_value("127.0.0.1:6432"),
+      "listening address in that configuration")("seconds", po::value<double>()->default_value(0),
+                                                 "run time in seconds; 0: until SIGINT or SIGTERM");
+  auto given = parse(arguments, o, "stand-in [options]: fake servers and discovery on loopback");
   if (!given) return 0;
   sigset_t set;
   sigemptyset(&set);
   for (int number : {SIGINT, SIGTERM}) sigaddset(&set, number);
-  pthread_sigmask(SIG_BLOCK, &set, nullptr);  // before any thread: all inherit it
+  pthread_sigmask(SIG_BLOCK, &set, nullptr);  // before any thread starts, so that all inherit the mask
   auto file = given->count("file") ? read_json((*given)["file"].as<std::string>()) : json::object();
   FakeServers fake_servers(FakeServersOptions::parse(file));
   if (given->count("write-config"))
     write_file_atomically((*given)["write-config"].as<std::string>(),
-                json({{"name", "lab"},
-                      {"listen", (*given)["listen"].as<std::string>()},
-                      {"discovery", fake_servers.discovery()},
-                      {"seed", "1"},
-                      {"limits", {{"sockets", 1024}, {"memory_mb", 256}}},
-                      {"known", fake_servers.members()},
-                      {"settings", testbench_settings()}})
-                        .dump(1) +
-                    "\n");
+                          json({{"name", "lab"},
+                                {"listen", (*given)["listen"].as<std::string>()},
+                                {"discovery", fake_servers.discovery()},
+                                {"seed", "1"},
+                                {"limits", {{"sockets", 1024}, {"memory_mb", 256}}},
+                                {"known", fake_servers.members()},
+                                {"settings", testbench_settings()}})
+                                  .dump(1) +
+                              "\n");
   std::cout << fmt::format("discovery {}\nsteering {}\nservers {}\n", fake_servers.discovery(),
                            fake_servers.steering(), fmt::join(fake_servers.servers(), " "))
             << std::flush;
@@ -98,20 +99,20 @@
   return fake_servers.rules().total() == 0 ? 0 : 2;
 }
 
-// One request, in plain words: for a first look, and for scripts.
+// Sends one request and prints its answer as text, for manual checks and scripts.
 int send_one_request(const Arguments& arguments) {
   po::options_description o;
   o.add_options()("target", po::value<std::string>()->default_value("127.0.0.1:6432"),
-                  "the daemon's address")("class", po::value<std::string>()->default_value("browse"),
+                  "address of the proxy")("class", po::value<std::string>()->default_value("browse"),
                                           "browse, own-view or book")(
-      "set", po::value<int>()->default_value(1), "whose data")(
-      "name", po::value<std::string>()->default_value("k1"), "the key, which names the session too")(
-      "wait-ms", po::value<int>()->default_value(2000), "how long to wait");
-  auto given = parse(arguments, o, "ask [options]: one request, and its answer");
+      "set", po::value<int>()->default_value(1), "number of the shard group")(
+      "name", po::value<std::string>()->default_value("k1"), "key of the row, also the name of the session")(
+      "wait-ms", po::value<int>()->default_value(2000), "deadline of the request");
+  auto given = parse(arguments, o, "ask [options]: sends one request and prints the answer");
   if (!given) return 0;
   auto& g = *given;
   auto address = net::parse_address(g["target"].as<std::string>());
-  if (!address) throw std::runtime_error("target is no address: '" + g["target"].as<std::string>() + "'");
+  if (!address) throw std::runtime_error("invalid target address: '" + g["target"].as<std::string>() + "'");
   auto wait = std::clamp(g["wait-ms"].as<int>(), 1, 60000);
   net::Fd fd(socket(address->storage.ss_family, SOCK_STREAM | SOCK_CLOEXEC, 0));
   timeval timeout{wait / 1000 + 1, 0};
@@ -133,9 +134,9 @@
     throw std::runtime_error("the connection broke");
   std::string in, outcome = "nothing";
   char chunk[4096];
-  for (int ready = 0; ready < 2;) {  // the first ends the greeting
+  for (int ready = 0; ready < 2;) {  // the first ReadyForQuery ends the startup
     auto n = recv(fd.get(), chunk, sizeof chunk, 0);
-    if (n <= 0) throw std::runtime_error("no whole answer came");
+    if (n <= 0) throw std::runtime_error("connection closed or timed out before a complete answer");
     in.append(chunk, static_cast<std::size_t>(n));
     pg::Frame frame;
     while (pg::parse_frame(in, 1 << 20, &frame) == pg::ParseStatus::kOk) {
@@ -145,7 +146,7 @@
         if (auto fields = pg::parse_error(frame.body))
           outcome =
               fmt::format("error {}: {}{}", fields->code, fields->message,
-                          fields->detail.empty() ? "" : fmt::format(" (come back in {} ms)", fields->detail));
+                          fields->detail.empty() ? "" : fmt::format(" (retry after {} ms)", fields->detail));
       ready += frame.type == 'Z';
       in.erase(0, frame.size);
     }
@@ -158,25 +159,25 @@
 int run_load_command(const Arguments& arguments) {
   po::options_description o;
   o.add_options()("target", po::value<std::string>()->default_value("127.0.0.1:6432"),
-                  "the daemon's address")("connections,c", po::value<int>()->default_value(32),
-                                          "clients in all")("depth", po::value<int>()->default_value(1),
-                                                            "requests that a client has out at once")(
-      "threads", po::value<int>()->default_value(1), "threads they are dealt over")(
-      "rate", po::value<double>()->default_value(0), "open loop: requests a second; 0: closed loop")(
-      "seconds", po::value<double>()->default_value(5), "how long it is measured")(
-      "warm-up", po::value<double>()->default_value(0.5), "seconds before that")(
-      "sets", po::value<int>()->default_value(1), "sets 1 to N are asked")(
+                  "address of the proxy")("connections,c", po::value<int>()->default_value(32),
+                                          "number of clients")(
+      "depth", po::value<int>()->default_value(1), "maximum number of requests in flight per client")(
+      "threads", po::value<int>()->default_value(1), "number of threads that run the clients")(
+      "rate", po::value<double>()->default_value(0), "open loop: requests per second; 0: closed loop")(
+      "seconds", po::value<double>()->default_value(5), "duration of the measurement")(
+      "warm-up", po::value<double>()->default_value(0.5), "seconds of load before the measurement")(
+      "sets", po::value<int>()->default_value(1), "requests go to shard groups 1 to N")(
       "own-view", po::value<double>()->default_value(0.2), "share of reads of a session's own writes")(
       "book", po::value<double>()->default_value(0.1), "share of writes")(
-      "wait-ms", po::value<int>()->default_value(2000), "how long a client says it waits")(
-      "seed", po::value<std::uint64_t>()->default_value(1), "of all random numbers")(
+      "wait-ms", po::value<int>()->default_value(2000), "deadline that each request carries")(
+      "seed", po::value<std::uint64_t>()->default_value(1), "seed of all random numbers")(
       "json", po::value<std::string>(), "write the figures to this file");
-  auto given = parse(arguments, o, "load [options]: clients of a daemon");
+  auto given = parse(arguments, o, "load [options]: load from many clients of a proxy");
   if (!given) return 0;
   auto& g = *given;
   LoadOptions options;
   auto address = net::parse_address(g["target"].as<std::string>());
-  if (!address) throw std::runtime_error("target is no address: '" + g["target"].as<std::string>() + "'");
+  if (!address) throw std::runtime_error("invalid target address: '" + g["target"].as<std::string>() + "'");
   options.target = *address;
   options.connections = std::clamp(g["connections"].as<int>(), 1, 20000);
   options.depth = std::clamp(g["depth"].as<int>(), 1, 32);
@@ -223,20 +224,21 @@
 
 int run_cores_command(const Arguments& arguments) {
   po::options_description o;
-  o.add_options()("program", po::value<std::string>()->default_value(daemon_beside()), "the daemon")(
-      "baseline", po::value<std::string>()->default_value(""), "an earlier build, measured beside it")(
-      "quick", "one short round: ends within 50 s")("rounds", po::value<int>()->default_value(5), "rounds")(
-      "seconds", po::value<double>()->default_value(3), "of each measurement")(
-      "rate", po::value<double>()->default_value(5000), "open loop: requests a second for each worker")(
-      "workers", po::value<std::string>()->default_value("1,2,4"), "how many, in turn")(
-      "cpus", po::value<std::string>()->default_value(""),
-      "processors to use, such as 0,1,2,3; all by default")("connections",
-                                                            po::value<int>()->default_value(64), "clients")(
-      "depth", po::value<int>()->default_value(16), "requests that each has out")(
-      "seed", po::value<std::uint64_t>()->default_value(1), "of all random numbers")(
+  o.add_options()("program", po::value<std::string>()->default_value(daemon_beside()), "path of the proxy")(
+      "baseline", po::value<std::string>()->default_value(""),
+      "an earlier build, measured in the same rounds")("quick", "one short round; takes less than 50 s")(
+      "rounds", po::value<int>()->default_value(5), "rounds")(
+      "seconds", po::value<double>()->default_value(3), "duration of each measurement")(
+      "rate", po::value<double>()->default_value(5000), "open loop: requests per second for each worker")(
+      "workers", po::value<std::string>()->default_value("1,2,4"), "numbers of workers to measure")(
+      "cpus", po::value<std::string>()->default_value(""), "CPUs to use, such as 0,1,2,3; default: all")(
+      "connections", po::value<int>()->default_value(64), "clients")(
+      "depth", po::value<int>()->default_value(16), "maximum number of requests in flight per client")(
+      "seed", po::value<std::uint64_t>()->default_value(1), "seed of all random numbers")(
       "json", po::value<std::string>(), "write the list of rows to this file")(
       "folder", po::value<std::string>(), "write JSON, table and charts into this folder");
-  auto given = parse(arguments, o, "cores [options]: one worker and several, shared and split");
+  auto given = parse(arguments, o,
+                     "cores [options]: compares one worker with several, with shared and split decisions");
   if (!given) return 0;
   auto& g = *given;
   TemporaryDirectory scratch;
@@ -280,20 +282,22 @@
 
 int run_command_line(int argc, char** argv) try {
   signal(SIGPIPE, SIG_IGN);
-  // Over loopback the rig must not be what is measured: reno sends at once, where bbr would pace.
+  // The test harness must not distort what is measured over loopback: reno sends at once, bbr would pace.
   net::set_congestion_control("reno");
   struct Command {
     std::function<int(const Arguments&)> run;
     const char* description;
   };
   const std::map<std::string, Command> commands{
-      {"stand-in", {run_fake_servers, "data servers and discovery on loopback, steered by a script or at run time"}},
-      {"ask", {send_one_request, "one request, and its answer"}},
-      {"cores", {run_cores_command, "experiment: one worker and several, decisions shared and split"}},
-      {"simulate", {simulation::run, "groups in simulated time, or their small scope explored whole"}},
-      {"faults", {faults::run, "many processes of the daemon, and faults between them"}},
-      {"soak", {run_soak, "upgrades in place of many processes, under faults that overlap"}},
-      {"load", {run_load_command, "clients that ask a daemon, open or closed loop"}}};
+      {"stand-in",
+       {run_fake_servers, "fake servers and discovery on loopback, controlled by a script or at run time"}},
+      {"ask", {send_one_request, "sends one request and prints the answer"}},
+      {"cores", {run_cores_command, "experiment: one worker and several, with shared and split decisions"}},
+      {"simulate",
+       {simulation::run, "consensus groups in simulated time, or a small model of them explored completely"}},
+      {"faults", {faults::run, "many proxy processes with faults between them"}},
+      {"soak", {run_soak, "in-place upgrades of many processes under overlapping faults"}},
+      {"load", {run_load_command, "load from many clients of a proxy, open or closed loop"}}};
   std::string name = argc > 1 ? argv[1] : "help";
   if (name == "help" || name == "--help" || name == "-h") {
     std::cout << "proxy-testbench COMMAND [options]; each takes --help\n\n";
--- a/src/testbench/cores.cpp
+++ b/src/testbench/cores.cpp
@@ -39,7 +39,7 @@
   return all;
 }
 
-// Share of the processors' time that the host gave to others since the last call, in percent.
+// Measures the share of CPU time, in percent, that the host gave to other guests since the last call.
 class StolenTimeMeter {
  public:
   double since_last() {
@@ -80,10 +80,10 @@
   proxy_options.seed = seed;
   if (variant.workers > 1)
     proxy_options.operator_file = {{"workers",
-                        {{"count", variant.workers},
-                         {"decisions", variant.decisions},
-                         {"accept", variant.accept_by_kernel ? "reuseport" : "deal"},
-                         {"cpus", assignment.proxy}}}};
+                                    {{"count", variant.workers},
+                                     {"decisions", variant.decisions},
+                                     {"accept", variant.accept_by_kernel ? "reuseport" : "deal"},
+                                     {"cpus", assignment.proxy}}}};
   ProcessUnderTest proxy(proxy_options);
   LoadOptions load;
   load.target = *net::parse_address(fmt::format("127.0.0.1:{}", proxy.port()));
@@ -99,7 +99,8 @@
   load.shard_groups.clear();
   for (int i = 1; i <= o.shard_groups; ++i) load.shard_groups.push_back(i);
 
-  // Beside the load: what the daemon and the rig used from the warm-up to the end, and a drain in the middle.
+  // While the load runs, one thread measures the CPU time of the proxy and the fake servers from the warm-up
+  // to the end, and another drains a server in the middle.
   ProcessUnderTest::Usage before, after;
   std::map<std::string, ServerFigures> servers_before, servers_after;
   std::vector<double> fake_servers_cpu_before, fake_servers_cpu_after;
@@ -148,7 +149,8 @@
   }
   double fake_servers_free = 1, load_free = 1;
   for (std::size_t i = 0; i < fake_servers_cpu_after.size(); ++i)
-    fake_servers_free = std::min(fake_servers_free, 1 - (fake_servers_cpu_after[i] - fake_servers_cpu_before[i]) / seconds);
+    fake_servers_free =
+        std::min(fake_servers_free, 1 - (fake_servers_cpu_after[i] - fake_servers_cpu_before[i]) / seconds);
   for (double used : figures.cpu_seconds) load_free = std::min(load_free, 1 - used / figures.seconds);
   auto drains = fake_servers.rules().drain_last_send_ms();
   json breaches = json::array();
@@ -181,15 +183,16 @@
           {"breaches", breaches}};
 }
 
-// Closed loop; as much for each worker; and, for several, as much in all as one gets, where probe work
-// compares.
+// Returns the loads that a variant is measured with: the closed loop, an equal rate for each worker and, for
+// several workers, the same total rate as for one worker, at which the work for probes can be compared.
 std::vector<std::pair<std::string, double>> offered_loads(const CoresOptions& o, const Variant& variant) {
-  std::vector<std::pair<std::string, double>> all{{"closed", 0}, {"each", o.rate_per_worker * variant.workers}};
+  std::vector<std::pair<std::string, double>> all{{"closed", 0},
+                                                  {"each", o.rate_per_worker * variant.workers}};
   if (variant.workers > 1) all.emplace_back("same", o.rate_per_worker);
   return all;
 }
 
-// Medians of all numbers over the rounds of one way and offer.
+// Returns the medians of all numbers over the rounds of one variant and offered load.
 json medians(const std::vector<json>& runs) {
   json row = runs.front();
   for (auto& [key, value] : row.items()) {
@@ -201,7 +204,7 @@
       values.push_back(run.at(key).get<double>());
       largest = std::max(largest, values.back());
     }
-    // A breach in any round is a breach; and of drains the worst counts.
+    // Breaches and drain times take the maximum: a breach in any round counts, and so does the slowest drain.
     value = key == "rule_breaches" || key == "drain_last_send_ms" ? largest : median(values);
   }
   row.erase("threads_free");
@@ -215,8 +218,8 @@
 CpuAssignment assign_cpus(const std::vector<int>& cpus, int workers, bool decision_thread, int max_workers) {
   CpuAssignment assignment;
   auto n = static_cast<int>(cpus.size());
-  // The rig has the last processors, the same ones for every way: what the most workers and the decision
-  // thread leave.
+  // The fake servers and the load get the last CPUs, which are the same for every variant: those that the
+  // largest number of workers and the decision thread leave.
   int harness_cpus = std::max(n >= 4 ? 2 : 1, n - max_workers - 1);
   int first_harness_cpu = std::max(0, n - harness_cpus);
   for (int i = 0; i < workers + (decision_thread ? 1 : 0); ++i) {
@@ -246,7 +249,7 @@
     if (workers == *std::max_element(o.workers.begin(), o.workers.end()))
       variants.push_back({fmt::format("{} shared, reuseport", workers), "shared", workers, false, true});
   }
-  std::map<std::string, std::vector<json>> runs;  // by way and offer
+  std::map<std::string, std::vector<json>> runs;  // by variant and offered load
   json rounds = json::array();
   std::mt19937_64 random(o.seed);
   for (int round = 0; round < o.rounds; ++round) {
@@ -270,7 +273,7 @@
       if (auto it = runs.find(fmt::format("{} {}", variant.name, offer)); it != runs.end())
         rows.push_back(medians(it->second));
 
-  // Pair by pair within each round, so that drift takes no part.
+  // Ratios are formed within each round, so that a drift of the machine's speed does not affect them.
   json ratios = json::object();
   auto ratio = [&](const std::string& a, const std::string& b, const char* key) {
     std::vector<double> all;
@@ -284,7 +287,7 @@
     if (variant.name == "1") continue;
     ratio(variant.name + " closed", "1 closed", "rps");
     ratio(variant.name + " closed", "1 closed", "cpu_us_per_request");
-    // One worker has one open offer: what each worker is offered is what all are.
+    // With one worker, the rate for each worker is also the total rate, so there is no "same" row for it.
     ratio(variant.name + " each", "1 each", "p99_ms");
     ratio(variant.name + (variant.workers > 1 ? " same" : " each"), "1 each", "cpu_us_per_request");
     ratio(variant.name + (variant.workers > 1 ? " same" : " each"), "1 each", "probes_per_server_per_s");
--- a/src/testbench/load.cpp
+++ b/src/testbench/load.cpp
@@ -19,7 +19,7 @@
 namespace {
 
 constexpr std::size_t kMaxReadBytes = 1 << 20;
-constexpr Micros kFinalAnswerTimeout{2'500'000};  // after the end, what is out may still be answered
+constexpr Micros kFinalAnswerTimeout{2'500'000};  // time for requests in flight at the end of the run
 constexpr Micros kReconnectDelay{20'000};
 constexpr Micros kSeriesInterval{500'000};
 constexpr std::size_t kMaxListedUnanswered = 40;
@@ -46,7 +46,8 @@
   bool has_max_in_flight() const;
   bool is_ready() const { return ready_; }
   void record_unanswered(const char* why);
-  // Its connection has ended, and the event is still to come: nothing is sent into it.
+  // Returns whether the peer has closed the connection, although the loop has not reported it yet. Requests
+  // are not sent on such a connection.
   bool has_ended() const { return fd_ && net::peer_has_closed(fd_.get()); }
   std::size_t in_flight_count() const { return in_flight_.size(); }
   void flush();
@@ -69,11 +70,11 @@
     Micros sent_at{0};
   };
   std::deque<InFlightRequest> in_flight_;
-  // What has come of the answer that is being read.
+  // The part of the current answer that has been received so far.
   bool has_row_ = false;
   std::string error_code_, value_;
   int retry_after_ms_ = 0;
-  std::vector<std::int64_t> last_write_unix_ms_ = {};  // by session: Unix time of its last write's answer, in ms
+  std::vector<std::int64_t> last_write_unix_ms_ = {};  // by session: when its last write was answered
   friend class Generator;
 };
 
@@ -86,7 +87,8 @@
         cpu_(options.cpus.empty() ? -1
                                   : options.cpus[static_cast<std::size_t>(thread) % options.cpus.size()]) {
     for (const char* name : kClassNames) figures.latency.emplace(name, make_latencies());
-    int client_count = options.connections / options.threads + (thread < options.connections % options.threads);
+    int client_count =
+        options.connections / options.threads + (thread < options.connections % options.threads);
     for (int i = 0; i < std::max(1, client_count); ++i)
       clients_.push_back(std::make_unique<Client>(*this, thread + i * options.threads));
   }
@@ -103,14 +105,14 @@
     loop.at(measure_until, [this] { figures.cpu_seconds = {thread_cpu_seconds() - cpu_seconds_at_start_}; });
     next_arrival_ = began;
     loop.run([this] { after_loop_iteration(); });
-    for (auto& client : clients_) client->record_unanswered("still out at the end");
+    for (auto& client : clients_) client->record_unanswered("still in flight at the end of the run");
     figures.unanswered += queued_requests_.size();
     figures.unsent += queued_requests_.size();
     figures.seconds = static_cast<double>(options.duration.count()) * 1e-6;
   }
 
-  // Loads with different prefixes draw different keys, or a server would take a write of the one for a repeat
-  // of the other's.
+  // Returns a seed that depends on the id prefix, so that loads with different prefixes draw different
+  // idempotency keys. With equal keys, a server would take a write of one load for a repeat of the other's.
   static std::uint64_t seed_of(const LoadOptions& options, int thread) {
     constexpr std::uint64_t kThreadStride = 7919;
     auto prefix = std::hash<std::string>{}(options.id_prefix);
@@ -121,7 +123,9 @@
     LoadRequest request;
     request.intended_at = request.created_at = intended_at;
     double u = uniform_(random);
-    request.request_class = u < options.book_share ? kBook : u < options.book_share + options.own_view_share ? kOwnView : kBrowse;
+    request.request_class = u < options.book_share                            ? kBook
+                            : u < options.book_share + options.own_view_share ? kOwnView
+                                                                              : kBrowse;
     request.session = static_cast<int>(random() % static_cast<std::uint64_t>(options.sessions));
     request.shard_group = options.shard_groups[random() % options.shard_groups.size()];
     if (request.request_class == kBook) request.idempotency_key = random();
@@ -141,7 +145,7 @@
         for (auto& client : clients_)
           while (client->is_ready() && !client->has_max_in_flight()) client->send_request(next_request(now));
     }
-    // What is still waiting at the end could not be answered before the load ends.
+    // Requests still queued at the end of the load are not sent: they could not be answered in time.
     bool may_send = options.rate > 0 && now < measure_until;
     for (std::size_t left = queued_requests_.size(); left > 0 && may_send; --left) {
       auto* client = free_client();
@@ -150,7 +154,8 @@
       queued_requests_.pop_front();
     }
     for (auto& client : clients_) client->flush();
-    if (now >= measure_until && std::all_of(clients_.begin(), clients_.end(), [](auto& c) { return c->in_flight_count() == 0; }))
+    if (now >= measure_until &&
+        std::all_of(clients_.begin(), clients_.end(), [](auto& c) { return c->in_flight_count() == 0; }))
       loop.stop();
     loop.cancel(&retry_timer_);
     if (!retry_queue_.empty() && now < measure_until) retry_timer_ = loop.at(retry_queue_.top().first, [] {});
@@ -163,7 +168,8 @@
     return request;
   }
 
-  // Arrivals that are due, drawn ahead: what finds no free connection waits here, and its latency counts on.
+  // Queues the arrivals that are due and draws the time of the next one. A request that finds no free
+  // connection stays in the queue, and that time counts towards its latency.
   void enqueue_due_arrivals(Micros now) {
     std::exponential_distribution<double> gap(options.rate / options.threads / 1e6);
     while (next_arrival_ <= now) {
@@ -188,7 +194,9 @@
     retry_queue_.emplace(loop.now() + Micros(std::max(1, retry_after_ms) * 1000), request);
   }
 
-  bool is_measured(const LoadRequest& request) const { return request.intended_at >= measure_from && request.intended_at < measure_until; }
+  bool is_measured(const LoadRequest& request) const {
+    return request.intended_at >= measure_from && request.intended_at < measure_until;
+  }
 
   const LoadOptions& options;
   net::Loop loop;
@@ -207,7 +215,8 @@
   std::uniform_real_distribution<double> uniform_{0, 1};
   std::vector<std::unique_ptr<Client>> clients_;
   std::deque<LoadRequest> queued_requests_;
-  std::priority_queue<std::pair<Micros, LoadRequest>, std::vector<std::pair<Micros, LoadRequest>>, LaterFirst> retry_queue_;
+  std::priority_queue<std::pair<Micros, LoadRequest>, std::vector<std::pair<Micros, LoadRequest>>, LaterFirst>
+      retry_queue_;
   Micros next_arrival_{0};
   net::Loop::TimerId arrival_timer_ = net::Loop::kNoTimer, retry_timer_ = net::Loop::kNoTimer;
   std::size_t next_client_ = 0;
@@ -229,7 +238,7 @@
   out_ = {};
   pending_.clear();
   ready_ = startup_sent_ = has_row_ = false;
-  record_unanswered("its connection ended");
+  record_unanswered("connection closed");
   in_flight_.clear();
   if (generator_.loop.now() < generator_.measure_until || generator_.measure_until.count() == 0)
     generator_.loop.at(generator_.loop.now() + kReconnectDelay, [this] { connect(); });
@@ -245,13 +254,16 @@
     bool is_lost = rules && rules->was_attempted(out.id);
     figures.lost += is_lost;
     if (figures.unanswered_requests.size() >= kMaxListedUnanswered) continue;
-    figures.unanswered_requests.push_back(fmt::format(
-        "{} ({}{}): {}, {:.3f} s after it was sent, at {:.3f}", out.id, kClassNames[out.request.request_class],
-        is_lost ? ", lost" : "", why, seconds(now - out.sent_at), seconds(now)));
+    figures.unanswered_requests.push_back(fmt::format("{} ({}{}): {}, {:.3f} s after it was sent, at {:.3f}",
+                                                      out.id, kClassNames[out.request.request_class],
+                                                      is_lost ? ", lost" : "", why,
+                                                      seconds(now - out.sent_at), seconds(now)));
   }
 }
 
-bool Client::has_max_in_flight() const { return in_flight_.size() >= static_cast<std::size_t>(generator_.options.depth); }
+bool Client::has_max_in_flight() const {
+  return in_flight_.size() >= static_cast<std::size_t>(generator_.options.depth);
+}
 
 void Client::send_request(LoadRequest request) {
   auto& o = generator_.options;
@@ -271,7 +283,8 @@
     auto after = last_write_unix_ms_[static_cast<std::size_t>(request.session)];
     sql = fmt::format("SELECT content FROM kv WHERE name = '{}' /* id={},c={},d={},cluster={}{}{} */", name,
                       id, kClassNames[request.request_class], deadline_ms, request.shard_group,
-                      request.request_class == kOwnView && after > 0 ? fmt::format(",after={}", after) : "", retry);
+                      request.request_class == kOwnView && after > 0 ? fmt::format(",after={}", after) : "",
+                      retry);
   }
   pending_ += pg::simple_query(sql);
   in_flight_.push_back({std::move(id), request, generator_.loop.now()});
@@ -332,7 +345,8 @@
   auto& f = generator_.figures;
   if (in_flight_.empty()) {
     if (rules)
-      rules->breach(Rule::kTwoAnswers, fmt::format("an answer to client {} that asked nothing", number_));
+      rules->breach(Rule::kTwoAnswers,
+                    fmt::format("client {} received an answer without a request in flight", number_));
     return;
   }
   auto out = std::move(in_flight_.front());
@@ -344,13 +358,16 @@
   generator_.last_answer = now;
   if (code.empty()) {
     if (value != out.id && rules)
-      rules->breach(Rule::kWrongValue, fmt::format("request {} got the value of {}", out.id, value));
+      rules->breach(Rule::kWrongValue,
+                    fmt::format("request {} received the value of request {}", out.id, value));
     if (request.request_class == kBook)
-      last_write_unix_ms_[static_cast<std::size_t>(request.session)] = std::chrono::duration_cast<std::chrono::milliseconds>(
-                                                        std::chrono::system_clock::now().time_since_epoch())
-                                                        .count();
+      last_write_unix_ms_[static_cast<std::size_t>(request.session)] =
+          std::chrono::duration_cast<std::chrono::milliseconds>(
+              std::chrono::system_clock::now().time_since_epoch())
+              .count();
     auto& o = generator_.options;
-    if (now - request.created_at <= (request.request_class == kBook ? o.book_latency_objective : o.latency_objective))
+    if (now - request.created_at <=
+        (request.request_class == kBook ? o.book_latency_objective : o.latency_objective))
       ++f.series[request.created_at / kSeriesInterval].second;
     if (!generator_.is_measured(request)) return;
     ++f.served;
--- a/src/testbench/process_under_test.cpp
+++ b/src/testbench/process_under_test.cpp
@@ -28,7 +28,8 @@
 using nlohmann::json;
 namespace fs = std::filesystem;
 
-// What the kernel tells of a process can be opened, and is gone with the process before it is read.
+// Returns the content of the file, or an empty string if it cannot be read. A file in /proc can be opened,
+// but reading it fails if the process has ended in between.
 std::string read_file(const fs::path& path) try {
   std::ifstream file(path, std::ios::binary);
   return {std::istreambuf_iterator<char>(file), std::istreambuf_iterator<char>()};
@@ -44,19 +45,19 @@
 
 int exit_code_of(int status) { return WIFEXITED(status) ? WEXITSTATUS(status) : 128 + WTERMSIG(status); }
 
-// In the child: the platform names the socket by its number.
+// Called in the child process. The platform passes the listening socket by its descriptor number.
 void inherit_listening_socket(int listening_socket) {
   constexpr int kInheritedDescriptor = 7;
   dup2(listening_socket, kInheritedDescriptor);
-  fcntl(kInheritedDescriptor, F_SETFD, 0);  // it may have that number already, and be closed on exec
+  fcntl(kInheritedDescriptor, F_SETFD, 0);  // dup2 keeps close-on-exec if the socket has this number already
   setenv("NODE_ACCEPT_FD", std::to_string(kInheritedDescriptor).c_str(), 1);
 }
 
 }  // namespace
 
-// Below the ports that the kernel gives to outgoing connections, so that none of those takes it before its
-// process listens there, or while that is restarted. Other rigs on this machine are kept off by a UDP socket
-// of the same port, which is held to the end.
+// The ports lie below the range that the kernel uses for outgoing connections. Otherwise such a connection
+// could take the port before the process listens on it, or while the process is restarted. A UDP socket on
+// the same port, kept open until this process ends, reserves it against other test harnesses on this machine.
 int free_port() {
   static std::mt19937 random{std::random_device()()};
   static std::mutex mutex;
@@ -67,13 +68,14 @@
     int port = std::uniform_int_distribution<int>(12000, 31999)(random);
     auto address = *net::parse_address(fmt::format("127.0.0.1:{}", port));
     net::Fd reservation(socket(AF_INET, SOCK_DGRAM | SOCK_CLOEXEC, 0));
-    if (!reservation || bind(reservation.get(), reinterpret_cast<const sockaddr*>(&address.storage), address.length) != 0 ||
+    if (!reservation ||
+        bind(reservation.get(), reinterpret_cast<const sockaddr*>(&address.storage), address.length) != 0 ||
         !net::listen_on(address, &error))
       continue;
     reservations.push_back(std::move(reservation));
     return port;
   }
-  throw std::runtime_error("no port is free: " + net::message_of(error));
+  throw std::runtime_error("no free port found: " + net::message_of(error));
 }
 
 json testbench_settings() {
@@ -111,9 +113,9 @@
   if (!options.operator_file.is_null()) write_operator_file(options.operator_file);
   write_file(log_path, "");
   pid_ = fork();
-  if (pid_ < 0) throw std::runtime_error("cannot start a process");
+  if (pid_ < 0) throw std::runtime_error("cannot fork a child process");
   if (pid_ == 0) {
-    prctl(PR_SET_PDEATHSIG, SIGKILL);  // whatever becomes of the rig, its processes end with it
+    prctl(PR_SET_PDEATHSIG, SIGKILL);  // the child must end with the testbench, even if that is killed
     if (options.max_file_bytes > 0) {
       rlimit limit{options.max_file_bytes, options.max_file_bytes};
       setrlimit(RLIMIT_FSIZE, &limit);
@@ -154,8 +156,8 @@
     bool ended = waitpid(pid_, &status, WNOHANG) == pid_;
     if (!ended && std::chrono::steady_clock::now() < end) continue;
     if (ended) pid_ = -1;
-    throw std::runtime_error(fmt::format("{} did not get ready: {}", options.program,
-                                         text.empty() ? "it has logged nothing" : text.substr(0, 500)));
+    throw std::runtime_error(fmt::format("{} did not become ready: {}", options.program,
+                                         text.empty() ? "its log is empty" : text.substr(0, 500)));
   }
 }
 
@@ -228,7 +230,7 @@
   for (auto& task : fs::directory_iterator(process / "task", none)) {
     auto name = read_file(task.path() / "comm");
     if (!name.empty() && name.back() == '\n') name.pop_back();
-    // Nanoseconds on a core, nanoseconds of waiting for one, times on one.
+    // The fields are: nanoseconds on a CPU, nanoseconds waiting for a CPU, number of time slices on a CPU.
     auto seconds = std::atof(read_file(task.path() / "schedstat").c_str()) * 1e-9;
     usage.threads[name] += seconds;
     usage.cpu_seconds += seconds;
--- a/src/testbench/report.cpp
+++ b/src/testbench/report.cpp
@@ -62,7 +62,7 @@
   return head + "\n" + rule + "\n" + body;
 }
 
-// Draws what the script says into `made` and gives it its name.
+// Runs the gnuplot script, which writes to `temporary_path`, and renames the result to `path`.
 static bool plot(const std::string& script, const std::string& temporary_path, const std::string& path) {
   auto* pipe = popen("gnuplot >/dev/null 2>&1", "w");
   if (!pipe) return false;
