--- a/src/testbench/fault_injection/rig.cpp
+++ b/src/testbench/fault_injection/rig.cpp
@@ -71,7 +71,7 @@
     d.program = options_.program;
     d.folder = folder(name);
     d.discovery = fake_servers_->discovery_address();
-    d.known = fake_servers_->members();
+    d.known_members = fake_servers_->members();
     d.name = name;
     d.sockets = 512;
     d.memory_mb = 64;
@@ -163,8 +163,8 @@
     p.daemon.reset();
     p.paused = false;
     auto options = p.options;
-    options.waits = false;
-    options.known = known;
+    options.wait_until_ready = false;
+    options.known_members = known;
     history_.add("launch", {{"node", name}});
     p.daemon = std::make_unique<ProcessUnderTest>(options);
   }
@@ -216,7 +216,7 @@
 
 void FaultHarness::limit_file_size(const std::string& name, std::uint64_t bytes) {
   history_.add("limit files", {{"node", name}, {"bytes", bytes}});
-  processes_.at(name).options.file_limit = bytes;
+  processes_.at(name).options.max_file_bytes = bytes;
 }
 
 void FaultHarness::set_sync_delay(const std::string& name, int ms) {
--- a/src/testbench/fault_injection/soak.cpp
+++ b/src/testbench/fault_injection/soak.cpp
@@ -157,10 +157,10 @@
       load.target = *net::parse_address(fmt::format("127.0.0.1:{}", nodes[i]->port()));
       load.connections = kConnections;
       load.rate = kRatePerNode;
-      load.length = seconds(script.seconds);
+      load.duration = seconds(script.seconds);
       load.rules = &servers.invariants();
       load.seed = script.seed * script.nodes.size() + i;  // distinct keys for each node
-      load.prefix = fmt::format("n{}c", i);
+      load.id_prefix = fmt::format("n{}c", i);
       loads[i] = run_load(load);
     });
     if (script.has_idle_clients)
@@ -195,7 +195,7 @@
       "dropped before an attempt {}; longest start {:.2f} s, exit {:.2f} s, call {:.2f} s; {} descriptors, "
       "{:.0f} MB; {} violations\n",
       script.seed, script.has_idle_clients ? " (crowd)" : "", nodes.processes, nodes.upgrades, nodes.crashes,
-      result.load.asked, result.load.served, result.load.refused, result.load.failed, result.load.lost,
+      result.load.attempts, result.load.served, result.load.rejected, result.load.failed, result.load.lost,
       result.dropped_before_attempt, nodes.longest_start_s, nodes.longest_exit_s, nodes.longest_call_s,
       nodes.max_descriptors, nodes.max_memory_mb, result.violations.size());
   for (auto& violation : result.violations) std::cout << "  VIOLATION " << violation << "\n";
--- a/src/testbench/process_under_test.cpp
+++ b/src/testbench/process_under_test.cpp
@@ -28,8 +28,9 @@
 using nlohmann::json;
 namespace fs = std::filesystem;
 
-// What the kernel tells of a process can be opened, and is gone with the process before it is read.
-std::string whole_file(const fs::path& path) try {
+// Returns the content of the file, or an empty string if it cannot be read. A file in /proc can be opened,
+// but reading it fails if the process has ended in between.
+std::string read_file(const fs::path& path) try {
   std::ifstream file(path, std::ios::binary);
   return {std::istreambuf_iterator<char>(file), std::istreambuf_iterator<char>()};
 } catch (const std::ios_base::failure&) {
@@ -42,41 +43,42 @@
   if (!file.flush()) throw std::runtime_error("cannot write " + path.string());
 }
 
-int code_of(int status) { return WIFEXITED(status) ? WEXITSTATUS(status) : 128 + WTERMSIG(status); }
+int exit_code_of(int status) { return WIFEXITED(status) ? WEXITSTATUS(status) : 128 + WTERMSIG(status); }
 
-// In the child: the platform names the socket by its number.
+// Called in the child process. The platform passes the listening socket by its descriptor number.
 void inherit_listening_socket(int listening_socket) {
   constexpr int kInheritedDescriptor = 7;
   dup2(listening_socket, kInheritedDescriptor);
-  fcntl(kInheritedDescriptor, F_SETFD, 0);  // it may have that number already, and be closed on exec
+  fcntl(kInheritedDescriptor, F_SETFD, 0);  // dup2 keeps close-on-exec if the socket has this number already
   setenv("NODE_ACCEPT_FD", std::to_string(kInheritedDescriptor).c_str(), 1);
 }
 
 }  // namespace
 
-// Below the ports that the kernel gives to outgoing connections, so that none of those takes it before its
-// process listens there, or while that is restarted. Other rigs on this machine are kept off by a UDP socket
-// of the same port, which is held to the end.
+// The ports lie below the range that the kernel uses for outgoing connections. Otherwise such a connection
+// could take the port before the process listens on it, or while the process is restarted. A UDP socket on
+// the same port, kept open until this process ends, reserves it against other test harnesses on this machine.
 int free_port() {
   static std::mt19937 random{std::random_device()()};
   static std::mutex mutex;
-  static std::vector<net::Fd> held;
+  static std::vector<net::Fd> reservations;
   std::lock_guard lock(mutex);
   int error = 0;
   for (int i = 0; i < 1000; ++i) {
     int port = std::uniform_int_distribution<int>(12000, 31999)(random);
     auto address = *net::parse_address(fmt::format("127.0.0.1:{}", port));
-    net::Fd mark(socket(AF_INET, SOCK_DGRAM | SOCK_CLOEXEC, 0));
-    if (!mark || bind(mark.get(), reinterpret_cast<const sockaddr*>(&address.storage), address.length) != 0 ||
+    net::Fd reservation(socket(AF_INET, SOCK_DGRAM | SOCK_CLOEXEC, 0));
+    if (!reservation ||
+        bind(reservation.get(), reinterpret_cast<const sockaddr*>(&address.storage), address.length) != 0 ||
         !net::listen_on(address, &error))
       continue;
-    held.push_back(std::move(mark));
+    reservations.push_back(std::move(reservation));
     return port;
   }
-  throw std::runtime_error("no port is free: " + net::message_of(error));
+  throw std::runtime_error("no free port found: " + net::message_of(error));
 }
 
-json lab_settings() {
+json testbench_settings() {
   return json::parse(R"({
     "RequestClasses":[
       {"Name":"browse","Effect":"pure","TargetMs":500.0,"DeadlineMs":2000.0,"Importance":3.0},
@@ -94,14 +96,14 @@
 }
 
 ProcessUnderTest::ProcessUnderTest(const ProcessUnderTestOptions& options) : options_(options) {
-  auto settings = lab_settings();
+  auto settings = testbench_settings();
   if (!options.settings.is_null()) settings.merge_patch(options.settings);
   json config = {{"name", options.name},
                  {"listen", fmt::format("127.0.0.1:{}", options.port ? options.port : free_port())},
                  {"discovery", options.discovery},
                  {"seed", fmt::format("{:x}", options.seed)},
                  {"limits", {{"sockets", options.sockets}, {"memory_mb", options.memory_mb}}},
-                 {"known", options.known},
+                 {"known", options.known_members},
                  {"settings", settings}};
   if (!options.operator_address.empty()) config["operator"] = options.operator_address;
   fs::path folder(options.folder);
@@ -111,11 +113,11 @@
   if (!options.operator_file.is_null()) write_operator_file(options.operator_file);
   write_file(log_path, "");
   pid_ = fork();
-  if (pid_ < 0) throw std::runtime_error("cannot start a process");
+  if (pid_ < 0) throw std::runtime_error("cannot fork a child process");
   if (pid_ == 0) {
-    prctl(PR_SET_PDEATHSIG, SIGKILL);  // whatever becomes of the rig, its processes end with it
-    if (options.file_limit > 0) {
-      rlimit limit{options.file_limit, options.file_limit};
+    prctl(PR_SET_PDEATHSIG, SIGKILL);  // the child must end with the testbench, even if that is killed
+    if (options.max_file_bytes > 0) {
+      rlimit limit{options.max_file_bytes, options.max_file_bytes};
       setrlimit(RLIMIT_FSIZE, &limit);
     }
     for (auto& [name, value] : options.environment) setenv(name.c_str(), value.c_str(), 1);
@@ -139,7 +141,7 @@
     execv(options.program.c_str(), const_cast<char**>(arguments.data()));
     _exit(127);
   }
-  if (!options.waits) {
+  if (!options.wait_until_ready) {
     port_ = options.port;
     return;
   }
@@ -154,8 +156,8 @@
     bool ended = waitpid(pid_, &status, WNOHANG) == pid_;
     if (!ended && std::chrono::steady_clock::now() < end) continue;
     if (ended) pid_ = -1;
-    throw std::runtime_error(fmt::format("{} did not get ready: {}", options.program,
-                                         text.empty() ? "it has logged nothing" : text.substr(0, 500)));
+    throw std::runtime_error(fmt::format("{} did not become ready: {}", options.program,
+                                         text.empty() ? "its log is empty" : text.substr(0, 500)));
   }
 }
 
@@ -178,7 +180,7 @@
   int status = 0;
   if (waitpid(pid_, &status, WNOHANG) != pid_) return true;
   pid_ = -1;
-  exit_code_ = code_of(status);
+  exit_code_ = exit_code_of(status);
   return false;
 }
 
@@ -190,11 +192,11 @@
   if (pid_ <= 0) return -1;
   int status = 0;
   waitpid(std::exchange(pid_, -1), &status, 0);
-  exit_code_ = code_of(status);
+  exit_code_ = exit_code_of(status);
   return exit_code_;
 }
 
-std::string ProcessUnderTest::log() const { return whole_file(fs::path(options_.folder) / "log"); }
+std::string ProcessUnderTest::log() const { return read_file(fs::path(options_.folder) / "log"); }
 
 std::string ProcessUnderTest::operator_call(const std::string& line,
                                             std::chrono::milliseconds timeout) const {
@@ -226,14 +228,14 @@
   auto process = fs::path("/proc") / std::to_string(pid_);
   std::error_code none;
   for (auto& task : fs::directory_iterator(process / "task", none)) {
-    auto name = whole_file(task.path() / "comm");
+    auto name = read_file(task.path() / "comm");
     if (!name.empty() && name.back() == '\n') name.pop_back();
-    // Nanoseconds on a core, nanoseconds of waiting for one, times on one.
-    auto seconds = std::atof(whole_file(task.path() / "schedstat").c_str()) * 1e-9;
+    // The fields are: nanoseconds on a CPU, nanoseconds waiting for a CPU, number of time slices on a CPU.
+    auto seconds = std::atof(read_file(task.path() / "schedstat").c_str()) * 1e-9;
     usage.threads[name] += seconds;
     usage.cpu_seconds += seconds;
   }
-  auto status = whole_file(process / "status");
+  auto status = read_file(process / "status");
   if (auto at = status.find("VmRSS:"); at != std::string::npos)
     usage.rss_mb = std::atof(status.c_str() + at + 6) / 1024;
   for ([[maybe_unused]] auto& fd : fs::directory_iterator(process / "fd", none)) ++usage.descriptors;
--- a/tests/group/processes_test.cpp
+++ b/tests/group/processes_test.cpp
@@ -300,7 +300,7 @@
   load.target = *net::parse_address("127.0.0.1:" + std::to_string(f->port("p1")));
   load.connections = 4;
   load.rate = 50;
-  load.length = 1s;
+  load.duration = 1s;
   load.rules = &f->fake_servers().invariants();
   // A drain must reach the proxy although no node holds the lease of the list.
   f->fake_servers().control({{"do", "drain"}, {"server", "s1-3"}});
@@ -312,7 +312,7 @@
            count_occurrences(f->log("p1"), "heard of again");
   }));
   CHECK(figures.served > 20);
-  CHECK(figures.served == figures.asked);
+  CHECK(figures.served == figures.attempts);
   CHECK(count_occurrences(f->log(survivor), "is granted to") == granted);
   for (auto& name : f->voters())
     if (name != survivor) f->start(name);
@@ -645,8 +645,8 @@
       l.target = *net::parse_address("127.0.0.1:" + std::to_string(f->port("p1")));
       l.connections = 4;
       l.rate = 40;
-      l.length = 1s;
-      l.prefix = "r" + std::to_string(i) + "-";
+      l.duration = 1s;
+      l.id_prefix = "r" + std::to_string(i) + "-";
       l.rules = &f->fake_servers().invariants();
       sum.add(run_load(l));
     }
@@ -671,7 +671,7 @@
   load.request_stop();
   load.join();
   CHECK(f.get("k") == "kept");
-  CHECK(sum.served == sum.asked);
+  CHECK(sum.served == sum.attempts);
   CHECK(sum.served > 0);
   CHECK(f->fake_servers().invariants().describe_violations() == "");
 }
@@ -743,8 +743,8 @@
         l.target = *net::parse_address("127.0.0.1:" + std::to_string(port));
         l.connections = 2;
         l.rate = 20;
-        l.length = 500ms;
-        l.prefix = name + "-" + std::to_string(i) + "-";
+        l.duration = 500ms;
+        l.id_prefix = name + "-" + std::to_string(i) + "-";
         l.rules = &f->fake_servers().invariants();
         run_load(l);
       }
@@ -792,11 +792,11 @@
         l.target = *net::parse_address("127.0.0.1:" + std::to_string(port));
         l.connections = 2;
         l.rate = 40;
-        l.length = 700ms;
-        l.prefix = name + "-" + std::to_string(i) + "-";
+        l.duration = 700ms;
+        l.id_prefix = name + "-" + std::to_string(i) + "-";
         l.rules = &f->fake_servers().invariants();
         auto x = run_load(l);
-        asked += x.asked;
+        asked += x.attempts;
         served += x.served;
       }
     });
@@ -870,7 +870,7 @@
     TemporaryDirectory scratch;
     d.folder = scratch.path();
     d.discovery = f->fake_servers().discovery_address();
-    d.known = f->fake_servers().members();
+    d.known_members = f->fake_servers().members();
     d.operator_file = {{"group", group}};
     try {
       ProcessUnderTest daemon(d);
--- a/tests/group/zones_test.cpp
+++ b/tests/group/zones_test.cpp
@@ -56,10 +56,10 @@
           l.target = *net::parse_address("127.0.0.1:" + std::to_string(port));
           l.connections = 4;
           l.rate = rate_each;
-          l.length = 500ms;
-          l.book = 0.02;
+          l.duration = 500ms;
+          l.book_share = 0.02;
           l.seed = std::hash<std::string>{}(name) + static_cast<std::uint64_t>(i);
-          l.prefix = name + "-" + std::to_string(i) + "-";
+          l.id_prefix = name + "-" + std::to_string(i) + "-";
           l.rules = &rig->fake_servers().invariants();
           try {
             auto f = run_load(l);
@@ -502,7 +502,7 @@
   CHECK(z.wait_for_phase("c", "open"));
   CHECK(z.wait_for_phase("b", "open"));
   z.check_no_breaches();
-  CHECK(z.total.refused > 0);
+  CHECK(z.total.rejected > 0);
 }
 
 TEST_CASE("zones: the primary moves to another zone and half of the proxies restart during a failover") {
--- a/tests/testbench/lab_test.cpp
+++ b/tests/testbench/lab_test.cpp
@@ -224,8 +224,8 @@
   load.target = *net::parse_address(at);
   load.connections = 4;
   load.rate = 500;
-  load.length = ms(800);
-  load.book = 0;
+  load.duration = ms(800);
+  load.book_share = 0;
   std::thread stall([&] {
     std::this_thread::sleep_for(std::chrono::milliseconds(200));
     fake_servers.control({{"do", "silence"}, {"server", "s1-1"}});
@@ -239,11 +239,11 @@
   CHECK(figures.served > 150);
   // About 150 arrivals fall into the stall, and a third of the requests wait long. A closed loop would hide
   // this, since it sends nothing new while it waits.
-  CHECK(percentile(figures.all, 0.9) > 50'000);
-  CHECK(percentile(figures.all, 0.1) < 50'000);
+  CHECK(percentile(figures.overall_latency, 0.9) > 50'000);
+  CHECK(percentile(figures.overall_latency, 0.1) < 50'000);
   auto unanswered = figures.unanswered - figures.unsent;
   CHECK(unanswered <= 4);  // those in flight when the connections were reset
-  CHECK(figures.asked == figures.served + figures.refused + figures.failed + unanswered);
+  CHECK(figures.attempts == figures.served + figures.rejected + figures.failed + unanswered);
 }
 
 TEST_CASE("load: a second load with the same seed reuses no idempotency key of the first") {
@@ -254,11 +254,11 @@
   load.target =
       *net::parse_address(fake_servers.members().at("instances").at(0).at("hostPort").get<std::string>());
   load.connections = 1;
-  load.length = ms(100);
-  load.book = 1;
-  load.own_view = 0;
+  load.duration = ms(100);
+  load.book_share = 1;
+  load.own_view_share = 0;
   for (auto prefix : {"first-", "second-"}) {
-    load.prefix = prefix;
+    load.id_prefix = prefix;
     CHECK(run_load(load).served > 0);
   }
   CHECK(fake_servers.invariants().describe_violations() == "");
@@ -272,8 +272,8 @@
   LoadOptions load;
   load.target = *net::parse_address("127.0.0.1:" + std::to_string(fixture.port));
   load.connections = 2;
-  load.length = ms(100);
-  load.sets = {2};
+  load.duration = ms(100);
+  load.shard_groups = {2};
   load.rules = &rules;
   auto figures = run_load(load);
   CHECK(figures.served > 0);
@@ -290,16 +290,16 @@
 TEST_CASE(
     "layout: parts get separate processors while there are enough, and the layout is marked as crowded if "
     "not") {
-  auto eight = lay_out({0, 1, 2, 3, 4, 5, 6, 7}, 4, true, 4);
-  CHECK(eight.daemon == std::vector<int>{0, 1, 2, 3, 4});
-  CHECK(eight.stand_in == std::vector<int>{5, 6});
+  auto eight = assign_cpus({0, 1, 2, 3, 4, 5, 6, 7}, 4, true, 4);
+  CHECK(eight.proxy == std::vector<int>{0, 1, 2, 3, 4});
+  CHECK(eight.fake_servers == std::vector<int>{5, 6});
   CHECK(eight.load == std::vector<int>{7});
-  CHECK_FALSE(eight.crowded);
-  CHECK(lay_out({0, 1, 2, 3, 4, 5, 6, 7}, 1, false, 3).stand_in == std::vector<int>{4, 5, 6});
-  auto four = lay_out({0, 1, 2, 3}, 2, true, 2);
-  CHECK(four.daemon == std::vector<int>{0, 1, 2});
-  CHECK(four.crowded);
-  CHECK(lay_out({5}, 2, true, 2).load == std::vector<int>{5});
+  CHECK_FALSE(eight.shares_cpus);
+  CHECK(assign_cpus({0, 1, 2, 3, 4, 5, 6, 7}, 1, false, 3).fake_servers == std::vector<int>{4, 5, 6});
+  auto four = assign_cpus({0, 1, 2, 3}, 2, true, 2);
+  CHECK(four.proxy == std::vector<int>{0, 1, 2});
+  CHECK(four.shares_cpus);
+  CHECK(assign_cpus({5}, 2, true, 2).load == std::vector<int>{5});
 }
 
 }  // namespace database_proxy::testbench
--- a/tests/testbench/process_test.cpp
+++ b/tests/testbench/process_test.cpp
@@ -39,14 +39,14 @@
     options.program = DATABASE_PROXY_PROGRAM;
     options.folder = folder.path;
     options.discovery = fake_servers.discovery_address();
-    options.known = fake_servers.members();
+    options.known_members = fake_servers.members();
     options.operator_file = {{"workers", {{"count", 4}, {"decisions", decisions}}}};
     ProcessUnderTest daemon(options);
     LoadOptions load;
     load.target = *net::parse_address("127.0.0.1:" + std::to_string(daemon.port()));
     load.connections = 16;
     load.depth = 4;
-    load.length = Micros(1'500'000);
+    load.duration = Micros(1'500'000);
     load.rules = &fake_servers.invariants();
     std::thread signals([&] {
       for (int i = 0; i < 10; ++i) {
@@ -90,7 +90,7 @@
   options.program = DATABASE_PROXY_PROGRAM;
   options.folder = folder.path;
   options.discovery = fake_servers.discovery_address();
-  options.known = fake_servers.members();
+  options.known_members = fake_servers.members();
   options.cpus = {sched_getcpu()};  // a processor that is online and that this process is allowed to use
   options.operator_file = {{"workers", {{"count", 3}}}};
   ProcessUnderTest daemon(options);
--- a/tests/testbench/run_line_test.cpp
+++ b/tests/testbench/run_line_test.cpp
@@ -70,7 +70,7 @@
                            {"seed", "1"},
                            {"limits", {{"sockets", 1024}, {"memory_mb", 64}}},
                            {"known", fake_servers.members()},
-                           {"settings", lab_settings()}};
+                           {"settings", testbench_settings()}};
   std::ofstream(folder / "config.json") << config.dump();
   std::ofstream(log) << "";
   ChildProcess child;
