--- a/src/testbench/fault_injection/zones.cpp
+++ b/src/testbench/fault_injection/zones.cpp
@@ -202,27 +202,27 @@
     series.push_back(
         {static_cast<double>((at - fault_bin) * (kBinWidth / Micros(1000))) / 1000, n.first, n.second});
   if (!options.history.empty()) rig.history().write(options.history);
-  return {
-      {"fault", fault.name},
-      {"seed", options.seed},
-      {"mode", common ? "common" : "alone"},
-      {"processes", names.size()},
-      {"asked", sum.attempts},
-      {"served_share", share(first, last)},
-      {"served_share_calm", calm_share},
-      {"served_share_worst_10s", worst},
-      {"far_share_calm", cross_zone_calm},
-      {"far_share_during", cross_zone(fault_at, heal_at)},
-      {"time_to_move_ms", (moved - fault_bin) * (kBinWidth / Micros(1000))},
-      {"time_to_return_ms", static_cast<double>((returned - heal_at).count()) / 1000},
-      {"plan_changes", changes},
-      {"cold_falls", falls},
-      {"stale_reads", stale},
-      {"refused_share", sum.attempts ? static_cast<double>(sum.rejected) / static_cast<double>(sum.attempts) : 0},
-      {"p99_ms", percentile(sum.overall_latency, 0.99) / 1000},
-      {"rule_breaches", rig.fake_servers().invariants().total()},
-      {"breaches", rig.fake_servers().report().at("breaches")},
-      {"series", series}};
+  return {{"fault", fault.name},
+          {"seed", options.seed},
+          {"mode", common ? "common" : "alone"},
+          {"processes", names.size()},
+          {"asked", sum.attempts},
+          {"served_share", share(first, last)},
+          {"served_share_calm", calm_share},
+          {"served_share_worst_10s", worst},
+          {"far_share_calm", cross_zone_calm},
+          {"far_share_during", cross_zone(fault_at, heal_at)},
+          {"time_to_move_ms", (moved - fault_bin) * (kBinWidth / Micros(1000))},
+          {"time_to_return_ms", static_cast<double>((returned - heal_at).count()) / 1000},
+          {"plan_changes", changes},
+          {"cold_falls", falls},
+          {"stale_reads", stale},
+          {"refused_share",
+           sum.attempts ? static_cast<double>(sum.rejected) / static_cast<double>(sum.attempts) : 0},
+          {"p99_ms", percentile(sum.overall_latency, 0.99) / 1000},
+          {"rule_breaches", rig.fake_servers().invariants().total()},
+          {"breaches", rig.fake_servers().report().at("breaches")},
+          {"series", series}};
 }
 
 }  // namespace
@@ -303,19 +303,19 @@
     auto each = static_cast<double>(names.size());
     double rss = 0;
     for (auto& name : names) rss = std::max(rss, rig.daemon(name)->usage().rss_mb);
-    rows.push_back(
-        {{"mode", planned ? "planned" : "alone"},
-         {"seed", options.seed},
-         {"processes", names.size()},
-         {"servers", 120},
-         {"sets", 20},
-         {"rate_each", rate},
-         {"served_share", sum.attempts ? static_cast<double>(sum.served) / static_cast<double>(sum.attempts) : 0},
-         {"cpu_ms_per_s_each", (after.cpu - before.cpu) * 1000 / seconds / each},
-         {"cpu_ms_per_s_voter", (after.voters_cpu - before.voters_cpu) * 1000 / seconds / 3},
-         {"group_bytes_per_s_each", (after.bytes - before.bytes) / seconds / each},
-         {"rss_mb_most", rss},
-         {"plan", rig.status("n1", 2000) ? rig.status("n1", 2000)->value("plan", 0) : 0}});
+    rows.push_back({{"mode", planned ? "planned" : "alone"},
+                    {"seed", options.seed},
+                    {"processes", names.size()},
+                    {"servers", 120},
+                    {"sets", 20},
+                    {"rate_each", rate},
+                    {"served_share",
+                     sum.attempts ? static_cast<double>(sum.served) / static_cast<double>(sum.attempts) : 0},
+                    {"cpu_ms_per_s_each", (after.cpu - before.cpu) * 1000 / seconds / each},
+                    {"cpu_ms_per_s_voter", (after.voters_cpu - before.voters_cpu) * 1000 / seconds / 3},
+                    {"group_bytes_per_s_each", (after.bytes - before.bytes) / seconds / each},
+                    {"rss_mb_most", rss},
+                    {"plan", rig.status("n1", 2000) ? rig.status("n1", 2000)->value("plan", 0) : 0}});
   }
   return rows;
 }
--- a/src/testbench/load.cpp
+++ b/src/testbench/load.cpp
@@ -345,8 +345,9 @@
   auto& f = generator_.figures;
   if (in_flight_.empty()) {
     if (rules)
-      rules->record_violation(Invariant::kUnexpectedAnswer,
-                    fmt::format("client {} received an answer without a request in flight", number_));
+      rules->record_violation(
+          Invariant::kUnexpectedAnswer,
+          fmt::format("client {} received an answer without a request in flight", number_));
     return;
   }
   auto out = std::move(in_flight_.front());
@@ -359,7 +360,7 @@
   if (code.empty()) {
     if (value != out.id && rules)
       rules->record_violation(Invariant::kWrongValue,
-                    fmt::format("request {} received the value of request {}", out.id, value));
+                              fmt::format("request {} received the value of request {}", out.id, value));
     if (request.request_class == kBook)
       last_write_unix_ms_[static_cast<std::size_t>(request.session)] =
           std::chrono::duration_cast<std::chrono::milliseconds>(
--- a/src/testbench/load.h
+++ b/src/testbench/load.h
@@ -31,7 +31,7 @@
   int max_retries = 3;
   std::uint64_t seed = 1;
   InvariantChecker* rules = nullptr;  // receives wrong values and surplus answers as breaches
-  std::string id_prefix = "c";   // of request ids; must differ between loads that run against the same proxy
+  std::string id_prefix = "c";  // of request ids; must differ between loads that run against the same proxy
 };
 
 // Histogram of latencies in microseconds on a logarithmic axis from 1 us to 100 s, with bins 1 % wide.
--- a/tests/upgrade/upgrade_test.cpp
+++ b/tests/upgrade/upgrade_test.cpp
@@ -95,7 +95,8 @@
       running = std::move(next);
     }
     load.join();
-    INFO("workers " << workers << ", unanswered " << figures.unanswered << ", broken " << figures.broken_connections);
+    INFO("workers " << workers << ", unanswered " << figures.unanswered << ", broken "
+                    << figures.broken_connections);
     CHECK(figures.served > 1500);
     CHECK(figures.failed == 0);
     CHECK(figures.unanswered == 0);
