--- a/src/app/operator_file.cpp
+++ b/src/app/operator_file.cpp
@@ -102,7 +102,7 @@
       placement_millis("keep_ms", &placement_options.contact_timeout);
       placement_millis("dwell_ms", &placement_options.minimum_phase_duration);
       placement_millis("open_after_ms", &placement_options.open_after);
-      placement_millis("step_ms", &placement_options.step_every);
+      placement_millis("step_ms", &placement_options.step_interval);
     }
     if (o.is_voter()) o.jobs = {"list", "probe"};
     if (o.is_voter() && o.placement) o.jobs.push_back("placement");
--- a/src/group/endpoint_list_publisher.cpp
+++ b/src/group/endpoint_list_publisher.cpp
@@ -15,7 +15,7 @@
 
 // A list that is not in the registry after this time is proposed again. An election takes longer, a
 // replication round much less.
-constexpr Micros kReproposeInterval = 400ms;
+constexpr Micros kProposalRetryInterval = 400ms;
 
 }  // namespace
 
@@ -71,7 +71,7 @@
 
 void EndpointListPublisher::publish() {
   auto now = net::monotonic_now();
-  if (!is_publishing_ || now - last_proposed_ < kReproposeInterval) return;
+  if (!is_publishing_ || now - last_proposed_ < kProposalRetryInterval) return;
   auto token = leases_.token(kEndpointListJob);
   auto* job = state_.job(kEndpointListJob);
   if (job && job->publisher_token == token && job->data == to_publish_) {
--- a/src/group/options.h
+++ b/src/group/options.h
@@ -40,7 +40,7 @@
   // Thresholds of placement::Options. Keys: dwell_ms, open_after_ms, step_ms.
   Micros minimum_phase_duration{10'000'000};
   Micros open_after{5'000'000};
-  Micros step_every{2'000'000};
+  Micros step_interval{2'000'000};
   // Key: keep_ms. A proxy that has had no contact with the group for this long stops following the plan and
   // makes its own routing decisions.
   Micros contact_timeout{10'000'000};
--- a/src/group/plan_builder.cpp
+++ b/src/group/plan_builder.cpp
@@ -29,7 +29,7 @@
   placement::Options planner;
   planner.minimum_phase_duration = options.minimum_phase_duration / Micros(1000);
   planner.open_after = options.open_after / Micros(1000);
-  planner.step_interval = options.step_every / Micros(1000);
+  planner.step_interval = options.step_interval / Micros(1000);
   return planner;
 }
 
