--- a/src/app/group_runner.cpp
+++ b/src/app/group_runner.cpp
@@ -17,8 +17,8 @@
 // Descriptors in addition to those that the configuration allows the proxy: for links to hundreds of
 // followers, the store and health checks.
 constexpr rlim_t kGroupDescriptors = 2048;
-// When the group becomes unavailable to all proxies at once, they start to poll the list service one after
-// another, this far apart on average: a hundred calls a second.
+// When the group becomes unavailable to all proxies at once, they start to poll the discovery service one
+// after another, this far apart on average: a hundred calls a second.
 constexpr group::Micros kPollSpacing{10'000};
 // Interval between two health checks of a replica by the lease holder: if no class bounds the age of reads,
 // and the minimum.
--- a/src/group/jobs.h
+++ b/src/group/jobs.h
@@ -8,7 +8,7 @@
 
 namespace database_proxy::group {
 
-// Polls the list service and publishes the endpoint list.
+// Polls the discovery service and publishes the endpoint list.
 constexpr const char* kEndpointListJob = "list";
 // Decides which zones serve the reads of which clients.
 constexpr const char* kPlacementJob = "placement";
--- a/src/group/node.h
+++ b/src/group/node.h
@@ -37,10 +37,10 @@
 // thread.
 class Node {
  public:
-  // Opens the directory of a voter and listens. `discovery`: the list service's address. `initial_list`: the
-  // endpoint list that the process already has from another source. Throws std::runtime_error with a one-line
-  // message for a directory that belongs to another installation or is in use, and for a port in use;
-  // std::invalid_argument for options that check() rejects.
+  // Opens the directory of a voter and listens. `discovery`: the discovery service's address. `initial_list`:
+  // the endpoint list that the process already has from another source. Throws std::runtime_error with a
+  // one-line message for a directory that belongs to another installation or is in use, and for a port in
+  // use; std::invalid_argument for options that check() rejects.
   Node(Options options, std::string discovery, discovery::PollingSchedule schedule,
        discovery::EndpointListUpdate initial_list, NodeHost& host, net::Log log);
   ~Node();
@@ -65,8 +65,8 @@
   void submit_observation(placement::Observation observation);
   // Returns the number of the plan that this process follows; 0: it follows none.
   std::uint64_t adopted_plan_number() const;
-  // Applies the options that may change while the node runs: the addresses of the list service and of the
-  // voters.
+  // Applies the options that may change while the node runs: the addresses of the discovery service and of
+  // the voters.
   void reconfigure(std::string discovery, std::vector<NodeAddress> nodes);
 
   int port() const;  // 0: not listening
--- a/src/group/node_host.h
+++ b/src/group/node_host.h
@@ -24,11 +24,11 @@
   virtual ~NodeHost() = default;
 
   // Passes the complete endpoint list that is in effect from now on. `is_restart`: its generation is lower
-  // than that of the previous list, because the list service was reset.
+  // than that of the previous list, because the discovery service was reset.
   virtual void on_effective_endpoint_list(const discovery::EndpointListUpdate& list, bool is_restart) = 0;
   // Passes new load reports of data servers.
   virtual void on_load_reports(std::vector<LoadReport> reports) = 0;
-  // Reports whether the group provides the endpoint list and, if not, who polls the list service.
+  // Reports whether the group provides the endpoint list and, if not, who polls the discovery service.
   virtual void on_group_unavailable(EndpointListFallback fallback) = 0;
   // Passes the plan to follow from now on; nullopt: the process makes its own routing decisions.
   virtual void on_plan_adopted(const std::optional<placement::Plan>& plan) = 0;
--- a/src/peers/admin_messages.h
+++ b/src/peers/admin_messages.h
@@ -101,7 +101,7 @@
   std::int64_t endpoint_list_generation = -1;  // -1: no list that the group published
   std::string endpoint_list_source;
   std::uint64_t rejected_effects = 0;     // for an outdated fencing token
-  std::uint64_t complete_list_polls = 0;  // by this node, at the list service
+  std::uint64_t complete_list_polls = 0;  // by this node, at the discovery service
   std::uint64_t adopted_plan = 0;         // 0: none
   std::int64_t state_age_ms = 0;          // of a follower: time since its last contact with a leader
   std::string upstream;                   // of a follower: the voter that it follows
--- a/src/peers/messages.h
+++ b/src/peers/messages.h
@@ -98,7 +98,7 @@
   std::vector<ServerLoad> loads;
 };
 
-// States that the lease holder of `list` has the newest list of the list service as of this time.
+// States that the lease holder of `list` has the newest list of the discovery service as of this time.
 struct EndpointListStatus {
   JobReportHeader header;
   std::int64_t generation = 0;
@@ -114,13 +114,13 @@
 
 // A complete endpoint list that no lease holder published: a voter polled it, or had stored it.
 struct EndpointListCopy {
-  std::int64_t published_at_unix_ms = 0;  // by the list service; 0: unknown
+  std::int64_t published_at_unix_ms = 0;  // by the discovery service; 0: unknown
   std::string installation;
   std::string list;  // JSON of discovery::endpoint_list_to_json
 };
 
-// States that a voter which polls the list service has just received the answer that this generation is the
-// newest.
+// States that a voter which polls the discovery service has just received the answer that this generation is
+// the newest.
 struct EndpointListConfirmation {
   std::int64_t generation = 0;
   std::int64_t sent_at_unix_ms = 0;
--- a/src/testbench/fault_injection/coldstart.cpp
+++ b/src/testbench/fault_injection/coldstart.cpp
@@ -20,8 +20,8 @@
 constexpr double kRateEach = 1;  // requests a second at each proxy
 constexpr Micros kWarmUp = 10s;
 
-// A list service: `strong` without a limit, or `weak` with 50 ms per call and a queue of 20 calls, beyond
-// which it answers 503.
+// A discovery service: `strong` without a limit, or `weak` with 50 ms per call and a queue of 20 calls,
+// beyond which it answers 503.
 struct ListService {
   const char* name;
   Micros cost;
--- a/src/testbench/fault_injection/experiments.h
+++ b/src/testbench/fault_injection/experiments.h
@@ -42,8 +42,9 @@
 nlohmann::json run_zones_cost(const ExperimentOptions& options);
 
 // Measures a cold start of the whole installation: hundreds of proxies without an endpoint list, a strong or
-// weak list service, and data servers that are warming up. Returns, for each list service, one row for the
-// earlier program (`before`; skipped if empty), one for proxies without a group and one for the group.
+// weak discovery service, and data servers that are warming up. Returns, for each discovery service, one row
+// for the earlier program (`before`; skipped if empty), one for proxies without a group and one for the
+// group.
 nlohmann::json run_coldstart(const ExperimentOptions& options);
 
 // Measures the return of all followers (proxy nodes without a vote) at once, and of a voter that is `entries`
--- a/tests/group/parts_test.cpp
+++ b/tests/group/parts_test.cpp
@@ -429,7 +429,7 @@
   EXPECT_FALSE(selector.consider(Source::kGroup, "lab", list(7, discovery::Lifecycle::kDraining), 900));
   EXPECT_EQ(selector.published_at_ms(), 900);
   EXPECT_EQ(selector.source(), Source::kGroup);
-  // The list service was reset, and the lease holder published the service's current list.
+  // The discovery service was reset, and the lease holder published the service's current list.
   EXPECT_TRUE(selector.consider(Source::kGroup, "lab", list(1), 0));
   EXPECT_EQ(selector.list().generation, 1);
   EXPECT_TRUE(selector.list().reset);
--- a/tests/group/processes_test.cpp
+++ b/tests/group/processes_test.cpp
@@ -291,7 +291,7 @@
       f->wait_until([&] { return !f.holds_lease(survivor, "list") && !f.holds_lease(survivor, "probe 1"); }));
   CHECK(f->wait_until(
       [&] { return f->status(survivor) && f->status(survivor)->value("role", "") != "leader"; }));
-  // It polls the list service for itself and for the proxy that follows it.
+  // It polls the discovery service for itself and for the proxy that follows it.
   CHECK(f->wait_until(
       [&] { return f->log(survivor).find("asks the list service for all") != std::string::npos; }));
   CHECK(f->wait_until([&] { return f->fake_servers().report().at("list_calls").get<int>() > 0; }));
@@ -305,8 +305,8 @@
   // A drain must reach the proxy although no node holds the lease of the list.
   f->fake_servers().control({{"do", "drain"}, {"server", "s1-3"}});
   auto figures = run_load(load);
-  // While it searched for a live voter, the proxy may have begun to poll the list service itself; by now it
-  // must have stopped.
+  // While it searched for a live voter, the proxy may have begun to poll the discovery service itself; by now
+  // it must have stopped.
   CHECK(f->wait_until([&] {
     return count_occurrences(f->log("p1"), "asks by itself") ==
            count_occurrences(f->log("p1"), "heard of again");
@@ -590,10 +590,11 @@
   CHECK(call.send_request({{"do", "status"}}).contains("status"));
 }
 
-// Guards against a burst of polls at the list service: followers that were paused find on resuming that the
-// last message of the group is old, though the group was available all the time.
+// Guards against a burst of polls at the discovery service: followers that were paused find on resuming that
+// the last message of the group is old, though the group was available all the time.
 TEST_CASE("group: a voter far behind and dozens of followers that return at once catch up completely") {
-  // The followers are away for longer than they wait for the list before they fall back to the list service.
+  // The followers are away for longer than they wait for the list before they fall back to the discovery
+  // service.
   GroupFixture f(3, 24, [](FaultHarnessOptions& o) { o.group = {{"fallback_ms", 1500}}; });
   REQUIRE(f.wait_for_lease_holder("list"));
   auto fallbacks_started = [&] {
@@ -629,7 +630,8 @@
     for (auto& name : f->voters()) connected_followers += f.status_number(name, "followers");
     return connected_followers == f->followers().size();
   }));
-  // No follower may mistake its own absence for an outage of the group and fall back to the list service.
+  // No follower may mistake its own absence for an outage of the group and fall back to the discovery
+  // service.
   CHECK(f->fake_servers().report().at("list_calls").get<std::uint64_t>() - calls < 8);
   CHECK(fallbacks_started() == before);
 }
@@ -764,7 +766,7 @@
 
 // Guards against a job that nobody does: its lease holder renews the lease but cannot do the work.
 TEST_CASE("group: a lease holder that does no work loses its lease") {
-  // The list service stops answering, so the lease holder of the list gets no update.
+  // The discovery service stops answering, so the lease holder of the list gets no update.
   GroupFixture f(3, 0, [](FaultHarnessOptions& o) { o.group = {{"lease_ms", 1300}}; });
   REQUIRE(f.wait_for_lease_holder("list"));
   f->fake_servers().control({{"do", "discovery"}, {"mute", true}});
