--- a/src/app/commands.cpp
+++ b/src/app/commands.cpp
@@ -136,16 +136,16 @@
 Operations::Process make_operations_process(Serving& serving) {
   Operations::Process process;
   process.unhealthy_reason = [&serving] { return serving.unhealthy_reason(); };
-  process.apply_change = [&serving](discovery::EndpointListUpdate change) {
-    serving.apply_change(std::move(change));
+  process.apply_overlay_change = [&serving](discovery::EndpointListUpdate change) {
+    serving.apply_overlay_change(std::move(change));
   };
   process.descriptors_held = [&serving] { return serving.descriptors_held(); };
-  process.share_limits_with = [&serving](const proxy::OtherProcessesUsage& others) {
-    serving.share_limits_with(others);
+  process.set_other_processes_usage = [&serving](const proxy::OtherProcessesUsage& others) {
+    serving.set_other_processes_usage(others);
   };
   process.hand_over = [&serving] { serving.shut_down(proxy::ShutdownMode::kSuccessorServes); };
-  process.set_waiting_for_others = [&serving](bool is_waiting) {
-    serving.set_waiting_for_others(is_waiting);
+  process.set_waiting_for_other_processes = [&serving](bool is_waiting) {
+    serving.set_waiting_for_other_processes(is_waiting);
   };
   process.cancel = [&serving](std::uint32_t number, std::uint32_t secret) { serving.cancel(number, secret); };
   return process;
--- a/src/app/operations.cpp
+++ b/src/app/operations.cpp
@@ -153,7 +153,7 @@
     process_.cancel(cancel.session_number, cancel.secret);
   };
   // The process that has served the socket so far may have accepted writes of any session.
-  process_.share_limits_with({0, 0, true});
+  process_.set_other_processes_usage({0, 0, true});
   exchange_.emplace(loop_, shared_folder_, inherited_listener_, std::move(host), log_);
   update_limit_shares();
   if (!other_processes_.know_this_process) wait_for_other_processes();
@@ -162,7 +162,7 @@
 // Until the other processes have read the record of this one, they hold more than their share of the common
 // limits.
 void Operations::wait_for_other_processes() {
-  process_.set_waiting_for_others(true);
+  process_.set_waiting_for_other_processes(true);
   acknowledgement_timer_ = loop_.at(loop_.now() + kAcknowledgementTimeout, [this] {
     log_(net::Level::kWarning,
          "a process with the same listening socket does not read this process's record");
@@ -173,7 +173,7 @@
 void Operations::stop_waiting_for_other_processes() {
   if (acknowledgement_timer_ == net::Loop::kNoTimer) return;
   loop_.cancel(&acknowledgement_timer_);
-  process_.set_waiting_for_others(false);
+  process_.set_waiting_for_other_processes(false);
 }
 
 std::string Operations::unhealthy_reason() const {
@@ -187,7 +187,7 @@
 void Operations::update_limit_shares() {
   if (predecessor_ > 0 && handover::state_of(predecessor_) == handover::ProcessState::kGone) predecessor_ = 0;
   bool takes_requests = other_processes_.count > 0 || predecessor_ > 0 || owner_->other_owner() > 0;
-  process_.share_limits_with({other_processes_.count, other_processes_.descriptors, takes_requests});
+  process_.set_other_processes_usage({other_processes_.count, other_processes_.descriptors, takes_requests});
 }
 
 bool Operations::merge_cordons(const endpoint_list::CordonMarks& marks, pid_t from) {
@@ -199,7 +199,7 @@
          fmt::format("server {} {}, as process {} reports, {:.3f} s after the command", server,
                      mark.is_cordoned ? "is cordoned by an operator" : "was put back by an operator", from,
                      std::chrono::duration<double>(now - mark.changed_at).count()));
-  process_.apply_change(std::move(merge->change));
+  process_.apply_overlay_change(std::move(merge->change));
   return true;
 }
 
@@ -210,7 +210,7 @@
     log_(net::Level::kInfo,
          fmt::format("another process has list version {}: it takes {} servers out of service",
                      view.generation, change->endpoints.size()));
-  process_.apply_change(std::move(*change));
+  process_.apply_overlay_change(std::move(*change));
   return true;
 }
 
@@ -242,7 +242,7 @@
   log_(is_last ? net::Level::kWarning : net::Level::kInfo,
        fmt::format("server {} is {} by an operator{}", server, is_cordoned ? "cordoned" : "uncordoned",
                    is_last ? "; no other server of its group is in service" : ""));
-  process_.apply_change(std::move(change));
+  process_.apply_overlay_change(std::move(change));
   answer_when_stored(command, kStoreAttempts);
 }
 
@@ -270,7 +270,7 @@
   overlay_.set_cordon(command.server, !command.is_cordoned, net::monotonic_now(), &change);
   log_(net::Level::kWarning, fmt::format("server {} is {} again: the command cannot be stored",
                                          command.server, command.is_cordoned ? "uncordoned" : "cordoned"));
-  process_.apply_change(std::move(change));
+  process_.apply_overlay_change(std::move(change));
   if (exchange_) exchange_->publish();
 }
 
--- a/src/app/operations.h
+++ b/src/app/operations.h
@@ -31,12 +31,12 @@
   // Callbacks into the process, called in the thread of the loop.
   struct Process {
     std::function<std::string()> unhealthy_reason;  // empty: the process can serve
-    std::function<void(discovery::EndpointListUpdate)> apply_change;
+    std::function<void(discovery::EndpointListUpdate)> apply_overlay_change;
     std::function<std::size_t()> descriptors_held;
-    std::function<void(const proxy::OtherProcessesUsage&)> share_limits_with;
-    std::function<void()> hand_over;                   // another process serves while this one shuts down
-    std::function<void(bool)> set_waiting_for_others;  // while this is set, no client is accepted
-    std::function<void(std::uint32_t, std::uint32_t)> cancel;  // takes the session number and its secret
+    std::function<void(const proxy::OtherProcessesUsage&)> set_other_processes_usage;
+    std::function<void()> hand_over;  // another process serves while this one shuts down
+    std::function<void(bool)> set_waiting_for_other_processes;  // while this is set, no client is accepted
+    std::function<void(std::uint32_t, std::uint32_t)> cancel;   // takes the session number and its secret
   };
 
   // Checks the inherited socket. Throws std::runtime_error if it does not match the configuration.
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -201,7 +201,7 @@
   return false;
 }
 
-void Proxy::share_limits_with(const OtherProcessesUsage& others) {
+void Proxy::set_other_processes_usage(const OtherProcessesUsage& others) {
   if (others.takes_requests != other_processes_.takes_requests)
     dispatcher_.share_sessions(others.takes_requests);
   other_processes_ = others;
--- a/src/proxy/proxy.h
+++ b/src/proxy/proxy.h
@@ -87,16 +87,18 @@
   // (`is_restart`).
   void apply_endpoint_list(discovery::EndpointListUpdate update, bool is_restart = false);
   // Sets the usage of the other processes on the same listening socket, which share this proxy's limits.
-  void share_limits_with(const OtherProcessesUsage& others);
+  void set_other_processes_usage(const OtherProcessesUsage& others);
   // While this is set, no client of an inherited socket is accepted.
-  void set_waiting_for_others(bool is_waiting) { is_waiting_for_other_processes_ = is_waiting; }
+  void set_waiting_for_other_processes(bool is_waiting) { is_waiting_for_other_processes_ = is_waiting; }
   std::size_t descriptors_held() const { return descriptors_in_use(); }
   // Applies a list to one of several proxies. This and the calls below are made in the proxy's thread.
   void update_endpoint_list(discovery::EndpointListUpdate update, bool cached) {
     dispatcher_.update_endpoints(std::move(update), cached);
   }
   // Applies a change of the overlay's list; called in the proxy's thread.
-  void apply_change(discovery::EndpointListUpdate change) { dispatcher_.update_endpoints(std::move(change)); }
+  void apply_overlay_change(discovery::EndpointListUpdate change) {
+    dispatcher_.update_endpoints(std::move(change));
+  }
   void adopt(net::Fd client);
   void release_descriptor();  // closes the connection that is cheapest to lose, a client's or a server's
   // False: no session of this proxy has this number and secret.
--- a/src/workers/worker_pool.cpp
+++ b/src/workers/worker_pool.cpp
@@ -358,13 +358,13 @@
   start_serving();
 }
 
-void WorkerPool::set_waiting_for_others(bool is_waiting) {
-  is_waiting_for_others_ = is_waiting;
+void WorkerPool::set_waiting_for_other_processes(bool is_waiting) {
+  is_waiting_for_other_processes_ = is_waiting;
   start_serving();
 }
 
 void WorkerPool::start_serving() {
-  if (!is_worker_ready_ || is_waiting_for_others_ || std::exchange(is_serving_, true)) return;
+  if (!is_worker_ready_ || is_waiting_for_other_processes_ || std::exchange(is_serving_, true)) return;
   log_(net::Level::kInfo, "ready to serve");
   if (acceptor_ && !stopping_) acceptor_->start();
   on_ready();
@@ -429,10 +429,11 @@
   tasks_.post([this, number, secret] { on_unknown_cancel(number, secret); });
 }
 
-void WorkerPool::share_limits_with(const proxy::OtherProcessesUsage& others) {
+void WorkerPool::set_other_processes_usage(const proxy::OtherProcessesUsage& others) {
   other_processes_ = others.processes;
   other_descriptors_ = others.descriptors;
-  for (auto& worker : workers_) worker->post([others, &p = worker->proxy()] { p.share_limits_with(others); });
+  for (auto& worker : workers_)
+    worker->post([others, &p = worker->proxy()] { p.set_other_processes_usage(others); });
   if (decision_thread_) decision_thread_->share_sessions(others.takes_requests);
 }
 
--- a/src/workers/worker_pool.h
+++ b/src/workers/worker_pool.h
@@ -75,9 +75,11 @@
   void reconfigure(const proxy::ProxyOptions& options, int connections_per_server);
   int port() const;
   // As the functions of Proxy with these names; called in the control thread.
-  void apply_change(discovery::EndpointListUpdate change) { update_endpoint_list(std::move(change), false); }
-  void share_limits_with(const proxy::OtherProcessesUsage& others);
-  void set_waiting_for_others(bool is_waiting);
+  void apply_overlay_change(discovery::EndpointListUpdate change) {
+    update_endpoint_list(std::move(change), false);
+  }
+  void set_other_processes_usage(const proxy::OtherProcessesUsage& others);
+  void set_waiting_for_other_processes(bool is_waiting);
   std::size_t descriptors_held() const;
   void cancel(std::uint32_t number, std::uint32_t secret);
   std::function<void(std::uint32_t, std::uint32_t)> on_unknown_cancel = [](auto, auto) {};
@@ -127,7 +129,7 @@
   net::TaskQueue tasks_;
   std::atomic<bool> has_reported_ready_{false};
   bool stopping_ = false, has_discovery_answered_ = false;
-  bool is_worker_ready_ = false, is_waiting_for_others_ = false, is_serving_ = false;
+  bool is_worker_ready_ = false, is_waiting_for_other_processes_ = false, is_serving_ = false;
   Micros started_at_;
   std::unordered_set<std::string> usable_servers_;  // ids of the servers that are up
   std::size_t running_ = 0;
