--- a/src/group/options.h
+++ b/src/group/options.h
@@ -18,8 +18,8 @@
 // planning.
 constexpr Micros kObservationInterval{500'000};
 // Time for which an answer of the discovery service shows that the endpoint list is current. The discovery
-// service may keep a poll open for 5 s, and its answer may take 1 s more; a node that has had no answer for 7
-// s no longer knows the current list.
+// service may keep a poll open for 5 s, and its answer may take 1 s more; a node that has had no answer for
+// 7 s no longer knows the current list.
 constexpr Micros kEndpointListValidity{7'000'000};
 // Number of proxies whose observations one voter stores; observations of further proxies are ignored.
 constexpr std::size_t kMaxObservedProxies = 4096;
--- a/src/proxy/dispatcher.cpp
+++ b/src/proxy/dispatcher.cpp
@@ -153,17 +153,17 @@
 }
 
 // Measures as the rules do: delays of the sockets do not count as the proxy's.
-void Dispatcher::check_withdrawal(RequestId request, const std::string& server) {
-  auto since = withdrawn_servers_.since(server);
+void Dispatcher::check_in_service(RequestId request, const std::string& server) {
+  auto since = servers_out_of_service_.since(server);
   if (!since || drain_grace_.count() == 0) return;
   auto elapsed = net::monotonic_now() - *since;
-  invariants_.check(elapsed <= drain_grace_ + kSocketSlack, Invariant::kSentToWithdrawn, [&] {
+  invariants_.check(elapsed <= drain_grace_ + kSocketSlack, Invariant::kSentWhileOutOfService, [&] {
     return fmt::format("request {} to {}, {} ms after the first notice", request, server, elapsed / 1ms);
   });
 }
 
 void Dispatcher::attempt_begins(RequestId request, const std::string& server) {
-  check_withdrawal(request, server);
+  check_in_service(request, server);
   auto it = open_.find(request);
   auto detail = [&] { return fmt::format("request {}", request); };
   invariants_.check(it != open_.end(), Invariant::kSendWithoutClient, detail);
@@ -318,7 +318,7 @@
   do {
     for (auto& [update, cached] : std::exchange(endpoint_updates_, {})) {
       pool_.update(update);
-      withdrawn_servers_.update(now, update);
+      servers_out_of_service_.update(now, update);
       if (load_reports_ && update.reset) load_reports_->retain_listed(update.endpoints);
       decider_.update(now, update, cached);
     }
--- a/src/proxy/dispatcher.h
+++ b/src/proxy/dispatcher.h
@@ -73,8 +73,8 @@
   void set_observer(RequestObserver* observer) { observer_ = observer; }
   // Whether each attempt, rejection and failure is logged with its reason.
   void set_logs_decisions(bool logs) { logs_decisions_ = logs; }
-  // The grace period after the first notice of a server's withdrawal, in which attempts may still begin
-  // there; 0: no limit.
+  // The grace period after the first notice that a server is out of service, in which attempts may still
+  // begin there; 0: no limit.
   void set_drain_grace(Micros grace) { drain_grace_ = grace; }
   // Whether another process of the proxy also accepts requests of the same sessions.
   void share_sessions(bool is_shared) { decider_.share_sessions(loop_.now(), is_shared); }
@@ -112,7 +112,7 @@
     bool may_have_run = false;
     bool is_repeatable = true;  // its class allows a retry after an attempt that may have run
   };
-  void check_withdrawal(RequestId request, const std::string& server);
+  void check_in_service(RequestId request, const std::string& server);
   void check_send(const routing::Decision& decision, const OpenRequest& open);
   void record_end(const routing::AttemptResult& result);
   void finish_attempt(AttemptEnd& end);
@@ -132,7 +132,7 @@
   net::Log log_;
   InvariantMonitor invariants_;
   ServerPool pool_;
-  WithdrawnServers withdrawn_servers_;
+  ServersOutOfService servers_out_of_service_;
   Micros drain_grace_{0};
   Counters counters_;
   RequestId next_id_, id_step_;
--- a/src/proxy/invariants.cpp
+++ b/src/proxy/invariants.cpp
@@ -30,7 +30,7 @@
       return "a connection closed before its requests were answered";
     case Invariant::kAcceptedTooEarly:
       return "a client accepted before the process can serve";
-    case Invariant::kSentToWithdrawn:
+    case Invariant::kSentWhileOutOfService:
       return "an attempt at a server that is out of service";
   }
   return "?";
--- a/src/proxy/invariants.h
+++ b/src/proxy/invariants.h
@@ -21,9 +21,9 @@
   kUnsafeRepeat,    // retry of a request that must not run twice and may have run
   kTimeoutTooLong,  // a server is given a longer timeout than the client's remaining time plus slack
   kSecondAnswer,
-  kClosedUnanswered,  // the proxy closes a connection that has requests read and not answered
-  kAcceptedTooEarly,  // a client of an inherited socket accepted before this process can serve
-  kSentToWithdrawn,   // to a server that is cordoned, draining or removed, after the grace period
+  kClosedUnanswered,       // the proxy closes a connection that has requests read and not answered
+  kAcceptedTooEarly,       // a client of an inherited socket accepted before this process can serve
+  kSentWhileOutOfService,  // to a server that is cordoned, draining or removed, after the grace period
 };
 constexpr std::size_t kInvariants = 9;
 std::string_view name_of(Invariant invariant);
--- a/src/proxy/withdrawn_servers.h
+++ b/src/proxy/withdrawn_servers.h
@@ -12,19 +12,19 @@
 
 namespace database_proxy::proxy {
 
-class WithdrawnServers {
+class ServersOutOfService {
  public:
   using Micros = std::chrono::microseconds;
 
   void update(Micros now, const discovery::EndpointListUpdate& update);
-  // The time at which any process of the proxy first received notice of the withdrawal; nullopt: the server
-  // may be used, or was removed long enough ago that its entry was dropped.
+  // The time at which any process of the proxy first was notified that the server is out of service; nullopt:
+  // the server may be used, or was removed long enough ago that its entry was dropped.
   std::optional<Micros> since(const std::string& server) const;
 
  private:
-  void withdraw(const std::string& server, Micros notified_at);
+  void set_out_of_service(const std::string& server, Micros notified_at);
 
-  std::map<std::string, Micros> withdrawn_;
+  std::map<std::string, Micros> out_of_service_since_;
   std::set<std::string> listed_;
 };
 
--- a/src/testbench/fake_servers.cpp
+++ b/src/testbench/fake_servers.cpp
@@ -519,7 +519,7 @@
         if (node_.empty())
           invariants.on_listed(now, e.at("instanceId"), takes_work);
         else
-          invariants.withdrawals().on_listed(now, node_, e.at("instanceId"), takes_work);
+          invariants.out_of_service_checker().on_listed(now, node_, e.at("instanceId"), takes_work);
       }
     }
     void end() {
--- a/src/testbench/fake_servers.h
+++ b/src/testbench/fake_servers.h
@@ -68,7 +68,7 @@
 
   std::string discovery_address() const;  // address of discovery
   // Returns discovery's address for one node, numbered from 0; updates sent there are checked as the node's
-  // (WithdrawalChecker).
+  // (OutOfServiceChecker).
   std::string discovery_address_of(int node) const;
   std::string control_address() const;  // takes one JSON object per line and answers each with one
   InvariantChecker& invariants() { return invariants_; }
--- a/src/testbench/fault_injection/operator_calls.h
+++ b/src/testbench/fault_injection/operator_calls.h
@@ -18,7 +18,7 @@
   // Returns the operators' address of the newest or the oldest process of the node; empty: none runs.
   using FindAddress = std::function<std::string(bool newest)>;
 
-  OperatorCalls(std::string node, std::vector<PlannedCall> calls, WithdrawalChecker& checker,
+  OperatorCalls(std::string node, std::vector<PlannedCall> calls, OutOfServiceChecker& checker,
                 FindAddress find_address)
       : node_(std::move(node)),
         calls_(std::move(calls)),
@@ -38,7 +38,7 @@
 
   const std::string node_;
   const std::vector<PlannedCall> calls_;
-  WithdrawalChecker& checker_;
+  OutOfServiceChecker& checker_;
   FindAddress find_address_;
   std::vector<std::string> violations_;
 };
--- a/src/testbench/fault_injection/soak.cpp
+++ b/src/testbench/fault_injection/soak.cpp
@@ -137,7 +137,7 @@
     node.name = fmt::format("n{}", i);
     node.discovery = servers.discovery_address_of(static_cast<int>(i));
     node.calls = i < script.calls.size() ? script.calls[i] : std::vector<PlannedCall>{};
-    node.withdrawals = &servers.invariants().withdrawals();
+    node.out_of_service_checker = &servers.invariants().out_of_service_checker();
     node.began = began;
     node.known = servers.members();
     node.seed = script.seed;
@@ -168,7 +168,7 @@
   }
   play_actions(servers, script, began);
   std::this_thread::sleep_until(began + seconds(script.seconds));
-  auto unused = servers.invariants().withdrawals().unused_since_return(
+  auto unused = servers.invariants().out_of_service_checker().unused_since_return(
       net::monotonic_now(), servers.servers().front(), kMaxTimeToUseAfterUncordon);
   crowds.clear();
   for (auto& thread : threads) thread.join();
--- a/src/testbench/fault_injection/soak_node.cpp
+++ b/src/testbench/fault_injection/soak_node.cpp
@@ -122,11 +122,11 @@
 
 void SoakNode::stop_for(Process& process, int milliseconds_stopped) {
   process.was_stopped = true;
-  options_.withdrawals->on_stopped(options_.name);
+  options_.out_of_service_checker->on_stopped(options_.name);
   process.process->signal(SIGSTOP);
   std::this_thread::sleep_for(milliseconds(milliseconds_stopped));
   process.process->signal(SIGCONT);
-  options_.withdrawals->on_continued(net::monotonic_now(), options_.name);
+  options_.out_of_service_checker->on_continued(net::monotonic_now(), options_.name);
 }
 
 void SoakNode::kill_process(Process& process) {
@@ -218,7 +218,7 @@
 }
 
 void SoakNode::run() {
-  OperatorCalls calls(options_.name, options_.calls, *options_.withdrawals,
+  OperatorCalls calls(options_.name, options_.calls, *options_.out_of_service_checker,
                       [this](bool newest) { return operator_address(newest); });
   std::thread operating([&] { calls.run(options_.began, options_.until); });
   play_upgrades();
--- a/src/testbench/fault_injection/soak_node.h
+++ b/src/testbench/fault_injection/soak_node.h
@@ -27,7 +27,7 @@
   std::string name;     // prefix of its requests' ids
   std::vector<PlannedUpgrade> upgrades;
   std::vector<PlannedCall> calls;
-  WithdrawalChecker* withdrawals = nullptr;
+  OutOfServiceChecker* out_of_service_checker = nullptr;
   std::chrono::steady_clock::time_point began;
   std::chrono::steady_clock::time_point until;
 };
--- a/src/testbench/rules.cpp
+++ b/src/testbench/rules.cpp
@@ -20,7 +20,7 @@
       return "too many attempts";
     case Invariant::kSentAfterDrain:
       return "sent after the grace of a drain";
-    case Invariant::kSentAfterWithdrawal:
+    case Invariant::kSentWhileOutOfService:
       return "sent by a node that was told to leave the server";
     case Invariant::kSlowStartOverload:
       return "cold member overrun";
@@ -73,8 +73,8 @@
                      fmt::format("request {} at {} while another attempt is in flight", request, server));
   if (attempts > limits_.attempts)
     record_violation(Invariant::kTooManyAttempts, fmt::format("request {} sent {} times", request, attempts));
-  if (auto detail = withdrawals_.on_attempt(begun, request, std::string(server)))
-    record_violation(Invariant::kSentAfterWithdrawal, *detail);
+  if (auto detail = out_of_service_checker_.on_attempt(begun, request, std::string(server)))
+    record_violation(Invariant::kSentWhileOutOfService, *detail);
   if (!has_seen_drain_.load(std::memory_order_acquire)) return;
   std::lock_guard lock(mutex_);
   auto it = listed_states_.find(std::string(server));
--- a/src/testbench/rules.h
+++ b/src/testbench/rules.h
@@ -31,7 +31,7 @@
   kConcurrentAttempts,
   kTooManyAttempts,
   kSentAfterDrain,
-  kSentAfterWithdrawal,
+  kSentWhileOutOfService,
   kSlowStartOverload,
   kStaleRead,
   kExpiredIdempotencyKey,
@@ -43,7 +43,7 @@
 class InvariantChecker {
  public:
   explicit InvariantChecker(InvariantLimits limits = {})
-      : limits_(limits), withdrawals_(limits.drain_grace), slow_start_(limits.slow_start) {}
+      : limits_(limits), out_of_service_checker_(limits.drain_grace), slow_start_(limits.slow_start) {}
 
   // Records an attempt at `server` whose first byte arrived at `begun` and its last byte at `now`.
   void on_attempt(Micros now, Micros begun, std::string_view request, std::string_view server);
@@ -60,7 +60,7 @@
   // Counts a violation and keeps the description of the first one of each invariant.
   void record_violation(Invariant invariant, const std::string& detail);
   // Checks drains and operators' commands per node.
-  WithdrawalChecker& withdrawals() { return withdrawals_; }
+  OutOfServiceChecker& out_of_service_checker() { return out_of_service_checker_; }
 
   struct Violation {
     Invariant invariant;
@@ -95,7 +95,7 @@
 
   static constexpr std::size_t kStripes = 64;
   InvariantLimits limits_;
-  WithdrawalChecker withdrawals_;
+  OutOfServiceChecker out_of_service_checker_;
   SlowStartChecker slow_start_;
   std::array<LockStripe, kStripes> stripes_;
   mutable std::mutex mutex_;  // guards the members below
--- a/src/testbench/withdrawal_checker.h
+++ b/src/testbench/withdrawal_checker.h
@@ -17,10 +17,10 @@
 
 using net::Micros;
 
-class WithdrawalChecker {
+class OutOfServiceChecker {
  public:
   // `grace`: maximum time from the first notice to the last attempt, including the allowance for the sockets.
-  explicit WithdrawalChecker(Micros grace) : grace_(grace) {}
+  explicit OutOfServiceChecker(Micros grace) : grace_(grace) {}
 
   // Records that discovery's update was written to one of the node's processes.
   void on_listed(Micros now, const std::string& node, const std::string& server, bool takes_work);
@@ -43,7 +43,7 @@
   std::vector<std::string> unused_since_return(Micros now, const std::string& server, Micros allowed) const;
 
  private:
-  struct Withdrawal {
+  struct ServiceState {
     std::optional<Micros> drained_at, cordoned_at;
     std::optional<Micros> returned_at;  // last uncordon; reset when the server goes out of service again
     bool is_used_since_return = false;
@@ -54,7 +54,7 @@
 
   const Micros grace_;
   mutable std::mutex mutex_;
-  std::map<Key, Withdrawal> withdrawals_;
+  std::map<Key, ServiceState> service_states_;
   std::set<std::string> stopped_;
   std::map<std::string, Micros> continued_at_;
 };
--- a/tests/proxy/invariants_test.cpp
+++ b/tests/proxy/invariants_test.cpp
@@ -92,7 +92,7 @@
 
 }  // namespace
 
-TEST_CASE("invariants: an attempt on a withdrawn server after the grace period counts") {
+TEST_CASE("invariants: an attempt on a server out of service after the grace period counts") {
   DispatcherFixture fixture;
   fixture.dispatcher.set_drain_grace(1s);
   auto begin_after = [&](Micros since_notice, discovery::Lifecycle lifecycle) {
@@ -104,7 +104,7 @@
     fixture.dispatcher.update_endpoints(update);
     fixture.dispatcher.on_iteration_end();
     fixture.dispatcher.attempt_begins(fixture.id, "s");
-    return fixture.count(Invariant::kSentToWithdrawn);
+    return fixture.count(Invariant::kSentWhileOutOfService);
   };
   CHECK(begin_after(900ms, discovery::Lifecycle::kDraining) == 0);
   CHECK(begin_after(1100ms, discovery::Lifecycle::kDraining) == 1);
