--- a/src/handover/socket_note.cpp
+++ b/src/handover/socket_note.cpp
@@ -61,13 +61,13 @@
 
 }  // namespace
 
-std::optional<std::string> SocketNote::read() const {
+std::optional<std::string> SocketText::read() const {
   auto program = read_attached_filter(listener_);
   return program ? decode_text(*program) : std::nullopt;
 }
 
-int SocketNote::write(std::string_view text) const {
-  if (text.size() > kLongestSocketNote) return EMSGSIZE;
+int SocketText::write(std::string_view text) const {
+  if (text.size() > kMaxSocketTextBytes) return EMSGSIZE;
   auto attached = read_attached_filter(listener_);
   if (!attached) return errno;
   bool is_foreign = !attached->empty() && !decode_text(*attached);
--- a/src/handover/socket_note.h
+++ b/src/handover/socket_note.h
@@ -12,12 +12,12 @@
 namespace database_proxy::handover {
 
 // The instructions of a filter have space for this number of bytes.
-constexpr std::size_t kLongestSocketNote = 16'000;
+constexpr std::size_t kMaxSocketTextBytes = 16'000;
 
-class SocketNote {
+class SocketText {
  public:
   // `listener` must outlive this object.
-  explicit SocketNote(int listener) : listener_(listener) {}
+  explicit SocketText(int listener) : listener_(listener) {}
 
   // Returns nullopt if there is no text or it cannot be read at the moment.
   std::optional<std::string> read() const;
--- a/src/handover/socket_record.cpp
+++ b/src/handover/socket_record.cpp
@@ -15,7 +15,7 @@
 ProcessRecord shortened(ProcessRecord record) {
   record.cancels.clear();
   record.descriptors = 0;
-  auto is_too_long = [&record] { return encode_record(record).size() > kLongestSocketNote; };
+  auto is_too_long = [&record] { return encode_record(record).size() > kMaxSocketTextBytes; };
   if (is_too_long()) record.endpoints = {};
   if (is_too_long()) std::erase_if(record.cordons, [](auto& mark) { return !mark.second.is_cordoned; });
   return record;
@@ -40,7 +40,7 @@
 }  // namespace
 
 const std::optional<ProcessRecord>& SocketRecord::read() {
-  auto text = note_.read();
+  auto text = socket_text_.read();
   if (!text || *text == last_text_) return record_;
   last_text_ = *text;
   RecordError error = RecordError::kNone;
@@ -59,7 +59,7 @@
   required_ = shortened(own);
   read();
   if (is_stored()) return true;
-  int error = note_.write(encode_record(required_));
+  int error = socket_text_.write(encode_record(required_));
   if (error == 0) read();
   if (std::exchange(is_failing_, error != 0) != is_failing_)
     log_(is_failing_ ? net::Level::kWarning : net::Level::kInfo,
--- a/src/handover/socket_record.h
+++ b/src/handover/socket_record.h
@@ -16,7 +16,7 @@
 class SocketRecord {
  public:
   // `listener` must outlive this object.
-  SocketRecord(int listener, net::Log log) : note_(listener), log_(std::move(log)) {}
+  SocketRecord(int listener, net::Log log) : socket_text_(listener), log_(std::move(log)) {}
 
   // Returns the record of the process that wrote last, or nullopt if there is none that can be read.
   const std::optional<ProcessRecord>& read();
@@ -28,7 +28,7 @@
   bool is_stored() const;
 
  private:
-  SocketNote note_;
+  SocketText socket_text_;
   net::Log log_;
   std::string last_text_;  // as last read
   std::optional<ProcessRecord> record_;
