--- a/src/app/commands.cpp
+++ b/src/app/commands.cpp
@@ -35,7 +35,7 @@
 
 // The platform kills a process this long after SIGTERM: the longest deadline, of which at most 3 s count, and
 // the grace.
-constexpr net::Micros kLongestCountedDeadline = std::chrono::seconds(3);
+constexpr net::Micros kMaxCountedDeadline = std::chrono::seconds(3);
 constexpr net::Micros kShutdownGrace = std::chrono::milliseconds(700);
 
 // Raises the limit on descriptors to `requested` as far as the system permits. Returns how many of them this
@@ -62,7 +62,7 @@
   net::Micros longest_deadline{0};
   for (auto& request_class : config.settings.classes)
     longest_deadline = std::max(longest_deadline, request_class.deadline);
-  options.shutdown_limit = std::min(longest_deadline, kLongestCountedDeadline) + kShutdownGrace;
+  options.shutdown_limit = std::min(longest_deadline, kMaxCountedDeadline) + kShutdownGrace;
   options.schedule =
       discovery::PollingSchedule(config.settings.routers, config.settings.poll_discovery, config.seed);
   return options;
--- a/src/app/operations.cpp
+++ b/src/app/operations.cpp
@@ -229,7 +229,7 @@
       return answer(operator_endpoint::no(fmt::format("no data server {} is known", server)));
     case Result::kTooMany:
       return answer(operator_endpoint::no(
-          fmt::format("{} data servers are cordoned already", endpoint_list::kMostCordonMarks)));
+          fmt::format("{} data servers are cordoned already", endpoint_list::kMaxCordonMarks)));
     case Result::kUnchanged:
       command.remark = is_cordoned ? "it was cordoned already" : "it was not cordoned";
       return answer_when_stored(command, kStoreAttempts);
--- a/src/endpoint_list/cordon_marks.h
+++ b/src/endpoint_list/cordon_marks.h
@@ -21,6 +21,6 @@
 
 // The maximum number of marks, greater than the number of servers at any site. It keeps a faulty script from
 // filling the memory.
-constexpr std::size_t kMostCordonMarks = 1024;
+constexpr std::size_t kMaxCordonMarks = 1024;
 
 }  // namespace database_proxy::endpoint_list
--- a/src/endpoint_list/endpoint_overlay.cpp
+++ b/src/endpoint_list/endpoint_overlay.cpp
@@ -26,7 +26,7 @@
 // mark of another process would restore the cordon. If all slots are used, the mark of the server that was
 // uncordoned first is removed.
 bool EndpointOverlay::reserve_cordon_slot(const std::string& id) {
-  if (cordons_.contains(id) || cordons_.size() < kMostCordonMarks) return true;
+  if (cordons_.contains(id) || cordons_.size() < kMaxCordonMarks) return true;
   auto oldest = cordons_.end();
   for (auto mark = cordons_.begin(); mark != cordons_.end(); ++mark) {
     if (mark->second.is_cordoned) continue;
--- a/src/handover/process_exchange.cpp
+++ b/src/handover/process_exchange.cpp
@@ -19,7 +19,7 @@
 constexpr Micros kStaleCheckInterval = 30s;
 // By then every process has read a forwarded cancel.
 constexpr Micros kCancelLifetime = 2s;
-constexpr std::size_t kMostCancels = 256;
+constexpr std::size_t kMaxCancels = 256;
 // A smaller change of the number of descriptors is not worth writing a record.
 constexpr std::size_t kDescriptorStep = 4;
 
@@ -75,7 +75,7 @@
 }
 
 void ProcessExchange::forward_cancel(std::uint32_t session_number, std::uint32_t secret) {
-  if (other_processes_.count == 0 || own_record_.cancels.size() >= kMostCancels) return;
+  if (other_processes_.count == 0 || own_record_.cancels.size() >= kMaxCancels) return;
   auto now = net::monotonic_now();
   // Cancels are distinguished by their times, so each needs a later one than the last.
   if (!own_record_.cancels.empty()) now = std::max(now, own_record_.cancels.back().received_at + Micros(1));
--- a/src/handover/process_record.cpp
+++ b/src/handover/process_record.cpp
@@ -65,7 +65,7 @@
 
 bool is_valid(const ProcessRecord& record) {
   bool is_stage = record.stage >= ProcessStage::kStarting && record.stage <= ProcessStage::kShuttingDown;
-  return record.process.pid > 0 && is_stage && record.cordons.size() <= endpoint_list::kMostCordonMarks;
+  return record.process.pid > 0 && is_stage && record.cordons.size() <= endpoint_list::kMaxCordonMarks;
 }
 
 }  // namespace
--- a/src/handover/record_folder.cpp
+++ b/src/handover/record_folder.cpp
@@ -25,7 +25,7 @@
 
 constexpr std::string_view kPrefix = "database-proxy-", kSuffix = ".process", kTemporarySuffix = ".new";
 // Limit of the records that are read of one listening socket: an upgrade has two or three processes.
-constexpr std::size_t kMostRecords = 64;
+constexpr std::size_t kMaxRecords = 64;
 // Age at which the record of an ended process is removed. By then its successor, if there is one, has merged
 // it.
 constexpr Micros kStaleAfter = 60s;
@@ -89,7 +89,7 @@
   for (std::filesystem::directory_iterator entry(path_, error), end; !error && entry != end;
        entry.increment(error)) {
     auto name = entry->path().filename().string();
-    if (name.starts_with(prefix) && is_record_name(name) && names.size() < kMostRecords)
+    if (name.starts_with(prefix) && is_record_name(name) && names.size() < kMaxRecords)
       names.push_back(std::move(name));
   }
   return names;
--- a/src/operator_endpoint/operator_command.cpp
+++ b/src/operator_endpoint/operator_command.cpp
@@ -36,8 +36,8 @@
 OperatorCommand parse_command(std::string_view line) {
   using Kind = OperatorCommand::Kind;
   if (line.ends_with('\r')) line.remove_suffix(1);
-  if (line.size() > kLongestCommand)
-    return malformed(fmt::format("the command is longer than {} bytes", kLongestCommand));
+  if (line.size() > kMaxCommandBytes)
+    return malformed(fmt::format("the command is longer than {} bytes", kMaxCommandBytes));
   if (std::any_of(line.begin(), line.end(), is_control_character))
     return malformed("the command contains control characters");
   auto words = split_words(line);
--- a/src/operator_endpoint/operator_command.h
+++ b/src/operator_endpoint/operator_command.h
@@ -8,7 +8,7 @@
 namespace database_proxy::operator_endpoint {
 
 // The maximum length of a line in bytes. Ids of data servers are short, so a longer line cannot be a command.
-constexpr std::size_t kLongestCommand = 512;
+constexpr std::size_t kMaxCommandBytes = 512;
 
 // A command sent by an operator.
 struct OperatorCommand {
--- a/src/operator_endpoint/operator_listener.cpp
+++ b/src/operator_endpoint/operator_listener.cpp
@@ -53,7 +53,7 @@
 // A complete line and the end of the client's data may arrive together.
 void OperatorConnection::read_command() {
   constexpr std::size_t kLineEnd = 2;
-  auto end = input_.fill(socket_.get(), kLongestCommand + kLineEnd);
+  auto end = input_.fill(socket_.get(), kMaxCommandBytes + kLineEnd);
   auto text = input_.view();
   auto line_feed = text.find('\n');
   if (line_feed == std::string_view::npos) {
@@ -81,10 +81,10 @@
 // Discards the bytes received after the command before closing: closing with unread bytes would reset the
 // connection, and the client would lose the reply.
 void OperatorConnection::finish() {
-  constexpr std::size_t kMostDiscarded = 16 * kLongestCommand;
+  constexpr std::size_t kMaxDiscardedBytes = 16 * kMaxCommandBytes;
   if (!output_.empty()) return;
   shutdown(socket_.get(), SHUT_WR);
-  net::discard(socket_.get(), kMostDiscarded);
+  net::discard(socket_.get(), kMaxDiscardedBytes);
   listener_.close(number_);
 }
 
@@ -137,7 +137,7 @@
   closed_.clear();
   loop_.cancel(&retry_timer_);
   for (int accepted = 0; accepted < kAcceptsPerIteration; ++accepted) {
-    if (connections_.size() >= kMostConnections && !evict_oldest_without_command()) break;
+    if (connections_.size() >= kMaxConnections && !evict_oldest_without_command()) break;
     int error = 0;
     auto socket = net::accept_from(socket_.get(), &error);
     if (socket) {
@@ -148,7 +148,7 @@
     if (error == ECONNABORTED || error == EINTR || error == EPROTO) continue;
     return accept_later(kAcceptRetry);
   }
-  accept_later(connections_.size() < kMostConnections ? Micros(0) : kAcceptRetry);
+  accept_later(connections_.size() < kMaxConnections ? Micros(0) : kAcceptRetry);
 }
 
 void OperatorListener::accept_later(Micros delay) {
--- a/src/operator_endpoint/operator_listener.h
+++ b/src/operator_endpoint/operator_listener.h
@@ -17,9 +17,9 @@
 namespace database_proxy::operator_endpoint {
 
 // The maximum number of connections. Beyond it, the oldest one that has not sent its command is closed.
-constexpr std::size_t kMostConnections = 16;
+constexpr std::size_t kMaxConnections = 16;
 // The maximum number of descriptors that a listener holds. They are reserved, not available to clients.
-constexpr std::size_t kListenerDescriptors = kMostConnections + 1;
+constexpr std::size_t kListenerDescriptors = kMaxConnections + 1;
 
 class OperatorConnection;
 
--- a/src/pg/message.cpp
+++ b/src/pg/message.cpp
@@ -4,7 +4,7 @@
 namespace {
 
 constexpr std::uint32_t kVersion3 = 196608, kCancelCode = 80877102, kSslCode = 80877103, kGssCode = 80877104;
-constexpr std::uint32_t kLongestFirstMessage = 10'000;  // bytes, as PostgreSQL itself allows
+constexpr std::uint32_t kMaxFirstMessageBytes = 10'000;  // bytes, as PostgreSQL itself allows
 constexpr std::size_t kLengthSize = 4;  // bytes of a message's length field, which counts itself
 constexpr std::uint32_t kCancelRequestSize = 16;
 
@@ -81,7 +81,7 @@
 ParseStatus parse_first_message(std::string_view in, FirstMessage* first) {
   if (in.size() < kLengthSize) return ParseStatus::kMore;
   std::uint32_t length = read32(in, 0);
-  if (length < 8 || length > kLongestFirstMessage) return ParseStatus::kBad;
+  if (length < 8 || length > kMaxFirstMessageBytes) return ParseStatus::kBad;
   if (in.size() < length) return ParseStatus::kMore;
   first->size = length;
   first->code = read32(in, 4);
--- a/src/pg/statement.cpp
+++ b/src/pg/statement.cpp
@@ -8,10 +8,10 @@
 
 constexpr std::string_view kSelect = "SELECT content FROM kv WHERE name = '";
 constexpr std::string_view kInsert = "INSERT INTO kv (name, content) VALUES ('";
-constexpr std::size_t kLongestName = 64;  // of a request's id or key
+constexpr std::size_t kMaxNameBytes = 64;  // of a request's id or key
 constexpr std::string_view kNameCharacters =
     "0123456789abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ-_.:";
-constexpr std::int64_t kLongestTimeoutMs = 24LL * 3600 * 1000;
+constexpr std::int64_t kMaxTimeoutMs = 24LL * 3600 * 1000;
 
 // The error in a statement; nullopt: it is valid.
 using Problem = std::optional<std::string_view>;
@@ -70,7 +70,7 @@
 
 // Ids and keys are restricted to characters that are safe in logs and in statements to data servers.
 bool is_name(std::string_view text) {
-  return !text.empty() && text.size() <= kLongestName &&
+  return !text.empty() && text.size() <= kMaxNameBytes &&
          text.find_first_not_of(kNameCharacters) == std::string_view::npos;
 }
 
@@ -122,7 +122,7 @@
 
   Problem read_timeout(std::string_view value) {
     auto timeout_ms = to_integer(value);
-    bool is_valid = timeout_ms && *timeout_ms > 0 && *timeout_ms <= kLongestTimeoutMs;
+    bool is_valid = timeout_ms && *timeout_ms > 0 && *timeout_ms <= kMaxTimeoutMs;
     if (statement_.timeout_ms != 0 || !is_valid)
       return "d is not a valid timeout in milliseconds or is given twice";
     statement_.timeout_ms = *timeout_ms;
--- a/src/pg/statement.h
+++ b/src/pg/statement.h
@@ -34,9 +34,9 @@
 
 // The greatest size in bytes of a statement other than an INSERT. A longer one is rejected without waiting
 // for the rest of it.
-constexpr std::size_t kLongestShortStatement = 4096;
+constexpr std::size_t kMaxShortStatementBytes = 4096;
 
-// Whether a statement with this beginning may be longer than kLongestShortStatement: only an INSERT, as it
+// Whether a statement with this beginning may be longer than kMaxShortStatementBytes: only an INSERT, as it
 // carries a value.
 bool may_be_long(std::string_view beginning);
 
--- a/src/proxy/client_commands.cpp
+++ b/src/proxy/client_commands.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 // A client may request two kinds of encryption before its startup message; one more message is tolerated.
-constexpr int kMostFirstMessages = 4;
+constexpr int kMaxFirstMessages = 4;
 // Minor version N of the requested protocol version 3.N. If N is above 0, the version is negotiated down
 // to 3.0.
 constexpr std::uint32_t kMinorVersionMask = 0xffff;
@@ -25,7 +25,7 @@
     fail_connection("08P01", "invalid startup message");
     return false;
   }
-  if (++first_messages_ > kMostFirstMessages) {
+  if (++first_messages_ > kMaxFirstMessages) {
     fail_connection("08P01", "too many messages before the startup message");
     return false;
   }
--- a/src/proxy/client_session.cpp
+++ b/src/proxy/client_session.cpp
@@ -16,7 +16,7 @@
 constexpr std::size_t kWriteCap = 64 * 1024;
 // Number of commands of one connection that may wait for their answers; beyond it no more commands are
 // processed.
-constexpr std::size_t kMostQueuedCommands = 256;
+constexpr std::size_t kMaxQueuedCommands = 256;
 // A connection is closed if it sends no complete command within this time after it was opened, or after the
 // first byte of a later command: neither a silent connection nor an incomplete command may hold a descriptor.
 constexpr Micros kCommandTimeout = 2500ms;
@@ -25,7 +25,7 @@
 // Time for which input is still read and discarded after a fatal error. Closing with unread input would send
 // a reset, which could overtake the error message.
 constexpr Micros kLingerTime = 1s;
-constexpr std::size_t kMostDiscarded = 64 * 1024 * 1024;
+constexpr std::size_t kMaxDiscardedBytes = 64 * 1024 * 1024;
 constexpr std::size_t kDiscardPerIteration = 1024 * 1024;
 
 }  // namespace
@@ -173,7 +173,7 @@
   if (out_.empty()) shutdown(fd_.get(), SHUT_WR);
   if (end != net::IoResult::kFull) return;
   discarded_ += kDiscardPerIteration;
-  if (discarded_ >= kMostDiscarded) return close();
+  if (discarded_ >= kMaxDiscardedBytes) return close();
   continue_next_iteration();
 }
 
@@ -199,7 +199,7 @@
 // Reports the buffered bytes of this session to the owner. Returns false if all sessions together exceed the
 // limit.
 bool ClientSession::account_memory() {
-  auto input_memory = input_.memory() > pg::kLongestShortStatement ? input_.memory() : 0;
+  auto input_memory = input_.memory() > pg::kMaxShortStatementBytes ? input_.memory() : 0;
   auto buffered = queued_answer_bytes_ + input_memory;
   auto change = static_cast<std::ptrdiff_t>(buffered) - static_cast<std::ptrdiff_t>(accounted_);
   accounted_ = buffered;
@@ -224,7 +224,7 @@
   is_processing_ = true;
   input_.begin_iteration();
   is_blocked_ = false;
-  while (fd_ && takes_commands() && unsent() < kWriteCap && queue_.size() < kMostQueuedCommands)
+  while (fd_ && takes_commands() && unsent() < kWriteCap && queue_.size() < kMaxQueuedCommands)
     if (!process_next()) break;
   is_processing_ = false;
   bool closes_when_idle = shutdown_ != Shutdown::kNone;
@@ -307,7 +307,7 @@
 // need not be awaited.
 bool ClientSession::is_certain_to_be_rejected() const {
   auto partial_command = input_.view().substr(parsed_);
-  if (!has_started() || partial_command.size() <= pg::kLongestShortStatement) return false;
+  if (!has_started() || partial_command.size() <= pg::kMaxShortStatementBytes) return false;
   constexpr std::size_t kQueryHeader = 5;  // type byte and length
   return partial_command[0] != 'Q' || !pg::may_be_long(partial_command.substr(kQueryHeader));
 }
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -29,7 +29,7 @@
 constexpr Micros kLastAnswerBeforeKill = 400ms, kLastCloseBeforeKill = 250ms;
 // The time after which a client that does not read its last answers no longer delays the shutdown. Open
 // requests are never cut off: each ends by its own deadline.
-constexpr Micros kLongestShutdown = 15s;
+constexpr Micros kMaxShutdownTime = 15s;
 // The standard streams, epoll, the signals, the listener, discovery and the log, and a few spare descriptors.
 constexpr std::size_t kOwnDescriptors = 16;
 constexpr std::size_t kDescriptorsPerProxy = 2;  // with several proxies: each one's epoll and a spare one
@@ -453,7 +453,7 @@
   if (!siblings_)
     log_(net::Level::kInfo, fmt::format("told to stop: {} clients, {} requests open", sessions_.size(),
                                         dispatcher_.open_requests()));
-  for (auto after : {kContinueServing, kRejectAfter, kRejectAfter + kPartialCommandGrace, kLongestShutdown})
+  for (auto after : {kContinueServing, kRejectAfter, kRejectAfter + kPartialCommandGrace, kMaxShutdownTime})
     loop_.at(loop_.now() + after, [] {});
 }
 
@@ -500,8 +500,8 @@
     bool is_in_grace_period = session->is_lingering() ||
                               (session->is_mid_command() && elapsed < kRejectAfter + kPartialCommandGrace);
     if (is_in_grace_period
-            ? elapsed >= kLongestShutdown
-            : !session->is_busy() || (elapsed >= kLongestShutdown && !session->has_unanswered_commands()))
+            ? elapsed >= kMaxShutdownTime
+            : !session->is_busy() || (elapsed >= kMaxShutdownTime && !session->has_unanswered_commands()))
       session->close();
   }
   stop_if_empty();
--- a/src/routing/server_clock.cpp
+++ b/src/routing/server_clock.cpp
@@ -12,7 +12,7 @@
 constexpr Micros kTolerance = 250ms;
 // The time without a primary's answer after which the wall clock is trusted unless there is contrary
 // evidence.
-constexpr Micros kLongestLearning = 2s;
+constexpr Micros kMaxLearningTime = 2s;
 constexpr Micros kReadInterval = 100ms;
 // The greatest age of a load report on arrival.
 constexpr Micros kReportAge = 500ms;
@@ -122,7 +122,7 @@
     set_distance(received_at, unix_time - received_at);
     return std::nullopt;
   }
-  bool has_learned = is_confirmed_ || received_at - unconfirmed_since_ > kLongestLearning;
+  bool has_learned = is_confirmed_ || received_at - unconfirmed_since_ > kMaxLearningTime;
   if (!has_learned && !is_primary) return std::nullopt;
   return unix_time - distance_;
 }
--- a/src/testbench/fault_injection/soak_node.cpp
+++ b/src/testbench/fault_injection/soak_node.cpp
@@ -19,8 +19,8 @@
 using std::chrono::duration, std::chrono::milliseconds;
 
 // Limits that the operators' page states.
-constexpr auto kLongestStart = 6s;
-constexpr auto kLongestCall = 1s;
+constexpr auto kMaxStartTime = 6s;
+constexpr auto kMaxCallTime = 1s;
 constexpr auto kShutdownLimit = 3700ms;  // the testbench's longest deadline counts as 3 s, plus 0.7 s
 constexpr auto kPollInterval = 20ms;
 
@@ -92,7 +92,7 @@
 // Returns whether the process reports itself healthy. Any answer must arrive within 1 s.
 bool SoakNode::is_healthy(Process& process) {
   auto requested_at = Clock::now();
-  auto answer = process.process->operator_call("health", milliseconds(kLongestCall));
+  auto answer = process.process->operator_call("health", milliseconds(kMaxCallTime));
   auto taken = seconds_since(requested_at);
   figures_.longest_call_s = std::max(figures_.longest_call_s, taken);
   bool was_reached = taken > 0.5;
@@ -103,7 +103,7 @@
 
 bool SoakNode::becomes_healthy(Process& process) {
   auto began = Clock::now();
-  while (Clock::now() - began < kLongestStart) {
+  while (Clock::now() - began < kMaxStartTime) {
     sample_usage();
     if (is_healthy(process)) {
       if (!process.was_stopped)
--- a/src/workers/decision_staleness_check.cpp
+++ b/src/workers/decision_staleness_check.cpp
@@ -4,7 +4,7 @@
 namespace {
 
 // The time after which a change is forgotten: a decision made before it is rejected by then for its age
-// (kLongestDecisionAge).
+// (kMaxDecisionAge).
 constexpr Micros kOutOfServiceRetention{1'000'000};
 
 }  // namespace
@@ -43,7 +43,7 @@
                                                               const routing::Decision& decision) const {
   if (decision.endpoint_list_version > version_) return Verdict::kAhead;
   if (decision.kind != routing::Decision::Kind::kSend) return Verdict::kCurrent;
-  if (now - decision.decided_at > kLongestDecisionAge || now >= decision.decided_at + decision.timeout)
+  if (now - decision.decided_at > kMaxDecisionAge || now >= decision.decided_at + decision.timeout)
     return Verdict::kTooOld;
   auto it = out_of_service_.find(decision.server);
   if (it != out_of_service_.end() && decision.endpoint_list_version < it->second.version)
--- a/src/workers/decision_staleness_check.h
+++ b/src/workers/decision_staleness_check.h
@@ -19,7 +19,7 @@
 // The maximum age of a decision that is carried out. A replica that was fresh enough when the decision was
 // made lags further behind by the decision's age. This age is within what a staleness bound allows for the
 // way to a server (100 ms on the platform's sockets), and far above the delay of a ring.
-constexpr Micros kLongestDecisionAge{20'000};
+constexpr Micros kMaxDecisionAge{20'000};
 
 // Tracks the endpoint list changes of one worker and checks decisions against them.
 class DecisionStalenessCheck {
@@ -32,7 +32,7 @@
   enum class Verdict {
     kCurrent,
     kAhead,         // based on a list that this worker has not received yet: wait for it
-    kTooOld,        // older than kLongestDecisionAge, or past its timeout
+    kTooOld,        // older than kMaxDecisionAge, or past its timeout
     kOutOfService,  // made before the change by which the server went out of service
   };
   Verdict check(Micros now, const routing::Decision& decision) const;
--- a/tests/workers/worker_parts_test.cpp
+++ b/tests/workers/worker_parts_test.cpp
@@ -72,9 +72,9 @@
   DecisionStalenessCheck staleness_check;
   staleness_check.on_endpoint_list(Micros(0), update(true, {{"a", Lifecycle::kUp}}));
   Micros made(5000);
-  CHECK(staleness_check.check(made + kLongestDecisionAge, send_to("a", 1, made)) ==
+  CHECK(staleness_check.check(made + kMaxDecisionAge, send_to("a", 1, made)) ==
         DecisionStalenessCheck::Verdict::kCurrent);
-  CHECK(staleness_check.check(made + kLongestDecisionAge + Micros(1), send_to("a", 1, made)) ==
+  CHECK(staleness_check.check(made + kMaxDecisionAge + Micros(1), send_to("a", 1, made)) ==
         DecisionStalenessCheck::Verdict::kTooOld);
   CHECK(staleness_check.check(made + Micros(3000), send_to("a", 1, made, Micros(3000))) ==
         DecisionStalenessCheck::Verdict::kTooOld);
