--- a/src/handover/process_record.cpp
+++ b/src/handover/process_record.cpp
@@ -107,7 +107,7 @@
     *error = reason;
     return std::nullopt;
   };
-  if (text.size() > kLargestRecord) return fail(RecordError::kTooLarge);
+  if (text.size() > kMaxRecordBytes) return fail(RecordError::kTooLarge);
   if (kHeaderPrefix.starts_with(text)) return fail(RecordError::kCorrupt);
   if (!text.starts_with(kHeaderPrefix)) return fail(RecordError::kUnknownFormat);
   auto header_end = text.find('\n');
--- a/src/handover/process_record.h
+++ b/src/handover/process_record.h
@@ -40,7 +40,7 @@
 };
 
 // Large enough for the maximum number of cordon marks, with long ids. A larger file is not of this program.
-constexpr std::size_t kLargestRecord = 256 * 1024;
+constexpr std::size_t kMaxRecordBytes = 256 * 1024;
 
 std::string encode_record(const ProcessRecord& record);
 
--- a/src/handover/record_folder.cpp
+++ b/src/handover/record_folder.cpp
@@ -100,7 +100,7 @@
   if (!file) return std::nullopt;
   std::string text;
   std::array<char, 16 * 1024> chunk{};
-  while (text.size() <= kLargestRecord) {
+  while (text.size() <= kMaxRecordBytes) {
     ssize_t size = ::read(file.get(), chunk.data(), chunk.size());
     if (size < 0 && errno == EINTR) continue;
     if (size < 0) return std::nullopt;
