--- a/src/testbench/fault_injection/coldstart.cpp
+++ b/src/testbench/fault_injection/coldstart.cpp
@@ -49,34 +49,35 @@
   o.fake_servers.model.overload_in_flight = 100;
   o.settings = {{"Guarantees", {{"WarmUpMs", static_cast<double>(kWarmUp.count()) / 1000}}}};
   o.start = false;
-  FaultHarness rig(o);
+  FaultHarness harness(o);
   // A group is bootstrapped once in an installation's lifetime; then all its processes are killed.
   if (o.grouped) {
-    for (auto& name : rig.voters()) rig.start(name);
+    for (auto& name : harness.voters()) harness.start(name);
     json ids = json::array();
-    for (auto& name : rig.voters())
-      ids.push_back(rig.send_command(name, {{"do", "identify"}}, 5000).at("id"));
-    for (auto& name : rig.voters()) rig.send_command(name, {{"do", "bootstrap"}, {"voters", ids}}, 5000);
-    if (!rig.wait_until([&] { return !rig.leader().empty(); }))
+    for (auto& name : harness.voters())
+      ids.push_back(harness.send_command(name, {{"do", "identify"}}, 5000).at("id"));
+    for (auto& name : harness.voters())
+      harness.send_command(name, {{"do", "bootstrap"}, {"voters", ids}}, 5000);
+    if (!harness.wait_until([&] { return !harness.leader().empty(); }))
       throw std::runtime_error("no leader was elected");
-    for (auto& name : rig.voters()) rig.kill(name);
+    for (auto& name : harness.voters()) harness.kill(name);
   }
-  for (auto& id : rig.fake_servers().servers()) {  // warming up, and the endpoint list shows it
-    rig.fake_servers().control({{"do", "kill"}, {"server", id}});
-    rig.fake_servers().control({{"do", "start"}, {"server", id}});
+  for (auto& id : harness.fake_servers().servers()) {  // warming up, and the endpoint list shows it
+    harness.fake_servers().control({{"do", "kill"}, {"server", id}});
+    harness.fake_servers().control({{"do", "start"}, {"server", id}});
   }
-  auto before = rig.fake_servers().report();
+  auto before = harness.fake_servers().report();
   auto began = net::monotonic_now();
-  const auto names = rig.all();
+  const auto names = harness.all();
   std::atomic<bool> stop{false};
   double handshakes = 0, probes = 0;
   std::thread sampler([&] {
     std::map<std::string, std::uint64_t> opened, probed;
-    for (auto& [id, f] : rig.fake_servers().counters()) opened[id] = f.opened, probed[id] = f.probes;
+    for (auto& [id, f] : harness.fake_servers().counters()) opened[id] = f.opened, probed[id] = f.probes;
     auto first = probed;
     while (!stop) {
       std::this_thread::sleep_for(kSampleInterval);
-      auto figures = rig.fake_servers().counters();
+      auto figures = harness.fake_servers().counters();
       for (auto& [id, f] : figures) {
         handshakes = std::max(handshakes, static_cast<double>(f.opened - opened[id]));
         opened[id] = f.opened;
@@ -88,7 +89,7 @@
       }
     }
   });
-  rig.launch(names, {{"generation", 0}, {"reset", true}, {"instances", json::array()}});
+  harness.launch(names, {{"generation", 0}, {"reset", true}, {"instances", json::array()}});
   std::mutex mutex;
   LoadFigures sum;
   std::vector<double> first_served;
@@ -96,7 +97,7 @@
   for (std::size_t i = 0; i < names.size(); ++i)
     loads.emplace_back([&, i] {
       LoadOptions l;
-      l.target = *net::parse_address(fmt::format("127.0.0.1:{}", rig.port(names[i])));
+      l.target = *net::parse_address(fmt::format("127.0.0.1:{}", harness.port(names[i])));
       l.connections = 2;
       l.rate = kRateEach;
       l.duration = kLoadDuration;
@@ -104,7 +105,7 @@
       l.shard_groups = {1, 2, 3, 4};
       l.seed = options.seed * 1000 + i;
       l.id_prefix = fmt::format("c{}-", i);
-      l.rules = &rig.fake_servers().invariants();
+      l.rules = &harness.fake_servers().invariants();
       auto f = run_load(l);
       std::lock_guard lock(mutex);
       sum.add(f);
@@ -124,7 +125,7 @@
         0.0, first_served[static_cast<std::size_t>(share * static_cast<double>(first_served.size() - 1))]);
   };
   std::uint64_t peak = 0, calls = 0;
-  for (auto& [second, n] : rig.fake_servers().list_calls_by_second()) {
+  for (auto& [second, n] : harness.fake_servers().list_calls_by_second()) {
     if (second < began / Micros(1'000'000)) continue;
     peak = std::max(peak, n);
     calls += n;
@@ -140,14 +141,15 @@
     if (later_asked > 0 && later_served / later_asked < 0.99) break;
     service_s = static_cast<double>((Micros(500'000) * it->first - began).count()) / 1e6;
   }
-  auto report = rig.fake_servers().report();
+  auto report = harness.fake_servers().report();
   int falls = 0;
   std::uint64_t wrong = 0;
-  for (auto& [id, f] : rig.fake_servers().counters())
+  for (auto& [id, f] : harness.fake_servers().counters())
     falls += f.overloads, wrong += f.not_primary + f.too_old;
   double drain = -1;
-  for (auto& [name, ms] : rig.fake_servers().invariants().drain_last_send_ms()) drain = std::max(drain, ms);
-  if (!options.history.empty()) rig.history().write(options.history);
+  for (auto& [name, ms] : harness.fake_servers().invariants().drain_last_send_ms())
+    drain = std::max(drain, ms);
+  if (!options.history.empty()) harness.history().write(options.history);
   auto increase_of = [&](const char* key) {
     return report.at(key).get<std::uint64_t>() - before.at(key).get<std::uint64_t>();
   };
@@ -169,7 +171,7 @@
           {"served_share_first_30s", asked > 0 ? served / asked : 0},
           {"wrong_routes", wrong},
           {"drain_last_send_ms", drain},
-          {"rule_breaches", rig.fake_servers().invariants().total()},
+          {"rule_breaches", harness.fake_servers().invariants().total()},
           {"breaches", report.at("breaches")}};
 }
 
--- a/src/testbench/fault_injection/experiments.cpp
+++ b/src/testbench/fault_injection/experiments.cpp
@@ -31,7 +31,7 @@
 // Clients of the group's registers. Each call is recorded in the history.
 class RegisterClients {
  public:
-  RegisterClients(FaultHarness& rig, std::uint64_t seed) : rig_(rig), seed_(seed) {
+  RegisterClients(FaultHarness& harness, std::uint64_t seed) : harness_(harness), seed_(seed) {
     for (int i = 0; i < kClients; ++i) threads_.emplace_back([this, i] { run(i); });
   }
   ~RegisterClients() { stop(); }
@@ -61,17 +61,17 @@
     for (auto& key : std::set<std::string>(keys_)) {
       json answer;
       Operation o;
-      o.called = rig_.history().now();
-      rig_.wait_until([&] {
+      o.called = harness_.history().now();
+      harness_.wait_until([&] {
         try {
-          answer = rig_.send_command(rig_.leader(), {{"do", "get"}, {"key", key}}, 2000);
+          answer = harness_.send_command(harness_.leader(), {{"do", "get"}, {"key", key}}, 2000);
         } catch (const std::exception&) {
           return false;
         }
         return answer.value("ok", false);
       });
       o.value = answer.value("value", "");
-      o.answered = rig_.history().now();
+      o.answered = harness_.history().now();
       record_call(-1, key, o, true);
     }
   }
@@ -85,14 +85,14 @@
               {"called_us", o.called.count()}};
     if (o.answered != Micros::max()) e["answered_us"] = o.answered.count();
     if (last) e["last"] = true;
-    rig_.history().add("call", std::move(e));
+    harness_.history().add("call", std::move(e));
     std::lock_guard lock(mutex_);
     keys_.insert(key);
   }
   void run(int number) {
     std::mt19937_64 random(seed_ * 977 + static_cast<std::uint64_t>(number));
     std::unique_ptr<app::FleetConnection> connection;
-    std::size_t at = random() % rig_.voters().size();
+    std::size_t at = random() % harness_.voters().size();
     for (std::uint64_t n = 0; !stop_; ++n) {
       Operation o;
       o.write = random() % 10 < 6;
@@ -103,21 +103,21 @@
       }
       auto key = fmt::format("r{}-{}", random() % kRegisters, round);
       if (o.write) o.value = fmt::format("{}.{}", number, n);
-      o.called = rig_.history().now();
+      o.called = harness_.history().now();
       try {
         if (!connection)
-          connection = std::make_unique<app::FleetConnection>(rig_.address(rig_.voters()[at]), "lab",
+          connection = std::make_unique<app::FleetConnection>(harness_.address(harness_.voters()[at]), "lab",
                                                               kClientTimeoutMs);
         auto answer = connection->send_request(o.write ? json{{"do", "put"}, {"key", key}, {"value", o.value}}
                                                        : json{{"do", "get"}, {"key", key}});
-        auto now = rig_.history().now();
+        auto now = harness_.history().now();
         bool ok = answer.value("ok", false), unknown = answer.value("why", "").starts_with("unknown");
         if (!o.write) o.value = answer.value("value", "");
         if (ok) o.answered = now;
         if (ok || (o.write && unknown)) record_call(number, key, o);
         if (!ok) {  // this node knows no leader; try another
           connection.reset();
-          at = (at + 1) % rig_.voters().size();
+          at = (at + 1) % harness_.voters().size();
         }
         if (ok && o.write) {
           std::lock_guard lock(mutex_);
@@ -125,7 +125,7 @@
         }
       } catch (const std::runtime_error&) {
         connection.reset();
-        at = (at + 1) % rig_.voters().size();
+        at = (at + 1) % harness_.voters().size();
         if (o.write)
           record_call(number, key, o);  // outcome unknown: it may have been applied, or may still be
         pause_for(5ms);
@@ -134,7 +134,7 @@
     }
   }
 
-  FaultHarness& rig_;
+  FaultHarness& harness_;
   std::uint64_t seed_;
   std::atomic<bool> stop_{false};
   std::mutex mutex_;
@@ -148,9 +148,9 @@
 // Continuously samples the role, leases and published leases of every process.
 class Sampler {
  public:
-  explicit Sampler(FaultHarness& rig) : rig_(rig) {
-    for (auto& name : rig.all())
-      if (!rig.address(name).empty()) threads_.emplace_back([this, name] { run(name); });
+  explicit Sampler(FaultHarness& harness) : harness_(harness) {
+    for (auto& name : harness.all())
+      if (!harness.address(name).empty()) threads_.emplace_back([this, name] { run(name); });
   }
   ~Sampler() { stop(); }
   void stop() {
@@ -166,7 +166,7 @@
     while (!stop_) {
       try {
         if (!connection)
-          connection = std::make_unique<app::FleetConnection>(rig_.address(name), "lab", 30'000);
+          connection = std::make_unique<app::FleetConnection>(harness_.address(name), "lab", 30'000);
         auto s = connection->send_request({{"do", "status"}}).at("status");
         auto owners = connection->send_request({{"do", "owners"}}).at("owners");
         json e = {{"node", name},
@@ -176,7 +176,7 @@
         if (s.value("role", "") == "leader") e["leads"] = s.at("term");
         for (auto& o : owners) e["published"].push_back({o.at("job"), o.at("published_by")});
         if (std::exchange(is_reconnected, false)) e["anew"] = true;
-        rig_.history().add("sample", std::move(e));
+        harness_.history().add("sample", std::move(e));
       } catch (const std::exception&) {
         connection.reset();
         is_reconnected = true;
@@ -184,7 +184,7 @@
       pause_for(20ms);
     }
   }
-  FaultHarness& rig_;
+  FaultHarness& harness_;
   std::atomic<bool> stop_{false};
   std::vector<std::thread> threads_;
 };
@@ -213,98 +213,98 @@
 };
 
 // Injects one random fault into `victim` and undoes it before returning. Returns its name.
-std::string inject_fault(FaultHarness& rig, RandomChoices& draw, const std::string& victim, bool jobs) {
-  auto& voters = rig.voters();
+std::string inject_fault(FaultHarness& harness, RandomChoices& draw, const std::string& victim, bool jobs) {
+  auto& voters = harness.voters();
   auto other = victim;
   while (other == victim) other = draw.pick(voters);
   switch (draw.below(jobs ? 12 : 13)) {
     case 0:
     case 1:
-      rig.kill(victim);
+      harness.kill(victim);
       pause_for(draw.duration(0, 2000));
-      rig.start(victim);
+      harness.start(victim);
       return "killed";
     case 2:
-      rig.pause(victim);
+      harness.pause(victim);
       pause_for(200ms);
-      rig.resume(victim);
+      harness.resume(victim);
       return "stopped for 0.2 s";
     case 3:
-      rig.pause(victim);
+      harness.pause(victim);
       pause_for(2s);
-      rig.resume(victim);
+      harness.resume(victim);
       return "stopped for 2 s";
     case 4:
-      rig.block_outgoing(victim);
+      harness.block_outgoing(victim);
       pause_for(draw.duration(1000, jobs ? 4500 : 2500));
-      rig.heal();
+      harness.heal();
       return "heard by none";
     case 5:
-      rig.block_incoming(victim);
+      harness.block_incoming(victim);
       pause_for(draw.duration(1000, 2500));
-      rig.heal();
+      harness.heal();
       return "hears none";
     case 6:
-      rig.isolate(victim);
+      harness.isolate(victim);
       pause_for(draw.duration(800, jobs ? 4500 : 2500));
-      rig.heal();
+      harness.heal();
       return "cut off";
     case 7:
       for (int i = 0; i < 5; ++i) {
-        rig.cut(victim, other);
+        harness.cut(victim, other);
         pause_for(300ms);
-        rig.heal();
+        harness.heal();
         pause_for(300ms);
       }
       return "a link flaps";
     case 8: {
       LinkState s;
       s.stall_after = static_cast<std::int64_t>(draw.below(400));
-      rig.shape(victim, other, s);
+      harness.shape(victim, other, s);
       pause_for(draw.duration(500, 1500));
-      rig.reset_links(victim);
-      rig.heal();
+      harness.reset_links(victim);
+      harness.heal();
       return "a message stalls in its middle, then resets";
     }
     case 9:
-      rig.terminate(victim);
-      rig.start(victim);
+      harness.terminate(victim);
+      harness.start(victim);
       return "restarted";
     case 10: {
       LinkState s;
       s.delay = draw.duration(20, 120);
       for (auto& to : voters)
-        if (to != victim) rig.shape(victim, to, s);
+        if (to != victim) harness.shape(victim, to, s);
       pause_for(draw.duration(500, 1500));
-      rig.heal();
+      harness.heal();
       return "slow links";
     }
     case 11: {
       if (jobs) {
         // Delays the lease holder's messages to one voter until another process holds its leases.
-        auto owner = rig.lease_holder("list"), leader = rig.leader();
+        auto owner = harness.lease_holder("list"), leader = harness.leader();
         if (owner.empty() || !std::count(voters.begin(), voters.end(), owner)) owner = victim;
         std::string third;
         for (auto& name : voters)
           if (name != owner && (third.empty() || name != leader)) third = name;
         LinkState held;
         held.hold_forward = true;
-        rig.shape(owner, third, held);
+        harness.shape(owner, third, held);
         pause_for(700ms);
-        rig.terminate(owner);
-        rig.wait_until(
+        harness.terminate(owner);
+        harness.wait_until(
             [&] {
-              auto now = rig.lease_holder("list");
+              auto now = harness.lease_holder("list");
               return !now.empty() && now != owner;
             },
             Micros(1'200'000));
-        rig.heal();
-        rig.start(owner);
+        harness.heal();
+        harness.start(owner);
         return "effects come late";
       }
-      rig.set_sync_delay(victim, 1000);
+      harness.set_sync_delay(victim, 1000);
       pause_for(draw.duration(1000, 2500));
-      rig.set_sync_delay(victim, 0);
+      harness.set_sync_delay(victim, 0);
       return "slow disk";
     }
     default: {
@@ -314,9 +314,9 @@
         auto& next = draw.pick(voters);
         if (!std::count(down.begin(), down.end(), next)) down.push_back(next);
       }
-      for (auto& n : down) rig.kill(n);
+      for (auto& n : down) harness.kill(n);
       pause_for(draw.duration(500, 1500));
-      for (auto& n : down) rig.start(n);
+      for (auto& n : down) harness.start(n);
       return "majority killed";
     }
   }
@@ -324,17 +324,17 @@
 
 // Waits, with all links healed and all processes running, until the nodes have the same applied index and a
 // leader. Returns false on a time-out.
-bool wait_until_converged(FaultHarness& rig) {
-  return rig.wait_until(
+bool wait_until_converged(FaultHarness& harness) {
+  return harness.wait_until(
       [&] {
         std::set<std::uint64_t> applied;
-        for (auto& name : rig.all()) {
-          if (rig.address(name).empty()) continue;
-          auto s = rig.status(name);
+        for (auto& name : harness.all()) {
+          if (harness.address(name).empty()) continue;
+          auto s = harness.status(name);
           if (!s) return false;
           applied.insert(s->at("applied").get<std::uint64_t>());
         }
-        return applied.size() == 1 && !rig.leader().empty();
+        return applied.size() == 1 && !harness.leader().empty();
       },
       kConvergenceTimeout);
 }
@@ -348,22 +348,23 @@
   o.voters = options.processes > 0 ? options.processes : 5;
   o.seed = options.seed;
   o.group = {{"jobs", json::array()}};
-  FaultHarness rig(o);
-  RegisterClients clients(rig, options.seed);
-  Sampler sampler(rig);
+  FaultHarness harness(o);
+  RegisterClients clients(harness, options.seed);
+  Sampler sampler(harness);
   RandomChoices draw{std::mt19937_64(options.seed)};
   std::vector<double> leaderless;
   std::uint64_t stuck = 0;
-  clients.first_write_after(rig.history().now(), 10s);
+  clients.first_write_after(harness.history().now(), 10s);
   const int faults = options.script.empty() ? options.faults : static_cast<int>(options.script.size());
   for (int i = 0; i < faults; ++i) {
-    auto leader = rig.leader();
-    auto victim = !leader.empty() && draw.below(3) < 2 ? leader : draw.pick(rig.voters());
-    auto at = rig.history().now();
+    auto leader = harness.leader();
+    auto victim = !leader.empty() && draw.below(3) < 2 ? leader : draw.pick(harness.voters());
+    auto at = harness.history().now();
     std::optional<Micros> next_write_at;
     std::thread watch([&] { next_write_at = clients.first_write_after(at + 1ms, 30s); });
-    auto what = options.script.empty() ? inject_fault(rig, draw, victim, false)
-                                       : run_fault(rig, options.script[static_cast<std::size_t>(i)], &victim);
+    auto what = options.script.empty()
+                    ? inject_fault(harness, draw, victim, false)
+                    : run_fault(harness, options.script[static_cast<std::size_t>(i)], &victim);
     watch.join();
     // A lost majority or a slow disk lasts as long as the fault is applied, which does not measure an
     // election.
@@ -371,18 +372,19 @@
     double ms = next_write_at ? static_cast<double>((*next_write_at - at).count()) / 1000 : -1;
     if (!next_write_at) ++stuck;
     if (counted && next_write_at) leaderless.push_back(ms);
-    rig.history().add("fault over",
-                      {{"fault", what}, {"node", victim}, {"led", victim == leader}, {"until_write_ms", ms}});
-    if (!rig.wait_until([&] { return !rig.leader().empty(); }, kConvergenceTimeout)) ++stuck;
+    harness.history().add(
+        "fault over", {{"fault", what}, {"node", victim}, {"led", victim == leader}, {"until_write_ms", ms}});
+    if (!harness.wait_until([&] { return !harness.leader().empty(); }, kConvergenceTimeout)) ++stuck;
   }
   clients.stop();
-  bool agreed = wait_until_converged(rig);
+  bool agreed = wait_until_converged(harness);
   sampler.stop();
   clients.read_final_values();
   std::uint64_t elections = 0;
-  for (auto& name : rig.voters()) elections += count_occurrences(rig.log(name), "group: leader in term");
-  if (!options.history.empty()) rig.history().write(options.history);
-  auto row = to_json(check_history(rig.history().events()));
+  for (auto& name : harness.voters())
+    elections += count_occurrences(harness.log(name), "group: leader in term");
+  if (!options.history.empty()) harness.history().write(options.history);
+  auto row = to_json(check_history(harness.history().events()));
   row.update({{"seed", options.seed},
               {"processes", o.voters},
               {"faults", faults},
@@ -405,24 +407,24 @@
   o.seed = options.seed;
   o.fake_servers.shard_groups = 3;
   o.fake_servers.seed = options.seed;
-  FaultHarness rig(o);
+  FaultHarness harness(o);
   const std::vector<std::string> jobs{"list", "probe 1", "probe 2", "probe 3"};
   auto all_owned = [&] {
-    auto owners = rig.lease_holders();
+    auto owners = harness.lease_holders();
     return std::all_of(jobs.begin(), jobs.end(), [&](auto& job) {
       return std::any_of(owners.begin(), owners.end(),
                          [&](auto& x) { return x.at("job") == job && x.value("owner", "") != ""; });
     });
   };
-  if (!rig.wait_until(all_owned)) throw std::runtime_error("not all jobs got a lease holder in time");
-  Sampler sampler(rig);
+  if (!harness.wait_until(all_owned)) throw std::runtime_error("not all jobs got a lease holder in time");
+  Sampler sampler(harness);
   std::vector<std::thread> loads;
   std::atomic<bool> stop{false};
   std::mutex mutex;
   LoadFigures sum;
-  const auto proxies = rig.followers();
+  const auto proxies = harness.followers();
   for (std::size_t i = 0; i < proxies.size(); ++i)
-    loads.emplace_back([&, i, port = rig.port(proxies[i])] {
+    loads.emplace_back([&, i, port = harness.port(proxies[i])] {
       for (int n = 0; !stop; ++n) {
         LoadOptions l;
         l.target = *net::parse_address(fmt::format("127.0.0.1:{}", port));
@@ -432,7 +434,7 @@
         l.warm_up = Micros(0);
         l.shard_groups = {1, 2, 3};
         l.seed = options.seed * 1000 + i * 100 + static_cast<std::uint64_t>(n);
-        l.rules = &rig.fake_servers().invariants();
+        l.rules = &harness.fake_servers().invariants();
         l.id_prefix = fmt::format("o{}-{}-", i, n);
         try {
           auto f = run_load(l);
@@ -450,16 +452,17 @@
   const int faults = options.script.empty() ? options.faults : static_cast<int>(options.script.size());
   for (int i = 0; i < faults; ++i) {
     auto job = draw.pick(jobs);
-    auto victim = rig.lease_holder(job);
-    if (victim.empty() || !std::count(rig.voters().begin(), rig.voters().end(), victim))
-      victim = draw.pick(rig.voters());
-    auto what = options.script.empty() ? inject_fault(rig, draw, victim, true)
-                                       : run_fault(rig, options.script[static_cast<std::size_t>(i)], &victim);
+    auto victim = harness.lease_holder(job);
+    if (victim.empty() || !std::count(harness.voters().begin(), harness.voters().end(), victim))
+      victim = draw.pick(harness.voters());
+    auto what = options.script.empty()
+                    ? inject_fault(harness, draw, victim, true)
+                    : run_fault(harness, options.script[static_cast<std::size_t>(i)], &victim);
     auto at = net::monotonic_now();
-    if (!rig.wait_until([&] { return !rig.leader().empty() && all_owned(); }, kConvergenceTimeout))
+    if (!harness.wait_until([&] { return !harness.leader().empty() && all_owned(); }, kConvergenceTimeout))
       ++not_reacquired;
     until_owned.push_back(static_cast<double>((net::monotonic_now() - at).count()) / 1000);
-    rig.history().add("fault over", {{"fault", what}, {"node", victim}, {"job", job}});
+    harness.history().add("fault over", {{"fault", what}, {"node", victim}, {"job", job}});
     if (i % 10 == 9) {
       // Drains a server among the faults. No proxy may send to it more than 1 s after any proxy was notified
       // of the drain.
@@ -467,41 +470,41 @@
       auto server = fmt::format("s{}-{}", set, 3);
       auto generation = [&] {
         std::int64_t least = INT64_MAX;
-        for (auto& name : rig.voters())
-          if (auto s = rig.status(name))
+        for (auto& name : harness.voters())
+          if (auto s = harness.status(name))
             least = std::min(least, s->value("list_generation", std::int64_t{0}));
         return least;
       };
-      auto list = rig.fake_servers().members().at("generation").get<std::int64_t>();
-      rig.fake_servers().control({{"do", "drain"}, {"server", server}});
-      rig.history().add("drain", {{"server", server}});
-      rig.wait_until([&] { return generation() > list; });
+      auto list = harness.fake_servers().members().at("generation").get<std::int64_t>();
+      harness.fake_servers().control({{"do", "drain"}, {"server", server}});
+      harness.history().add("drain", {{"server", server}});
+      harness.wait_until([&] { return generation() > list; });
       pause_for(1500ms);
-      for (auto& [name, ms] : rig.fake_servers().invariants().drain_last_send_ms())
+      for (auto& [name, ms] : harness.fake_servers().invariants().drain_last_send_ms())
         drain_ms = std::max(drain_ms, ms);
-      rig.fake_servers().control({{"do", "up"}, {"server", server}});
-      rig.wait_until([&] { return generation() > list + 1; });
+      harness.fake_servers().control({{"do", "up"}, {"server", server}});
+      harness.wait_until([&] { return generation() > list + 1; });
     }
   }
   stop = true;
   for (auto& t : loads) t.join();
-  bool agreed = wait_until_converged(rig);
+  bool agreed = wait_until_converged(harness);
   sampler.stop();
   std::uint64_t attempted = 0, elections = 0, moves = 0;
-  for (auto& name : rig.voters()) {
-    if (auto s = rig.status(name)) attempted += s->value("stale_effects", std::uint64_t{0});
-    elections += count_occurrences(rig.log(name), "group: leader in term");
+  for (auto& name : harness.voters()) {
+    if (auto s = harness.status(name)) attempted += s->value("stale_effects", std::uint64_t{0});
+    elections += count_occurrences(harness.log(name), "group: leader in term");
   }
-  for (auto& name : rig.all()) attempted += count_occurrences(rig.log(name), "turned down");
-  moves = count_occurrences(rig.log("n1"), "is granted to");
-  auto report = rig.fake_servers().report();
-  double seconds = static_cast<double>(rig.history().now().count()) / 1e6, probes = 0;
+  for (auto& name : harness.all()) attempted += count_occurrences(harness.log(name), "turned down");
+  moves = count_occurrences(harness.log("n1"), "is granted to");
+  auto report = harness.fake_servers().report();
+  double seconds = static_cast<double>(harness.history().now().count()) / 1e6, probes = 0;
   for (auto& [id, s] : report.at("servers").items()) probes += s.at("probes").get<double>();
-  if (!options.history.empty()) rig.history().write(options.history);
+  if (!options.history.empty()) harness.history().write(options.history);
   json breaches = report.at("breaches");
-  auto verdict = check_history(rig.history().events());
+  auto verdict = check_history(harness.history().events());
   return {{"seed", options.seed},
-          {"processes", rig.all().size()},
+          {"processes", harness.all().size()},
           {"faults", faults},
           {"asked", sum.attempts},
           {"served_share",
@@ -522,7 +525,7 @@
           {"whole_list_calls", report.at("whole_list_calls")},
           {"probes_per_server_per_s", probes / static_cast<double>(report.at("servers").size()) / seconds},
           {"drain_last_send_ms", drain_ms},
-          {"rule_breaches", rig.fake_servers().invariants().total()},
+          {"rule_breaches", harness.fake_servers().invariants().total()},
           {"breaches", breaches}};
 }
 
@@ -547,14 +550,14 @@
       o.fake_servers.model.lag = Micros(options.lag_ms * 1000);
       o.settings = {{"FamilyInfo", {{"Behind", "off"}, {"Positions", false}}}};
     }
-    FaultHarness rig(o);
-    if (grouped && !rig.wait_until([&] { return rig.lease_holders().size() >= 4; }))
+    FaultHarness harness(o);
+    if (grouped && !harness.wait_until([&] { return harness.lease_holders().size() >= 4; }))
       throw std::runtime_error("not all jobs got a lease holder in time");
     pause_for(2s);
-    auto before = rig.fake_servers().report();
+    auto before = harness.fake_servers().report();
     auto cpu = [&] {
       double seconds = 0;
-      for (auto& name : rig.all()) seconds += rig.daemon(name)->usage().cpu_seconds;
+      for (auto& name : harness.all()) seconds += harness.daemon(name)->usage().cpu_seconds;
       return seconds;
     };
     auto cpu_before = cpu();
@@ -563,18 +566,18 @@
     std::mutex mutex;
     // Applies a low load to all proxies at the same time.
     std::vector<std::thread> loads;
-    auto names = rig.all();
+    auto names = harness.all();
     for (std::size_t i = 0; i < names.size(); ++i)
       loads.emplace_back([&, i] {
         LoadOptions l;
-        l.target = *net::parse_address(fmt::format("127.0.0.1:{}", rig.port(names[i])));
+        l.target = *net::parse_address(fmt::format("127.0.0.1:{}", harness.port(names[i])));
         l.connections = 2;
         l.rate = options.rate;
         l.duration = Micros(static_cast<std::int64_t>(options.faults) * 1'000'000);  // seconds
         l.warm_up = Micros(0);
         l.shard_groups = {1, 2, 3};
         l.seed = options.seed * 1000 + i;
-        l.rules = &rig.fake_servers().invariants();
+        l.rules = &harness.fake_servers().invariants();
         l.id_prefix = fmt::format("s{}-", i);
         auto f = run_load(l);
         std::lock_guard lock(mutex);
@@ -582,12 +585,12 @@
       });
     for (auto& t : loads) t.join();
     double seconds = static_cast<double>((net::monotonic_now() - began).count()) / 1e6;
-    auto after = rig.fake_servers().report();
+    auto after = harness.fake_servers().report();
     auto cpu_after = cpu();
     double probes = 0, rss = 0;
     for (auto& [id, s] : after.at("servers").items())
       probes += s.at("probes").get<double>() - before.at("servers").at(id).at("probes").get<double>();
-    for (auto& name : names) rss = std::max(rss, rig.daemon(name)->usage().rss_mb);
+    for (auto& name : names) rss = std::max(rss, harness.daemon(name)->usage().rss_mb);
     rows.push_back(
         {{"mode", grouped ? "owned" : "alone"},
          {"seed", options.seed},
@@ -608,7 +611,7 @@
          {"probes_per_server_per_s", probes / static_cast<double>(after.at("servers").size()) / seconds},
          {"cpu_seconds_all", cpu_after - cpu_before},
          {"rss_mb_most", rss},
-         {"rule_breaches", rig.fake_servers().invariants().total()}});
+         {"rule_breaches", harness.fake_servers().invariants().total()}});
   }
   return rows;
 }
@@ -620,18 +623,18 @@
   o.voters = 3;
   o.followers = std::max(1, (options.processes > 0 ? options.processes : 303) - o.voters);
   o.seed = options.seed;
-  FaultHarness rig(o);
-  rig.wait_until([&] { return !rig.lease_holder("list").empty(); });
-  auto leader = rig.leader();
+  FaultHarness harness(o);
+  harness.wait_until([&] { return !harness.lease_holder("list").empty(); });
+  auto leader = harness.leader();
   std::string behind;
-  for (auto& name : rig.voters())
+  for (auto& name : harness.voters())
     if (name != leader) behind = name;
   auto since = [](Micros began) {
     return static_cast<double>((net::monotonic_now() - began).count()) / 1000;
   };
-  auto calls = rig.fake_servers().report().at("list_calls").get<std::uint64_t>();
-  for (auto& name : rig.followers()) rig.pause(name);
-  rig.kill(behind);
+  auto calls = harness.fake_servers().report().at("list_calls").get<std::uint64_t>();
+  for (auto& name : harness.followers()) harness.pause(name);
+  harness.kill(behind);
   int entries = options.faults * 100;
   std::atomic<int> left{entries};
   std::atomic<std::uint64_t> refused{0};
@@ -640,7 +643,7 @@
   for (int w = 0; w < 64; ++w)
     writers.emplace_back([&, w] {
       try {
-        app::FleetConnection connection(rig.address(leader), "lab", 10'000);
+        app::FleetConnection connection(harness.address(leader), "lab", 10'000);
         while (left-- > 0)
           if (!connection
                    .send_request(
@@ -653,40 +656,41 @@
     });
   for (auto& t : writers) t.join();
   auto write_ms = since(began);
-  auto applied = rig.status(leader, 5000)->at("applied").get<std::uint64_t>();
+  auto applied = harness.status(leader, 5000)->at("applied").get<std::uint64_t>();
   began = net::monotonic_now();
-  rig.start(behind);
-  bool caught_up = rig.wait_until(
+  harness.start(behind);
+  bool caught_up = harness.wait_until(
       [&] {
-        auto s = rig.status(behind, 5000);
+        auto s = harness.status(behind, 5000);
         return s && s->at("applied").get<std::uint64_t>() >= applied;
       },
       kConvergenceTimeout);
   auto caught_up_ms = since(began);
   began = net::monotonic_now();
-  for (auto& name : rig.followers()) rig.resume(name);
+  for (auto& name : harness.followers()) harness.resume(name);
   auto all_followers_connected = [&] {
     std::uint64_t count = 0;
-    for (auto& name : rig.voters())
-      if (auto s = rig.status(name, 5000)) count += s->at("followers").get<std::uint64_t>();
-    return count == rig.followers().size();
+    for (auto& name : harness.voters())
+      if (auto s = harness.status(name, 5000)) count += s->at("followers").get<std::uint64_t>();
+    return count == harness.followers().size();
   };
-  bool all = rig.wait_until(all_followers_connected, kConvergenceTimeout);
+  bool all = harness.wait_until(all_followers_connected, kConvergenceTimeout);
   auto all_ms = since(began);
-  auto s = rig.status(leader, 5000);
-  return {{"seed", options.seed},
-          {"processes", rig.all().size()},
-          {"entries", entries},
-          {"refused", refused.load()},
-          {"writes_per_s", entries / write_ms * 1000},
-          {"voter_caught_up", caught_up},
-          {"voter_caught_up_ms", caught_up_ms},
-          {"followers_back", all},
-          {"followers_back_ms", all_ms},
-          {"list_calls_meanwhile", rig.fake_servers().report().at("list_calls").get<std::uint64_t>() - calls},
-          {"leader_held", rig.leader() == leader},
-          {"term", s ? s->at("term").get<std::uint64_t>() : 0},
-          {"leader_rss_mb", rig.daemon(leader)->usage().rss_mb}};
+  auto s = harness.status(leader, 5000);
+  return {
+      {"seed", options.seed},
+      {"processes", harness.all().size()},
+      {"entries", entries},
+      {"refused", refused.load()},
+      {"writes_per_s", entries / write_ms * 1000},
+      {"voter_caught_up", caught_up},
+      {"voter_caught_up_ms", caught_up_ms},
+      {"followers_back", all},
+      {"followers_back_ms", all_ms},
+      {"list_calls_meanwhile", harness.fake_servers().report().at("list_calls").get<std::uint64_t>() - calls},
+      {"leader_held", harness.leader() == leader},
+      {"term", s ? s->at("term").get<std::uint64_t>() : 0},
+      {"leader_rss_mb", harness.daemon(leader)->usage().rss_mb}};
 }
 
 }  // namespace database_proxy::testbench::faults
--- a/src/testbench/fault_injection/zones.cpp
+++ b/src/testbench/fault_injection/zones.cpp
@@ -31,11 +31,12 @@
   double load = 1;  // multiple of the usual load during the fault
 };
 
-void control_zone(FaultHarness& rig, const char* what, const std::string& zone, json more = json::object()) {
+void control_zone(FaultHarness& harness, const char* what, const std::string& zone,
+                  json more = json::object()) {
   more["do"] = what;
   more["zone"] = zone;
-  rig.fake_servers().control(more);
-  rig.history().add("servers", more);
+  harness.fake_servers().control(more);
+  harness.history().add("servers", more);
 }
 
 // Zones a and b are in the region north, c in south. Faults affect zone b; the primary is in zone a.
@@ -89,9 +90,9 @@
   o.fake_servers.model.warm_up = kWarmUp;
   o.fake_servers.model.overload_in_flight = 80;
   o.settings = {{"Guarantees", {{"WarmUpMs", static_cast<double>(kWarmUp.count()) / 1000}}}};
-  FaultHarness rig(o);
-  if (!rig.wait_until([&] {
-        auto owners = rig.lease_holders();
+  FaultHarness harness(o);
+  if (!harness.wait_until([&] {
+        auto owners = harness.lease_holders();
         auto owned = [&](const std::string& job) {
           return std::any_of(owners.begin(), owners.end(),
                              [&](auto& x) { return x.at("job") == job && x.value("owner", "") != ""; });
@@ -101,7 +102,7 @@
     throw std::runtime_error("not all jobs got a lease holder in time");
 
   // Applies load to every proxy for the whole run and collects the results in one series.
-  const auto names = rig.all();
+  const auto names = harness.all();
   const double rate = options.rate > 0 ? options.rate : 1000;  // requests a second in all
   const Micros calm = 8s, fault_length = 12s, after = 25s;
   std::mutex mutex;
@@ -112,14 +113,14 @@
     loads.emplace_back([&, i, share, from, length] {
       std::this_thread::sleep_until(std::chrono::steady_clock::time_point(begun + from));
       LoadOptions l;
-      l.target = *net::parse_address(fmt::format("127.0.0.1:{}", rig.port(names[i])));
+      l.target = *net::parse_address(fmt::format("127.0.0.1:{}", harness.port(names[i])));
       l.connections = std::max(4, 300 / static_cast<int>(names.size()));
       l.rate = rate * share / static_cast<double>(names.size());
       l.duration = length;
       l.warm_up = Micros(0);
       l.book_share = 0.05;
       l.seed = options.seed * 1000 + i + (from.count() > 0 ? 500 : 0);
-      l.rules = &rig.fake_servers().invariants();
+      l.rules = &harness.fake_servers().invariants();
       l.id_prefix = fmt::format("z{}-{}-", i, from.count() > 0 ? 2 : 1);
       auto f = run_load(l);
       std::lock_guard lock(mutex);
@@ -138,7 +139,7 @@
       double now_cross_zone = 0, now_all = 0;
       for (auto& a : o.zones)
         for (auto& b : o.zones) {
-          auto bytes = static_cast<double>(rig.bytes_forwarded(a.name, b.name));
+          auto bytes = static_cast<double>(harness.bytes_forwarded(a.name, b.name));
           now_all += bytes;
           if (a.name != b.name) now_cross_zone += bytes;
         }
@@ -148,16 +149,16 @@
     }
   });
   auto plan_of = [&](const std::string& name) {
-    auto s = rig.status(name, 2000);
+    auto s = harness.status(name, 2000);
     return s ? s->value("plan", std::uint64_t{0}) : 0;
   };
   std::this_thread::sleep_until(std::chrono::steady_clock::time_point(begun + calm));
   auto plan_before = plan_of("n1");
   auto fault_at = net::monotonic_now();
-  fault.begin(rig);
+  fault.begin(harness);
   std::this_thread::sleep_until(std::chrono::steady_clock::time_point(begun + calm + fault_length));
   auto heal_at = net::monotonic_now();
-  fault.end(rig);
+  fault.end(harness);
   for (auto& t : loads) t.join();
   stop = true;
   sampler.join();
@@ -193,15 +194,15 @@
         cross_zone(samples[i].at - 1s, samples[i].at) > cross_zone_calm + 0.03)
       returned = samples[i].at;
   int falls = 0;
-  for (auto& [id, f] : rig.fake_servers().counters()) falls += f.overloads;
+  for (auto& [id, f] : harness.fake_servers().counters()) falls += f.overloads;
   std::uint64_t stale = 0;
-  for (auto& b : rig.fake_servers().invariants().violations())
+  for (auto& b : harness.fake_servers().invariants().violations())
     stale += b.invariant == Invariant::kStaleRead ? b.count : 0;
   json series = json::array();
   for (auto& [at, n] : sum.series)
     series.push_back(
         {static_cast<double>((at - fault_bin) * (kBinWidth / Micros(1000))) / 1000, n.first, n.second});
-  if (!options.history.empty()) rig.history().write(options.history);
+  if (!options.history.empty()) harness.history().write(options.history);
   return {{"fault", fault.name},
           {"seed", options.seed},
           {"mode", common ? "common" : "alone"},
@@ -220,8 +221,8 @@
           {"refused_share",
            sum.attempts ? static_cast<double>(sum.rejected) / static_cast<double>(sum.attempts) : 0},
           {"p99_ms", percentile(sum.overall_latency, 0.99) / 1000},
-          {"rule_breaches", rig.fake_servers().invariants().total()},
-          {"breaches", rig.fake_servers().report().at("breaches")},
+          {"rule_breaches", harness.fake_servers().invariants().total()},
+          {"breaches", harness.fake_servers().report().at("breaches")},
           {"series", series}};
 }
 
@@ -256,10 +257,10 @@
     o.fake_servers.shard_groups = 20;
     o.fake_servers.replicas = 5;
     o.fake_servers.seed = options.seed;
-    FaultHarness rig(o);
-    if (!rig.wait_until([&] { return rig.lease_holders().size() >= (planned ? 22u : 21u); }))
+    FaultHarness harness(o);
+    if (!harness.wait_until([&] { return harness.lease_holders().size() >= (planned ? 22u : 21u); }))
       throw std::runtime_error("not all jobs got a lease holder in time");
-    const auto names = rig.all();
+    const auto names = harness.all();
     const double rate = options.rate > 0 ? options.rate : 2;
     std::vector<std::thread> loads;
     std::mutex mutex;
@@ -270,18 +271,18 @@
     auto read = [&] {
       Reading r;
       for (auto& name : names) {
-        auto cpu = rig.daemon(name)->usage().cpu_seconds;
+        auto cpu = harness.daemon(name)->usage().cpu_seconds;
         r.cpu += cpu;
-        if (std::count(rig.voters().begin(), rig.voters().end(), name)) r.voters_cpu += cpu;
-        for (auto& voter : rig.voters())
-          if (voter != name) r.bytes += static_cast<double>(rig.bytes_forwarded(name, voter));
+        if (std::count(harness.voters().begin(), harness.voters().end(), name)) r.voters_cpu += cpu;
+        for (auto& voter : harness.voters())
+          if (voter != name) r.bytes += static_cast<double>(harness.bytes_forwarded(name, voter));
       }
       return r;
     };
     for (std::size_t i = 0; i < names.size(); ++i)
       loads.emplace_back([&, i] {
         LoadOptions l;
-        l.target = *net::parse_address(fmt::format("127.0.0.1:{}", rig.port(names[i])));
+        l.target = *net::parse_address(fmt::format("127.0.0.1:{}", harness.port(names[i])));
         l.connections = 1;
         l.rate = rate;
         l.duration = Micros(static_cast<std::int64_t>(options.faults) * 1'000'000);
@@ -302,7 +303,7 @@
     for (auto& t : loads) t.join();
     auto each = static_cast<double>(names.size());
     double rss = 0;
-    for (auto& name : names) rss = std::max(rss, rig.daemon(name)->usage().rss_mb);
+    for (auto& name : names) rss = std::max(rss, harness.daemon(name)->usage().rss_mb);
     rows.push_back({{"mode", planned ? "planned" : "alone"},
                     {"seed", options.seed},
                     {"processes", names.size()},
@@ -315,7 +316,7 @@
                     {"cpu_ms_per_s_voter", (after.voters_cpu - before.voters_cpu) * 1000 / seconds / 3},
                     {"group_bytes_per_s_each", (after.bytes - before.bytes) / seconds / each},
                     {"rss_mb_most", rss},
-                    {"plan", rig.status("n1", 2000) ? rig.status("n1", 2000)->value("plan", 0) : 0}});
+                    {"plan", harness.status("n1", 2000) ? harness.status("n1", 2000)->value("plan", 0) : 0}});
   }
   return rows;
 }
--- a/tests/group/processes_test.cpp
+++ b/tests/group/processes_test.cpp
@@ -27,15 +27,15 @@
     o.voters = voters;
     o.followers = followers;
     change(o);
-    rig = std::make_unique<FaultHarness>(o);
+    harness = std::make_unique<FaultHarness>(o);
   }
-  FaultHarness* operator->() { return rig.get(); }
-  FaultHarness& operator*() { return *rig; }
+  FaultHarness* operator->() { return harness.get(); }
+  FaultHarness& operator*() { return *harness; }
 
   bool put(const std::string& key, const std::string& value) {
-    return rig->wait_until([&] {
+    return harness->wait_until([&] {
       try {
-        return rig->send_command(rig->leader(), {{"do", "put"}, {"key", key}, {"value", value}})
+        return harness->send_command(harness->leader(), {{"do", "put"}, {"key", key}, {"value", value}})
             .value("ok", false);
       } catch (const std::exception&) {
         return false;
@@ -44,9 +44,9 @@
   }
   std::string get(const std::string& key) {
     std::string value = "(none)";
-    rig->wait_until([&] {
+    harness->wait_until([&] {
       try {
-        auto a = rig->send_command(rig->leader(), {{"do", "get"}, {"key", key}});
+        auto a = harness->send_command(harness->leader(), {{"do", "get"}, {"key", key}});
         value = a.value("value", "");
         return a.value("ok", false);
       } catch (const std::exception&) {
@@ -56,25 +56,25 @@
     return value;
   }
   bool wait_for_lease_holder(const std::string& job) {
-    return rig->wait_until([&] { return !rig->lease_holder(job).empty(); });
+    return harness->wait_until([&] { return !harness->lease_holder(job).empty(); });
   }
   // Returns whether the node is the leader or knows the current leader, so that its vote counts again.
   bool follows_or_leads(const std::string& name) {
-    auto leader = rig->leader();
-    auto status = rig->status(name);
+    auto leader = harness->leader();
+    auto status = harness->status(name);
     return !leader.empty() && status && status->value("leader", "") == leader;
   }
   std::uint64_t status_number(const std::string& name, const char* key) {
-    auto s = rig->status(name, 3000);
+    auto s = harness->status(name, 3000);
     return s ? s->value(key, std::uint64_t{0}) : 0;
   }
   std::string voter_other_than(const std::string& excluded) {
-    for (auto& name : rig->voters())
+    for (auto& name : harness->voters())
       if (name != excluded) return name;
     return "";
   }
   bool holds_lease(const std::string& name, const std::string& job) {
-    auto s = rig->status(name, 3000);
+    auto s = harness->status(name, 3000);
     if (!s) return false;
     for (auto& h : s->at("holds"))
       if (h.at(0) == job) return true;
@@ -85,7 +85,7 @@
   void write_many(int count) {
     std::vector<std::thread> writers;
     std::atomic<int> left{count}, lost{0};
-    auto to = rig->address(rig->leader());
+    auto to = harness->address(harness->leader());
     for (int w = 0; w < 16; ++w)
       writers.emplace_back([&, w] {
         try {
@@ -104,7 +104,7 @@
   }
 
   TemporaryDirectory scratch;
-  std::unique_ptr<FaultHarness> rig;
+  std::unique_ptr<FaultHarness> harness;
 };
 
 std::size_t count_occurrences(const std::string& text, const std::string& what) {
@@ -123,7 +123,7 @@
   auto expect_kept_under_new_leader = [&](const std::string& what, const std::string& old) {
     INFO(what);
     auto value = std::to_string(++n);
-    REQUIRE(f.rig->wait_until([&] { return f->leader() != old && !f->leader().empty(); }));
+    REQUIRE(f.harness->wait_until([&] { return f->leader() != old && !f->leader().empty(); }));
     CHECK(f.get("k") == std::to_string(n - 1));
     CHECK(f.put("k", value));
   };
--- a/tests/group/zones_test.cpp
+++ b/tests/group/zones_test.cpp
@@ -37,20 +37,20 @@
     o.fake_servers.model.warm_up = 4s;
     o.settings = {{"Guarantees", {{"WarmUpMs", 4000.0}}}};
     change(o);
-    rig = std::make_unique<FaultHarness>(o);
-    REQUIRE(rig->wait_until(
-        [&] { return !rig->lease_holder("placement").empty() && !rig->lease_holder("list").empty(); },
+    harness = std::make_unique<FaultHarness>(o);
+    REQUIRE(harness->wait_until(
+        [&] { return !harness->lease_holder("placement").empty() && !harness->lease_holder("list").empty(); },
         kWaitTimeout));
   }
   // Returns placement times shorter than the defaults, to keep the tests short.
   static json short_times() { return {{"dwell_ms", 3000}, {"open_after_ms", 1500}, {"step_ms", 500}}; }
   ~ZonesFixture() { end_load(); }
-  FaultHarness* operator->() { return rig.get(); }
+  FaultHarness* operator->() { return harness.get(); }
 
   // Sends load to every proxy until end_load().
   void start_load(double rate_each = 30) {
-    for (auto& name : rig->all())
-      loads.emplace_back([this, name, rate_each, port = rig->port(name)] {
+    for (auto& name : harness->all())
+      loads.emplace_back([this, name, rate_each, port = harness->port(name)] {
         for (int i = 0; !stop; ++i) {
           LoadOptions l;
           l.target = *net::parse_address("127.0.0.1:" + std::to_string(port));
@@ -60,7 +60,7 @@
           l.book_share = 0.02;
           l.seed = std::hash<std::string>{}(name) + static_cast<std::uint64_t>(i);
           l.id_prefix = name + "-" + std::to_string(i) + "-";
-          l.rules = &rig->fake_servers().invariants();
+          l.rules = &harness->fake_servers().invariants();
           try {
             auto f = run_load(l);
             std::lock_guard lock(mutex);
@@ -81,10 +81,10 @@
   json placement_command(const std::string& what, json fields = json::object(), const std::string& at = "") {
     fields["do"] = "placement";
     fields["what"] = what;
-    for (auto& name : rig->voters()) {
+    for (auto& name : harness->voters()) {
       if (!at.empty() && name != at) continue;
       try {
-        return rig->send_command(name, fields, 3000);
+        return harness->send_command(name, fields, 3000);
       } catch (const std::exception&) {
       }
     }
@@ -101,18 +101,18 @@
     return it == p.zones.end() ? "" : pl::text_of(it->second.phase);
   }
   bool wait_for_phase(const std::string& zone, const std::string& expected) {
-    if (rig->wait_until([&] { return phase(zone) == expected; }, kWaitTimeout)) return true;
+    if (harness->wait_until([&] { return phase(zone) == expected; }, kWaitTimeout)) return true;
     auto shown = placement_command("show");
     if (shown.contains("plan")) shown["plan"].erase("shares"), shown["plan"].erase("spares");
     WARN(zone << " is not " << expected << ": " << shown.dump());
     return false;
   }
   std::uint64_t followed_plan(const std::string& name) {
-    auto s = rig->status(name, 2000);
+    auto s = harness->status(name, 2000);
     return s ? s->value("plan", std::uint64_t{0}) : 0;
   }
   bool wait_until_followed_by(const std::vector<std::string>& names) {
-    return rig->wait_until(
+    return harness->wait_until(
         [&] {
           auto number = plan().number;
           return number > 0 &&
@@ -121,22 +121,22 @@
         kWaitTimeout);
   }
   bool wait_until_ready() {  // servers observed, a plan made, and all voters follow it
-    return rig->wait_until(
+    return harness->wait_until(
                [&] {
                  return plan().shares.count({1, "b"}) > 0;
                },
                kWaitTimeout) &&
-           wait_until_followed_by(rig->voters());
+           wait_until_followed_by(harness->voters());
   }
   void control_servers(const std::string& what, const std::string& zone, json fields = json::object()) {
     fields["do"] = what;
     fields["zone"] = zone;
-    rig->fake_servers().control(fields);
+    harness->fake_servers().control(fields);
   }
   std::uint64_t requests(const std::string& zone) {
     std::uint64_t n = 0;
-    auto members = rig->fake_servers().members();
-    auto figures = rig->fake_servers().counters();
+    auto members = harness->fake_servers().members();
+    auto figures = harness->fake_servers().counters();
     for (auto& m : members.at("instances"))
       if (m.at("zone") == zone) n += figures[m.at("instanceId")].requests;
     return n;
@@ -145,7 +145,7 @@
   bool wait_until_no_requests(const std::string& zone) {
     std::uint64_t last = requests(zone);
     auto since = net::monotonic_now();
-    return rig->wait_until(
+    return harness->wait_until(
         [&] {
           auto now = requests(zone);
           if (now != last) last = now, since = net::monotonic_now();
@@ -155,14 +155,14 @@
   }
   void check_no_breaches() {
     end_load();
-    auto report = rig->fake_servers().report();
+    auto report = harness->fake_servers().report();
     INFO(report.at("breaches").dump());
-    CHECK(rig->fake_servers().invariants().describe_violations() == "");
+    CHECK(harness->fake_servers().invariants().describe_violations() == "");
     CHECK(total.served > 0);
   }
 
   TemporaryDirectory scratch;
-  std::unique_ptr<FaultHarness> rig;
+  std::unique_ptr<FaultHarness> harness;
   std::vector<std::thread> loads;
   std::atomic<bool> stop{false};
   std::mutex mutex;
@@ -183,11 +183,11 @@
     if (fault == "slow") {
       // The cost of the slow servers moves reads to other zones as far as these have surplus capacity,
       // whether or not a plan closes the zone.
-      CHECK(z.rig->wait_until(
+      CHECK(z.harness->wait_until(
           [&] {
             auto from = z.requests("b"), others = z.requests("a") + z.requests("c");
             auto at = net::monotonic_now();
-            z.rig->wait_until([&] { return net::monotonic_now() - at > 1s; });
+            z.harness->wait_until([&] { return net::monotonic_now() - at > 1s; });
             return (z.requests("b") - from) * 10 < z.requests("a") + z.requests("c") - others;
           },
           kWaitTimeout));
@@ -205,7 +205,7 @@
                       "b", fault == "slow" ? json{{"times", 1}} : json::object());
     if (fault == "kill") CHECK(z.wait_for_phase("b", "opening"));
     CHECK(z.wait_for_phase("b", "open"));
-    CHECK(z.rig->wait_until([&] { return z.plan().links.empty(); }, kWaitTimeout));
+    CHECK(z.harness->wait_until([&] { return z.plan().links.empty(); }, kWaitTimeout));
     z.check_no_breaches();
   }
 }
@@ -222,21 +222,21 @@
     auto answer = z.placement_command("show");
     return answer.contains("seen") ? pl::observation_from_json(answer.at("seen")) : pl::Observation{};
   };
-  CHECK(z.rig->wait_until([&] {
+  CHECK(z.harness->wait_until([&] {
     auto o = seen();
     for (auto& [key, s] : o.seen())
       if (std::get<2>(key) == "b" && s.failed > 0) return true;
     return false;
   }));
   auto until = net::monotonic_now() + 6s;
-  z.rig->wait_until([&] { return net::monotonic_now() > until; });
+  z.harness->wait_until([&] { return net::monotonic_now() > until; });
   CHECK(z.phase("b") == "open");
   CHECK(z.plan().links.empty());
   z.control_servers("fail", "b", {{"share", 0}});
   CHECK(z.plan().number >= number);
   // Faulty network card: p1, in zone a, reaches no server at all, while all other processes do.
   for (auto zone : {"a", "b", "c"}) z->cut_zone_direction("p1", zone);
-  CHECK(z.rig->wait_until(
+  CHECK(z.harness->wait_until(
       [&] {
         std::uint64_t unhealthy_votes = 0;
         auto o = seen();
@@ -246,7 +246,7 @@
       },
       kWaitTimeout));
   until = net::monotonic_now() + 6s;
-  z.rig->wait_until([&] { return net::monotonic_now() > until; });
+  z.harness->wait_until([&] { return net::monotonic_now() > until; });
   for (auto zone : {"a", "b", "c"}) CHECK(z.phase(zone) == "open");
   CHECK(z.plan().links.empty());
   z->heal();
@@ -260,20 +260,20 @@
   REQUIRE(z.wait_until_ready());
   REQUIRE(z.wait_until_followed_by(z->voters()));
   if (z->leader() == "n2") z->send_command("n2", {{"do", "transfer"}, {"name", "n1"}});
-  REQUIRE(z.rig->wait_until([&] { return !z->leader().empty() && z->leader() != "n2"; }));
+  REQUIRE(z.harness->wait_until([&] { return !z->leader().empty() && z->leader() != "n2"; }));
   z->isolate_zone("b");
   // Processes in b find b healthy; the other zones close their links to b, or zone b itself.
-  CHECK(z.rig->wait_until([&] { return z->log("n2").find("this proxy goes on alone") != std::string::npos; },
-                          kWaitTimeout));
-  CHECK(z.rig->wait_until(
+  CHECK(z.harness->wait_until(
+      [&] { return z->log("n2").find("this proxy goes on alone") != std::string::npos; }, kWaitTimeout));
+  CHECK(z.harness->wait_until(
       [&] { return !z->lease_holder("placement").empty() && z->lease_holder("placement") != "n2"; },
       kWaitTimeout));
   auto before = z.requests("b");
-  CHECK(z.rig->wait_until(
+  CHECK(z.harness->wait_until(
       [&] { return z.requests("b") > before + 50; }));  // the servers of b still serve b's own clients
   z->heal();
-  CHECK(z.rig->wait_until([&] { return z->log("n2").find("this proxy follows plan") != std::string::npos; },
-                          kWaitTimeout));
+  CHECK(z.harness->wait_until(
+      [&] { return z->log("n2").find("this proxy follows plan") != std::string::npos; }, kWaitTimeout));
   CHECK(z.wait_for_phase("b", "open"));
   CHECK(z.wait_until_followed_by(z->voters()));
   z.check_no_breaches();
@@ -286,7 +286,7 @@
   REQUIRE(z.wait_until_ready());
   z->cut_zone_direction("c",
                         "b");  // proxies in c no longer reach b's servers; those in a and b find b healthy
-  CHECK(z.rig->wait_until(
+  CHECK(z.harness->wait_until(
       [&] {
         auto p = z.plan();
         auto it = p.links.find({"c", "b"});
@@ -295,7 +295,7 @@
       kWaitTimeout));
   CHECK(z.phase("b") == "open");
   z->heal();
-  CHECK(z.rig->wait_until([&] { return z.plan().links.empty(); }, kWaitTimeout));
+  CHECK(z.harness->wait_until([&] { return z.plan().links.empty(); }, kWaitTimeout));
   z.check_no_breaches();
 }
 
@@ -310,7 +310,7 @@
   // The servers of the zone die and its processes are paused, together.
   z.control_servers("kill", zone);
   for (auto& name : z->in_zone(zone)) z->pause(name);
-  CHECK(z.rig->wait_until(
+  CHECK(z.harness->wait_until(
       [&] { return !z->lease_holder("placement").empty() && z->lease_holder("placement") != owner; },
       kWaitTimeout));
   CHECK(z.wait_for_phase(zone, "closed"));
@@ -319,18 +319,18 @@
   for (auto& name : z->in_zone(zone)) z->resume(name);
   z.control_servers("start", zone);
   CHECK(z.wait_for_phase(zone, "open"));
-  CHECK(z.rig->wait_until([&] { return z.followed_plan(owner) >= closing_plan; }, kWaitTimeout));
+  CHECK(z.harness->wait_until([&] { return z.followed_plan(owner) >= closing_plan; }, kWaitTimeout));
   // Without a majority nobody makes plans. The survivor keeps the last plan, and later routes without a plan.
   std::string survivor = z->voters()[0];
   auto last = z.plan().number;
   for (auto& name : z->voters())
     if (name != survivor) z->kill(name);
-  CHECK(z.rig->wait_until(
+  CHECK(z.harness->wait_until(
       [&] { return z->log(survivor).find("this proxy goes on alone") != std::string::npos; }, kWaitTimeout));
   CHECK(z.followed_plan(survivor) == 0);
   for (auto& name : z->voters())
     if (name != survivor) z->start(name);
-  CHECK(z.rig->wait_until([&] { return z.followed_plan(survivor) >= last; }, kWaitTimeout));
+  CHECK(z.harness->wait_until([&] { return z.followed_plan(survivor) >= last; }, kWaitTimeout));
   z.check_no_breaches();
 }
 
@@ -348,7 +348,7 @@
     // holds the lease now.
     auto number = z.plan().number;
     z.control_servers("kill", "c");
-    CHECK(z.rig->wait_until(
+    CHECK(z.harness->wait_until(
         [&] {
           for (auto& name : z->voters()) {
             auto s = z->status(name);
@@ -402,10 +402,10 @@
   for (int i = 0; i < 7; ++i) {
     z.control_servers("silence", "b");
     auto at = net::monotonic_now();
-    z.rig->wait_until([&] { return net::monotonic_now() - at > 2s; });
+    z.harness->wait_until([&] { return net::monotonic_now() - at > 2s; });
     z.control_servers("speak", "b");
     at = net::monotonic_now();
-    z.rig->wait_until([&] { return net::monotonic_now() - at > 2s; });
+    z.harness->wait_until([&] { return net::monotonic_now() - at > 2s; });
     max_changes = std::max(max_changes, changes());
   }
   CHECK(max_changes <= 4);
@@ -428,13 +428,13 @@
   CHECK(answer.value("takes_ms", 0) >= 1000);
   REQUIRE(z.wait_for_phase("c", "evacuating"));
   z->pause(owner);
-  CHECK(z.rig->wait_until(
+  CHECK(z.harness->wait_until(
       [&] { return !z->lease_holder("placement").empty() && z->lease_holder("placement") != owner; },
       kWaitTimeout));
   CHECK(z.wait_for_phase("c", "evacuated"));
   auto number = z.plan().number;
   z->resume(owner);
-  CHECK(z.rig->wait_until([&] { return z.followed_plan(owner) >= number; }, kWaitTimeout));
+  CHECK(z.harness->wait_until([&] { return z.followed_plan(owner) >= number; }, kWaitTimeout));
   CHECK(z.phase("c") == "evacuated");
   CHECK(z.wait_until_no_requests("c"));
   // Another zone fails meanwhile: the evacuated zone stays evacuated.
@@ -447,23 +447,25 @@
   for (auto& name : z->voters()) {
     z->terminate(name);
     z->start(name);
-    REQUIRE(z.rig->wait_until([&] { return !z->leader().empty(); }));
+    REQUIRE(z.harness->wait_until([&] { return !z->leader().empty(); }));
   }
-  CHECK(z.rig->wait_until([&] { return z.phase("c") == "evacuated"; }, kWaitTimeout));
-  CHECK(z.rig->wait_until(
+  CHECK(z.harness->wait_until([&] { return z.phase("c") == "evacuated"; }, kWaitTimeout));
+  CHECK(z.harness->wait_until(
       [&] {
         return z.placement_command("restore", {{"zone", "c"}}).value("ok", false);
       },
       kWaitTimeout));
   CHECK(z.wait_for_phase("c", "open"));
   // While the plan is frozen, the loss of a zone changes nothing until planning is resumed.
-  CHECK(z.rig->wait_until([&] { return z.placement_command("freeze").value("ok", false); }, kWaitTimeout));
+  CHECK(
+      z.harness->wait_until([&] { return z.placement_command("freeze").value("ok", false); }, kWaitTimeout));
   CHECK(z.placement_command("freeze").value("why", "").find("frozen already") != std::string::npos);
   z.control_servers("kill", "b");
   auto until = net::monotonic_now() + 4s;
-  z.rig->wait_until([&] { return net::monotonic_now() > until; });
+  z.harness->wait_until([&] { return net::monotonic_now() > until; });
   CHECK(z.phase("b") == "open");
-  CHECK(z.rig->wait_until([&] { return z.placement_command("resume").value("ok", false); }, kWaitTimeout));
+  CHECK(
+      z.harness->wait_until([&] { return z.placement_command("resume").value("ok", false); }, kWaitTimeout));
   CHECK(z.wait_for_phase("b", "closed"));
   z.check_no_breaches();
 }
@@ -474,7 +476,7 @@
   ZonesFixture z([](FaultHarnessOptions& o) { o.requests_per_weight = 60; });
   z.start_load(40);
   REQUIRE(z.wait_until_ready());
-  CHECK(z.rig->wait_until([&] {
+  CHECK(z.harness->wait_until([&] {
     double all = 0;
     for (auto& r : z.placement_command("explain", {{"set", 1}}).value("asked", json::array()))
       all += r.at(2).get<double>();
@@ -484,7 +486,7 @@
   CHECK(answer.value("why", "").find("cannot carry") != std::string::npos);
   z.control_servers("kill", "b");
   CHECK(z.wait_for_phase("b", "closed"));
-  CHECK(z.rig->wait_until(
+  CHECK(z.harness->wait_until(
       [&] {
         auto p = z.plan();
         return p.rejected_share(1, "a") + p.rejected_share(1, "b") + p.rejected_share(1, "c") > 0.05;
@@ -494,7 +496,7 @@
   CHECK(explained.contains("asked"));
   CHECK(z.placement_command("evacuate", {{"zone", "c"}, {"force", true}}).value("ok", false));
   z.control_servers("start", "b");
-  CHECK(z.rig->wait_until(
+  CHECK(z.harness->wait_until(
       [&] {
         return z.placement_command("restore", {{"zone", "c"}}).value("ok", false);
       },
@@ -518,8 +520,8 @@
   }
   auto primary_requests = [&] { return z->fake_servers().counters().at("s1-3").requests; };
   auto before = primary_requests();
-  CHECK(z.rig->wait_until([&] { return primary_requests() > before + 20; }, kWaitTimeout));
-  CHECK(z.rig->wait_until(
+  CHECK(z.harness->wait_until([&] { return primary_requests() > before + 20; }, kWaitTimeout));
+  CHECK(z.harness->wait_until(
       [&] { return z->log("p1").find("linked with") != std::string::npos && z.wait_until_no_requests("b"); },
       kWaitTimeout));
   z.control_servers("start", "b");
