--- a/src/testbench/commands.cpp
+++ b/src/testbench/commands.cpp
@@ -192,8 +192,8 @@
   options.seed = g["seed"].as<std::uint64_t>();
   options.shard_groups.clear();
   for (int i = 1; i <= std::clamp(g["sets"].as<int>(), 1, 1000); ++i) options.shard_groups.push_back(i);
-  InvariantChecker rules;
-  options.rules = &rules;
+  InvariantChecker invariants;
+  options.invariants = &invariants;
   auto f = run_load(options);
   json result = {{"asked", f.attempts},
                  {"served", f.served},
@@ -206,13 +206,13 @@
                  {"p50_ms", percentile(f.overall_latency, 0.5) / 1000},
                  {"p99_ms", percentile(f.overall_latency, 0.99) / 1000},
                  {"p999_ms", percentile(f.overall_latency, 0.999) / 1000},
-                 {"rule_breaches", rules.total()}};
+                 {"rule_breaches", invariants.total()}};
   for (auto& [name, h] : f.latency)
     result["by_class"][name] = {{"p50_ms", percentile(h, 0.5) / 1000},
                                 {"p99_ms", percentile(h, 0.99) / 1000}};
   std::cout << result.dump(1) << "\n";
   if (g.count("json")) write_file_atomically(g["json"].as<std::string>(), result.dump(1) + "\n");
-  return rules.total() == 0 && f.served > 0 ? 0 : 2;
+  return invariants.total() == 0 && f.served > 0 ? 0 : 2;
 }
 
 std::vector<int> parse_numbers(const std::string& text) {
@@ -272,10 +272,10 @@
     std::filesystem::create_directories(g["folder"].as<std::string>());
     write_cores_report(result, g["folder"].as<std::string>(), command);
   }
-  std::uint64_t breaches = 0;
-  for (auto& row : result.at("rows")) breaches += row.at("rule_breaches").get<std::uint64_t>();
+  std::uint64_t violations = 0;
+  for (auto& row : result.at("rows")) violations += row.at("rule_breaches").get<std::uint64_t>();
   std::cout << result.at("rows").dump(1) << "\n" << result.at("ratios").dump(1) << "\n";
-  return breaches == 0 ? 0 : 2;
+  return violations == 0 ? 0 : 2;
 }
 
 }  // namespace
--- a/src/testbench/cores.cpp
+++ b/src/testbench/cores.cpp
@@ -95,7 +95,7 @@
   load.warm_up = Micros(static_cast<std::int64_t>(o.warm_up * 1e6));
   load.duration = Micros(static_cast<std::int64_t>(o.seconds * 1e6));
   load.seed = seed;
-  load.rules = &fake_servers.invariants();
+  load.invariants = &fake_servers.invariants();
   load.shard_groups.clear();
   for (int i = 1; i <= o.shard_groups; ++i) load.shard_groups.push_back(i);
 
@@ -153,9 +153,9 @@
         std::min(fake_servers_free, 1 - (fake_servers_cpu_after[i] - fake_servers_cpu_before[i]) / seconds);
   for (double used : figures.cpu_seconds) load_free = std::min(load_free, 1 - used / figures.seconds);
   auto drains = fake_servers.invariants().drain_last_send_ms();
-  json breaches = json::array();
+  json violations = json::array();
   for (auto& b : fake_servers.invariants().violations())
-    breaches.push_back({{"rule", name_of(b.invariant)}, {"count", b.count}, {"first", b.first}});
+    violations.push_back({{"rule", name_of(b.invariant)}, {"count", b.count}, {"first", b.first}});
   return {{"way", variant.name},
           {"workers", variant.workers},
           {"decisions", variant.decisions},
@@ -180,7 +180,7 @@
           {"stolen_percent", stolen_share},
           {"crowded", assignment.shares_cpus},
           {"threads_free", threads},
-          {"breaches", breaches}};
+          {"breaches", violations}};
 }
 
 // Returns the loads that a variant is measured with: the closed loop, an equal rate for each worker and, for
--- a/src/testbench/fake_servers.cpp
+++ b/src/testbench/fake_servers.cpp
@@ -900,7 +900,7 @@
 }
 
 json FakeServers::report() {
-  json servers = json::object(), breaches = json::array();
+  json servers = json::object(), violations = json::array();
   for (auto& [id, f] : counters())
     servers[id] = {{"requests", f.requests},       {"probes", f.probes},
                    {"turned_away", f.rejected},    {"not_primary", f.not_primary},
@@ -908,14 +908,14 @@
                    {"connections", f.connections}, {"most_connections", f.max_connections},
                    {"opened", f.opened},           {"falls", f.overloads}};
   for (auto& b : invariants_.violations())
-    breaches.push_back({{"rule", name_of(b.invariant)}, {"count", b.count}, {"first", b.first}});
+    violations.push_back({{"rule", name_of(b.invariant)}, {"count", b.count}, {"first", b.first}});
   std::uint64_t calls = 0, full_list_calls = 0, rejected_calls = 0;
   discovery_->call([&] {
     calls = discovery_->calls, full_list_calls = discovery_->full_list_calls,
     rejected_calls = discovery_->rejected_calls;
   });
   return {{"servers", servers},
-          {"breaches", breaches},
+          {"breaches", violations},
           {"drain_last_send_ms", invariants_.drain_last_send_ms()},
           {"list_calls", calls},
           {"whole_list_calls", full_list_calls},
--- a/src/testbench/fault_injection/coldstart.cpp
+++ b/src/testbench/fault_injection/coldstart.cpp
@@ -105,7 +105,7 @@
       l.shard_groups = {1, 2, 3, 4};
       l.seed = options.seed * 1000 + i;
       l.id_prefix = fmt::format("c{}-", i);
-      l.rules = &harness.fake_servers().invariants();
+      l.invariants = &harness.fake_servers().invariants();
       auto f = run_load(l);
       std::lock_guard lock(mutex);
       sum.add(f);
--- a/src/testbench/fault_injection/experiments.cpp
+++ b/src/testbench/fault_injection/experiments.cpp
@@ -168,13 +168,13 @@
         if (!connection)
           connection = std::make_unique<app::FleetConnection>(harness_.address(name), "lab", 30'000);
         auto s = connection->send_request({{"do", "status"}}).at("status");
-        auto owners = connection->send_request({{"do", "owners"}}).at("owners");
+        auto jobs = connection->send_request({{"do", "owners"}}).at("owners");
         json e = {{"node", name},
                   {"clock_us", s.at("clock_us")},
                   {"holds", s.at("holds")},
                   {"published", json::array()}};
         if (s.value("role", "") == "leader") e["leads"] = s.at("term");
-        for (auto& o : owners) e["published"].push_back({o.at("job"), o.at("published_by")});
+        for (auto& o : jobs) e["published"].push_back({o.at("job"), o.at("published_by")});
         if (std::exchange(is_reconnected, false)) e["anew"] = true;
         harness_.history().add("sample", std::move(e));
       } catch (const std::exception&) {
@@ -282,24 +282,24 @@
     case 11: {
       if (jobs) {
         // Delays the lease holder's messages to one voter until another process holds its leases.
-        auto owner = harness.lease_holder("list"), leader = harness.leader();
-        if (owner.empty() || !std::count(voters.begin(), voters.end(), owner)) owner = victim;
+        auto holder = harness.lease_holder("list"), leader = harness.leader();
+        if (holder.empty() || !std::count(voters.begin(), voters.end(), holder)) holder = victim;
         std::string third;
         for (auto& name : voters)
-          if (name != owner && (third.empty() || name != leader)) third = name;
+          if (name != holder && (third.empty() || name != leader)) third = name;
         LinkState held;
         held.hold_forward = true;
-        harness.shape(owner, third, held);
+        harness.shape(holder, third, held);
         pause_for(700ms);
-        harness.terminate(owner);
+        harness.terminate(holder);
         harness.wait_until(
             [&] {
               auto now = harness.lease_holder("list");
-              return !now.empty() && now != owner;
+              return !now.empty() && now != holder;
             },
             Micros(1'200'000));
         harness.heal();
-        harness.start(owner);
+        harness.start(holder);
         return "effects come late";
       }
       harness.set_sync_delay(victim, 1000);
@@ -410,9 +410,9 @@
   FaultHarness harness(o);
   const std::vector<std::string> jobs{"list", "probe 1", "probe 2", "probe 3"};
   auto all_owned = [&] {
-    auto owners = harness.lease_holders();
+    auto lease_holders = harness.lease_holders();
     return std::all_of(jobs.begin(), jobs.end(), [&](auto& job) {
-      return std::any_of(owners.begin(), owners.end(),
+      return std::any_of(lease_holders.begin(), lease_holders.end(),
                          [&](auto& x) { return x.at("job") == job && x.value("owner", "") != ""; });
     });
   };
@@ -434,7 +434,7 @@
         l.warm_up = Micros(0);
         l.shard_groups = {1, 2, 3};
         l.seed = options.seed * 1000 + i * 100 + static_cast<std::uint64_t>(n);
-        l.rules = &harness.fake_servers().invariants();
+        l.invariants = &harness.fake_servers().invariants();
         l.id_prefix = fmt::format("o{}-{}-", i, n);
         try {
           auto f = run_load(l);
@@ -501,7 +501,7 @@
   double seconds = static_cast<double>(harness.history().now().count()) / 1e6, probes = 0;
   for (auto& [id, s] : report.at("servers").items()) probes += s.at("probes").get<double>();
   if (!options.history.empty()) harness.history().write(options.history);
-  json breaches = report.at("breaches");
+  json violations = report.at("breaches");
   auto verdict = check_history(harness.history().events());
   return {{"seed", options.seed},
           {"processes", harness.all().size()},
@@ -526,7 +526,7 @@
           {"probes_per_server_per_s", probes / static_cast<double>(report.at("servers").size()) / seconds},
           {"drain_last_send_ms", drain_ms},
           {"rule_breaches", harness.fake_servers().invariants().total()},
-          {"breaches", breaches}};
+          {"breaches", violations}};
 }
 
 json run_savings(const ExperimentOptions& options) {
@@ -577,7 +577,7 @@
         l.warm_up = Micros(0);
         l.shard_groups = {1, 2, 3};
         l.seed = options.seed * 1000 + i;
-        l.rules = &harness.fake_servers().invariants();
+        l.invariants = &harness.fake_servers().invariants();
         l.id_prefix = fmt::format("s{}-", i);
         auto f = run_load(l);
         std::lock_guard lock(mutex);
--- a/src/testbench/fault_injection/soak.cpp
+++ b/src/testbench/fault_injection/soak.cpp
@@ -158,7 +158,7 @@
       load.connections = kConnections;
       load.rate = kRatePerNode;
       load.duration = seconds(script.seconds);
-      load.rules = &servers.invariants();
+      load.invariants = &servers.invariants();
       load.seed = script.seed * script.nodes.size() + i;  // distinct keys for each node
       load.id_prefix = fmt::format("n{}c", i);
       loads[i] = run_load(load);
@@ -220,14 +220,15 @@
 // Runs one seed. Returns true if no invariant was violated.
 bool play_seed(std::optional<SoakScript> script, std::uint64_t seed, const SoakOptions& options,
                const std::string& keep) {
-  FakeServersOptions sets;
-  sets.replicas = 3;
-  sets.nodes = script ? static_cast<int>(script->nodes.size()) : options.nodes;
-  sets.seed = seed;
+  FakeServersOptions server_options;
+  server_options.replicas = 3;
+  server_options.nodes = script ? static_cast<int>(script->nodes.size()) : options.nodes;
+  server_options.seed = seed;
   constexpr double kServiceUs = 2000;
-  sets.model.service_us = kServiceUs;
-  sets.limits.slow_start.nominal_rate = static_cast<double>(kRatePerNode * sets.nodes) / (sets.replicas + 1);
-  FakeServers servers(sets);
+  server_options.model.service_us = kServiceUs;
+  server_options.limits.slow_start.nominal_rate =
+      static_cast<double>(kRatePerNode * server_options.nodes) / (server_options.replicas + 1);
+  FakeServers servers(server_options);
   auto replicas = servers.servers();
   auto primary = replicas.front();
   replicas.erase(replicas.begin());
--- a/src/testbench/fault_injection/zones.cpp
+++ b/src/testbench/fault_injection/zones.cpp
@@ -92,9 +92,9 @@
   o.settings = {{"Guarantees", {{"WarmUpMs", static_cast<double>(kWarmUp.count()) / 1000}}}};
   FaultHarness harness(o);
   if (!harness.wait_until([&] {
-        auto owners = harness.lease_holders();
+        auto lease_holders = harness.lease_holders();
         auto owned = [&](const std::string& job) {
-          return std::any_of(owners.begin(), owners.end(),
+          return std::any_of(lease_holders.begin(), lease_holders.end(),
                              [&](auto& x) { return x.at("job") == job && x.value("owner", "") != ""; });
         };
         return owned("list") && (!common || owned("placement"));
@@ -120,7 +120,7 @@
       l.warm_up = Micros(0);
       l.book_share = 0.05;
       l.seed = options.seed * 1000 + i + (from.count() > 0 ? 500 : 0);
-      l.rules = &harness.fake_servers().invariants();
+      l.invariants = &harness.fake_servers().invariants();
       l.id_prefix = fmt::format("z{}-{}-", i, from.count() > 0 ? 2 : 1);
       auto f = run_load(l);
       std::lock_guard lock(mutex);
--- a/src/testbench/load.cpp
+++ b/src/testbench/load.cpp
@@ -246,12 +246,12 @@
 
 void Client::record_unanswered(const char* why) {
   auto& figures = generator_.figures;
-  auto* rules = generator_.options.rules;
+  auto* invariants = generator_.options.invariants;
   auto now = generator_.loop.now();
   auto seconds = [](Micros time) { return static_cast<double>(time.count()) * 1e-6; };
   figures.unanswered += in_flight_.size();
   for (auto& out : in_flight_) {
-    bool is_lost = rules && rules->was_attempted(out.id);
+    bool is_lost = invariants && invariants->was_attempted(out.id);
     figures.lost += is_lost;
     if (figures.unanswered_requests.size() >= kMaxListedUnanswered) continue;
     figures.unanswered_requests.push_back(fmt::format("{} ({}{}): {}, {:.3f} s after it was sent, at {:.3f}",
@@ -340,12 +340,12 @@
 }
 
 void Client::handle_answer(const std::string& code, std::string_view value, int retry_after_ms) {
-  auto* rules = generator_.options.rules;
+  auto* invariants = generator_.options.invariants;
   auto now = generator_.loop.now();
   auto& f = generator_.figures;
   if (in_flight_.empty()) {
-    if (rules)
-      rules->record_violation(
+    if (invariants)
+      invariants->record_violation(
           Invariant::kUnexpectedAnswer,
           fmt::format("client {} received an answer without a request in flight", number_));
     return;
@@ -358,9 +358,9 @@
         std::max(f.longest_gap_ms, static_cast<double>((now - generator_.last_answer).count()) / 1000);
   generator_.last_answer = now;
   if (code.empty()) {
-    if (value != out.id && rules)
-      rules->record_violation(Invariant::kWrongValue,
-                              fmt::format("request {} received the value of request {}", out.id, value));
+    if (value != out.id && invariants)
+      invariants->record_violation(Invariant::kWrongValue,
+                                   fmt::format("request {} received the value of request {}", out.id, value));
     if (request.request_class == kBook)
       last_write_unix_ms_[static_cast<std::size_t>(request.session)] =
           std::chrono::duration_cast<std::chrono::milliseconds>(
--- a/src/testbench/load.h
+++ b/src/testbench/load.h
@@ -30,7 +30,7 @@
   bool retry_rejected = true;  // retries a rejected request after its Retry-After time, marked as a retry
   int max_retries = 3;
   std::uint64_t seed = 1;
-  InvariantChecker* rules = nullptr;  // receives wrong values and surplus answers as breaches
+  InvariantChecker* invariants = nullptr;  // receives wrong values and surplus answers as violations
   std::string id_prefix = "c";  // of request ids; must differ between loads that run against the same proxy
 };
 
--- a/tests/group/processes_test.cpp
+++ b/tests/group/processes_test.cpp
@@ -301,7 +301,7 @@
   load.connections = 4;
   load.rate = 50;
   load.duration = 1s;
-  load.rules = &f->fake_servers().invariants();
+  load.invariants = &f->fake_servers().invariants();
   // A drain must reach the proxy although no node holds the lease of the list.
   f->fake_servers().control({{"do", "drain"}, {"server", "s1-3"}});
   auto figures = run_load(load);
@@ -649,7 +649,7 @@
       l.rate = 40;
       l.duration = 1s;
       l.id_prefix = "r" + std::to_string(i) + "-";
-      l.rules = &f->fake_servers().invariants();
+      l.invariants = &f->fake_servers().invariants();
       sum.add(run_load(l));
     }
   });
@@ -747,7 +747,7 @@
         l.rate = 20;
         l.duration = 500ms;
         l.id_prefix = name + "-" + std::to_string(i) + "-";
-        l.rules = &f->fake_servers().invariants();
+        l.invariants = &f->fake_servers().invariants();
         run_load(l);
       }
     });
@@ -796,7 +796,7 @@
         l.rate = 40;
         l.duration = 700ms;
         l.id_prefix = name + "-" + std::to_string(i) + "-";
-        l.rules = &f->fake_servers().invariants();
+        l.invariants = &f->fake_servers().invariants();
         auto x = run_load(l);
         asked += x.attempts;
         served += x.served;
--- a/tests/group/zones_test.cpp
+++ b/tests/group/zones_test.cpp
@@ -60,7 +60,7 @@
           l.book_share = 0.02;
           l.seed = std::hash<std::string>{}(name) + static_cast<std::uint64_t>(i);
           l.id_prefix = name + "-" + std::to_string(i) + "-";
-          l.rules = &harness->fake_servers().invariants();
+          l.invariants = &harness->fake_servers().invariants();
           try {
             auto f = run_load(l);
             std::lock_guard lock(mutex);
--- a/tests/testbench/lab_test.cpp
+++ b/tests/testbench/lab_test.cpp
@@ -1,5 +1,5 @@
-// Tests of the testbench itself: with a checker that misses a breach, or a model that does not behave like a
-// server, its results would prove nothing.
+// Tests of the testbench itself: with a checker that misses a violation, or a model that does not behave like
+// a server, its results would prove nothing.
 #include <catch2/catch.hpp>
 
 #include "proxy/rig.h"
@@ -11,9 +11,9 @@
 namespace database_proxy::testbench {
 namespace {
 
-std::uint64_t count(const InvariantChecker& rules, Invariant rule) {
-  for (auto& breach : rules.violations())
-    if (breach.invariant == rule) return breach.count;
+std::uint64_t count(const InvariantChecker& invariants, Invariant invariant) {
+  for (auto& violation : invariants.violations())
+    if (violation.invariant == invariant) return violation.count;
   return 0;
 }
 
@@ -22,88 +22,89 @@
 }  // namespace
 
 TEST_CASE("rules: each breach is counted, and permitted behaviour is not a breach") {
-  InvariantChecker rules;
-  // Two attempts of one request: permitted one after the other, a breach when concurrent.
-  rules.on_attempt(ms(1), ms(1), "a", "s1");
-  rules.on_attempt_end("a");
-  rules.on_attempt(ms(2), ms(2), "a", "s2");
-  CHECK(rules.total() == 0);
-  rules.on_attempt(ms(3), ms(3), "a", "s1");
-  CHECK(count(rules, Invariant::kConcurrentAttempts) == 1);
-  // A request may have eight attempts; the ninth is a breach.
+  InvariantChecker invariants;
+  // Two attempts of one request: permitted one after the other, a violation when concurrent.
+  invariants.on_attempt(ms(1), ms(1), "a", "s1");
+  invariants.on_attempt_end("a");
+  invariants.on_attempt(ms(2), ms(2), "a", "s2");
+  CHECK(invariants.total() == 0);
+  invariants.on_attempt(ms(3), ms(3), "a", "s1");
+  CHECK(count(invariants, Invariant::kConcurrentAttempts) == 1);
+  // A request may have eight attempts; the ninth is a violation.
   for (int i = 0; i < 8; ++i) {
-    rules.on_attempt(ms(4), ms(4), "b", "s1");
-    rules.on_attempt_end("b");
+    invariants.on_attempt(ms(4), ms(4), "b", "s1");
+    invariants.on_attempt_end("b");
   }
-  CHECK(count(rules, Invariant::kTooManyAttempts) == 0);
-  rules.on_attempt(ms(4), ms(4), "b", "s1");
-  CHECK(count(rules, Invariant::kTooManyAttempts) == 1);
+  CHECK(count(invariants, Invariant::kTooManyAttempts) == 0);
+  invariants.on_attempt(ms(4), ms(4), "b", "s1");
+  CHECK(count(invariants, Invariant::kTooManyAttempts) == 1);
   // After a drain notice, an attempt is judged by the time of its first byte, which may come until the grace
   // period (1,050 ms) ends. A notice that the server takes work again ends the drain.
-  rules.on_listed(ms(1000), "s1", false);
-  rules.on_attempt(ms(2060), ms(2040), "c", "s1");
-  CHECK(count(rules, Invariant::kSentAfterDrain) == 0);
-  CHECK(rules.drain_last_send_ms().at("s1") == Approx(1040));
-  rules.on_listed(ms(2050), "s1", false);  // a repeated notice does not restart the grace period
-  rules.on_attempt(ms(2070), ms(2070), "d", "s1");
-  CHECK(count(rules, Invariant::kSentAfterDrain) == 1);
-  rules.on_listed(ms(2080), "s1", true);
-  rules.on_attempt(ms(4000), ms(4000), "e", "s1");
-  CHECK(count(rules, Invariant::kSentAfterDrain) == 1);
+  invariants.on_listed(ms(1000), "s1", false);
+  invariants.on_attempt(ms(2060), ms(2040), "c", "s1");
+  CHECK(count(invariants, Invariant::kSentAfterDrain) == 0);
+  CHECK(invariants.drain_last_send_ms().at("s1") == Approx(1040));
+  invariants.on_listed(ms(2050), "s1", false);  // a repeated notice does not restart the grace period
+  invariants.on_attempt(ms(2070), ms(2070), "d", "s1");
+  CHECK(count(invariants, Invariant::kSentAfterDrain) == 1);
+  invariants.on_listed(ms(2080), "s1", true);
+  invariants.on_attempt(ms(4000), ms(4000), "e", "s1");
+  CHECK(count(invariants, Invariant::kSentAfterDrain) == 1);
 }
 
 TEST_CASE("rules: a member in slow start may get at most the overload multiple of its share") {
-  auto cold_breaches = [](int cold) {
-    InvariantChecker rules;
-    for (int i = 0; i < 300; ++i) rules.on_request(ms(i), 1, i % 2 ? "w1" : "w2", 1);
-    for (int i = 0; i < cold; ++i) rules.on_request(ms(i), 1, "c", 0.2);
-    rules.on_request(ms(1100), 1, "w1", 1);  // ends the window
-    return count(rules, Invariant::kSlowStartOverload);
+  auto count_overloads = [](int warming_requests) {
+    InvariantChecker invariants;
+    for (int i = 0; i < 300; ++i) invariants.on_request(ms(i), 1, i % 2 ? "w1" : "w2", 1);
+    for (int i = 0; i < warming_requests; ++i) invariants.on_request(ms(i), 1, "c", 0.2);
+    invariants.on_request(ms(1100), 1, "w1", 1);  // ends the window
+    return count(invariants, Invariant::kSlowStartOverload);
   };
   // Counting begins with the first request to a member in slow start; that request comes before the 300 here.
-  InvariantChecker rules;
-  rules.on_request(ms(0), 1, "c", 0.2);
-  for (int i = 0; i < 300; ++i) rules.on_request(ms(i), 1, i % 2 ? "w1" : "w2", 1);
-  for (int i = 0; i < 80; ++i) rules.on_request(ms(i), 1, "c", 0.2);
-  rules.on_request(ms(1100), 1, "w1", 1);
+  InvariantChecker invariants;
+  invariants.on_request(ms(0), 1, "c", 0.2);
+  for (int i = 0; i < 300; ++i) invariants.on_request(ms(i), 1, i % 2 ? "w1" : "w2", 1);
+  for (int i = 0; i < 80; ++i) invariants.on_request(ms(i), 1, "c", 0.2);
+  invariants.on_request(ms(1100), 1, "w1", 1);
   // 81 requests, where a warm member gets 150: within 3 times 0.2 of that.
-  CHECK(count(rules, Invariant::kSlowStartOverload) == 0);
-  for (int i = 0; i < 300; ++i) rules.on_request(ms(1200 + i), 1, i % 2 ? "w1" : "w2", 1);
-  for (int i = 0; i < 120; ++i) rules.on_request(ms(1200 + i), 1, "c", 0.2);
-  rules.on_request(ms(2300), 1, "w1", 1);
-  CHECK(count(rules, Invariant::kSlowStartOverload) == 1);
-  CHECK(cold_breaches(0) == 0);
+  CHECK(count(invariants, Invariant::kSlowStartOverload) == 0);
+  for (int i = 0; i < 300; ++i) invariants.on_request(ms(1200 + i), 1, i % 2 ? "w1" : "w2", 1);
+  for (int i = 0; i < 120; ++i) invariants.on_request(ms(1200 + i), 1, "c", 0.2);
+  invariants.on_request(ms(2300), 1, "w1", 1);
+  CHECK(count(invariants, Invariant::kSlowStartOverload) == 1);
+  CHECK(count_overloads(0) == 0);
 }
 
 TEST_CASE("rules: small request counts at a member in slow start are checked, with a wider tolerance") {
-  auto breaches = [](int cold) {
-    InvariantChecker rules;
-    rules.on_request(ms(0), 1, "c", 0.2);
-    for (int i = 0; i < 40; ++i) rules.on_request(ms(i), 1, i % 2 ? "w1" : "w2", 1);
-    for (int i = 1; i < cold; ++i) rules.on_request(ms(i), 1, "c", 0.2);
-    rules.on_request(ms(1100), 1, "w1", 1);
-    return count(rules, Invariant::kSlowStartOverload);
+  auto count_overloads = [](int warming_requests) {
+    InvariantChecker invariants;
+    invariants.on_request(ms(0), 1, "c", 0.2);
+    for (int i = 0; i < 40; ++i) invariants.on_request(ms(i), 1, i % 2 ? "w1" : "w2", 1);
+    for (int i = 1; i < warming_requests; ++i) invariants.on_request(ms(i), 1, "c", 0.2);
+    invariants.on_request(ms(1100), 1, "w1", 1);
+    return count(invariants, Invariant::kSlowStartOverload);
   };
-  CHECK(breaches(25) == 0);  // 3 times 0.2 of 20 is 12; plus 3 times its square root and 3, the limit is 25.4
-  CHECK(breaches(26) == 1);
+  CHECK(count_overloads(25) ==
+        0);  // 3 times 0.2 of 20 is 12; plus 3 times its square root and 3, the limit is 25.4
+  CHECK(count_overloads(26) == 1);
 }
 
 TEST_CASE(
     "rules: with a known usual rate, a member's slow-start limit does not depend on the load of the others") {
-  auto breaches = [](int cold, int warm) {
+  auto count_overloads = [](int warming_requests, int warm_requests) {
     InvariantLimits limits;
     limits.slow_start.nominal_rate = 150;
-    InvariantChecker rules(limits);
-    for (int i = 0; i < cold; ++i) rules.on_request(ms(i), 1, "c", 0.2);
-    for (int i = 0; i < warm; ++i) rules.on_request(ms(i), 1, "w", 1);
-    rules.on_request(ms(1100), 1, "w", 1);
-    return count(rules, Invariant::kSlowStartOverload);
+    InvariantChecker invariants(limits);
+    for (int i = 0; i < warming_requests; ++i) invariants.on_request(ms(i), 1, "c", 0.2);
+    for (int i = 0; i < warm_requests; ++i) invariants.on_request(ms(i), 1, "w", 1);
+    invariants.on_request(ms(1100), 1, "w", 1);
+    return count(invariants, Invariant::kSlowStartOverload);
   };
   // 3 times 0.2 of 150 is 90; plus twice its square root and 2, the limit is 111.
-  CHECK(breaches(110, 10) == 0);
-  CHECK(breaches(112, 10) == 1);
-  CHECK(breaches(112, 900) == 1);
-  CHECK(breaches(112, 0) == 1);
+  CHECK(count_overloads(110, 10) == 0);
+  CHECK(count_overloads(112, 10) == 1);
+  CHECK(count_overloads(112, 900) == 1);
+  CHECK(count_overloads(112, 0) == 1);
 }
 
 TEST_CASE("model: replication lag, roles, life states, busy cores and a slow server after its start") {
@@ -265,7 +266,7 @@
 }
 
 TEST_CASE("load: a value of another request is a breach, percentiles and medians are correct") {
-  InvariantChecker rules;
+  InvariantChecker invariants;
   test::ProxyFixture fixture;
   // The value of the reply is always "value", never the request's id.
   fixture.primary.reply = fixture.replica.reply = [](const std::string&) { return test::Reply{}; };
@@ -274,10 +275,10 @@
   load.connections = 2;
   load.duration = ms(100);
   load.shard_groups = {2};
-  load.rules = &rules;
+  load.invariants = &invariants;
   auto figures = run_load(load);
   CHECK(figures.served > 0);
-  CHECK(count(rules, Invariant::kWrongValue) >= figures.served);
+  CHECK(count(invariants, Invariant::kWrongValue) >= figures.served);
   auto histogram = make_latencies();
   for (int i = 1; i <= 1000; ++i) histogram(i);
   CHECK(percentile(histogram, 0.5) == Approx(500).epsilon(0.02));
--- a/tests/testbench/process_test.cpp
+++ b/tests/testbench/process_test.cpp
@@ -47,7 +47,7 @@
     load.connections = 16;
     load.depth = 4;
     load.duration = Micros(1'500'000);
-    load.rules = &fake_servers.invariants();
+    load.invariants = &fake_servers.invariants();
     std::thread signals([&] {
       for (int i = 0; i < 10; ++i) {
         std::this_thread::sleep_for(std::chrono::milliseconds(40));
--- a/tests/upgrade/node.h
+++ b/tests/upgrade/node.h
@@ -66,7 +66,7 @@
     testbench::LoadOptions options;
     options.target = *net::parse_address(fmt::format("127.0.0.1:{}", port()));
     options.duration = length;
-    options.rules = &servers.invariants();
+    options.invariants = &servers.invariants();
     return options;
   }
 
--- a/tests/workers/worker_pool_test.cpp
+++ b/tests/workers/worker_pool_test.cpp
@@ -461,7 +461,7 @@
     load.connections = 24;
     load.depth = 4;
     load.duration = testbench::Micros(1'200'000);
-    load.rules = &fake_servers.invariants();
+    load.invariants = &fake_servers.invariants();
     std::thread steering([&] {
       std::this_thread::sleep_for(400ms);
       fake_servers.control({{"do", "drain"}, {"server", "s1-2"}});
@@ -496,7 +496,7 @@
   load.rate = 1500;
   load.duration = testbench::Micros(3'500'000);
   load.book_share = 0;
-  load.rules = &fake_servers.invariants();
+  load.invariants = &fake_servers.invariants();
   std::thread steering([&] {
     std::this_thread::sleep_for(300ms);
     fake_servers.control({{"do", "add"}, {"set", 1}});
