--- a/src/app/commands.cpp
+++ b/src/app/commands.cpp
@@ -184,7 +184,8 @@
   return 0;
 }
 
-// Runs until the process is told to stop. `has_started`: once it is set, a failure is not a failed start.
+// Runs until the process receives a signal to stop. `has_started`: once it is set, a failure is not a failed
+// start.
 int serve_once(const LoadedConfig& loaded, Logger& logger, const net::Log& log, bool* has_started) {
   auto& config = loaded.config;
   for (auto& line : warnings(loaded.operator_file)) log(net::Level::kWarning, line);
--- a/src/app/fleet_placement.cpp
+++ b/src/app/fleet_placement.cpp
@@ -29,9 +29,9 @@
 
 std::string format_plan(const json& answer) {
   auto plan = pl::plan_from_json(answer.at("plan"));
-  auto owner = answer.value("owner", "");
+  auto lease_holder = answer.value("owner", "");
   std::string text = fmt::format("plan {}{}, owner {}\n", plan.number, plan.frozen ? " (frozen)" : "",
-                                 owner.empty() ? "nobody" : owner);
+                                 lease_holder.empty() ? "nobody" : lease_holder);
   for (auto& [zone, s] : plan.zones)
     text += fmt::format("zone {:<16} {:<10} {:3.0f} %{}{}\n", zone_text(zone), pl::text_of(s.phase),
                         s.capacity_fraction * 100,
--- a/src/app/group_runner.cpp
+++ b/src/app/group_runner.cpp
@@ -141,13 +141,13 @@
   }
   options.seed = seed;
   options.fallback_jitter = std::max(options.fallback_jitter, kPollSpacing * settings.routers);
-  if (options.probe_every.count() == 0) {
+  if (options.probe_interval.count() == 0) {
     // Replicas are checked in turn: of two, one was checked within a third of the bound, which leaves two
     // thirds for its lag and the network delay; a single replica is checked twice as often.
-    options.probe_every = kDefaultHealthCheckInterval;
+    options.probe_interval = kDefaultHealthCheckInterval;
     for (auto& c : settings.classes)
-      if (c.bound.count() > 0) options.probe_every = std::min(options.probe_every, c.bound * 2 / 3);
-    options.probe_every = std::max(options.probe_every, kMinHealthCheckInterval);
+      if (c.bound.count() > 0) options.probe_interval = std::min(options.probe_interval, c.bound * 2 / 3);
+    options.probe_interval = std::max(options.probe_interval, kMinHealthCheckInterval);
   }
   if (options.placement) {
     options.placement->warm_up = settings.warm_up;
--- a/src/app/operations.h
+++ b/src/app/operations.h
@@ -54,8 +54,8 @@
   void on_serving();
   // Forwards a cancel request for a session that this process does not have.
   void forward_cancel(std::uint32_t number, std::uint32_t secret);
-  // To be called when the process is told to stop. Returns whether another process serves the same socket. If
-  // one starts to serve later, Process::hand_over() is called.
+  // To be called when the process receives a signal to stop. Returns whether another process serves the same
+  // socket. If one starts to serve later, Process::hand_over() is called.
   proxy::ShutdownMode on_shutdown();
 
  private:
--- a/src/app/operator_file.cpp
+++ b/src/app/operator_file.cpp
@@ -113,7 +113,7 @@
     millis("heartbeat_ms", &o.heartbeat);
     millis("lease_ms", &o.lease);
     millis("fallback_ms", &o.fallback_timeout);
-    millis("probe_every_ms", &o.probe_every);
+    millis("probe_every_ms", &o.probe_interval);
     if (g.contains("election_ms")) {
       o.election_min = group::Micros(g.at("election_ms").at(0).get<std::int64_t>() * 1000);
       o.election_max = group::Micros(g.at("election_ms").at(1).get<std::int64_t>() * 1000);
@@ -177,7 +177,7 @@
                 c.directory != d.directory || c.is_voter() != d.is_voter() || c.jobs != d.jobs ||
                 c.heartbeat != d.heartbeat || c.election_min != d.election_min ||
                 c.election_max != d.election_max || c.lease != d.lease ||
-                c.fallback_timeout != d.fallback_timeout || c.probe_every != d.probe_every ||
+                c.fallback_timeout != d.fallback_timeout || c.probe_interval != d.probe_interval ||
                 c.placement != d.placement,
             "group (all but nodes)");
   }
--- a/src/group/health_check_job.cpp
+++ b/src/group/health_check_job.cpp
@@ -90,7 +90,7 @@
                                               Micros now) const {
   auto count = static_cast<std::int64_t>(replicas);
   // A single replica is checked twice as often, as there are no reports of other replicas in between.
-  auto interval = context_.options.probe_every / std::max<std::int64_t>(2, count);
+  auto interval = context_.options.probe_interval / std::max<std::int64_t>(2, count);
   auto due = (now - round_robin->last_due) / interval;
   if (due > count) {  // the first call, or after a pause: checks all at once
     round_robin->last_due = now;
--- a/src/group/lease_session.cpp
+++ b/src/group/lease_session.cpp
@@ -60,8 +60,8 @@
 void LeaseSession::on_renewal_response(const peers::EncodedMessage& message) {
   auto response = peers::decode_lease_renewal_response(message).response;
   client_.on_renewal_response(net::monotonic_now(), response);
-  auto to_give_up = client_.jobs_to_release();
-  for (auto& job : to_give_up) release(job);
+  auto jobs_to_release = client_.jobs_to_release();
+  for (auto& job : jobs_to_release) release(job);
   if (!is_releasing_all_) return;
   for (auto& job : client_.jobs()) release(job);
 }
--- a/src/group/options.h
+++ b/src/group/options.h
@@ -70,7 +70,7 @@
   Micros fallback_jitter{1'000'000};
   // Interval between two health checks of one replica; 0: two thirds of the tightest bound on the age of
   // reads.
-  Micros probe_every{0};
+  Micros probe_interval{0};
   std::uint64_t seed = 0;
   std::optional<PlacementOptions> placement;  // nullopt: each proxy decides where its own reads go
 
--- a/src/peers/message_codec.cpp
+++ b/src/peers/message_codec.cpp
@@ -144,10 +144,10 @@
   auto object = object_of(MessageType::kLeaseRenewalResponse);
   set_route(&object, routed.route);
   object[key::kRequestNumber] = routed.response.number;
-  object[key::kLeaseLength] = routed.response.lease_duration.count();
+  object[key::kLeaseDuration] = routed.response.lease_duration.count();
   auto& leases = object[key::kGrantedLeases] = json::array();
   for (auto& lease : routed.response.granted) leases.push_back(json::array({lease.job, lease.token}));
-  object[key::kJobsToGiveUp] = routed.response.jobs_to_release;
+  object[key::kJobsToRelease] = routed.response.jobs_to_release;
   return EncodedMessage(std::move(object));
 }
 
@@ -157,11 +157,11 @@
     RoutedLeaseRenewalResponse routed;
     routed.route = route_in(object);
     routed.response.number = object.at(key::kRequestNumber).get<std::uint64_t>();
-    routed.response.lease_duration = Micros(object.at(key::kLeaseLength).get<std::int64_t>());
+    routed.response.lease_duration = Micros(object.at(key::kLeaseDuration).get<std::int64_t>());
     for (auto& lease : object.at(key::kGrantedLeases))
       routed.response.granted.push_back(
           {lease.at(0).get<std::string>(), lease.at(1).get<ownership::Token>(), 0});
-    routed.response.jobs_to_release = object.at(key::kJobsToGiveUp).get<std::vector<std::string>>();
+    routed.response.jobs_to_release = object.at(key::kJobsToRelease).get<std::vector<std::string>>();
     return routed;
   });
 }
--- a/src/peers/message_keys.h
+++ b/src/peers/message_keys.h
@@ -37,9 +37,9 @@
 constexpr const char* kRequestNumber = "n";
 constexpr const char* kEligibleJobs = "willing";
 constexpr const char* kLeases = "holds";
-constexpr const char* kLeaseLength = "length";
+constexpr const char* kLeaseDuration = "length";
 constexpr const char* kGrantedLeases = "granted";
-constexpr const char* kJobsToGiveUp = "give_up";
+constexpr const char* kJobsToRelease = "give_up";
 
 // Job reports and endpoint lists.
 constexpr const char* kJob = "job";
--- a/src/placement/zone_observation.h
+++ b/src/placement/zone_observation.h
@@ -76,7 +76,7 @@
 
   // Returns the samples, by proxies' zone, shard group and servers' zone.
   const std::map<std::tuple<Zone, ShardGroupId, Zone>, ZoneSample>& samples() const { return samples_; }
-  // Returns samples(). Kept under its earlier name for tests/group/zones_test.cpp.
+  // Returns samples().
   const std::map<std::tuple<Zone, ShardGroupId, Zone>, ZoneSample>& seen() const { return samples_; }
   // Returns the votes, by proxies' zone and servers' zone.
   const std::map<std::pair<Zone, Zone>, HealthVotes>& votes() const { return votes_; }
--- a/src/testbench/fault_injection/coldstart.cpp
+++ b/src/testbench/fault_injection/coldstart.cpp
@@ -22,14 +22,14 @@
 
 // A discovery service: `strong` without a limit, or `weak` with 50 ms per call and a queue of 20 calls,
 // beyond which it answers 503.
-struct ListService {
+struct DiscoveryService {
   const char* name;
   Micros cost;
   int cap;
 };
-constexpr ListService kServices[] = {{"strong", Micros(0), 0}, {"weak", Micros(50'000), 20}};
+constexpr DiscoveryService kServices[] = {{"strong", Micros(0), 0}, {"weak", Micros(50'000), 20}};
 
-json run_one(const ExperimentOptions& options, const std::string& mode, const ListService& service) {
+json run_one(const ExperimentOptions& options, const std::string& mode, const DiscoveryService& service) {
   FaultHarnessOptions o;
   o.program = mode == "before" ? options.before : options.program;
   o.folder = fmt::format("{}/{}-{}", options.folder, mode, service.name);
--- a/tests/formats/test_node.h
+++ b/tests/formats/test_node.h
@@ -57,7 +57,7 @@
   options.name = name;
   options.nodes = std::move(nodes);
   options.seed = 7;
-  options.probe_every = group::Micros(200'000);
+  options.probe_interval = group::Micros(200'000);
   if (options.is_voter()) options.listen = "127.0.0.1:0";
   return options;
 }
--- a/tests/group/processes_test.cpp
+++ b/tests/group/processes_test.cpp
@@ -247,31 +247,31 @@
   // needed.
   for (int turn = 0; turn < 10 && stale == 0; ++turn) {
     REQUIRE(f.wait_for_lease_holder("list"));
-    auto owner = f->lease_holder("list");
-    if (f->leader() == owner) {
-      f->send_command(owner, {{"do", "transfer"}, {"name", f.voter_other_than(owner)}});
-      REQUIRE(f->wait_until([&] { return !f->leader().empty() && f->leader() != owner; }));
+    auto holder = f->lease_holder("list");
+    if (f->leader() == holder) {
+      f->send_command(holder, {{"do", "transfer"}, {"name", f.voter_other_than(holder)}});
+      REQUIRE(f->wait_until([&] { return !f->leader().empty() && f->leader() != holder; }));
     }
     std::string third;
     for (auto& name : f->voters())
-      if (name != owner && name != f->leader()) third = name;
+      if (name != holder && name != f->leader()) third = name;
     REQUIRE(f->wait_until([&] {
       return f.status_number(third, "list_generation") < 1000;
     }));  // -1 (wraps to a huge value) before the first list
     auto generation = f.status_number(third, "list_generation");
     LinkState held;
     held.hold_forward = true;
-    f->shape(owner, third, held);
+    f->shape(holder, third, held);
     std::this_thread::sleep_for(700ms);  // the lease holder sends its status every 500 ms
-    CHECK(f->terminate(owner) == 0);
+    CHECK(f->terminate(holder) == 0);
     REQUIRE(f->wait_until([&] {
       auto now = f->lease_holder("list");
-      return !now.empty() && now != owner;
+      return !now.empty() && now != holder;
     }));
     f->heal();
     f->wait_until([&] { return (stale = f.status_number(third, "stale_effects")) > 0; }, Micros(1'500'000));
     CHECK(f.status_number(third, "list_generation") >= generation);
-    f->start(owner);
+    f->start(holder);
   }
   CHECK(stale > 0);
 }
@@ -770,7 +770,7 @@
   GroupFixture f(3, 0, [](FaultHarnessOptions& o) { o.group = {{"lease_ms", 1300}}; });
   REQUIRE(f.wait_for_lease_holder("list"));
   f->fake_servers().control({{"do", "discovery"}, {"mute", true}});
-  auto owner = f->lease_holder("list");
+  auto holder = f->lease_holder("list");
   CHECK(f->wait_until(
       [&] { return f->log(f->leader()).find("holds the lease but does no work") != std::string::npos; },
       Micros(40'000'000)));
@@ -822,9 +822,9 @@
   REQUIRE(f.wait_for_lease_holder("list"));
   // Makes fencing tokens large: a lease is granted anew when the log is already long.
   f.write_many(300);
-  auto owner = f->lease_holder("list");
-  f->terminate(owner);
-  f->start(owner);
+  auto holder = f->lease_holder("list");
+  f->terminate(holder);
+  f->start(holder);
   REQUIRE(f.wait_for_lease_holder("list"));
   REQUIRE(f.put("k", "kept"));
   auto survivor =
--- a/tests/group/zones_test.cpp
+++ b/tests/group/zones_test.cpp
@@ -224,7 +224,7 @@
   };
   CHECK(z.harness->wait_until([&] {
     auto o = seen();
-    for (auto& [key, s] : o.seen())
+    for (auto& [key, s] : o.samples())
       if (std::get<2>(key) == "b" && s.failed > 0) return true;
     return false;
   }));
@@ -304,14 +304,14 @@
   ZonesFixture z;
   z.start_load();
   REQUIRE(z.wait_until_ready());
-  auto owner = z->lease_holder("placement");
-  auto zone = z->zone_of(owner);
+  auto holder = z->lease_holder("placement");
+  auto zone = z->zone_of(holder);
   auto number = z.plan().number;
   // The servers of the zone die and its processes are paused, together.
   z.control_servers("kill", zone);
   for (auto& name : z->in_zone(zone)) z->pause(name);
   CHECK(z.harness->wait_until(
-      [&] { return !z->lease_holder("placement").empty() && z->lease_holder("placement") != owner; },
+      [&] { return !z->lease_holder("placement").empty() && z->lease_holder("placement") != holder; },
       kWaitTimeout));
   CHECK(z.wait_for_phase(zone, "closed"));
   auto closing_plan = z.plan().number;
@@ -319,7 +319,7 @@
   for (auto& name : z->in_zone(zone)) z->resume(name);
   z.control_servers("start", zone);
   CHECK(z.wait_for_phase(zone, "open"));
-  CHECK(z.harness->wait_until([&] { return z.followed_plan(owner) >= closing_plan; }, kWaitTimeout));
+  CHECK(z.harness->wait_until([&] { return z.followed_plan(holder) >= closing_plan; }, kWaitTimeout));
   // Without a majority nobody makes plans. The survivor keeps the last plan, and later routes without a plan.
   std::string survivor = z->voters()[0];
   auto last = z.plan().number;
@@ -339,11 +339,11 @@
   ZonesFixture z;
   z.start_load();
   REQUIRE(z.wait_until_ready());
-  auto owner = z->lease_holder("placement"), leader = z->leader();
+  auto holder = z->lease_holder("placement"), leader = z->leader();
   for (auto& other : z->voters()) {
-    if (other == owner) continue;
-    INFO(other << " cut from " << owner << ", leader " << leader);
-    z->cut(owner, other);
+    if (other == holder) continue;
+    INFO(other << " cut from " << holder << ", leader " << leader);
+    z->cut(holder, other);
     // The cut voter still reaches the group through the third. Plans continue to be made, whichever node
     // holds the lease now.
     auto number = z.plan().number;
@@ -422,19 +422,19 @@
   REQUIRE(z.wait_until_ready());
   auto answer = z.placement_command("evacuate", {{"zone", "nowhere"}});
   CHECK(answer.value("why", "").find("no server stands in zone 'nowhere'") != std::string::npos);
-  auto owner = z->lease_holder("placement");
+  auto holder = z->lease_holder("placement");
   answer = z.placement_command("evacuate", {{"zone", "c"}});
   CHECK(answer.value("ok", false));
   CHECK(answer.value("takes_ms", 0) >= 1000);
   REQUIRE(z.wait_for_phase("c", "evacuating"));
-  z->pause(owner);
+  z->pause(holder);
   CHECK(z.harness->wait_until(
-      [&] { return !z->lease_holder("placement").empty() && z->lease_holder("placement") != owner; },
+      [&] { return !z->lease_holder("placement").empty() && z->lease_holder("placement") != holder; },
       kWaitTimeout));
   CHECK(z.wait_for_phase("c", "evacuated"));
   auto number = z.plan().number;
-  z->resume(owner);
-  CHECK(z.harness->wait_until([&] { return z.followed_plan(owner) >= number; }, kWaitTimeout));
+  z->resume(holder);
+  CHECK(z.harness->wait_until([&] { return z.followed_plan(holder) >= number; }, kWaitTimeout));
   CHECK(z.phase("c") == "evacuated");
   CHECK(z.wait_until_no_requests("c"));
   // Another zone fails meanwhile: the evacuated zone stays evacuated.
--- a/tests/testbench/lab_test.cpp
+++ b/tests/testbench/lab_test.cpp
@@ -84,8 +84,8 @@
     invariants.on_request(ms(1100), 1, "w1", 1);
     return count(invariants, Invariant::kSlowStartOverload);
   };
-  CHECK(count_overloads(25) ==
-        0);  // 3 times 0.2 of 20 is 12; plus 3 times its square root and 3, the limit is 25.4
+  // 3 times 0.2 of 20 is 12; plus 3 times its square root and 3, the limit is 25.4.
+  CHECK(count_overloads(25) == 0);
   CHECK(count_overloads(26) == 1);
 }
 
