--- a/src/proxy/dispatcher.cpp
+++ b/src/proxy/dispatcher.cpp
@@ -22,7 +22,7 @@
 constexpr int kMaxAttempts = 8;
 // Tolerated excess of an attempt's timeout over the time that its client still waits.
 constexpr Micros kTimeoutSlack = 150ms;
-// Tolerance for socket delays, which the rules allow on top of their limits.
+// Tolerance for socket delays, which the testbench's checkers allow on top of their limits.
 constexpr Micros kSocketSlack = 50ms;
 // A read that is sent later than this after its arrival has waited for a replica.
 constexpr Micros kWaitThreshold = 5ms;
@@ -152,7 +152,7 @@
   return it == open_.end() ? nullptr : it->second.client;
 }
 
-// Measures as the rules do: delays of the sockets do not count as the proxy's.
+// Measures as the testbench's checkers do: delays of the sockets do not count as the proxy's.
 void Dispatcher::check_in_service(RequestId request, const std::string& server) {
   auto since = servers_out_of_service_.since(server);
   if (!since || drain_grace_.count() == 0) return;
--- a/src/proxy/withdrawn_servers.h
+++ b/src/proxy/withdrawn_servers.h
@@ -17,7 +17,7 @@
   using Micros = std::chrono::microseconds;
 
   void update(Micros now, const discovery::EndpointListUpdate& update);
-  // The time at which any process of the proxy first was notified that the server is out of service; nullopt:
+  // The time at which any process of the proxy was first notified that the server is out of service; nullopt:
   // the server may be used, or was removed long enough ago that its entry was dropped.
   std::optional<Micros> since(const std::string& server) const;
 
