--- a/src/group/health_check_job.h
+++ b/src/group/health_check_job.h
@@ -1,5 +1,5 @@
 // The jobs `probe N`: the lease holder checks the data servers of shard group N for the whole fleet and sends
-// their load reports to all nodes, so that hundreds of processes need not check each server themselves. A
+// their load reports to all nodes, so that hundreds of nodes need not check each server themselves. A
 // shard group is checked only while a process subscribes to its load reports.
 //
 // Belongs to the group's thread. A check without a result after two seconds counts as lost. Results that
--- a/src/group/peer_connections.cpp
+++ b/src/group/peer_connections.cpp
@@ -260,7 +260,7 @@
 
 void PeerConnections::add_downstream(peers::Link& link) {
   auto& name = link.peer().name;
-  // A restarted process may connect before this node notices the end of its previous connection.
+  // A restarted node may connect before this node notices the end of its previous connection.
   auto old = downstream_.find(name);
   if (old != downstream_.end()) old->second.link->close("it has connected again");
   downstream_[name].link = &link;
--- a/src/testbench/fault_injection/experiments.cpp
+++ b/src/testbench/fault_injection/experiments.cpp
@@ -322,7 +322,7 @@
   }
 }
 
-// Waits, with all links healed and all processes running, until the nodes have the same applied index and a
+// Waits, with all links healed and all nodes running, until they have the same applied index and a
 // leader. Returns false on a time-out.
 bool wait_until_converged(FaultHarness& harness) {
   return harness.wait_until(
