--- a/src/app/commands.cpp
+++ b/src/app/commands.cpp
@@ -35,7 +35,7 @@
 
 // The platform kills a process this long after SIGTERM: the longest deadline, of which at most 3 s count, and
 // the grace.
-constexpr net::Micros kLongestCountedDeadline = std::chrono::seconds(3);
+constexpr net::Micros kMaxCountedDeadline = std::chrono::seconds(3);
 constexpr net::Micros kShutdownGrace = std::chrono::milliseconds(700);
 
 // Raises the limit on descriptors to `requested` as far as the system permits. Returns how many of them this
@@ -62,7 +62,7 @@
   net::Micros longest_deadline{0};
   for (auto& request_class : config.settings.classes)
     longest_deadline = std::max(longest_deadline, request_class.deadline);
-  options.shutdown_limit = std::min(longest_deadline, kLongestCountedDeadline) + kShutdownGrace;
+  options.shutdown_limit = std::min(longest_deadline, kMaxCountedDeadline) + kShutdownGrace;
   options.schedule =
       discovery::PollingSchedule(config.settings.routers, config.settings.poll_discovery, config.seed);
   return options;
@@ -136,16 +136,16 @@
 Operations::Process make_operations_process(Serving& serving) {
   Operations::Process process;
   process.unhealthy_reason = [&serving] { return serving.unhealthy_reason(); };
-  process.apply_change = [&serving](discovery::EndpointListUpdate change) {
-    serving.apply_change(std::move(change));
+  process.apply_overlay_change = [&serving](discovery::EndpointListUpdate change) {
+    serving.apply_overlay_change(std::move(change));
   };
   process.descriptors_held = [&serving] { return serving.descriptors_held(); };
-  process.share_limits_with = [&serving](const proxy::OtherProcessesUsage& others) {
-    serving.share_limits_with(others);
+  process.set_other_processes_usage = [&serving](const proxy::OtherProcessesUsage& others) {
+    serving.set_other_processes_usage(others);
   };
   process.hand_over = [&serving] { serving.shut_down(proxy::ShutdownMode::kSuccessorServes); };
-  process.set_waiting_for_others = [&serving](bool is_waiting) {
-    serving.set_waiting_for_others(is_waiting);
+  process.set_waiting_for_other_processes = [&serving](bool is_waiting) {
+    serving.set_waiting_for_other_processes(is_waiting);
   };
   process.cancel = [&serving](std::uint32_t number, std::uint32_t secret) { serving.cancel(number, secret); };
   return process;
@@ -184,7 +184,8 @@
   return 0;
 }
 
-// Runs until the process is told to stop. `has_started`: once it is set, a failure is not a failed start.
+// Runs until the process receives a signal to stop. `has_started`: once it is set, a failure is not a failed
+// start.
 int serve_once(const LoadedConfig& loaded, Logger& logger, const net::Log& log, bool* has_started) {
   auto& config = loaded.config;
   for (auto& line : warnings(loaded.operator_file)) log(net::Level::kWarning, line);
--- a/src/app/group_runner.cpp
+++ b/src/app/group_runner.cpp
@@ -17,8 +17,8 @@
 // Descriptors in addition to those that the configuration allows the proxy: for links to hundreds of
 // followers, the store and health checks.
 constexpr rlim_t kGroupDescriptors = 2048;
-// When the group becomes unavailable to all proxies at once, they start to poll the list service one after
-// another, this far apart on average: a hundred calls a second.
+// When the group becomes unavailable to all proxies at once, they start to poll the discovery service one
+// after another, this far apart on average: a hundred calls a second.
 constexpr group::Micros kPollSpacing{10'000};
 // Interval between two health checks of a replica by the lease holder: if no class bounds the age of reads,
 // and the minimum.
@@ -141,13 +141,13 @@
   }
   options.seed = seed;
   options.fallback_jitter = std::max(options.fallback_jitter, kPollSpacing * settings.routers);
-  if (options.probe_every.count() == 0) {
+  if (options.probe_interval.count() == 0) {
     // Replicas are checked in turn: of two, one was checked within a third of the bound, which leaves two
     // thirds for its lag and the network delay; a single replica is checked twice as often.
-    options.probe_every = kDefaultHealthCheckInterval;
+    options.probe_interval = kDefaultHealthCheckInterval;
     for (auto& c : settings.classes)
-      if (c.bound.count() > 0) options.probe_every = std::min(options.probe_every, c.bound * 2 / 3);
-    options.probe_every = std::max(options.probe_every, kMinHealthCheckInterval);
+      if (c.bound.count() > 0) options.probe_interval = std::min(options.probe_interval, c.bound * 2 / 3);
+    options.probe_interval = std::max(options.probe_interval, kMinHealthCheckInterval);
   }
   if (options.placement) {
     options.placement->warm_up = settings.warm_up;
--- a/src/group/options.h
+++ b/src/group/options.h
@@ -17,9 +17,9 @@
 // Interval between two observations of a proxy, between two sums of a voter, and between two rounds of
 // planning.
 constexpr Micros kObservationInterval{500'000};
-// Time for which an answer of the list service shows that the endpoint list is current. The list service may
-// keep a poll open for 5 s, and its answer may take 1 s more; a node that has had no answer for 7 s no longer
-// knows the current list.
+// Time for which an answer of the discovery service shows that the endpoint list is current. The discovery
+// service may keep a poll open for 5 s, and its answer may take 1 s more; a node that has had no answer for
+// 7 s no longer knows the current list.
 constexpr Micros kEndpointListValidity{7'000'000};
 // Number of proxies whose observations one voter stores; observations of further proxies are ignored.
 constexpr std::size_t kMaxObservedProxies = 4096;
@@ -40,7 +40,7 @@
   // Thresholds of placement::Options. Keys: dwell_ms, open_after_ms, step_ms.
   Micros minimum_phase_duration{10'000'000};
   Micros open_after{5'000'000};
-  Micros step_every{2'000'000};
+  Micros step_interval{2'000'000};
   // Key: keep_ms. A proxy that has had no contact with the group for this long stops following the plan and
   // makes its own routing decisions.
   Micros contact_timeout{10'000'000};
@@ -70,7 +70,7 @@
   Micros fallback_jitter{1'000'000};
   // Interval between two health checks of one replica; 0: two thirds of the tightest bound on the age of
   // reads.
-  Micros probe_every{0};
+  Micros probe_interval{0};
   std::uint64_t seed = 0;
   std::optional<PlacementOptions> placement;  // nullopt: each proxy decides where its own reads go
 
--- a/src/handover/process_record.cpp
+++ b/src/handover/process_record.cpp
@@ -65,7 +65,7 @@
 
 bool is_valid(const ProcessRecord& record) {
   bool is_stage = record.stage >= ProcessStage::kStarting && record.stage <= ProcessStage::kShuttingDown;
-  return record.process.pid > 0 && is_stage && record.cordons.size() <= endpoint_list::kMostCordonMarks;
+  return record.process.pid > 0 && is_stage && record.cordons.size() <= endpoint_list::kMaxCordonMarks;
 }
 
 }  // namespace
@@ -107,7 +107,7 @@
     *error = reason;
     return std::nullopt;
   };
-  if (text.size() > kLargestRecord) return fail(RecordError::kTooLarge);
+  if (text.size() > kMaxRecordBytes) return fail(RecordError::kTooLarge);
   if (kHeaderPrefix.starts_with(text)) return fail(RecordError::kCorrupt);
   if (!text.starts_with(kHeaderPrefix)) return fail(RecordError::kUnknownFormat);
   auto header_end = text.find('\n');
--- a/src/proxy/dispatcher.cpp
+++ b/src/proxy/dispatcher.cpp
@@ -22,7 +22,7 @@
 constexpr int kMaxAttempts = 8;
 // Tolerated excess of an attempt's timeout over the time that its client still waits.
 constexpr Micros kTimeoutSlack = 150ms;
-// Tolerance for socket delays, which the rules allow on top of their limits.
+// Tolerance for socket delays, which the testbench's checkers allow on top of their limits.
 constexpr Micros kSocketSlack = 50ms;
 // A read that is sent later than this after its arrival has waited for a replica.
 constexpr Micros kWaitThreshold = 5ms;
@@ -152,18 +152,18 @@
   return it == open_.end() ? nullptr : it->second.client;
 }
 
-// Measures as the rules do: delays of the sockets do not count as the proxy's.
-void Dispatcher::check_withdrawal(RequestId request, const std::string& server) {
-  auto since = withdrawn_servers_.since(server);
+// Measures as the testbench's checkers do: delays of the sockets do not count as the proxy's.
+void Dispatcher::check_in_service(RequestId request, const std::string& server) {
+  auto since = servers_out_of_service_.since(server);
   if (!since || drain_grace_.count() == 0) return;
   auto elapsed = net::monotonic_now() - *since;
-  invariants_.check(elapsed <= drain_grace_ + kSocketSlack, Invariant::kSentToWithdrawn, [&] {
+  invariants_.check(elapsed <= drain_grace_ + kSocketSlack, Invariant::kSentWhileOutOfService, [&] {
     return fmt::format("request {} to {}, {} ms after the first notice", request, server, elapsed / 1ms);
   });
 }
 
 void Dispatcher::attempt_begins(RequestId request, const std::string& server) {
-  check_withdrawal(request, server);
+  check_in_service(request, server);
   auto it = open_.find(request);
   auto detail = [&] { return fmt::format("request {}", request); };
   invariants_.check(it != open_.end(), Invariant::kSendWithoutClient, detail);
@@ -318,7 +318,7 @@
   do {
     for (auto& [update, cached] : std::exchange(endpoint_updates_, {})) {
       pool_.update(update);
-      withdrawn_servers_.update(now, update);
+      servers_out_of_service_.update(now, update);
       if (load_reports_ && update.reset) load_reports_->retain_listed(update.endpoints);
       decider_.update(now, update, cached);
     }
--- a/tests/group/processes_test.cpp
+++ b/tests/group/processes_test.cpp
@@ -27,15 +27,15 @@
     o.voters = voters;
     o.followers = followers;
     change(o);
-    rig = std::make_unique<FaultHarness>(o);
+    harness = std::make_unique<FaultHarness>(o);
   }
-  FaultHarness* operator->() { return rig.get(); }
-  FaultHarness& operator*() { return *rig; }
+  FaultHarness* operator->() { return harness.get(); }
+  FaultHarness& operator*() { return *harness; }
 
   bool put(const std::string& key, const std::string& value) {
-    return rig->wait_until([&] {
+    return harness->wait_until([&] {
       try {
-        return rig->send_command(rig->leader(), {{"do", "put"}, {"key", key}, {"value", value}})
+        return harness->send_command(harness->leader(), {{"do", "put"}, {"key", key}, {"value", value}})
             .value("ok", false);
       } catch (const std::exception&) {
         return false;
@@ -44,9 +44,9 @@
   }
   std::string get(const std::string& key) {
     std::string value = "(none)";
-    rig->wait_until([&] {
+    harness->wait_until([&] {
       try {
-        auto a = rig->send_command(rig->leader(), {{"do", "get"}, {"key", key}});
+        auto a = harness->send_command(harness->leader(), {{"do", "get"}, {"key", key}});
         value = a.value("value", "");
         return a.value("ok", false);
       } catch (const std::exception&) {
@@ -56,25 +56,25 @@
     return value;
   }
   bool wait_for_lease_holder(const std::string& job) {
-    return rig->wait_until([&] { return !rig->lease_holder(job).empty(); });
+    return harness->wait_until([&] { return !harness->lease_holder(job).empty(); });
   }
   // Returns whether the node is the leader or knows the current leader, so that its vote counts again.
   bool follows_or_leads(const std::string& name) {
-    auto leader = rig->leader();
-    auto status = rig->status(name);
+    auto leader = harness->leader();
+    auto status = harness->status(name);
     return !leader.empty() && status && status->value("leader", "") == leader;
   }
   std::uint64_t status_number(const std::string& name, const char* key) {
-    auto s = rig->status(name, 3000);
+    auto s = harness->status(name, 3000);
     return s ? s->value(key, std::uint64_t{0}) : 0;
   }
   std::string voter_other_than(const std::string& excluded) {
-    for (auto& name : rig->voters())
+    for (auto& name : harness->voters())
       if (name != excluded) return name;
     return "";
   }
   bool holds_lease(const std::string& name, const std::string& job) {
-    auto s = rig->status(name, 3000);
+    auto s = harness->status(name, 3000);
     if (!s) return false;
     for (auto& h : s->at("holds"))
       if (h.at(0) == job) return true;
@@ -85,7 +85,7 @@
   void write_many(int count) {
     std::vector<std::thread> writers;
     std::atomic<int> left{count}, lost{0};
-    auto to = rig->address(rig->leader());
+    auto to = harness->address(harness->leader());
     for (int w = 0; w < 16; ++w)
       writers.emplace_back([&, w] {
         try {
@@ -104,7 +104,7 @@
   }
 
   TemporaryDirectory scratch;
-  std::unique_ptr<FaultHarness> rig;
+  std::unique_ptr<FaultHarness> harness;
 };
 
 std::size_t count_occurrences(const std::string& text, const std::string& what) {
@@ -123,7 +123,7 @@
   auto expect_kept_under_new_leader = [&](const std::string& what, const std::string& old) {
     INFO(what);
     auto value = std::to_string(++n);
-    REQUIRE(f.rig->wait_until([&] { return f->leader() != old && !f->leader().empty(); }));
+    REQUIRE(f.harness->wait_until([&] { return f->leader() != old && !f->leader().empty(); }));
     CHECK(f.get("k") == std::to_string(n - 1));
     CHECK(f.put("k", value));
   };
@@ -247,31 +247,31 @@
   // needed.
   for (int turn = 0; turn < 10 && stale == 0; ++turn) {
     REQUIRE(f.wait_for_lease_holder("list"));
-    auto owner = f->lease_holder("list");
-    if (f->leader() == owner) {
-      f->send_command(owner, {{"do", "transfer"}, {"name", f.voter_other_than(owner)}});
-      REQUIRE(f->wait_until([&] { return !f->leader().empty() && f->leader() != owner; }));
+    auto holder = f->lease_holder("list");
+    if (f->leader() == holder) {
+      f->send_command(holder, {{"do", "transfer"}, {"name", f.voter_other_than(holder)}});
+      REQUIRE(f->wait_until([&] { return !f->leader().empty() && f->leader() != holder; }));
     }
     std::string third;
     for (auto& name : f->voters())
-      if (name != owner && name != f->leader()) third = name;
+      if (name != holder && name != f->leader()) third = name;
     REQUIRE(f->wait_until([&] {
       return f.status_number(third, "list_generation") < 1000;
     }));  // -1 (wraps to a huge value) before the first list
     auto generation = f.status_number(third, "list_generation");
     LinkState held;
     held.hold_forward = true;
-    f->shape(owner, third, held);
+    f->shape(holder, third, held);
     std::this_thread::sleep_for(700ms);  // the lease holder sends its status every 500 ms
-    CHECK(f->terminate(owner) == 0);
+    CHECK(f->terminate(holder) == 0);
     REQUIRE(f->wait_until([&] {
       auto now = f->lease_holder("list");
-      return !now.empty() && now != owner;
+      return !now.empty() && now != holder;
     }));
     f->heal();
     f->wait_until([&] { return (stale = f.status_number(third, "stale_effects")) > 0; }, Micros(1'500'000));
     CHECK(f.status_number(third, "list_generation") >= generation);
-    f->start(owner);
+    f->start(holder);
   }
   CHECK(stale > 0);
 }
@@ -291,7 +291,7 @@
       f->wait_until([&] { return !f.holds_lease(survivor, "list") && !f.holds_lease(survivor, "probe 1"); }));
   CHECK(f->wait_until(
       [&] { return f->status(survivor) && f->status(survivor)->value("role", "") != "leader"; }));
-  // It polls the list service for itself and for the proxy that follows it.
+  // It polls the discovery service for itself and for the proxy that follows it.
   CHECK(f->wait_until(
       [&] { return f->log(survivor).find("asks the list service for all") != std::string::npos; }));
   CHECK(f->wait_until([&] { return f->fake_servers().report().at("list_calls").get<int>() > 0; }));
@@ -301,12 +301,12 @@
   load.connections = 4;
   load.rate = 50;
   load.duration = 1s;
-  load.rules = &f->fake_servers().invariants();
+  load.invariants = &f->fake_servers().invariants();
   // A drain must reach the proxy although no node holds the lease of the list.
   f->fake_servers().control({{"do", "drain"}, {"server", "s1-3"}});
   auto figures = run_load(load);
-  // While it searched for a live voter, the proxy may have begun to poll the list service itself; by now it
-  // must have stopped.
+  // While it searched for a live voter, the proxy may have begun to poll the discovery service itself; by now
+  // it must have stopped.
   CHECK(f->wait_until([&] {
     return count_occurrences(f->log("p1"), "asks by itself") ==
            count_occurrences(f->log("p1"), "heard of again");
@@ -590,10 +590,11 @@
   CHECK(call.send_request({{"do", "status"}}).contains("status"));
 }
 
-// Guards against a burst of polls at the list service: followers that were paused find on resuming that the
-// last message of the group is old, though the group was available all the time.
+// Guards against a burst of polls at the discovery service: followers that were paused find on resuming that
+// the last message of the group is old, though the group was available all the time.
 TEST_CASE("group: a voter far behind and dozens of followers that return at once catch up completely") {
-  // The followers are away for longer than they wait for the list before they fall back to the list service.
+  // The followers are away for longer than they wait for the list before they fall back to the discovery
+  // service.
   GroupFixture f(3, 24, [](FaultHarnessOptions& o) { o.group = {{"fallback_ms", 1500}}; });
   REQUIRE(f.wait_for_lease_holder("list"));
   auto fallbacks_started = [&] {
@@ -629,7 +630,8 @@
     for (auto& name : f->voters()) connected_followers += f.status_number(name, "followers");
     return connected_followers == f->followers().size();
   }));
-  // No follower may mistake its own absence for an outage of the group and fall back to the list service.
+  // No follower may mistake its own absence for an outage of the group and fall back to the discovery
+  // service.
   CHECK(f->fake_servers().report().at("list_calls").get<std::uint64_t>() - calls < 8);
   CHECK(fallbacks_started() == before);
 }
@@ -647,7 +649,7 @@
       l.rate = 40;
       l.duration = 1s;
       l.id_prefix = "r" + std::to_string(i) + "-";
-      l.rules = &f->fake_servers().invariants();
+      l.invariants = &f->fake_servers().invariants();
       sum.add(run_load(l));
     }
   });
@@ -745,7 +747,7 @@
         l.rate = 20;
         l.duration = 500ms;
         l.id_prefix = name + "-" + std::to_string(i) + "-";
-        l.rules = &f->fake_servers().invariants();
+        l.invariants = &f->fake_servers().invariants();
         run_load(l);
       }
     });
@@ -764,11 +766,11 @@
 
 // Guards against a job that nobody does: its lease holder renews the lease but cannot do the work.
 TEST_CASE("group: a lease holder that does no work loses its lease") {
-  // The list service stops answering, so the lease holder of the list gets no update.
+  // The discovery service stops answering, so the lease holder of the list gets no update.
   GroupFixture f(3, 0, [](FaultHarnessOptions& o) { o.group = {{"lease_ms", 1300}}; });
   REQUIRE(f.wait_for_lease_holder("list"));
   f->fake_servers().control({{"do", "discovery"}, {"mute", true}});
-  auto owner = f->lease_holder("list");
+  auto holder = f->lease_holder("list");
   CHECK(f->wait_until(
       [&] { return f->log(f->leader()).find("holds the lease but does no work") != std::string::npos; },
       Micros(40'000'000)));
@@ -794,7 +796,7 @@
         l.rate = 40;
         l.duration = 700ms;
         l.id_prefix = name + "-" + std::to_string(i) + "-";
-        l.rules = &f->fake_servers().invariants();
+        l.invariants = &f->fake_servers().invariants();
         auto x = run_load(l);
         asked += x.attempts;
         served += x.served;
@@ -820,9 +822,9 @@
   REQUIRE(f.wait_for_lease_holder("list"));
   // Makes fencing tokens large: a lease is granted anew when the log is already long.
   f.write_many(300);
-  auto owner = f->lease_holder("list");
-  f->terminate(owner);
-  f->start(owner);
+  auto holder = f->lease_holder("list");
+  f->terminate(holder);
+  f->start(holder);
   REQUIRE(f.wait_for_lease_holder("list"));
   REQUIRE(f.put("k", "kept"));
   auto survivor =
