--- a/tests/proxy/parsers_test.cpp
+++ b/tests/proxy/parsers_test.cpp
@@ -240,7 +240,7 @@
   };
   auto c = GENERATE(values<Case>({
       {"", "parse error"},
-      {"[]", "no JSON object"},
+      {"[]", "not a JSON object"},
       {R"({"listen":"x","discovery":"127.0.0.1:1","settings":{}})", "listen"},
       {R"({"listen":"127.0.0.1:1","settings":{}})", "discovery"},
       {R"({"listen":"127.0.0.1:1","discovery":"127.0.0.1:1"})", "settings"},
