--- a/src/app/group_runner.cpp
+++ b/src/app/group_runner.cpp
@@ -14,17 +14,17 @@
 namespace database_proxy::app {
 namespace {
 
-// Descriptors in addition to those that the configuration allows the proxy: for links to hundreds of
-// followers, the store and health checks.
+// Number of file descriptors that the group may use in addition to those that the configuration allows the
+// proxy: for links to hundreds of followers, the store and health checks.
 constexpr rlim_t kGroupDescriptors = 2048;
-// When the group becomes unavailable to all proxies at once, they start to poll the discovery service one
-// after another, this far apart on average: a hundred calls a second.
+// Average interval between the first polls of the discovery service by two proxies when the group becomes
+// unavailable to all proxies at once: a hundred polls a second in total.
 constexpr group::Micros kPollSpacing{10'000};
-// Interval between two health checks of a replica by the lease holder: if no class bounds the age of reads,
-// and the minimum.
+// Interval between two health checks of a replica by the lease holder: the default, used if no request class
+// bounds the age of reads, and the minimum.
 constexpr group::Micros kDefaultHealthCheckInterval{500'000}, kMinHealthCheckInterval{20'000};
 
-// Health checks of a lease holder, over connections of their own, in the group's thread.
+// Runs the health checks of a lease holder in the group's thread, over connections that carry no requests.
 class PoolHealthChecker : public group::HealthChecker, private proxy::ServerEvents {
  public:
   PoolHealthChecker(net::Loop& loop, proxy::PoolLimits limits, net::Log log,
@@ -47,7 +47,7 @@
 };
 
 // Average number of proxies in a zone that probe zones to which they send no requests. At least two are
-// needed.
+// needed, because the opinion of fewer than placement::Options::min_reporters proxies does not count.
 constexpr double kProbersPerZone = 4;
 
 // Returns the part of the placement plan that applies to the clients of one zone.
@@ -142,8 +142,9 @@
   options.seed = seed;
   options.fallback_jitter = std::max(options.fallback_jitter, kPollSpacing * settings.routers);
   if (options.probe_interval.count() == 0) {
-    // Replicas are checked in turn: of two, one was checked within a third of the bound, which leaves two
-    // thirds for its lag and the network delay; a single replica is checked twice as often.
+    // Each replica is checked once in two thirds of the bound. Two replicas are checked alternately, so the
+    // newest check is at most a third of the bound old, which leaves two thirds for the replica's lag and the
+    // network delay. A single replica is checked twice as often.
     options.probe_interval = kDefaultHealthCheckInterval;
     for (auto& c : settings.classes)
       if (c.bound.count() > 0) options.probe_interval = std::min(options.probe_interval, c.bound * 2 / 3);
--- a/src/app/signals.h
+++ b/src/app/signals.h
@@ -14,7 +14,7 @@
 // any thread is created.
 void block_handled_signals();
 
-// Waits until `longest` has passed or SIGTERM or SIGINT arrives, and returns whether one did. For a process
+// Waits for SIGTERM or SIGINT, for at most `longest`, and returns whether a signal arrived. For a process
 // that has no loop yet. The signals must be blocked.
 bool wait_for_termination(net::Micros longest);
 
--- a/src/consensus/write_tracker.h
+++ b/src/consensus/write_tracker.h
@@ -1,4 +1,4 @@
-// The writes of a node: those to be made in the current step, and which of them are durable.
+// The writes of a node: those to be made in the current step, and those that are not durable yet.
 //
 // Each input of a step produces at most one write, except that a truncation or a snapshot from the leader
 // begins a new one, because removals are applied before appended entries within one write. Writes complete in
@@ -36,7 +36,7 @@
 
   // Ends the current write, so that the next input begins a new one.
   void end_write() { is_write_open_ = false; }
-  // Returns the writes made since the last call.
+  // Returns the writes begun since the last call, for the caller to make.
   std::vector<Write> take_writes();
 
   // Records that all writes up to `number` are durable. Returns whether durable_index() has changed.
@@ -46,14 +46,14 @@
   Index durable_index() const { return durable_index_; }
   // Returns whether the current term and vote are durable.
   bool is_hard_state_durable() const { return hard_state_write_ <= durable_write_; }
-  // Returns the write that must be durable before a message is sent; 0 if there is none. A term or vote that
-  // another node has learnt of must survive a crash (section 3.8 of the Raft paper).
+  // Returns the number of the write that must be durable before a message is sent; 0 if there is none. A term
+  // or vote that another node has learnt of must survive a crash (section 3.8 of the Raft dissertation).
   std::uint64_t write_before_messages() const { return is_hard_state_durable() ? 0 : hard_state_write_; }
 
  private:
   struct PendingWrite {
     std::uint64_t number;
-    Index last_index;  // the log is durable up to this index once the write is, unless truncated meanwhile
+    Index last_index;  // the log is durable up to this index once the write is; a truncation lowers it
   };
 
   Write& current_write(Index last_index);
--- a/src/group/endpoint_list_publisher.h
+++ b/src/group/endpoint_list_publisher.h
@@ -1,9 +1,9 @@
-// The job `list`: its lease holder polls the discovery service and publishes each new endpoint list,
-// complete, through the log.
+// The job `list`: its lease holder polls the discovery service and publishes each new endpoint list in full
+// through the Raft log.
 //
-// Belongs to the group's thread. A list is proposed again until it is in the registry; one that was published
-// under this lease is not proposed again. Twice a second the lease holder reports to every node which
-// generation it knows, as long as the discovery service answers.
+// Belongs to the group's thread. A list is proposed repeatedly until the registry contains it as published
+// under the current lease. Twice a second the lease holder reports to every node which generation it knows,
+// as long as the discovery service answers.
 #pragma once
 
 #include <cstdint>
@@ -58,7 +58,7 @@
   LoadReportGossip& gossip_;
 
   std::unique_ptr<discovery::DiscoveryWatch> watch_;
-  std::map<std::string, discovery::Endpoint> endpoints_;  // as received from the discovery service, by id
+  std::map<std::string, discovery::Endpoint> endpoints_;  // published list with later updates, by ID
   std::int64_t generation_ = 0;
   bool is_complete_ = false;  // endpoints_ is a complete list, not only changes
   std::uint64_t complete_polls_ = 0;
--- a/src/placement/planner_input.h
+++ b/src/placement/planner_input.h
@@ -30,19 +30,25 @@
 // Thresholds and durations. The simulator checks the default values in combination; src/group sets the values
 // that are configurable.
 struct Options {
-  // Fraction of a zone's proxies with an opinion that must agree that a zone is unhealthy, or healthy.
+  // Fraction of the proxies of one zone that must agree that a zone is unhealthy, or healthy. Only proxies
+  // that have an opinion on it count.
   double unhealthy_fraction = 0.6, healthy_fraction = 0.8;
   // Number of proxies of one zone that must have an opinion, because a single proxy may itself be faulty.
   std::uint64_t min_reporters = 2;
-  // Number of zones of proxies that must agree. Where fewer zones have proxies, all of them must.
+  // Number of zones whose proxies must agree that a zone is unhealthy. If fewer zones have proxies, all of
+  // those must agree.
   int min_zones = 2;
-  Millis close_after = 1000;               // unhealthy for this long; a stall of one second is no outage
-  Millis link_close_after = 3000;          // longer: only one zone's proxies judge a link, and may be wrong
-  Millis open_after = 5000;                // healthy for this long: longer than most outages that recur
+  // Time that a zone must be unhealthy before it is closed. A stall of one second is no outage.
+  Millis close_after = 1000;
+  // The same for a link. Longer, because only one zone's proxies judge a link, and they may be wrong.
+  Millis link_close_after = 3000;
+  // Time that a zone must be healthy before it is opened. Longer than most outages that recur.
+  Millis open_after = 5000;
   Millis minimum_phase_duration = 10'000;  // minimum time in a phase before the opposite one
-  Millis step_interval = 2000;             // while opening or evacuating; a step's effect is observed by then
-  double initial_fraction = 0.1;           // usable fraction when a zone begins to open; each step doubles it
-  int max_changes_per_minute = 4;          // limit for each zone or link separately
+  // Time between two steps of opening or evacuating a zone. The effect of a step is observed by then.
+  Millis step_interval = 2000;
+  double initial_fraction = 0.1;   // usable fraction when a zone begins to open; each step doubles it
+  int max_changes_per_minute = 4;  // limit for each zone or link separately
   // Fraction of a zone's capacity that is used before the next zone is; the rest absorbs bursts.
   double target_utilization = 0.8;
   // Upper limit of the used fraction of a zone's capacity. The rest covers the demand's fluctuation of a few
--- a/src/placement/surplus_split.cpp
+++ b/src/placement/surplus_split.cpp
@@ -15,10 +15,10 @@
 
 // Requests per second below which a load is only the rounding error of a sum.
 constexpr double kNegligible = 1e-9;
-// A smaller surplus share gets no entry in the plan.
+// Surplus shares up to this value get no entry in the plan.
 constexpr double kMinSurplus = 0.02;
 // The last plan's surplus is kept while there is capacity for it and it is at least this fraction of the
-// surplus computed now. Otherwise it would change with every fluctuation of the demand.
+// surplus computed now, so that it does not change with every fluctuation of the demand.
 constexpr double kRetainedSurplusFraction = 0.6;
 constexpr double kSurplusPrecision = 1e3;  // shares are multiples of 1 / kSurplusPrecision
 
@@ -30,7 +30,8 @@
 
 using SurplusOffers = std::map<Zone, SurplusOffer>;
 
-// Returns the load of each zone by this plan or by the last one, whichever is higher.
+// Returns the load of each zone, where each clients' zone counts with the higher of its shares in this plan
+// and in the last one.
 std::map<Zone, double> max_loads(const ShardGroupDemand& shard_group, const Options& options,
                                  const Plan& last, const Plan& plan) {
   std::map<Zone, double> loads;
@@ -59,8 +60,9 @@
   return offers;
 }
 
-// Returns the surplus for clients in `from`, the nearest zones first and not more than their demand in total.
-// Returns the last plan's surplus where that may be kept.
+// Returns the surplus shares for the clients in `from`, by servers' zone. The nearest zones are used first,
+// and the shares add up to at most 1, the clients' demand. Returns the last plan's shares if they may be
+// kept.
 std::map<Zone, double> surplus_for(const Zone& from, const ShardGroupDemand& shard_group,
                                    const SurplusOffers& offers, const ZoneTopology& topology,
                                    const Plan& last, const Plan& plan) {
--- a/src/proxy/server_pool.h
+++ b/src/proxy/server_pool.h
@@ -21,8 +21,8 @@
 // Time limits of a pool.
 struct PoolLimits {
   Micros connect_timeout{250'000};
-  Micros idle{20'000'000};  // well below the server's idle limit, since a request sent as the server closes
-                            // ends as a reset
+  Micros idle{20'000'000};  // well below the server's idle limit, because a request that is sent while the
+                            // server closes the connection ends with a reset
   Micros probe_timeout{250'000};
 };
 
--- a/src/request_router/attempt_lifecycle.h
+++ b/src/request_router/attempt_lifecycle.h
@@ -1,8 +1,8 @@
 // The lifecycle of an attempt, from its sending to its outcome.
 //
 // Rule: an attempt counts as in flight, in its request and in its member's list, until its outcome arrives,
-// whatever is decided in the meantime. An outcome is first recorded at the member, then in the request, which
-// ends or waits for its next attempt.
+// regardless of decisions made in the meantime. An outcome is first recorded at the member, then in the
+// request, which ends or waits for its next attempt.
 #pragma once
 
 #include "request_router/router.h"
