--- a/src/request_router/replication_lag.h
+++ b/src/request_router/replication_lag.h
@@ -25,9 +25,9 @@
 struct MemberReplication {
   Micros position = kNever;       // newest position that is known to be applied
   Micros lag{0};                  // age of `position` when it was recorded
-  Micros last_reported = kNever;  // newest position in a report
-  Micros report_interval{0};      // time between the positions of two reports; 0: not known
-  Micros report_delay{0};         // age of a reported position on arrival, while the member keeps up
+  Micros last_reported = kNever;  // position in the latest report
+  Micros report_interval{0};      // smoothed minimum time between reported positions; 0: not known
+  Micros report_delay{0};         // smoothed minimum age of positions on arrival, while the member keeps up
   Micros declined_at = kNever;    // when the member last declined a read because it was behind
 };
 
@@ -41,11 +41,12 @@
   // newest position among the entries that were dropped, or kNever.
   Micros last_write(std::uint64_t session) const;
 
-  // Sets whether another process of the proxy accepts writes of the same sessions from now on; false ends
-  // such a time.
+  // Sets whether another process of the proxy accepts writes of the same sessions from `now` on. A call with
+  // false ends the period that a call with true began.
   void set_shared(Micros now, bool is_shared);
 
-  // The latest time at which another process may have accepted a write; kNever: no such process has been set.
+  // Returns the latest time at which another process may have accepted a write; kNever if set_shared was
+  // never called with true.
   Micros last_write_by_other_process(Micros now) const { return is_shared_ ? now : shared_until_; }
 
  private:
@@ -56,31 +57,34 @@
   bool is_shared_ = false;
 };
 
-// The position that a session read needs when it arrives; kNever: none.
+// Returns the position that a session read needs, determined when it arrives; kNever: none.
 Micros session_position(const RouterState& state, const Request& request);
 
-// The position that a member must have applied to serve this read at the time of the batch; kNever: none.
+// Returns the position that a member must have applied to serve this read at `state.now`; kNever: none.
 Micros required_position(const RouterState& state, const PendingRequest& pending);
 
-// Whether the member is known to have applied the required position. No other code applies this filter.
+// Returns whether the member is known to have applied the required position. No other code applies this
+// filter.
 inline bool is_fresh(const MemberReplication& replication, Micros required) {
   return required == kNever || replication.position >= required;
 }
 
-// Whether a read that requires the position may be tried at a member that is not known to have reached it.
-// Only where members check reads: at worst the member declines the read without executing it.
+// Returns whether a read that requires the position may be tried at a member that is not known to have
+// reached it. This is possible only where members check reads themselves: at worst the member declines the
+// read without executing it.
 bool may_try_behind(const RouterState& state, const Member& member, Micros required);
 
 // Records a position that the member is known to have applied.
 void record_position(RouterState& state, Member& member, Micros position);
 
-// Records the position of an answer, which is rounded.
+// Records a position that was rounded by its sender, less the largest rounding error.
 void record_rounded_position(RouterState& state, Member& member, Micros position);
 
 // Records the position of a load report, and the interval and the delay of reports.
 void record_reported_position(RouterState& state, Member& member, Micros position);
 
-// The time at which the next report with a new position is due; an earlier probe returns no new position.
+// Returns the time at which the next report with a new position is due; an earlier probe returns no new
+// position.
 Micros next_report_due(const Member& member);
 
 // Records what a success shows apart from its latency: the position of a write, and, where members check
--- a/src/request_router/slow_start.cpp
+++ b/src/request_router/slow_start.cpp
@@ -13,7 +13,7 @@
 constexpr double kHeavyRatio = 3;
 
 // The maximum load of a replica that is warming up, as a multiple of its proportional load. Applies where the
-// guaranteed overload multiple is so high that the next fraction would allow more.
+// guaranteed overload multiple is so high that kReplicaGuaranteeFraction of it would allow more.
 constexpr double kReplicaLoadMultiple = 2.2;
 
 // The same maximum as a fraction of the guaranteed overload multiple. The rest of the guarantee absorbs
@@ -24,18 +24,21 @@
 // replica, because no other member can serve writes and they are retried after each rejection.
 constexpr double kPrimaryGuaranteeFraction = 0.6;
 
-// The part of a primary's fraction for a member that is tried for writes without being known as the primary.
+// The factor by which a primary's fraction is reduced for a member that is tried for writes although it is
+// not known to be the primary.
 constexpr double kUnconfirmedPrimaryFraction = 0.5;
 
 // The time over which requests that waited for the primary are admitted, as a multiple of their wait. They
-// arrived over one such span; twice that leaves capacity for requests that arrive in the meantime.
+// arrived over a time as long as that wait; admitting them over twice that time leaves capacity for requests
+// that arrive in the meantime.
 constexpr double kBacklogDrainRatio = 2;
 
 // The span over which the usual work is measured, in overload windows: long enough that a burst of one window
 // hardly changes it.
 constexpr int kUsualWindows = 8;
 
-// Prevents a division by 0 at the first addition, in the correction for a short observed time.
+// Used instead of 1 in the divisor that corrects a level for a short observed time, because that divisor
+// would be 0 at the first addition.
 constexpr double kLevelOffset = 1.01;
 
 // The ratio of a level to the work of one span: a decaying sum that receives 1 in each span approaches
--- a/src/testbench/fault_injection/links.h
+++ b/src/testbench/fault_injection/links.h
@@ -36,11 +36,13 @@
   // Returns a port that forwards to `address`, the address of process `to`, for connections from process
   // `from`. Both are names within the harness.
   int add_listener(const std::string& from, const std::string& to, const std::string& address);
-  // `add_shared_listener` returns one port in front of a server for dialers of all names. The source address
-  // of a connection, registered with `add_source`, selects the link that it uses. `add_link` creates such a
-  // link, which has no port of its own.
+  // Registers the source address of the connections from `from`; at a shared listener it selects the link
+  // that a connection uses.
   void add_source(const std::string& address, const std::string& from);
+  // Creates a link without a port of its own, for connections through a shared listener.
   void add_link(const std::string& from, const std::string& to);
+  // Returns one port in front of the server at `address`, for connections from all registered sources; `to`
+  // is the other end of their links.
   int add_shared_listener(const std::string& to, const std::string& address);
   void set(const std::string& from, const std::string& to, LinkState state);
   // Sends RST to both ends of all connections of the link.
--- a/src/testbench/fault_injection/script.cpp
+++ b/src/testbench/fault_injection/script.cpp
@@ -15,7 +15,8 @@
 namespace {
 
 // Parameters of each step besides `do`: n node, t other end of a link, m milliseconds, b bytes, s command for
-// the fake servers. Capitals are optional; S is stall_after.
+// the fake servers. An upper-case letter stands for the same parameter as its lower-case form, but
+// optional; S is stall_after.
 const std::map<std::string, std::string> kStepParameters = {
     {"wait", "m"},        {"kill", "n"},  {"start", "n"},  {"pause", "n"},        {"resume", "n"},
     {"terminate", "n"},   {"empty", "n"}, {"tear", "n"},   {"limit-files", "nb"}, {"slow-disk", "nm"},
--- a/src/testbench/slow_start_checker.h
+++ b/src/testbench/slow_start_checker.h
@@ -27,8 +27,8 @@
   explicit SlowStartChecker(SlowStartLimits limits) : limits_(limits) {}
 
   // Records a request sent to a server of `shard_group`; `speed` is the server's share of its full speed at
-  // its age, 1 when warm. Returns a description of each server that got too many requests in the window that
-  // ends with this request; empty if no window ends.
+  // its age, 1 when warm. If the group's window has ended, returns a description of each server that got too
+  // many requests in it, and starts a new window with this request; otherwise returns an empty list.
   std::vector<std::string> on_request(Micros now, std::int64_t shard_group, const std::string& server,
                                       double speed);
 
--- a/src/workers/shared_request_registry.h
+++ b/src/workers/shared_request_registry.h
@@ -1,5 +1,6 @@
 // State that all workers of a process share: names of open requests, resource usage and connection counts.
-// May be used from any thread; a lock is held for one look-up at most.
+// May be used from any thread; a lock is held for one look-up, or for one pass over the connection
+// counters when a counter is created.
 #pragma once
 
 #include <array>
--- a/src/workers/spsc_queue.h
+++ b/src/workers/spsc_queue.h
@@ -16,8 +16,8 @@
  public:
   explicit SpscQueue(std::size_t capacity) : ring_(capacity) {}
 
-  // The functions up to overflowed() are for the sender. No item is lost. The backlog is not limited here:
-  // the sender limits its items by what it sends them for, such as its open requests.
+  // The functions up to overflowed() are for the sender. No item is lost. The backlog has no limit of its
+  // own: the sender limits what causes items, such as its open requests.
   void send(T item) {
     if (!backlog_.empty() || !ring_.push(item)) {
       ++overflowed_;
--- a/tests/request_router/decision_settings.h
+++ b/tests/request_router/decision_settings.h
@@ -1,5 +1,5 @@
-// Random settings for the fingerprints of the decision module, and the random number generator of the whole
-// simulation.
+// Random settings for the test that compares hashes (fingerprints) of the decision module's actions, and the
+// random number generator of that whole simulation.
 #pragma once
 
 #include <cstdint>
--- a/tests/upgrade/call_faults_test.cpp
+++ b/tests/upgrade/call_faults_test.cpp
@@ -181,7 +181,7 @@
       auto process = node.start_faulty();
       REQUIRE(becomes_healthy(*process));
       auto load = node.load(std::chrono::milliseconds(1200));
-      load.own_view_share = 0;  // sessions carry Unix times of the load's own clock
+      load.own_view_share = 0;  // such sessions send Unix times of the load's clock, which has no offset
       testbench::LoadFigures figures;
       std::thread running([&] { figures = testbench::run_load(load); });
       if (is_stepped_later) {
