--- a/src/consensus/write_tracker.h
+++ b/src/consensus/write_tracker.h
@@ -47,7 +47,7 @@
   // Returns whether the current term and vote are durable.
   bool is_hard_state_durable() const { return hard_state_write_ <= durable_write_; }
   // Returns the number of the write that must be durable before a message is sent; 0 if there is none. A term
-  // or vote that another node has learnt of must survive a crash (section 3.8 of the Raft dissertation).
+  // or vote that another node has learnt of must survive a crash (section 3.8 of the Raft paper).
   std::uint64_t write_before_messages() const { return is_hard_state_durable() ? 0 : hard_state_write_; }
 
  private:
