--- a/tests/testbench/process_test.cpp
+++ b/tests/testbench/process_test.cpp
@@ -29,6 +29,14 @@
   return n;
 }
 
+// Waits until the log of the process contains `text`, for at most 5 s. On a busy machine a process may read a
+// file only after a fixed time has passed, when the test has already replaced the file.
+void wait_for_log(const ProcessUnderTest& process, const std::string& text) {
+  auto deadline = std::chrono::steady_clock::now() + std::chrono::seconds(5);
+  while (occurrences(process.log(), text) == 0 && std::chrono::steady_clock::now() < deadline)
+    std::this_thread::sleep_for(std::chrono::milliseconds(10));
+}
+
 }  // namespace
 
 TEST_CASE("process: repeated SIGHUP and a SIGTERM under load with four workers lose no request") {
@@ -56,9 +64,11 @@
       daemon.write_operator_file({{"workers", {{"count", 2}}}, {"log", {{"format", "json"}}}});
       daemon.signal(SIGHUP);
       std::this_thread::sleep_for(std::chrono::milliseconds(100));
+      wait_for_log(daemon, "differs in the operator's file");
       daemon.write_operator_file({{"workers", {{"count", "two"}}}});
       daemon.signal(SIGHUP);
       std::this_thread::sleep_for(std::chrono::milliseconds(300));
+      wait_for_log(daemon, "workers.count: Value type not permitted");
       daemon.signal(SIGTERM);
     });
     auto figures = run_load(load);
